--- a/cmd/crankhold/config.go
+++ b/cmd/functionrouter/config.go
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"crankhold/internal/directory"
-	"crankhold/internal/wire"
-	"crankhold/policy"
+	"functionrouter/internal/discovery"
+	"functionrouter/internal/simwire"
+	"functionrouter/policy"
 )
 
 // config is what the platform tells a function router.
@@ -24,9 +24,9 @@
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int `json:"sockets"`
 	} `json:"limits"`
-	Names    string          `json:"names"`
-	Known    directory.Known `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Names    string                     `json:"names"`
+	Known    discovery.InitialEndpoints `json:"known"`
+	Settings json.RawMessage            `json:"settings"`
 
 	seed    uint64
 	module  policy.Config
@@ -78,7 +78,7 @@
 	if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("config %s: seed: %w", path, err)
 	}
-	if c.module, err = wire.ParseSettings(c.Settings); err != nil {
+	if c.module, err = simwire.ParseSettings(c.Settings); err != nil {
 		return nil, fmt.Errorf("config %s: %w", path, err)
 	}
 	n := &c.network
@@ -134,7 +134,7 @@
 
 // turnedAway is what clients are told that there is no room for.
 func (c *config) turnedAway() time.Duration {
-	if !c.module.RetryAfter {
+	if !c.module.AllowRetryAfter {
 		return 0
 	}
 	return min(time.Second, c.module.MaxRetryAfter)
--- a/cmd/crankhold/config_test.go
+++ b/cmd/functionrouter/config_test.go
@@ -92,7 +92,7 @@
 	if c.turnedAway() != 0 {
 		t.Error("advice where the settings allow none")
 	}
-	c.module.RetryAfter, c.module.MaxRetryAfter = true, 300*time.Millisecond
+	c.module.AllowRetryAfter, c.module.MaxRetryAfter = true, 300*time.Millisecond
 	if c.turnedAway() != c.module.MaxRetryAfter {
 		t.Errorf("advice %v", c.turnedAway())
 	}
--- a/cmd/crankhold/hooks.go
+++ b/cmd/functionrouter/hooks.go
@@ -8,11 +8,11 @@
 	"os"
 	"time"
 
-	"crankhold/internal/ipfix"
-	"crankhold/internal/loop"
-	"crankhold/internal/router"
-	"crankhold/internal/webhook"
-	"crankhold/policy"
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/frontend/webhook"
+	"functionrouter/internal/ipfix"
+	"functionrouter/internal/router"
+	"functionrouter/policy"
 )
 
 // The files that turn on what the platform does not want; the variables name others.
@@ -42,7 +42,7 @@
 }
 
 // newHooks reads the files and joins what they turn on to the loop and the core.
-func newHooks(c *config, lp *loop.Loop, core *router.Core) (*hooks, error) {
+func newHooks(c *config, lp *eventloop.Loop, core *router.Router) (*hooks, error) {
 	h := &hooks{}
 	h.servers[router.Thrift], _ = netip.ParseAddrPort(c.Listen) // checked when it was read
 	if path := chosen(webhookVariable, webhookFile); path != "" {
@@ -56,19 +56,19 @@
 			return nil, err
 		}
 		if cfg.Enabled {
-			h.exporter = ipfix.New(cfg, time.Now, func(d loop.Dialled) ipfix.Line {
+			h.exporter = ipfix.New(cfg, time.Now, func(d eventloop.DialHandler) ipfix.Transport {
 				return lp.DialUDP(cfg.Collector, d)
 			})
 			log.Printf("event=export_on collector=%s", cfg.Collector)
 		}
 	}
-	core.Observe = func(now time.Duration, r *router.Request, end string) {
-		if h.sender != nil && c.module.Classes[r.Class].Repeat == policy.Unsafe {
+	core.OnRequestEnd = func(now time.Duration, r *router.Request, end string) {
+		if h.sender != nil && c.module.Classes[r.Class].Idempotency == policy.NotIdempotent {
 			h.sender.Notify(now, r, end)
 		}
 		if h.exporter != nil {
 			wall := time.Now()
-			h.exporter.Add(ipfix.Flow{Client: r.Client, Server: h.servers[r.Front], Start: wall.Add(r.Taken - now), End: wall,
+			h.exporter.Add(ipfix.Flow{Client: r.ClientAddr, Server: h.servers[r.Frontend], Start: wall.Add(r.ReceivedAt - now), End: wall,
 				Octets: uint64(len(r.Body)), Class: c.network.Classes[r.Class].Name})
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 // addWebhooks turns on what the webhook file says.
-func (h *hooks) addWebhooks(path string, c *config, lp *loop.Loop, core *router.Core) error {
+func (h *hooks) addWebhooks(path string, c *config, lp *eventloop.Loop, core *router.Router) error {
 	cfg, err := webhook.ReadConfig(path)
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 	if cfg.Receiver.Enabled {
 		var classes []webhook.Class
 		for i, k := range c.module.Classes {
-			classes = append(classes, webhook.Class{Name: c.network.Classes[i].Name, Once: k.Repeat != policy.Safe, Longest: k.Deadline})
+			classes = append(classes, webhook.Class{Name: c.network.Classes[i].Name, Once: k.Idempotency != policy.Idempotent, Longest: k.Deadline})
 		}
 		if h.receiver, err = webhook.NewReceiver(cfg, core, classes, c.share(16<<20), lp.Now, time.Now, lp.Post); err != nil {
 			return err
@@ -94,7 +94,7 @@
 		log.Printf("event=webhooks_on listen=%s path=%s ledger=%q", cfg.Receiver.Listen, cfg.Receiver.Path, cfg.Receiver.Ledger.Path)
 	}
 	if cfg.Sender.Enabled {
-		h.sender, err = webhook.NewSender(cfg, time.Now, func(addr string, timeout time.Duration, d loop.Dialled) webhook.Line {
+		h.sender, err = webhook.NewSender(cfg, time.Now, func(addr string, timeout time.Duration, d eventloop.DialHandler) webhook.Transport {
 			return lp.Dial(addr, timeout, d)
 		})
 		if err != nil {
@@ -108,10 +108,10 @@
 func (h *hooks) turn(now time.Duration) time.Duration {
 	next := now + time.Hour
 	if h.sender != nil {
-		next = min(next, h.sender.Turn(now))
+		next = min(next, h.sender.Process(now))
 	}
 	if h.exporter != nil {
-		next = min(next, h.exporter.Turn(now))
+		next = min(next, h.exporter.Process(now))
 	}
 	return next
 }
@@ -128,7 +128,7 @@
 	if h.sender == nil {
 		return 0
 	}
-	return h.sender.Open()
+	return h.sender.OpenNotices()
 }
 
 // close ends what must be written before the program ends.
@@ -152,6 +152,6 @@
 			n.Queued, n.Dropped, n.Delivered, n.Retried, n.GivenUp, h.open())
 	}
 	if x := h.exporter; x != nil {
-		log.Printf("event=counters flow_records=%d sent=%d dropped=%d messages=%d", x.Count.Records, x.Count.Sent, x.Count.Dropped, x.Count.Messages)
+		log.Printf("event=counters flow_records=%d sent=%d dropped=%d messages=%d", x.Counters.Records, x.Counters.Sent, x.Counters.Dropped, x.Counters.Messages)
 	}
 }
--- a/cmd/crankhold/main.go
+++ b/cmd/functionrouter/main.go
@@ -1,4 +1,4 @@
-// Command crankhold is the function router: the decision module of package policy on real sockets.
+// Command functionrouter is the function router: the decision module of package policy on real sockets.
 package main
 
 import (
@@ -12,12 +12,12 @@
 	"syscall"
 	"time"
 
-	"crankhold/internal/directory"
-	"crankhold/internal/loop"
-	"crankhold/internal/resp"
-	"crankhold/internal/router"
-	"crankhold/internal/thrift"
-	"crankhold/policy"
+	"functionrouter/internal/backend"
+	"functionrouter/internal/discovery"
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/frontend/thrift"
+	"functionrouter/internal/router"
+	"functionrouter/policy"
 )
 
 const (
@@ -37,7 +37,7 @@
 		err = serve(c, func() (*config, error) { return readConfig(os.Getenv) })
 	}
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "crankhold: %v\n", err)
+		fmt.Fprintf(os.Stderr, "functionrouter: %v\n", err)
 		os.Exit(1)
 	}
 }
@@ -64,21 +64,21 @@
 	for _, a := range c.network.Accounts {
 		tenants = append(tenants, a.Name)
 	}
-	lp := loop.New(loop.Config{MaxAccepted: c.clientConns(), MaxFiles: c.Limits.Sockets,
-		MaxQueued: c.share(8 << 20), MaxUnread: c.share(32 << 20)})
-	core := router.New(module, router.Limits{MaxOpen: c.maxOpen(), MaxBytes: c.share(24 << 20), RetryAfter: c.turnedAway(),
-		MaxAttempts: c.module.MaxAttempts, OrderTimeout: c.module.OrderTimeout, ProbeTimeout: probeTimeout})
-	pool := resp.New(resp.Config{Classes: classes, ReportFields: c.module.ReportFields,
-		DialTimeout: millis(c.network.Limits.DialTimeoutMs), KeepAlive: millis(c.network.Limits.KeepaliveMs),
-		PerConn: c.network.Limits.StreamsPerConn, MaxConns: c.workerConns(), MayStop: c.module.MayCancel,
-		Dial: func(addr string, timeout time.Duration, h loop.Dialled) resp.Line {
+	lp := eventloop.New(eventloop.Config{MaxAcceptedConnections: c.clientConns(), MaxFileDescriptors: c.Limits.Sockets,
+		MaxQueuedBytes: c.share(8 << 20), MaxUnreadBytes: c.share(32 << 20)})
+	core := router.New(module, router.Limits{MaxOpenRequests: c.maxOpen(), MaxBodyBytes: c.share(24 << 20), RetryAfter: c.turnedAway(),
+		MaxAttempts: c.module.MaxAttempts, LoadOrderTimeout: c.module.LoadOrderTimeout, ProbeTimeout: probeTimeout})
+	pool := backend.New(backend.Config{Classes: classes, LoadReportFields: c.module.LoadReportFields,
+		DialTimeout: millis(c.network.Limits.DialTimeoutMs), IdleTimeout: millis(c.network.Limits.KeepaliveMs),
+		MaxStreamsPerConnection: c.network.Limits.StreamsPerConn, MaxConnections: c.workerConns(), AllowCancel: c.module.AllowCancel,
+		Dial: func(addr string, timeout time.Duration, h eventloop.DialHandler) backend.Transport {
 			return lp.Dial(addr, timeout, h)
 		}}, core)
-	core.Use(pool)
-	names := directory.New(c.Names,
-		func(addr string, h loop.Dialled) directory.Line { return lp.DialUDP(addr, h) },
-		func(list []directory.Worker) { follow(lp, core, pool, c.network.FailureDomains, list) })
-	if err := names.Start(c.Known); err != nil {
+	core.SetWorkerPool(pool)
+	names := discovery.New(c.Names,
+		func(addr string, h eventloop.DialHandler) discovery.Transport { return lp.DialUDP(addr, h) },
+		func(list []discovery.Endpoint) { follow(lp, core, pool, c.network.FailureDomains, list) })
+	if err := names.LoadInitial(c.Known); err != nil {
 		return err
 	}
 	hooks, err := newHooks(c, lp, core)
@@ -87,7 +87,7 @@
 	}
 	stopping := time.Duration(0)
 	// Good once there is a worker to send to, and no longer once we stop.
-	front := thrift.New(core, classes, tenants, lp.Now, func() bool { return names.Size() > 0 && stopping == 0 })
+	front := thrift.New(core, classes, tenants, lp.Now, func() bool { return names.EndpointCount() > 0 && stopping == 0 })
 	lp.Listen(c.Listen, front.Accept)
 	if err := lp.Start(); err != nil {
 		return err
@@ -116,7 +116,7 @@
 				return
 			}
 			lp.Post(func() {
-				printCounters(&core.Count, names, hooks)
+				printCounters(&core.Counters, names, hooks)
 				if s != syscall.SIGUSR1 && stopping == 0 {
 					stopping = lp.Now()
 					log.Printf("event=stopping signal=%q", s)
@@ -129,8 +129,8 @@
 		core.SetNow(now)
 		pool.SetNow(now)
 	}, func(now time.Duration) time.Duration {
-		next := min(core.Turn(now), names.Turn(now), hooks.turn(now))
-		if now-looked >= resp.SweepEvery {
+		next := min(core.Process(now), names.Poll(now), hooks.turn(now))
+		if now-looked >= backend.SweepInterval {
 			looked = now
 			pool.Sweep(now)
 		}
@@ -140,13 +140,13 @@
 		}
 		if now-told >= countersEvery {
 			told = now
-			printCounters(&core.Count, names, hooks)
+			printCounters(&core.Counters, names, hooks)
 		}
 		if stopping > 0 {
 			since := now - stopping
 			core.Draining = since >= lingerFor
-			idle := lp.Unwritten() == 0 && !lp.Begun() && hooks.open() == 0
-			done := core.Open() == 0 && (idle || since >= c.flushFor())
+			idle := lp.UnreadBytes() == 0 && !lp.HasPartialMessages() && hooks.open() == 0
+			done := core.OpenRequests() == 0 && (idle || since >= c.flushFor())
 			if since >= lingerFor && done {
 				lp.Stop()
 			}
@@ -155,20 +155,20 @@
 		return next
 	})
 	hooks.close()
-	printCounters(&core.Count, names, hooks)
+	printCounters(&core.Counters, names, hooks)
 	log.Printf("event=stopped")
 	return nil
 }
 
 // reload takes over what can change while the program runs: the directory's address. A file that can't
 // be used changes nothing.
-func reload(lp *loop.Loop, names *directory.Client, c, fresh *config, err error) {
+func reload(lp *eventloop.Loop, names *discovery.Client, c, fresh *config, err error) {
 	if err != nil {
 		log.Printf("event=reload_failed err=%q", err)
 		return
 	}
 	log.Printf("event=reloaded names=%s", fresh.Names)
-	names.Move(lp.Now(), fresh.Names)
+	names.Migrate(lp.Now(), fresh.Names)
 	if changed := c.needsRestart(fresh); len(changed) > 0 {
 		log.Printf("event=restart_needed settings=%q", changed)
 	}
@@ -176,43 +176,43 @@
 
 // follow hands a list of workers to those who need it, to the module first: what the pool gives back on its
 // account is placed anew by this list, not by the one before.
-func follow(lp *loop.Loop, core *router.Core, pool *resp.Pool, zones []string, list []directory.Worker) {
-	l := policy.WorkerList{Kind: policy.ListWhole}
+func follow(lp *eventloop.Loop, core *router.Router, pool *backend.Pool, zones []string, list []discovery.Endpoint) {
+	l := policy.EndpointUpdate{Kind: policy.FullUpdate}
 	present := map[policy.WorkerID]bool{}
 	for _, w := range list {
-		e := policy.WorkerEntry{Worker: w.ID(), State: w.State, Weight: w.Weight, Cell: w.Cell,
+		e := policy.Endpoint{Worker: w.ID(), State: w.State, Weight: w.Weight, Cell: w.Cell,
 			Zone: max(slices.Index(zones, w.Zone), 0)}
 		if w.Started > 0 {
-			e.Started = max(lp.FromUnix(time.UnixMilli(w.Started)), 1)
+			e.StartedAt = max(lp.TimeFromUnix(time.UnixMilli(w.Started)), 1)
 		}
-		l.Workers = append(l.Workers, e)
+		l.Endpoints = append(l.Endpoints, e)
 		log.Printf("event=worker name=%s addr=%s state=%d weight=%g started=%d", w.Name, w.Addr, w.State, w.Weight, w.Started)
 	}
-	core.SetList(l)
-	for i, e := range l.Workers {
+	core.UpdateEndpoints(l)
+	for i, e := range l.Endpoints {
 		present[e.Worker] = true
-		pool.Set(e.Worker, list[i].Addr, e.State, e.Started)
+		pool.UpdateEndpoint(e.Worker, list[i].Addr, e.State, e.StartedAt)
 	}
-	pool.Retain(present)
+	pool.RetainEndpoints(present)
 }
 
 // printCounters logs what was taken, sent and answered.
-func printCounters(n *router.Counters, d *directory.Client, h *hooks) {
+func printCounters(n *router.Counters, d *discovery.Client, h *hooks) {
 	for f, name := range []string{"thrift", "webhook"} {
 		log.Printf("event=counters front=%s taken=%d served=%d refused=%d failed=%d left=%d turned_away=%d",
-			name, n.Taken[f], n.Served[f], n.Refused[f], n.Failed[f], n.Left[f], n.Turned[f])
+			name, n.Received[f], n.Served[f], n.Refused[f], n.Failed[f], n.ClientCancelled[f], n.Rejected[f])
 	}
-	log.Printf("event=counters sent=%d%s overdue=%d", n.Sent, byOutcome(n.Ended), n.Overdue)
-	log.Printf("event=counters out_of_time=%d no_worker=%d too_late=%d overloaded=%d", n.GivenUp[policy.OutOfTime],
-		n.GivenUp[policy.NoWorker], n.GivenUp[policy.TooLate], n.GivenUp[policy.Overloaded])
-	log.Printf("event=counters orders=%d%s unloads=%d", n.Orders, byOutcome(n.OrderEnded), n.Unloads)
-	log.Printf("event=counters probes=%d%s", n.Probes, byOutcome(n.ProbeEnded))
+	log.Printf("event=counters sent=%d%s overdue=%d", n.AttemptsSent, byOutcome(n.AttemptOutcomes), n.Overdue)
+	log.Printf("event=counters out_of_time=%d no_worker=%d too_late=%d overloaded=%d", n.GivenUp[policy.DeadlineExceeded],
+		n.GivenUp[policy.NoWorkerAvailable], n.GivenUp[policy.PredictedTooLate], n.GivenUp[policy.LoadShed])
+	log.Printf("event=counters orders=%d%s unloads=%d", n.LoadOrders, byOutcome(n.LoadOrderOutcomes), n.Unloads)
+	log.Printf("event=counters probes=%d%s", n.Probes, byOutcome(n.ProbeOutcomes))
 	h.print()
-	log.Printf("event=counters directory_asked=%d directory_heard=%d", d.Asked, d.Heard)
+	log.Printf("event=counters directory_asked=%d directory_heard=%d", d.QueriesSent, d.AnswersReceived)
 }
 
 // byOutcome lists the outcomes that occurred.
-func byOutcome(counts [policy.Missed + 1]uint64) string {
+func byOutcome(counts [policy.FunctionNotLoaded + 1]uint64) string {
 	text := ""
 	for o, name := range []string{"served", "errored", "full", "timed_out", "unreachable", "reset", "cancelled", "moot", "missed"} {
 		if counts[o] > 0 {
--- a/cmd/crankhold/process_test.go
+++ b/cmd/functionrouter/process_test.go
@@ -15,7 +15,7 @@
 )
 
 // asRouter has the test's program be the router itself, with so many descriptors.
-const asRouter = "CRANKHOLD_TEST_AS_ROUTER"
+const asRouter = "FUNCTIONROUTER_TEST_AS_ROUTER"
 
 func TestMain(m *testing.M) {
 	if most := os.Getenv(asRouter); most != "" {
@@ -148,7 +148,7 @@
 		if !errors.As(err, &exit) || exit.ExitCode() <= 0 {
 			t.Errorf("%s: ended with %v", name, err)
 		}
-		if !strings.Contains(string(out), "crankhold: ") || strings.Contains(string(out), "goroutine") {
+		if !strings.Contains(string(out), "functionrouter: ") || strings.Contains(string(out), "goroutine") {
 			t.Errorf("%s: %s", name, out)
 		}
 	}
--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill speaks the simulator's wire on standard input and output and hosts one
+// Command simadapter speaks the simulator's wire on standard input and output and hosts one
 // policy.Policy for each instance.
 package main
 
@@ -8,13 +8,13 @@
 	"io"
 	"os"
 
-	"crankhold/internal/wire"
-	"crankhold/policy"
+	"functionrouter/internal/simwire"
+	"functionrouter/policy"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -23,10 +23,10 @@
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	instances := map[uint16]*policy.Policy{}
-	var reply wire.Reply
+	var reply simwire.Reply
 	var actions []policy.Action
 	for {
-		batch, err := wire.ReadBatch(r)
+		batch, err := simwire.ReadBatch(r)
 		if err == io.EOF {
 			return nil
 		}
@@ -35,15 +35,15 @@
 		}
 		for _, rec := range batch.Records {
 			switch ev := rec.Event.(type) {
-			case wire.Init:
-				cfg, err := wire.ParseSettings(ev.Settings)
+			case simwire.InstanceStarted:
+				cfg, err := simwire.ParseSettings(ev.Settings)
 				if err != nil {
 					return err
 				}
 				if instances[rec.Instance], err = policy.New(cfg, ev.Seed); err != nil {
 					return err
 				}
-			case wire.Kill:
+			case simwire.InstanceKilled:
 				delete(instances, rec.Instance)
 			case policy.Event:
 				if p := instances[rec.Instance]; p != nil {
--- a/internal/resp/main_test.go
+++ b/internal/backend/main_test.go
@@ -1,9 +1,9 @@
-package resp
+package backend
 
 import (
 	"testing"
 
-	"crankhold/internal/standin"
+	"functionrouter/internal/standin"
 )
 
 func TestMain(m *testing.M) { standin.Main(m) }
--- a/internal/resp/pool.go
+++ b/internal/backend/pool.go
@@ -1,6 +1,6 @@
-// Package resp speaks RESP with the workers: calls, orders to load and probes, many at a time on
+// Package backend speaks RESP with the workers: calls, orders to load and probes, many at a time on
 // each connection.
-package resp
+package backend
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/router"
-	"crankhold/policy"
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/router"
+	"functionrouter/policy"
 )
 
 const (
@@ -41,41 +41,41 @@
 	errSilent = errors.New("connection is silent while others to the worker are not")
 )
 
-// SweepEvery is how often Sweep is to be called.
-const SweepEvery = 50 * time.Millisecond
+// SweepInterval is how often Sweep is to be called.
+const SweepInterval = 50 * time.Millisecond
 
-// Sink takes what came of calls, orders and probes; a router.Core is one.
-type Sink interface {
-	AttemptEnded(a router.Attempt, o policy.Outcome, n policy.Note, body []byte, report []float64)
-	HoldEnded(tag uint64, o policy.Outcome, count int)
-	Probed(tag uint64, o policy.Outcome, report []float64)
+// ResultHandler takes what came of calls, orders and probes; a router.Core is one.
+type ResultHandler interface {
+	AttemptEnded(a router.AttemptID, o policy.Outcome, n policy.InstanceStatus, body []byte, report []float64)
+	LoadOrderEnded(tag uint64, o policy.Outcome, count int)
+	ProbeEnded(tag uint64, o policy.Outcome, report []float64)
 }
 
-// Line is a connection to a worker; a loop.Conn is one.
-type Line interface {
+// Transport is a connection to a worker; a eventloop.Conn is one.
+type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
 }
 
 // Config holds the deployment's figures.
 type Config struct {
-	Classes      []string // their names
-	ReportFields []string
-	DialTimeout  time.Duration
-	KeepAlive    time.Duration // a worker closes a connection that is idle for so long
-	PerConn      int           // calls at a time on one connection
-	MaxConns     int           // to all workers together
-	MayStop      bool          // workers may be told that a call is given up
-	Dial         func(addr string, timeout time.Duration, h loop.Dialled) Line
+	Classes                 []string // their names
+	LoadReportFields        []string
+	DialTimeout             time.Duration
+	IdleTimeout             time.Duration // a worker closes a connection that is idle for so long
+	MaxStreamsPerConnection int           // calls at a time on one connection
+	MaxConnections          int           // to all workers together
+	AllowCancel             bool          // workers may be told that a call is given up
+	Dial                    func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 }
 
 // Pool holds the connections to all workers.
 type Pool struct {
 	cfg     Config
-	sink    Sink
+	sink    ResultHandler
 	now     time.Duration
 	workers map[policy.WorkerID]*worker
-	calls   map[router.Attempt]*call
+	calls   map[router.AttemptID]*call
 	pings   uint64
 	lost    losses
 }
@@ -97,7 +97,7 @@
 // call is a RUN, a HOLD, a probe or a ping.
 type call struct {
 	kind    kind
-	attempt router.Attempt
+	attempt router.AttemptID
 	tag     uint64
 	token   string
 	head    []byte
@@ -120,7 +120,7 @@
 type conn struct {
 	pool    *Pool
 	w       *worker
-	line    Line
+	line    Transport
 	up      bool
 	closing bool             // closed by us, or retired: it takes nothing new
 	shut    bool             // closed by us: what still comes counts for nothing
@@ -138,17 +138,17 @@
 }
 
 // New returns a Pool that knows no worker.
-func New(cfg Config, sink Sink) *Pool {
-	return &Pool{cfg: cfg, sink: sink, workers: map[policy.WorkerID]*worker{}, calls: map[router.Attempt]*call{}}
+func New(cfg Config, sink ResultHandler) *Pool {
+	return &Pool{cfg: cfg, sink: sink, workers: map[policy.WorkerID]*worker{}, calls: map[router.AttemptID]*call{}}
 }
 
 // SetNow moves the clock on.
 func (p *Pool) SetNow(now time.Duration) { p.now = max(p.now, now) }
 
-// Set tells of a worker's address, whether it takes anything new, and when its process started, or 0. What
+// UpdateEndpoint tells of a worker's address, whether it takes anything new, and when its process started, or 0. What
 // waits behind a dial to one that no longer does is ended unsent: its dial may come up after the time allowed
 // for sends.
-func (p *Pool) Set(id policy.WorkerID, addr string, state policy.WorkerState, started time.Duration) {
+func (p *Pool) UpdateEndpoint(id policy.WorkerID, addr string, state policy.WorkerState, started time.Duration) {
 	w := p.workers[id]
 	if w == nil {
 		if state == policy.Gone {
@@ -173,24 +173,24 @@
 		}
 	}
 	if w.gone = state == policy.Gone; w.gone {
-		p.CloseIdle(id)
+		p.CloseIdleConnections(id)
 	}
 }
 
-// Retain takes every worker that is not present for gone.
-func (p *Pool) Retain(present map[policy.WorkerID]bool) {
+// RetainEndpoints takes every worker that is not present for gone.
+func (p *Pool) RetainEndpoints(present map[policy.WorkerID]bool) {
 	for id := range p.workers {
 		if !present[id] {
-			p.Set(id, "", policy.Gone, 0)
+			p.UpdateEndpoint(id, "", policy.Gone, 0)
 		}
 	}
 }
 
-// Run sends a call.
-func (p *Pool) Run(id policy.WorkerID, a router.Attempt, r *router.Request, budget time.Duration) {
+// StartAttempt sends a call.
+func (p *Pool) StartAttempt(id policy.WorkerID, a router.AttemptID, r *router.Request, budget time.Duration) {
 	k := &call{kind: run, attempt: a, token: r.ID, body: r.Body}
 	k.head = frame(len(r.Body), "RUN", r.ID, fmt.Sprintf("queue=%s,path=%s,budget=%d",
-		p.cfg.Classes[r.Class], r.Key, max(budget.Milliseconds(), 1)))
+		p.cfg.Classes[r.Class], r.FunctionKey, max(budget.Milliseconds(), 1)))
 	if w := p.workers[id]; w != nil && w.ready {
 		if c := p.pick(w, k); c != nil {
 			p.calls[a] = k
@@ -198,11 +198,11 @@
 			return
 		}
 	}
-	p.sink.AttemptEnded(a, policy.Unreachable, policy.NoNote, nil, nil)
+	p.sink.AttemptEnded(a, policy.Unreachable, policy.InstanceUnknown, nil, nil)
 }
 
-// Withdraw takes back a call that waits behind a dial.
-func (p *Pool) Withdraw(a router.Attempt) bool {
+// WithdrawQueued takes back a call that waits behind a dial.
+func (p *Pool) WithdrawQueued(a router.AttemptID) bool {
 	k := p.calls[a]
 	if k == nil || k.written {
 		return false
@@ -212,22 +212,22 @@
 	return true
 }
 
-// Stop gives a call up. Its connection does not carry its id again: an answer on its way must not end
+// CancelAttempt gives a call up. Its connection does not carry its id again: an answer on its way must not end
 // another attempt of the same request. The worker is told where the settings allow cancels.
-func (p *Pool) Stop(_ policy.WorkerID, a router.Attempt) {
+func (p *Pool) CancelAttempt(_ policy.WorkerID, a router.AttemptID) {
 	k := p.calls[a]
-	if k == nil || p.Withdraw(a) {
+	if k == nil || p.WithdrawQueued(a) {
 		return
 	}
 	delete(p.calls, a)
 	k.conn.take(k)
-	if p.cfg.MayStop {
+	if p.cfg.AllowCancel {
 		k.conn.line.Write(array("STOP", k.token))
 	}
 }
 
-// Hold sends an order to load; a count of 0 only asks.
-func (p *Pool) Hold(id policy.WorkerID, f policy.FunctionID, count int, tag uint64) {
+// LoadInstance sends an order to load; a count of 0 only asks.
+func (p *Pool) LoadInstance(id policy.WorkerID, f policy.FunctionID, count int, tag uint64) {
 	k := &call{kind: hold, tag: tag, token: "h" + strconv.FormatUint(tag, 10)}
 	k.head = array("HOLD", k.token, fmt.Sprintf("path=%016x,count=%d", uint64(f), count))
 	p.ask(id, k, count > 0)
@@ -250,8 +250,8 @@
 	p.end(k, policy.Unreachable)
 }
 
-// Forget drops interest in an order or a probe.
-func (p *Pool) Forget(id policy.WorkerID, tag uint64) {
+// AbandonControl drops interest in an order or a probe.
+func (p *Pool) AbandonControl(id policy.WorkerID, tag uint64) {
 	if w := p.workers[id]; w != nil {
 		for _, c := range w.conns {
 			for _, letter := range []string{"h", "p"} {
@@ -264,9 +264,9 @@
 	}
 }
 
-// Free has a worker unload the idle copies of a function. Without a connection there is nothing
+// UnloadInstance has a worker unload the idle copies of a function. Without a connection there is nothing
 // that is worth a dial: idle copies go by themselves.
-func (p *Pool) Free(id policy.WorkerID, f policy.FunctionID) {
+func (p *Pool) UnloadInstance(id policy.WorkerID, f policy.FunctionID) {
 	if w := p.workers[id]; w != nil {
 		for _, c := range w.conns {
 			if c.up {
@@ -277,8 +277,8 @@
 	}
 }
 
-// CloseIdle closes the connections to a worker on which nothing is open.
-func (p *Pool) CloseIdle(id policy.WorkerID) {
+// CloseIdleConnections closes the connections to a worker on which nothing is open.
+func (p *Pool) CloseIdleConnections(id policy.WorkerID) {
 	if w := p.workers[id]; w != nil {
 		for _, c := range w.conns {
 			if c.up && c.idle() {
@@ -298,7 +298,7 @@
 			c.ended.sweep(now)
 			switch {
 			case !c.up || c.closing && !c.idle():
-			case c.idle() && (c.closing || now-c.used > time.Duration(idleMargin*float64(p.cfg.KeepAlive))):
+			case c.idle() && (c.closing || now-c.used > time.Duration(idleMargin*float64(p.cfg.IdleTimeout))):
 				c.close()
 			default:
 				c.watch()
@@ -361,7 +361,7 @@
 	rank := 0
 	for _, c := range w.conns {
 		if c.closing || c.line == nil || c.open[k.token] != nil || k.kind == run &&
-			(c.runs >= p.cfg.PerConn || c.ended.has(k.token) || c.ended.full()) {
+			(c.runs >= p.cfg.MaxStreamsPerConnection || c.ended.has(k.token) || c.ended.full()) {
 			continue
 		}
 		r := 2
@@ -395,11 +395,11 @@
 			}
 		}
 	}
-	if n >= p.cfg.MaxConns && idle != nil {
+	if n >= p.cfg.MaxConnections && idle != nil {
 		idle.close()
 		return true
 	}
-	return n < p.cfg.MaxConns
+	return n < p.cfg.MaxConnections
 }
 
 func (c *conn) idle() bool { return len(c.open) == 0 }
@@ -449,7 +449,7 @@
 		}
 		c.take(k)
 		if k.kind == hold {
-			c.pool.end(k, policy.Full) // as a draining worker would have answered
+			c.pool.end(k, policy.WorkerOverloaded) // as a draining worker would have answered
 		} else {
 			c.pool.end(k, policy.Unreachable)
 		}
@@ -491,17 +491,17 @@
 	switch k.kind {
 	case run:
 		delete(p.calls, k.attempt)
-		p.sink.AttemptEnded(k.attempt, o, policy.NoNote, nil, nil)
+		p.sink.AttemptEnded(k.attempt, o, policy.InstanceUnknown, nil, nil)
 	case hold:
-		p.sink.HoldEnded(k.tag, o, 0)
+		p.sink.LoadOrderEnded(k.tag, o, 0)
 	case probe:
-		p.sink.Probed(k.tag, o, nil)
+		p.sink.ProbeEnded(k.tag, o, nil)
 	}
 }
 
 // Opened is the end of the dial. A refused or late one proves that nothing ran. One that is reset was taken
 // by a process that runs, so another is worth a try: to call its worker unreachable would be wrong.
-func (c *conn) Opened(err error) {
+func (c *conn) OnOpen(err error) {
 	if err != nil {
 		log.Printf("event=dial_failed addr=%s err=%q", c.w.addr, err)
 		c.lost(policy.Unreachable, errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed))
@@ -516,7 +516,7 @@
 }
 
 // Closed is the end of the connection: what was written may have run.
-func (c *conn) Closed(err error) {
+func (c *conn) OnClose(err error) {
 	if l := &c.pool.lost; len(c.open) > 0 {
 		l.conns++
 		l.calls += len(c.open)
@@ -525,7 +525,7 @@
 			*l = losses{told: c.pool.now}
 		}
 	}
-	c.lost(policy.Reset, false)
+	c.lost(policy.ConnectionReset, false)
 }
 
 // lost ends all that is open on c. Calls are written as soon as the dial is through, so those of a
@@ -543,7 +543,7 @@
 	clear(c.open)
 	c.queue = nil
 	for _, k := range open {
-		if k.kind == probe && o == policy.Reset && k.broken < probeTries {
+		if k.kind == probe && o == policy.ConnectionReset && k.broken < probeTries {
 			// A connection that breaks tells nothing of its worker, which others may well be using. Over a
 			// new one a worker that died refuses, and one that is well answers.
 			again := &call{kind: probe, tag: k.tag, token: k.token, broken: k.broken + 1, head: array("INFO", k.token)}
@@ -573,7 +573,7 @@
 
 // Data takes in answers. The beginning of one stays in a buffer that grows with it, so that an answer
 // that comes a few bytes at a time is not copied anew for each of them.
-func (c *conn) Data(b []byte) {
+func (c *conn) OnData(b []byte) {
 	if c.shut {
 		return
 	}
@@ -637,9 +637,9 @@
 	case ping:
 	case hold:
 		count, _ := strconv.Atoi(string(field(fields, "count")))
-		c.pool.sink.HoldEnded(k.tag, o, count)
+		c.pool.sink.LoadOrderEnded(k.tag, o, count)
 	case probe:
-		c.pool.sink.Probed(k.tag, o, report)
+		c.pool.sink.ProbeEnded(k.tag, o, report)
 	default:
 		delete(c.pool.calls, k.attempt)
 		c.pool.sink.AttemptEnded(k.attempt, o, notes[string(field(fields, "detail"))], bytes.Clone(body), report)
@@ -649,12 +649,12 @@
 
 // outcomes reads an answer's word exactly: only NONE, SHED and LATE prove that a call never ran.
 var outcomes = map[string]policy.Outcome{
-	"HIT": policy.Served, "NONE": policy.Missed, "SHED": policy.Full, "FAULT": policy.Errored,
-	"LATE": policy.Moot, "PONG": policy.Served, "SICK": policy.Errored,
+	"HIT": policy.Served, "NONE": policy.FunctionNotLoaded, "SHED": policy.WorkerOverloaded, "FAULT": policy.Errored,
+	"LATE": policy.NotSent, "PONG": policy.Served, "SICK": policy.Errored,
 }
 
-var notes = map[string]policy.Note{
-	"hot": policy.WasWarm, "started": policy.BeganLoad, "waited": policy.AwaitedOne, "broken": policy.LoadFailed,
+var notes = map[string]policy.InstanceStatus{
+	"hot": policy.InstanceWarm, "started": policy.LoadStarted, "waited": policy.LoadAwaited, "broken": policy.LoadFailed,
 }
 
 // report reads a load report, name:value;name:value, in the settings' order. One that lacks a
@@ -663,13 +663,13 @@
 	if len(text) == 0 {
 		return nil
 	}
-	out := make([]float64, len(p.cfg.ReportFields))
+	out := make([]float64, len(p.cfg.LoadReportFields))
 	seen := 0
 	for len(text) > 0 {
 		var pair []byte
 		pair, text, _ = bytes.Cut(text, []byte{';'})
 		name, value, _ := bytes.Cut(pair, []byte{':'})
-		for i, f := range p.cfg.ReportFields {
+		for i, f := range p.cfg.LoadReportFields {
 			if string(name) == f {
 				if v, err := strconv.ParseFloat(string(value), 64); err == nil {
 					out[i], seen = v, seen+1
--- a/internal/resp/recent.go
+++ b/internal/backend/recent.go
@@ -1,4 +1,4 @@
-package resp
+package backend
 
 import "time"
 
--- a/internal/resp/resp_test.go
+++ b/internal/backend/resp_test.go
@@ -1,4 +1,4 @@
-package resp
+package backend
 
 import (
 	"errors"
@@ -12,57 +12,59 @@
 
 	"pgregory.net/rapid"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/router"
-	"crankhold/internal/standin"
-	"crankhold/policy"
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/router"
+	"functionrouter/internal/standin"
+	"functionrouter/policy"
 )
 
 // line is a connection whose handler the test drives.
 type line struct {
 	standin.Line
-	h loop.Dialled
+	h eventloop.DialHandler
 }
 
 // sink keeps how attempts, orders and probes ended.
 type sink struct {
-	ended map[router.Attempt][]policy.Outcome
+	ended map[router.AttemptID][]policy.Outcome
 	asked map[uint64][]policy.Outcome
-	body  map[router.Attempt]string
+	body  map[router.AttemptID]string
 }
 
-func (s *sink) AttemptEnded(a router.Attempt, o policy.Outcome, _ policy.Note, body []byte, _ []float64) {
+func (s *sink) AttemptEnded(a router.AttemptID, o policy.Outcome, _ policy.InstanceStatus, body []byte, _ []float64) {
 	s.ended[a] = append(s.ended[a], o)
 	s.body[a] = string(body)
 }
-func (s *sink) HoldEnded(tag uint64, o policy.Outcome, _ int) { s.asked[tag] = append(s.asked[tag], o) }
-func (s *sink) Probed(tag uint64, o policy.Outcome, _ []float64) {
+func (s *sink) LoadOrderEnded(tag uint64, o policy.Outcome, _ int) {
+	s.asked[tag] = append(s.asked[tag], o)
+}
+func (s *sink) ProbeEnded(tag uint64, o policy.Outcome, _ []float64) {
 	s.asked[tag] = append(s.asked[tag], o)
 }
 
 func newPool() (*Pool, *sink, *[]*line) {
-	s := &sink{map[router.Attempt][]policy.Outcome{}, map[uint64][]policy.Outcome{}, map[router.Attempt]string{}}
+	s := &sink{map[router.AttemptID][]policy.Outcome{}, map[uint64][]policy.Outcome{}, map[router.AttemptID]string{}}
 	var lines []*line
-	p := New(Config{Classes: []string{"dim-level"}, ReportFields: []string{"inflight"}, DialTimeout: time.Second,
-		KeepAlive: 30 * time.Second, PerConn: 2, MaxConns: 100, MayStop: true, Dial: func(_ string, _ time.Duration, h loop.Dialled) Line {
+	p := New(Config{Classes: []string{"dim-level"}, LoadReportFields: []string{"inflight"}, DialTimeout: time.Second,
+		IdleTimeout: 30 * time.Second, MaxStreamsPerConnection: 2, MaxConnections: 100, AllowCancel: true, Dial: func(_ string, _ time.Duration, h eventloop.DialHandler) Transport {
 			lines = append(lines, &line{h: h})
 			return lines[len(lines)-1]
 		}}, s)
-	p.Set(1, "127.0.0.1:1", policy.Ready, 0)
+	p.UpdateEndpoint(1, "127.0.0.1:1", policy.Ready, 0)
 	return p, s, &lines
 }
 
 func request(id string) *router.Request {
-	return &router.Request{ID: id, Key: "00000000000000aa", Body: []byte("hello")}
+	return &router.Request{ID: id, FunctionKey: "00000000000000aa", Body: []byte("hello")}
 }
 
 func TestAnswersAreReadHoweverTheyAreSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, s, lines := newPool()
-		a := router.Attempt{Request: 1}
-		p.Run(1, a, request("0123456789abcdef"), time.Second)
+		a := router.AttemptID{Request: 1}
+		p.StartAttempt(1, a, request("0123456789abcdef"), time.Second)
 		l := (*lines)[0]
-		l.h.Opened(nil)
+		l.h.OnOpen(nil)
 		want := "*4\r\n$3\r\nRUN\r\n$16\r\n0123456789abcdef\r\n$49\r\nqueue=dim-level,path=00000000000000aa,budget=1000\r\n$5\r\nhello\r\n"
 		if got := l.Wrote.String(); got != want {
 			t.Fatalf("wrote %q", got)
@@ -71,7 +73,7 @@
 		text := fmt.Sprintf("*4\r\n$16\r\n0123456789abcdef\r\n$3\r\nHIT\r\n$29\r\ndetail=hot,use=inflight:7;x:1\r\n$%d\r\n%s\r\n", len(body), body)
 		for len(text) > 0 {
 			n := rapid.IntRange(1, len(text)).Draw(t, "n")
-			l.h.Data([]byte(text[:n]))
+			l.h.OnData([]byte(text[:n]))
 			text = text[n:]
 		}
 		if len(s.ended[a]) != 1 || s.ended[a][0] != policy.Served || s.body[a] != body || l.HasClosed {
@@ -85,15 +87,15 @@
 		p, _, lines := newPool()
 		p.Probe(1, 1)
 		l := (*lines)[0]
-		l.h.Opened(nil)
+		l.h.OnOpen(nil)
 		bits := rapid.SampledFrom([]string{"*", "4", "\r\n", "$", "2", "99999999999", "p1", "PONG", "-", "HIT", "\x00", "*2\r\n"})
-		l.h.Data([]byte(strings.Join(rapid.SliceOfN(bits, 0, 30).Draw(t, "bits"), "")))
+		l.h.OnData([]byte(strings.Join(rapid.SliceOfN(bits, 0, 30).Draw(t, "bits"), "")))
 	})
 	p, _, lines := newPool()
 	p.Probe(1, 1)
 	l := (*lines)[0]
-	l.h.Opened(nil)
-	if l.h.Data([]byte("*4\r\n$16449\r\n")); !l.HasClosed {
+	l.h.OnOpen(nil)
+	if l.h.OnData([]byte("*4\r\n$16449\r\n")); !l.HasClosed {
 		t.Error("a bulk string over the cap was waited for")
 	}
 }
@@ -103,7 +105,7 @@
 func TestCallsEndOnceAndTruly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, s, lines := newPool()
-		next, out, up := 0, []router.Attempt{}, map[*line]bool{}
+		next, out, up := 0, []router.AttemptID{}, map[*line]bool{}
 		drop := func(i int) { out = append(out[:i], out[i+1:]...) }
 		wrote := func(id string) (on []*line) {
 			for _, l := range *lines {
@@ -115,12 +117,12 @@
 		}
 		answered := map[*line]map[string]int{}
 		runs := func(l *line, id string) int { return strings.Count(l.Wrote.String(), "RUN\r\n$16\r\n"+id) }
-		id := func(a router.Attempt) string { return fmt.Sprintf("%016x", int(a.Request)) }
+		id := func(a router.AttemptID) string { return fmt.Sprintf("%016x", int(a.Request)) }
 		t.Repeat(map[string]func(*rapid.T){
 			"run": func(t *rapid.T) {
 				next++
-				a := router.Attempt{Request: policy.RequestID(next)}
-				p.Run(1, a, request(id(a)), time.Second)
+				a := router.AttemptID{Request: policy.RequestID(next)}
+				p.StartAttempt(1, a, request(id(a)), time.Second)
 				out = append(out, a)
 			},
 			"again": func(t *rapid.T) { // given up, and sent again to the same worker under the same id
@@ -136,10 +138,10 @@
 				for _, l := range *lines {
 					late[l] = runs(l, id(a)) > answered[l][id(a)]
 				}
-				p.Stop(1, a)
+				p.CancelAttempt(1, a)
 				drop(i)
-				b := router.Attempt{Request: a.Request, Number: a.Number + 1}
-				p.Run(1, b, request(id(b)), time.Second)
+				b := router.AttemptID{Request: a.Request, Number: a.Number + 1}
+				p.StartAttempt(1, b, request(id(b)), time.Second)
 				out = append(out, b)
 				for _, l := range *lines {
 					if late[l] && !l.HasClosed {
@@ -147,7 +149,7 @@
 							answered[l] = map[string]int{}
 						}
 						answered[l][id(b)]++
-						l.h.Data([]byte("*4\r\n$16\r\n" + id(b) + "\r\n$3\r\nHIT\r\n$1\r\n-\r\n$3\r\nold\r\n"))
+						l.h.OnData([]byte("*4\r\n$16\r\n" + id(b) + "\r\n$3\r\nHIT\r\n$1\r\n-\r\n$3\r\nold\r\n"))
 					}
 				}
 				if s.body[b] == "old" {
@@ -160,9 +162,9 @@
 						up[l] = true
 						if rapid.Bool().Draw(t, "fails") {
 							l.HasClosed = true
-							l.h.Opened(errors.New("refused"))
+							l.h.OnOpen(errors.New("refused"))
 						} else {
-							l.h.Opened(nil)
+							l.h.OnOpen(nil)
 						}
 						return
 					}
@@ -172,19 +174,19 @@
 				for _, l := range *lines {
 					if up[l] && !l.HasClosed {
 						l.HasClosed = true
-						l.h.Closed(errors.New("reset"))
+						l.h.OnClose(errors.New("reset"))
 						return
 					}
 				}
 			},
 			"drain": func(t *rapid.T) { // what waits behind a dial ends unsent at once
-				p.Set(1, "127.0.0.1:1", policy.Draining, 0)
+				p.UpdateEndpoint(1, "127.0.0.1:1", policy.Draining, 0)
 				for _, a := range out {
 					if len(s.ended[a]) == 0 && len(wrote(id(a))) == 0 {
 						t.Fatalf("%v still waits to be sent to a draining worker", a)
 					}
 				}
-				p.Set(1, "127.0.0.1:1", policy.Ready, 0)
+				p.UpdateEndpoint(1, "127.0.0.1:1", policy.Ready, 0)
 			},
 			"": func(t *rapid.T) {
 				for _, l := range *lines {
@@ -196,7 +198,7 @@
 					if len(o) != 1 {
 						t.Fatalf("%v ended %v", a, o)
 					}
-					if o[0] == policy.Reset && len(wrote(id(a))) == 0 {
+					if o[0] == policy.ConnectionReset && len(wrote(id(a))) == 0 {
 						t.Fatalf("%v was never written but counts as reset", a)
 					}
 				}
@@ -208,10 +210,10 @@
 // Guards the drain rule for orders: one queued behind a dial is not sent once its worker drains.
 func TestOrderBehindADialIsNotSentToADrainingWorker(t *testing.T) {
 	p, s, lines := newPool()
-	p.Hold(1, 5, 1, 9)
-	p.Set(1, "127.0.0.1:1", policy.Draining, 0)
-	(*lines)[0].h.Opened(nil)
-	if got := (*lines)[0].Wrote.String(); got != "" || len(s.asked[9]) != 1 || s.asked[9][0] != policy.Full {
+	p.LoadInstance(1, 5, 1, 9)
+	p.UpdateEndpoint(1, "127.0.0.1:1", policy.Draining, 0)
+	(*lines)[0].h.OnOpen(nil)
+	if got := (*lines)[0].Wrote.String(); got != "" || len(s.asked[9]) != 1 || s.asked[9][0] != policy.WorkerOverloaded {
 		t.Errorf("wrote %q, ended %v", got, s.asked[9])
 	}
 }
@@ -220,9 +222,9 @@
 func TestNewWorkerAtAnOldAddressGetsItsOwnConnection(t *testing.T) {
 	p, _, lines := newPool()
 	p.Probe(1, 1)
-	p.Retain(map[policy.WorkerID]bool{2: true})
-	p.Set(2, "127.0.0.1:1", policy.Ready, 0)
-	p.Run(2, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
+	p.RetainEndpoints(map[policy.WorkerID]bool{2: true})
+	p.UpdateEndpoint(2, "127.0.0.1:1", policy.Ready, 0)
+	p.StartAttempt(2, router.AttemptID{Request: 1}, request("0123456789abcdef"), time.Second)
 	if len(*lines) != 2 {
 		t.Errorf("%d connections", len(*lines))
 	}
@@ -247,23 +249,23 @@
 func TestSecondCopyEndsNoLaterAttempt(t *testing.T) {
 	p, s, lines := newPool()
 	const id = "0123456789abcdef"
-	first, second := router.Attempt{Request: 1}, router.Attempt{Request: 1, Number: 1}
-	p.Run(1, first, request(id), time.Second)
+	first, second := router.AttemptID{Request: 1}, router.AttemptID{Request: 1, Number: 1}
+	p.StartAttempt(1, first, request(id), time.Second)
 	l := (*lines)[0]
-	l.h.Opened(nil)
-	l.h.Data(reply(id, "NONE", ""))
-	p.Run(1, second, request(id), time.Second)
-	l.h.Data(reply(id, "NONE", ""))
-	l.h.Data(reply("unknown", "HIT", "ahead"))
+	l.h.OnOpen(nil)
+	l.h.OnData(reply(id, "NONE", ""))
+	p.StartAttempt(1, second, request(id), time.Second)
+	l.h.OnData(reply(id, "NONE", ""))
+	l.h.OnData(reply("unknown", "HIT", "ahead"))
 	if len(s.ended[second]) != 0 || l.HasClosed || len(*lines) != 2 {
 		t.Fatalf("second attempt ended %v on %d connections", s.ended[second], len(*lines))
 	}
-	(*lines)[1].h.Opened(nil)
-	(*lines)[1].h.Data(reply(id, "HIT", "done"))
+	(*lines)[1].h.OnOpen(nil)
+	(*lines)[1].h.OnData(reply(id, "HIT", "done"))
 	if len(s.ended[second]) != 1 || s.body[second] != "done" || len(ran(*lines, id)) != 2 {
 		t.Errorf("second attempt ended %v with %q", s.ended[second], s.body[second])
 	}
-	for now := time.Duration(0); now <= 3*rememberFor; now += SweepEvery {
+	for now := time.Duration(0); now <= 3*rememberFor; now += SweepInterval {
 		p.Sweep(now)
 	}
 	for _, c := range p.workers[1].conns {
@@ -277,13 +279,13 @@
 // full gives way to another without a reset for the calls that are open on it.
 func TestTakebacksCostNobodyElseAConnection(t *testing.T) {
 	p, s, lines := newPool()
-	stays := router.Attempt{Request: 9999}
-	p.Run(1, stays, request("00000000000000ff"), time.Second)
-	(*lines)[0].h.Opened(nil)
+	stays := router.AttemptID{Request: 9999}
+	p.StartAttempt(1, stays, request("00000000000000ff"), time.Second)
+	(*lines)[0].h.OnOpen(nil)
 	for i := range rememberMost + 10 {
-		a := router.Attempt{Request: policy.RequestID(i)}
-		p.Run(1, a, request(fmt.Sprintf("%016x", 1<<20+i)), time.Second)
-		p.Stop(1, a)
+		a := router.AttemptID{Request: policy.RequestID(i)}
+		p.StartAttempt(1, a, request(fmt.Sprintf("%016x", 1<<20+i)), time.Second)
+		p.CancelAttempt(1, a)
 	}
 	if (*lines)[0].HasClosed || len(s.ended[stays]) != 0 || len(*lines) != 2 {
 		t.Errorf("closed %v, ended %v, %d connections", (*lines)[0].HasClosed, s.ended[stays], len(*lines))
@@ -301,45 +303,45 @@
 		p, s, lines := newPool()
 		now := time.Hour
 		p.Sweep(now)
-		a, b := router.Attempt{Request: 1}, router.Attempt{Request: 2}
-		p.Run(1, a, request("00000000000000a1"), time.Second)
-		(*lines)[0].h.Opened(nil)
+		a, b := router.AttemptID{Request: 1}, router.AttemptID{Request: 2}
+		p.StartAttempt(1, a, request("00000000000000a1"), time.Second)
+		(*lines)[0].h.OnOpen(nil)
 		pass := func(d time.Duration) {
 			for end := now + d; now < end; {
-				now += SweepEvery
+				now += SweepInterval
 				p.Sweep(now)
 			}
 		}
-		pass(quietAfter + SweepEvery)
+		pass(quietAfter + SweepInterval)
 		if got := (*lines)[0].Wrote.String(); strings.Count(got, "NOOP") != 1 {
 			t.Fatalf("not asked for a sign of life: %q", got)
 		}
-		pass(SweepEvery)
-		p.Run(1, b, request("00000000000000b2"), time.Second)
+		pass(SweepInterval)
+		p.StartAttempt(1, b, request("00000000000000b2"), time.Second)
 		if on := ran(*lines, "00000000000000b2"); len(*lines) != 2 || len(on) != 0 {
 			t.Fatalf("a silent connection was chosen, of %d", len(*lines))
 		}
-		(*lines)[1].h.Opened(nil)
-		if pass(SweepEvery); well {
-			(*lines)[1].h.Data(reply("00000000000000b2", "HIT", ""))
+		(*lines)[1].h.OnOpen(nil)
+		if pass(SweepInterval); well {
+			(*lines)[1].h.OnData(reply("00000000000000b2", "HIT", ""))
 		}
 		if (*lines)[0].HasClosed {
 			t.Fatal("closed before its time for a sign of life was up")
 		}
-		pass(deadAfter + SweepEvery)
+		pass(deadAfter + SweepInterval)
 		if (*lines)[0].HasClosed != well {
 			t.Errorf("worker well: %v, silent connection closed: %v", well, (*lines)[0].HasClosed)
 		}
-		if (*lines)[0].h.Closed(nil); len(s.ended[a]) != 1 || s.ended[a][0] != policy.Reset {
+		if (*lines)[0].h.OnClose(nil); len(s.ended[a]) != 1 || s.ended[a][0] != policy.ConnectionReset {
 			t.Errorf("ended %v", s.ended[a])
 		}
 	}
 	p, _, lines := newPool() // a sign of life makes it good again
-	p.Run(1, router.Attempt{Request: 1}, request("00000000000000a1"), time.Second)
-	(*lines)[0].h.Opened(nil)
-	p.Sweep(quietAfter + SweepEvery)
-	(*lines)[0].h.Data([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
-	if p.Run(1, router.Attempt{Request: 2}, request("00000000000000b2"), time.Second); len(*lines) != 1 || (*lines)[0].HasClosed {
+	p.StartAttempt(1, router.AttemptID{Request: 1}, request("00000000000000a1"), time.Second)
+	(*lines)[0].h.OnOpen(nil)
+	p.Sweep(quietAfter + SweepInterval)
+	(*lines)[0].h.OnData([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
+	if p.StartAttempt(1, router.AttemptID{Request: 2}, request("00000000000000b2"), time.Second); len(*lines) != 1 || (*lines)[0].HasClosed {
 		t.Error("a connection that answered was left")
 	}
 }
@@ -348,25 +350,25 @@
 // that never make it whole.
 func TestAnswerThatStopsShortIsNotWaitedFor(t *testing.T) {
 	p, s, lines := newPool()
-	a := router.Attempt{Request: 1}
-	p.Run(1, a, request("00000000000000a1"), time.Second)
+	a := router.AttemptID{Request: 1}
+	p.StartAttempt(1, a, request("00000000000000a1"), time.Second)
 	l := (*lines)[0]
-	l.h.Opened(nil)
+	l.h.OnOpen(nil)
 	whole := reply("00000000000000a1", "HIT", strings.Repeat("x", 1000))
-	for i := range int(stuckAfter/SweepEvery) + 2 {
-		p.Sweep(time.Hour + time.Duration(i)*SweepEvery)
+	for i := range int(stuckAfter/SweepInterval) + 2 {
+		p.Sweep(time.Hour + time.Duration(i)*SweepInterval)
 		if !l.HasClosed {
-			l.h.Data(whole[i*3 : i*3+3])
+			l.h.OnData(whole[i*3 : i*3+3])
 		}
 	}
 	if !l.HasClosed {
 		t.Fatal("the rest of an answer is still waited for")
 	}
-	l.h.Data(whole[3*(int(stuckAfter/SweepEvery)+2):]) // too late: nothing that follows counts
+	l.h.OnData(whole[3*(int(stuckAfter/SweepInterval)+2):]) // too late: nothing that follows counts
 	if len(s.ended[a]) != 0 {
 		t.Errorf("ended %v by what came after the close", s.ended[a])
 	}
-	p.Run(1, router.Attempt{Request: 2}, request("00000000000000b2"), time.Second)
+	p.StartAttempt(1, router.AttemptID{Request: 2}, request("00000000000000b2"), time.Second)
 	if len(*lines) != 2 {
 		t.Error("a call went to a connection that we closed")
 	}
@@ -375,13 +377,13 @@
 // Guards against copying the beginning of an answer anew for each of its bytes.
 func TestBeginningOfAnAnswerIsNotCopiedOver(t *testing.T) {
 	p, s, lines := newPool()
-	a := router.Attempt{Request: 1}
-	p.Run(1, a, request("00000000000000a1"), time.Second)
-	(*lines)[0].h.Opened(nil)
+	a := router.AttemptID{Request: 1}
+	p.StartAttempt(1, a, request("00000000000000a1"), time.Second)
+	(*lines)[0].h.OnOpen(nil)
 	whole := reply("00000000000000a1", "HIT", strings.Repeat("x", maxBulk-64))
 	allocs := testing.AllocsPerRun(1, func() {
 		for i := range whole {
-			(*lines)[0].h.Data(whole[i : i+1])
+			(*lines)[0].h.OnData(whole[i : i+1])
 		}
 	})
 	if len(s.ended[a]) != 1 || allocs > 60 {
@@ -397,15 +399,15 @@
 		last   func(l *line)
 		want   policy.Outcome
 	}{
-		"well":   {1, func(l *line) { l.h.Opened(nil); l.h.Data([]byte("*2\r\n$2\r\np7\r\n$4\r\nPONG\r\n")) }, policy.Served},
-		"died":   {1, func(l *line) { l.h.Opened(errors.New("refused")) }, policy.Unreachable},
-		"breaks": {probeTries, func(l *line) { l.h.Opened(nil); l.h.Closed(errors.New("reset")) }, policy.Reset},
+		"well":   {1, func(l *line) { l.h.OnOpen(nil); l.h.OnData([]byte("*2\r\n$2\r\np7\r\n$4\r\nPONG\r\n")) }, policy.Served},
+		"died":   {1, func(l *line) { l.h.OnOpen(errors.New("refused")) }, policy.Unreachable},
+		"breaks": {probeTries, func(l *line) { l.h.OnOpen(nil); l.h.OnClose(errors.New("reset")) }, policy.ConnectionReset},
 	} {
 		p, s, lines := newPool()
 		p.Probe(1, 7)
 		for i := range c.resets {
-			(*lines)[i].h.Opened(nil)
-			if (*lines)[i].h.Closed(errors.New("reset")); len(s.asked[7]) != 0 || len(*lines) != i+2 {
+			(*lines)[i].h.OnOpen(nil)
+			if (*lines)[i].h.OnClose(errors.New("reset")); len(s.asked[7]) != 0 || len(*lines) != i+2 {
 				t.Fatalf("%s: ended %v on %d connections", name, s.asked[7], len(*lines))
 			}
 		}
@@ -419,17 +421,17 @@
 // Guards the descriptors: connections to all workers together are bounded, and an idle one makes room.
 func TestConnectionsAreBoundedTogether(t *testing.T) {
 	p, s, lines := newPool()
-	p.cfg.MaxConns = 3
+	p.cfg.MaxConnections = 3
 	for w := range policy.WorkerID(5) {
-		p.Set(w+1, fmt.Sprintf("127.0.0.1:%d", w+1), policy.Ready, 0)
-		p.Run(w+1, router.Attempt{Request: policy.RequestID(w)}, request(fmt.Sprintf("%016x", w)), time.Second)
+		p.UpdateEndpoint(w+1, fmt.Sprintf("127.0.0.1:%d", w+1), policy.Ready, 0)
+		p.StartAttempt(w+1, router.AttemptID{Request: policy.RequestID(w)}, request(fmt.Sprintf("%016x", w)), time.Second)
 	}
-	if len(*lines) != 3 || s.ended[router.Attempt{Request: 4}][0] != policy.Unreachable {
+	if len(*lines) != 3 || s.ended[router.AttemptID{Request: 4}][0] != policy.Unreachable {
 		t.Fatalf("%d connections, ended %v", len(*lines), s.ended)
 	}
-	(*lines)[0].h.Opened(nil)
-	(*lines)[0].h.Data(reply(fmt.Sprintf("%016x", 0), "HIT", ""))
-	p.Run(5, router.Attempt{Request: 9}, request("00000000000000ff"), time.Second)
+	(*lines)[0].h.OnOpen(nil)
+	(*lines)[0].h.OnData(reply(fmt.Sprintf("%016x", 0), "HIT", ""))
+	p.StartAttempt(5, router.AttemptID{Request: 9}, request("00000000000000ff"), time.Second)
 	if len(*lines) != 4 || !(*lines)[0].HasClosed {
 		t.Errorf("%d connections, idle one closed: %v", len(*lines), (*lines)[0].HasClosed)
 	}
@@ -454,12 +456,12 @@
 		"reset and draining": {[]error{dial(syscall.ECONNRESET)}, policy.Draining, 1, true},
 	} {
 		p, s, lines := newPool()
-		a := router.Attempt{Request: 1}
-		p.Run(1, a, request("00000000000000a1"), time.Second)
-		p.Set(1, "", c.state, 0)
+		a := router.AttemptID{Request: 1}
+		p.StartAttempt(1, a, request("00000000000000a1"), time.Second)
+		p.UpdateEndpoint(1, "", c.state, 0)
 		for n, err := range c.errs {
 			if n < len(*lines) {
-				(*lines)[n].h.Opened(err)
+				(*lines)[n].h.OnOpen(err)
 			}
 		}
 		if len(*lines) != c.dials || (len(s.ended[a]) == 1) != c.ends || c.ends && s.ended[a][0] != policy.Unreachable {
@@ -474,21 +476,21 @@
 // Guards calls against each other's connections: one that breaks ends a few of a worker's calls, not most.
 func TestBrokenConnectionTakesFewCallsAlong(t *testing.T) {
 	p, s, lines := newPool()
-	p.cfg.PerConn = 32
+	p.cfg.MaxStreamsPerConnection = 32
 	const calls = 24
 	for n := range calls {
-		p.Run(1, router.Attempt{Request: policy.RequestID(n)}, request(fmt.Sprintf("%016x", n)), time.Second)
-		(*lines)[len(*lines)-1].h.Opened(nil)
+		p.StartAttempt(1, router.AttemptID{Request: policy.RequestID(n)}, request(fmt.Sprintf("%016x", n)), time.Second)
+		(*lines)[len(*lines)-1].h.OnOpen(nil)
 	}
 	if want := calls / fewCalls; len(*lines) != want {
 		t.Fatalf("%d connections, want %d", len(*lines), want)
 	}
-	if (*lines)[0].h.Closed(nil); len(s.ended) != fewCalls {
+	if (*lines)[0].h.OnClose(nil); len(s.ended) != fewCalls {
 		t.Errorf("%d of %d calls ended with one connection", len(s.ended), calls)
 	}
 	for n := calls; n < 100; n++ { // at the limit all take their share
-		p.Run(1, router.Attempt{Request: policy.RequestID(n)}, request(fmt.Sprintf("%016x", n)), time.Second)
-		(*lines)[len(*lines)-1].h.Opened(nil)
+		p.StartAttempt(1, router.AttemptID{Request: policy.RequestID(n)}, request(fmt.Sprintf("%016x", n)), time.Second)
+		(*lines)[len(*lines)-1].h.OnOpen(nil)
 	}
 	conns := p.workers[1].conns
 	for _, c := range conns {
@@ -505,25 +507,25 @@
 	now := time.Duration(0)
 	for g := range 200 {
 		w := policy.WorkerID(g + 2)
-		p.Retain(map[policy.WorkerID]bool{w: true})
-		p.Set(w, "127.0.0.1:1", policy.Ready, 0)
-		a := router.Attempt{Request: policy.RequestID(g)}
-		p.Run(w, a, request(fmt.Sprintf("%016x", g)), time.Second)
-		p.Hold(w, 7, 1, uint64(g))
+		p.RetainEndpoints(map[policy.WorkerID]bool{w: true})
+		p.UpdateEndpoint(w, "127.0.0.1:1", policy.Ready, 0)
+		a := router.AttemptID{Request: policy.RequestID(g)}
+		p.StartAttempt(w, a, request(fmt.Sprintf("%016x", g)), time.Second)
+		p.LoadInstance(w, 7, 1, uint64(g))
 		l := (*lines)[len(*lines)-1]
-		if l.h.Opened(nil); g%2 == 0 {
-			l.h.Data(reply(fmt.Sprintf("%016x", g), "HIT", ""))
+		if l.h.OnOpen(nil); g%2 == 0 {
+			l.h.OnData(reply(fmt.Sprintf("%016x", g), "HIT", ""))
 		} else {
-			p.Stop(w, a)
+			p.CancelAttempt(w, a)
 		}
-		p.Forget(w, uint64(g))
-		p.Retain(nil)
+		p.AbandonControl(w, uint64(g))
+		p.RetainEndpoints(nil)
 		for range 3 {
-			now += SweepEvery
+			now += SweepInterval
 			p.Sweep(now)
 			for _, l := range *lines {
 				if l.HasClosed && l.h != nil {
-					l.h.Closed(nil)
+					l.h.OnClose(nil)
 					l.h = nil
 				}
 			}
@@ -539,24 +541,24 @@
 func TestStopIsSentOnlyWhereAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		p, s, lines := newPool()
-		p.cfg.MayStop = allowed
-		out, waits := router.Attempt{Request: 1}, router.Attempt{Request: 2}
-		p.Run(1, out, request("00000000000000a1"), time.Second)
+		p.cfg.AllowCancel = allowed
+		out, waits := router.AttemptID{Request: 1}, router.AttemptID{Request: 2}
+		p.StartAttempt(1, out, request("00000000000000a1"), time.Second)
 		l := (*lines)[0]
-		if l.h.Opened(nil); p.Withdraw(out) {
+		if l.h.OnOpen(nil); p.WithdrawQueued(out) {
 			t.Error("a call that was written was taken back")
 		}
-		p.Stop(1, out)
+		p.CancelAttempt(1, out)
 		if got := strings.Contains(l.Wrote.String(), "STOP\r\n"); got != allowed {
 			t.Errorf("allowed %v: a cancel was sent: %v", allowed, got)
 		}
-		p.Set(1, "127.0.0.1:2", policy.Ready, 0) // the next call waits behind a dial
-		p.Run(1, waits, request("00000000000000a2"), time.Second)
+		p.UpdateEndpoint(1, "127.0.0.1:2", policy.Ready, 0) // the next call waits behind a dial
+		p.StartAttempt(1, waits, request("00000000000000a2"), time.Second)
 		fresh := (*lines)[1]
-		if !p.Withdraw(waits) || p.Withdraw(waits) {
+		if !p.WithdrawQueued(waits) || p.WithdrawQueued(waits) {
 			t.Error("a call that waits was not taken back, or twice")
 		}
-		if fresh.h.Opened(nil); fresh.Wrote.Len() > 0 || len(s.ended) > 0 {
+		if fresh.h.OnOpen(nil); fresh.Wrote.Len() > 0 || len(s.ended) > 0 {
 			t.Errorf("wrote %q, ended %v", fresh.Wrote.String(), s.ended)
 		}
 	}
--- a/internal/directory/directory.go
+++ b/internal/discovery/directory.go
@@ -1,6 +1,6 @@
-// Package directory follows the list of workers: what the configuration holds of it at the start,
+// Package discovery follows the list of workers: what the configuration holds of it at the start,
 // and then what DNS over UDP tells.
-package directory
+package discovery
 
 import (
 	"errors"
@@ -14,8 +14,8 @@
 	"strings"
 	"time"
 
-	"crankhold/internal/loop"
-	"crankhold/policy"
+	"functionrouter/internal/eventloop"
+	"functionrouter/policy"
 )
 
 const (
@@ -25,8 +25,8 @@
 	lateQueries = 32                     // an answer to one of so many last queries is taken, once
 )
 
-// Worker is one worker as the directory knows it.
-type Worker struct {
+// Endpoint is one worker as the directory knows it.
+type Endpoint struct {
 	Name    string
 	Addr    string
 	Zone    string
@@ -37,14 +37,14 @@
 }
 
 // ID returns the worker's id for the module, the same at every front end: it is made of the name.
-func (w Worker) ID() policy.WorkerID {
+func (w Endpoint) ID() policy.WorkerID {
 	h := fnv.New64a()
 	h.Write([]byte(w.Name))
 	return policy.WorkerID(h.Sum64())
 }
 
-// Known is the start's list in the configuration.
-type Known struct {
+// InitialEndpoints is the start's list in the configuration.
+type InitialEndpoints struct {
 	Offset uint32  `json:"offset"`
 	Batch  []event `json:"batch"`
 }
@@ -67,45 +67,45 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// Line is a socket to the directory; a loop.Conn is one.
-type Line interface {
+// Transport is a socket to the directory; a eventloop.Conn is one.
+type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
 }
 
 // Client asks the directory for the list, over and over.
 type Client struct {
-	dial    func(addr string, h loop.Dialled) Line
-	changed func([]Worker)
-	addr    string
-	sock    *socket
-	next    time.Duration
-	now     time.Duration
-	serial  uint32
-	workers map[string]Worker
-	silent  bool   // what goes wrong has been logged since the last good answer
-	Asked   uint64 // queries sent
-	Heard   uint64 // answers that could be read
+	dial            func(addr string, h eventloop.DialHandler) Transport
+	changed         func([]Endpoint)
+	addr            string
+	sock            *socket
+	next            time.Duration
+	now             time.Duration
+	serial          uint32
+	workers         map[string]Endpoint
+	silent          bool   // what goes wrong has been logged since the last good answer
+	QueriesSent     uint64 // queries sent
+	AnswersReceived uint64 // answers that could be read
 }
 
 // socket is one socket to the directory. Each has queries of its own: what comes late on one that was
 // given up, from a directory at an earlier address, answers nothing.
 type socket struct {
 	client  *Client
-	line    Line
+	line    Transport
 	up      bool
 	pending []uint16 // queries that have had no answer, the last one at the end
 }
 
 // New returns a Client for the directory at addr; changed is called with every list that is newer than
 // the one before.
-func New(addr string, dial func(addr string, h loop.Dialled) Line, changed func([]Worker)) *Client {
-	return &Client{addr: addr, dial: dial, changed: changed, workers: map[string]Worker{}}
+func New(addr string, dial func(addr string, h eventloop.DialHandler) Transport, changed func([]Endpoint)) *Client {
+	return &Client{addr: addr, dial: dial, changed: changed, workers: map[string]Endpoint{}}
 }
 
-// Move goes over to a directory at another address, which is asked at once. The list and its number
+// Migrate goes over to a directory at another address, which is asked at once. The list and its number
 // stay: what the new one has to tell goes on from there.
-func (c *Client) Move(now time.Duration, addr string) {
+func (c *Client) Migrate(now time.Duration, addr string) {
 	if addr == c.addr {
 		return
 	}
@@ -117,8 +117,8 @@
 	}
 }
 
-// Start takes in the start's list.
-func (c *Client) Start(k Known) error {
+// LoadInitial takes in the start's list.
+func (c *Client) LoadInitial(k InitialEndpoints) error {
 	for _, e := range k.Batch {
 		if e.Topology.Complete {
 			clear(c.workers)
@@ -127,7 +127,7 @@
 			if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
 				return fmt.Errorf("known: worker %q: %w", m.ID, err)
 			}
-			w := Worker{Name: m.ID, Addr: m.HostPort, Zone: m.Locality, Weight: m.Size, Cell: m.Cell, Started: m.UpSince}
+			w := Endpoint{Name: m.ID, Addr: m.HostPort, Zone: m.Locality, Weight: m.Size, Cell: m.Cell, Started: m.UpSince}
 			switch m.Phase {
 			case "Ready":
 				w.State = policy.Ready
@@ -150,19 +150,19 @@
 }
 
 func (c *Client) tell() {
-	list := make([]Worker, 0, len(c.workers))
+	list := make([]Endpoint, 0, len(c.workers))
 	for _, w := range c.workers {
 		list = append(list, w)
 	}
-	slices.SortFunc(list, func(a, b Worker) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
 	c.changed(list)
 }
 
-// Size is how many workers are known.
-func (c *Client) Size() int { return len(c.workers) }
+// EndpointCount is how many workers are known.
+func (c *Client) EndpointCount() int { return len(c.workers) }
 
-// Turn asks when it is time to, and returns when that is next.
-func (c *Client) Turn(now time.Duration) time.Duration {
+// Poll asks when it is time to, and returns when that is next.
+func (c *Client) Poll(now time.Duration) time.Duration {
 	c.now = now
 	if now < c.next {
 		return c.next
@@ -187,21 +187,21 @@
 		id++
 	}
 	s.pending = append(s.pending[max(0, len(s.pending)+1-lateQueries):], id)
-	s.client.Asked++
+	s.client.QueriesSent++
 	s.line.Write(query(id, serviceName))
 }
 
 // Opened is the end of the dial.
-func (s *socket) Opened(err error) {
+func (s *socket) OnOpen(err error) {
 	if s.up = err == nil; !s.up {
-		s.Closed(err)
+		s.OnClose(err)
 	} else if s.client.sock == s {
 		s.client.next = s.client.now
 	}
 }
 
 // Closed is the end of the socket; another is opened a little later.
-func (s *socket) Closed(err error) {
+func (s *socket) OnClose(err error) {
 	c := s.client
 	if c.sock != s {
 		return // left behind by Move
@@ -221,7 +221,7 @@
 // Data takes in an answer. Lists are whole, so a lost or overtaken answer does no harm: one that is
 // older than what we hold is dropped. A directory slower than askEvery answers a query that is no
 // longer the last; taking only the last one's answer would then take none.
-func (s *socket) Data(b []byte) {
+func (s *socket) OnData(b []byte) {
 	c := s.client
 	if c.sock != s {
 		return
@@ -241,7 +241,7 @@
 		return
 	}
 	c.silent = false
-	c.Heard++
+	c.AnswersReceived++
 }
 
 // take follows a list if it is newer than the one held, and whole.
@@ -249,13 +249,13 @@
 	if r.serial <= c.serial {
 		return nil
 	}
-	workers := map[string]Worker{}
+	workers := map[string]Endpoint{}
 	for _, s := range r.srv {
 		addr, ok := r.addrs[s.target]
 		if !ok {
 			return fmt.Errorf("no address for %s", s.target)
 		}
-		w := Worker{Addr: netip.AddrPortFrom(addr, s.port).String(), State: policy.Ready, Weight: float64(s.weight) / 10}
+		w := Endpoint{Addr: netip.AddrPortFrom(addr, s.port).String(), State: policy.Ready, Weight: float64(s.weight) / 10}
 		w.Name, w.Zone, _ = strings.Cut(s.target, ".")
 		w.Zone, _, _ = strings.Cut(w.Zone, ".")
 		if s.priority > 0 {
--- a/internal/directory/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"encoding/binary"
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/standin"
-	"crankhold/policy"
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/standin"
+	"functionrouter/policy"
 )
 
 // answer builds what the directory answers to query id; its names are compressed as RFC 1035 has it.
@@ -53,25 +53,25 @@
 	t     rapid.TB
 	lines []*standin.Line
 	addrs []string
-	list  []Worker
+	list  []Endpoint
 }
 
 func newDesk(t rapid.TB) *desk {
 	d := &desk{t: t}
-	d.Client = New("old", func(addr string, _ loop.Dialled) Line {
+	d.Client = New("old", func(addr string, _ eventloop.DialHandler) Transport {
 		d.lines, d.addrs = append(d.lines, &standin.Line{}), append(d.addrs, addr)
 		return d.lines[len(d.lines)-1]
-	}, func(w []Worker) { d.list = w })
-	var known Known
+	}, func(w []Endpoint) { d.list = w })
+	var known InitialEndpoints
 	known.Offset = 3
 	known.Batch = make([]event, 1)
 	known.Batch[0].Topology.Complete = true
 	known.Batch[0].Topology.Members = []member{{ID: "s-9", HostPort: "10.1.0.9:10080", Phase: "Ready", Size: 4}}
-	if err := d.Start(known); err != nil {
+	if err := d.LoadInitial(known); err != nil {
 		t.Fatal(err)
 	}
-	d.Turn(time.Hour)
-	d.sock.Opened(nil)
+	d.Poll(time.Hour)
+	d.sock.OnOpen(nil)
 	return d
 }
 
@@ -79,7 +79,7 @@
 func (d *desk) ask() uint16 {
 	l := d.lines[len(d.lines)-1]
 	l.Wrote.Reset()
-	d.Turn(d.next)
+	d.Poll(d.next)
 	b := l.Wrote.Bytes()
 	if len(b) < 2 || string(b) != string(query(binary.BigEndian.Uint16(b), serviceName)) {
 		d.t.Fatalf("asked %x", b)
@@ -92,26 +92,26 @@
 	if len(d.list) != 1 {
 		t.Fatalf("list %v", d.list)
 	}
-	d.sock.Data(answer(d.ask(), 4, 0, 1))
-	want := []Worker{{Name: "s-0", Addr: "10.1.0.0:10080", Zone: "east", State: policy.Ready, Weight: 4, Cell: 2, Started: 5},
+	d.sock.OnData(answer(d.ask(), 4, 0, 1))
+	want := []Endpoint{{Name: "s-0", Addr: "10.1.0.0:10080", Zone: "east", State: policy.Ready, Weight: 4, Cell: 2, Started: 5},
 		{Name: "s-1", Addr: "10.1.0.1:10080", Zone: "east", State: policy.Draining, Weight: 4, Cell: 2, Started: 5}}
 	if fmt.Sprint(d.list) != fmt.Sprint(want) {
 		t.Fatalf("list %v, want %v", d.list, want)
 	}
 	// Whatever is wrong with an answer, it changes nothing.
-	d.sock.Data(answer(d.ask(), 3)) // older than what is held
+	d.sock.OnData(answer(d.ask(), 3)) // older than what is held
 	id := d.ask()
-	d.sock.Data(answer(id+1, 9, 0)) // not to a query of ours
+	d.sock.OnData(answer(id+1, 9, 0)) // not to a query of ours
 	answered := d.ask()
-	d.sock.Data(answer(answered, 4, 0, 1))
-	d.sock.Data(answer(answered, 9, 0)) // to one that has been answered
+	d.sock.OnData(answer(answered, 4, 0, 1))
+	d.sock.OnData(answer(answered, 9, 0)) // to one that has been answered
 	for name, spoil := range map[string]func(b []byte) []byte{
 		"truncated": func(b []byte) []byte { b[2] |= 2; return b },
 		"failed":    func(b []byte) []byte { b[3] |= 2; return b },
 		"a query":   func(b []byte) []byte { b[2] &^= 0x80; return b },
 		"other":     func(b []byte) []byte { b[13] = 'x'; return b },
 	} {
-		if d.sock.Data(spoil(answer(d.ask(), 9, 0))); fmt.Sprint(d.list) != fmt.Sprint(want) {
+		if d.sock.OnData(spoil(answer(d.ask(), 9, 0))); fmt.Sprint(d.list) != fmt.Sprint(want) {
 			t.Errorf("%s: list became %v", name, d.list)
 		}
 	}
@@ -119,7 +119,7 @@
 	for cut := range whole {
 		id := d.ask()
 		b := answer(id, 9, 0)[:cut]
-		if d.sock.Data(b); fmt.Sprint(d.list) != fmt.Sprint(want) {
+		if d.sock.OnData(b); fmt.Sprint(d.list) != fmt.Sprint(want) {
 			t.Fatalf("cut at %d of %d: list became %v", cut, len(whole), d.list)
 		}
 	}
@@ -127,15 +127,15 @@
 	for range 3 { // an answer that comes after further queries counts all the same
 		d.ask()
 	}
-	if d.sock.Data(answer(late, 5, 0)); len(d.list) != 1 {
+	if d.sock.OnData(answer(late, 5, 0)); len(d.list) != 1 {
 		t.Errorf("after a late answer the list is %v", d.list)
 	}
-	if d.sock.Closed(errors.New("refused")); d.sock != nil || d.next > d.now+redialAfter {
+	if d.sock.OnClose(errors.New("refused")); d.sock != nil || d.next > d.now+redialAfter {
 		t.Error("a lost socket isn't opened again at once")
 	}
-	d.Turn(d.next)
-	d.sock.Opened(nil)
-	if d.sock.Data(answer(d.ask(), 6, 0, 0)); len(d.list) != 2 {
+	d.Poll(d.next)
+	d.sock.OnOpen(nil)
+	if d.sock.OnData(answer(d.ask(), 6, 0, 0)); len(d.list) != 2 {
 		t.Errorf("after a new socket the list is %v", d.list)
 	}
 }
@@ -146,39 +146,39 @@
 	for _, up := range []bool{true, false} { // the old socket is open, or still being dialled
 		d := newDesk(t)
 		if !up {
-			d.sock.Closed(errors.New("refused"))
-			d.Turn(d.next)
+			d.sock.OnClose(errors.New("refused"))
+			d.Poll(d.next)
 		}
 		id, old, line := uint16(0), d.sock, d.lines[len(d.lines)-1]
 		if up {
 			id = d.ask()
 		}
-		d.Move(d.now+time.Millisecond, "new")
-		d.Turn(d.now + time.Millisecond)
+		d.Migrate(d.now+time.Millisecond, "new")
+		d.Poll(d.now + time.Millisecond)
 		if !line.HasClosed || d.addrs[len(d.addrs)-1] != "new" || d.sock == old {
 			t.Fatalf("dialled %v, old closed %v", d.addrs, line.HasClosed)
 		}
 		fresh := d.sock
-		old.Opened(nil)
-		old.Data(answer(id, 8, 0, 0))
-		old.Closed(errors.New("late"))
+		old.OnOpen(nil)
+		old.OnData(answer(id, 8, 0, 0))
+		old.OnClose(errors.New("late"))
 		if d.sock != fresh || len(d.list) != 1 || d.serial != 3 {
 			t.Fatalf("the old socket changed the list to %v", d.list)
 		}
-		fresh.Opened(nil)
+		fresh.OnOpen(nil)
 		if d.next > d.now {
 			t.Error("the new directory isn't asked at once")
 		}
-		fresh.Data(answer(d.ask(), 2, 0, 0)) // older than what is held
+		fresh.OnData(answer(d.ask(), 2, 0, 0)) // older than what is held
 		if d.serial != 3 {
 			t.Errorf("the number fell to %d", d.serial)
 		}
-		if fresh.Data(answer(d.ask(), 4, 0, 0)); len(d.list) != 2 {
+		if fresh.OnData(answer(d.ask(), 4, 0, 0)); len(d.list) != 2 {
 			t.Errorf("list %v", d.list)
 		}
 		dials := len(d.addrs)
-		d.Move(d.now, "new") // a repeated signal changes nothing
-		if d.Turn(d.now); d.sock != fresh || len(d.addrs) != dials {
+		d.Migrate(d.now, "new") // a repeated signal changes nothing
+		if d.Poll(d.now); d.sock != fresh || len(d.addrs) != dials {
 			t.Error("the same address was dialled again")
 		}
 	}
--- a/internal/directory/dns.go
+++ b/internal/discovery/dns.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"encoding/binary"
--- a/internal/directory/main_test.go
+++ b/internal/discovery/main_test.go
@@ -1,9 +1,9 @@
-package directory
+package discovery
 
 import (
 	"testing"
 
-	"crankhold/internal/standin"
+	"functionrouter/internal/standin"
 )
 
 func TestMain(m *testing.M) { standin.Main(m) }
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,9 +1,9 @@
-// Package loop joins nbio's pollers to the one goroutine that owns all state.
+// Package eventloop joins nbio's pollers to the one goroutine that owns all state.
 //
 // nbio's callbacks only copy and queue. The goroutine in Run takes whatever is queued, hands it
 // to the connections' handlers, calls the turn function once, and then writes what came of it,
 // one gathered write for each connection.
-package loop
+package eventloop
 
 import (
 	"errors"
@@ -44,39 +44,39 @@
 // errSlow closes a peer that does not read while there is too much to be read by all.
 var errSlow = errors.New("peer does not read")
 
-// ErrTooMany closes an accepted connection beyond the limit on them.
-var ErrTooMany = errors.New("too many accepted connections")
+// ErrTooManyConnections closes an accepted connection beyond the limit on them.
+var ErrTooManyConnections = errors.New("too many accepted connections")
 
 // Handler takes what happens on a connection. All its methods run on the loop's goroutine.
 type Handler interface {
 	// Data takes bytes in; they are the handler's to keep.
-	Data(b []byte)
+	OnData(b []byte)
 	// Closed is the last call, once for each connection.
-	Closed(err error)
+	OnClose(err error)
 }
 
-// Accepted is the handler of an accepted connection.
-type Accepted interface {
+// AcceptedHandler is the handler of an accepted connection.
+type AcceptedHandler interface {
 	Handler
 	// Busy tells whether the connection has open requests and must be left alone.
-	Busy() bool
+	HasOpenRequests() bool
 	// Messages is how many whole messages have come, and whether the beginning of another has.
-	Messages() (whole int, begun bool)
+	MessageProgress() (whole int, begun bool)
 }
 
-// Dialled is the handler of a connection that this program opens.
-type Dialled interface {
+// DialHandler is the handler of a connection that this program opens.
+type DialHandler interface {
 	Handler
 	// Opened tells how the dial ended. With an error it is the last call.
-	Opened(err error)
+	OnOpen(err error)
 }
 
 // Config bounds a Loop.
 type Config struct {
-	MaxAccepted int // accepted connections at once
-	MaxFiles    int // descriptors of the process
-	MaxQueued   int // bytes queued for the loop; beyond it the pollers wait
-	MaxUnread   int // bytes that all peers together may leave unread
+	MaxAcceptedConnections int // accepted connections at once
+	MaxFileDescriptors     int // descriptors of the process
+	MaxQueuedBytes         int // bytes queued for the loop; beyond it the pollers wait
+	MaxUnreadBytes         int // bytes that all peers together may leave unread
 }
 
 // Loop owns the engine and the queue between it and the goroutine in Run.
@@ -84,7 +84,7 @@
 	cfg       Config
 	start     time.Time
 	engine    *nbio.Engine
-	listeners map[string]func(*Conn) Accepted
+	listeners map[string]func(*Conn) AcceptedHandler
 
 	mu     sync.Mutex
 	room   *sync.Cond
@@ -129,7 +129,7 @@
 type Conn struct {
 	loop   *Loop
 	nc     *nbio.Conn
-	accept func(*Conn) Accepted
+	accept func(*Conn) AcceptedHandler
 	h      Handler
 	out    [][]byte
 	unread atomic.Int64  // bytes that the peer has yet to take
@@ -143,7 +143,7 @@
 
 // New returns a Loop that listens nowhere yet.
 func New(cfg Config) *Loop {
-	l := &Loop{cfg: cfg, start: time.Now(), listeners: map[string]func(*Conn) Accepted{},
+	l := &Loop{cfg: cfg, start: time.Now(), listeners: map[string]func(*Conn) AcceptedHandler{},
 		wake: make(chan struct{}, 1), accepted: map[*Conn]struct{}{}}
 	l.room = sync.NewCond(&l.mu)
 	l.now = l.clock()
@@ -158,18 +158,18 @@
 // Now is the time of the present turn.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// FromUnix turns a Unix time into one on the loop's clock.
-func (l *Loop) FromUnix(t time.Time) time.Duration {
+// TimeFromUnix turns a Unix time into one on the loop's clock.
+func (l *Loop) TimeFromUnix(t time.Time) time.Duration {
 	return (epoch + t.Sub(l.start.Round(0))).Truncate(time.Microsecond)
 }
 
 // Listen has connections to addr handled by what accept returns. It is called before Start.
-func (l *Loop) Listen(addr string, accept func(*Conn) Accepted) { l.listeners[addr] = accept }
+func (l *Loop) Listen(addr string, accept func(*Conn) AcceptedHandler) { l.listeners[addr] = accept }
 
 // Start opens the listeners and begins to queue what happens.
 func (l *Loop) Start() error {
 	logging.SetLevel(logging.LevelNone) // its errors reach our log by the callbacks
-	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, max(l.cfg.MaxFiles, 1024)*2)
+	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, max(l.cfg.MaxFileDescriptors, 1024)*2)
 	bound := bindings{}
 	conf := nbio.Config{Network: "tcp", NPoller: 1, ReadBufferSize: readBuffer, MaxWriteBufferSize: maxUnwritten,
 		Listen: func(network, addr string) (net.Listener, error) {
@@ -219,11 +219,11 @@
 }
 
 // bindings finds the listener of a connection by the address that it was made to.
-type bindings map[string]func(*Conn) Accepted
+type bindings map[string]func(*Conn) AcceptedHandler
 
 // add enters a listener; one on all addresses is known by its port alone, since each of its
 // connections has the address that the peer chose.
-func (b bindings) add(addr net.Addr, accept func(*Conn) Accepted) {
+func (b bindings) add(addr net.Addr, accept func(*Conn) AcceptedHandler) {
 	if a, ok := addr.(*net.TCPAddr); ok && a.IP.IsUnspecified() {
 		b[fmt.Sprint(a.Port)] = accept
 		return
@@ -231,7 +231,7 @@
 	b[addr.String()] = accept
 }
 
-func (b bindings) find(addr net.Addr) func(*Conn) Accepted {
+func (b bindings) find(addr net.Addr) func(*Conn) AcceptedHandler {
 	if accept := b[addr.String()]; accept != nil {
 		return accept
 	}
@@ -249,7 +249,7 @@
 // the loop has not seen hold descriptors beyond the limit on them.
 func (l *Loop) push(it item) {
 	l.mu.Lock()
-	for l.queued > l.cfg.MaxQueued && len(it.data) > 0 || l.fresh >= maxAccepts && it.kind == gotConn {
+	for l.queued > l.cfg.MaxQueuedBytes && len(it.data) > 0 || l.fresh >= maxAccepts && it.kind == gotConn {
 		l.room.Wait()
 	}
 	if it.kind == gotConn {
@@ -316,7 +316,7 @@
 	case gotCall:
 		it.call()
 	case gotConn:
-		if c.accept == nil || len(l.accepted) >= l.cfg.MaxAccepted && !l.evict() {
+		if c.accept == nil || len(l.accepted) >= l.cfg.MaxAcceptedConnections && !l.evict() {
 			l.refused++
 			c.Close()
 			return
@@ -335,10 +335,10 @@
 			it.err = errors.Join(it.err, net.ErrClosed)
 		}
 		c.isUp, c.closed = it.err == nil, it.err != nil
-		c.h.(Dialled).Opened(it.err)
+		c.h.(DialHandler).OnOpen(it.err)
 	case gotData:
 		if c.h != nil && !c.closed {
-			c.h.Data(it.data)
+			c.h.OnData(it.data)
 			c.listen()
 		}
 	case gotEnd:
@@ -348,18 +348,18 @@
 		c.ended = true
 		if c.h != nil && first && c.isUp {
 			c.closed = true
-			c.h.Closed(it.err)
+			c.h.OnClose(it.err)
 		}
 	}
 }
 
 // listen notes what whole messages an accepted connection has brought.
 func (c *Conn) listen() {
-	a, ok := c.h.(Accepted)
+	a, ok := c.h.(AcceptedHandler)
 	if !ok {
 		return
 	}
-	whole, begun := a.Messages()
+	whole, begun := a.MessageProgress()
 	if whole > c.whole {
 		c.whole, c.heard, c.begun = whole, c.loop.now, 0
 	}
@@ -407,18 +407,18 @@
 // owes tells whether an answer is owed on an accepted connection, or has been given and is yet to leave:
 // closing drops what is queued, and with it the only answer to a request.
 func (c *Conn) owes() bool {
-	return c.h.(Accepted).Busy() || len(c.out) > 0 || c.unread.Load() > 0
+	return c.h.(AcceptedHandler).HasOpenRequests() || len(c.out) > 0 || c.unread.Load() > 0
 }
 
 func (l *Loop) sweep() {
 	l.swept = l.now
 	for c := range l.accepted {
-		if c.late() && !c.h.(Accepted).Busy() {
+		if c.late() && !c.h.(AcceptedHandler).HasOpenRequests() {
 			c.Close()
 		}
 	}
 	if l.refused > 0 && l.now-l.complained > time.Second { // not once for each: a flood would fill the log
-		log.Printf("event=connections_refused count=%d err=%q", l.refused, ErrTooMany)
+		log.Printf("event=connections_refused count=%d err=%q", l.refused, ErrTooManyConnections)
 		l.refused, l.complained = 0, l.now
 	}
 }
@@ -439,7 +439,7 @@
 // Dial opens a TCP connection and returns at once. A net.Dialer does it on a goroutine of its own: in
 // nbio 1.6.8 a refused DialAsync is first reported as connected, and one that connects at once
 // leaves its write event set, on which the poller then spins.
-func (l *Loop) Dial(addr string, timeout time.Duration, h Dialled) *Conn {
+func (l *Loop) Dial(addr string, timeout time.Duration, h DialHandler) *Conn {
 	c := &Conn{loop: l, h: h}
 	go func() {
 		d := net.Dialer{Timeout: timeout}
@@ -458,8 +458,8 @@
 	return c
 }
 
-// Peer is the address at the other end.
-func (c *Conn) Peer() netip.AddrPort {
+// RemoteAddr is the address at the other end.
+func (c *Conn) RemoteAddr() netip.AddrPort {
 	if a, ok := c.nc.RemoteAddr().(*net.TCPAddr); ok {
 		return a.AddrPort()
 	}
@@ -535,7 +535,7 @@
 			}
 		}
 	}
-	if c.unread.Load() > 0 && c.loop.unread.Load() > int64(c.loop.cfg.MaxUnread) {
+	if c.unread.Load() > 0 && c.loop.unread.Load() > int64(c.loop.cfg.MaxUnreadBytes) {
 		return errSlow
 	}
 	return nil
@@ -547,8 +547,8 @@
 	c.loop.unread.Add(int64(n))
 }
 
-// Unwritten is how many bytes accepted peers have yet to take, those that this turn queued included.
-func (l *Loop) Unwritten() int {
+// UnreadBytes is how many bytes accepted peers have yet to take, those that this turn queued included.
+func (l *Loop) UnreadBytes() int {
 	sum := 0
 	for c := range l.accepted {
 		sum += int(c.unread.Load())
@@ -559,8 +559,8 @@
 	return sum
 }
 
-// Begun tells whether the beginning of a message has come on an accepted connection, and its end has not.
-func (l *Loop) Begun() bool {
+// HasPartialMessages tells whether the beginning of a message has come on an accepted connection, and its end has not.
+func (l *Loop) HasPartialMessages() bool {
 	for c := range l.accepted {
 		if c.begun > 0 && !c.closed {
 			return true
@@ -577,8 +577,8 @@
 	}
 }
 
-// FlushClose writes what is queued and closes.
-func (c *Conn) FlushClose() {
+// CloseAfterFlush writes what is queued and closes.
+func (c *Conn) CloseAfterFlush() {
 	if !c.closed && c.isUp {
 		if err := c.gather(); err != nil {
 			c.fail(err)
--- a/internal/loop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"bytes"
@@ -21,24 +21,24 @@
 	ends  chan error
 }
 
-func (e *echo) Data(b []byte) {
+func (e *echo) OnData(b []byte) {
 	for range e.times {
 		e.c.Write(b, nil, []byte("|"))
 	}
 }
-func (e *echo) Closed(err error)      { e.ends <- err }
-func (e *echo) Busy() bool            { return e.busy }
-func (e *echo) Messages() (int, bool) { return e.whole, e.begun }
+func (e *echo) OnClose(err error)            { e.ends <- err }
+func (e *echo) HasOpenRequests() bool        { return e.busy }
+func (e *echo) MessageProgress() (int, bool) { return e.whole, e.begun }
 
 // dialled tells how a dial and its connection ended.
 type dialled struct{ opened, closed chan error }
 
-func (d *dialled) Data([]byte)      {}
-func (d *dialled) Opened(err error) { d.opened <- err }
-func (d *dialled) Closed(err error) { d.closed <- err }
+func (d *dialled) OnData([]byte)     {}
+func (d *dialled) OnOpen(err error)  { d.opened <- err }
+func (d *dialled) OnClose(err error) { d.closed <- err }
 
-func start(t *testing.T, most int, accept func(*Conn) Accepted) *Loop {
-	l := New(Config{MaxAccepted: most, MaxFiles: 256, MaxQueued: 8 << 20, MaxUnread: 32 << 20})
+func start(t *testing.T, most int, accept func(*Conn) AcceptedHandler) *Loop {
+	l := New(Config{MaxAcceptedConnections: most, MaxFileDescriptors: 256, MaxQueuedBytes: 8 << 20, MaxUnreadBytes: 32 << 20})
 	l.Listen("127.0.0.1:0", accept)
 	return begin(t, l)
 }
@@ -64,8 +64,8 @@
 // taken for nobody's.
 func TestConnectionsFindTheirListener(t *testing.T) {
 	which := ""
-	accept := func(name string) func(*Conn) Accepted {
-		return func(*Conn) Accepted { which = name; return nil }
+	accept := func(name string) func(*Conn) AcceptedHandler {
+		return func(*Conn) AcceptedHandler { which = name; return nil }
 	}
 	addr := func(text string) net.Addr { return net.TCPAddrFromAddrPort(netip.MustParseAddrPort(text)) }
 	b := bindings{}
@@ -97,7 +97,7 @@
 func TestNothingIsLostInShortWrites(t *testing.T) {
 	e := &echo{times: 3000, ends: make(chan error, 1)}
 	wrote := make(chan struct{}, 1)
-	l := start(t, 10, func(c *Conn) Accepted {
+	l := start(t, 10, func(c *Conn) AcceptedHandler {
 		// The kernel's buffer is made small, so that little is needed to fill it.
 		c.nc.SetWriteBuffer(4 << 10)
 		e.c = c
@@ -108,7 +108,7 @@
 	text := bytes.Repeat([]byte("0123456789"), 20)
 	c.Write(text)
 	for behind := 0; behind == 0; { // until the loop has written, and more than the kernel holds
-		l.Post(func() { behind = l.Unwritten(); wrote <- struct{}{} })
+		l.Post(func() { behind = l.UnreadBytes(); wrote <- struct{}{} })
 		<-wrote
 	}
 	want := bytes.Repeat(append(bytes.Clone(text), '|'), e.times)
@@ -117,14 +117,14 @@
 		t.Errorf("bytes differ, %v", err)
 	}
 	for behind := 1; behind != 0; { // the poller may still have to count its last write
-		l.Post(func() { behind = l.Unwritten(); wrote <- struct{}{} })
+		l.Post(func() { behind = l.UnreadBytes(); wrote <- struct{}{} })
 		<-wrote
 	}
 }
 
 func TestPeerThatDoesNotReadIsClosed(t *testing.T) {
 	e := &echo{times: 40000, ends: make(chan error, 1)}
-	l := start(t, 10, func(c *Conn) Accepted {
+	l := start(t, 10, func(c *Conn) AcceptedHandler {
 		c.nc.SetWriteBuffer(4 << 10)
 		e.c = c
 		return e
@@ -140,7 +140,7 @@
 func TestAcceptedConnectionsAreLimited(t *testing.T) {
 	accepted := make(chan *echo, 10)
 	busy := true
-	l := start(t, 1, func(c *Conn) Accepted {
+	l := start(t, 1, func(c *Conn) AcceptedHandler {
 		e := &echo{c: c, times: 1, busy: busy, ends: make(chan error, 1)}
 		accepted <- e
 		return e
@@ -159,7 +159,7 @@
 }
 
 func TestDialsEndOnceAndTruly(t *testing.T) {
-	l := start(t, 10, func(c *Conn) Accepted { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
+	l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -282,7 +282,7 @@
 func TestWhatIsOwedAtTheEndIsCounted(t *testing.T) {
 	e := &echo{times: 1, begun: true, ends: make(chan error, 1)}
 	up, told := make(chan struct{}), make(chan int)
-	l := start(t, 10, func(c *Conn) Accepted {
+	l := start(t, 10, func(c *Conn) AcceptedHandler {
 		e.c = c
 		close(up)
 		return e
@@ -291,9 +291,9 @@
 	<-up
 	begun := false
 	l.Post(func() {
-		before := l.Unwritten()
+		before := l.UnreadBytes()
 		e.c.Write([]byte("answer"), nil, []byte("|"))
-		told <- l.Unwritten() - before
+		told <- l.UnreadBytes() - before
 	})
 	if n := <-told; n != 7 {
 		t.Errorf("%d bytes of 7 are known to be unwritten in the turn that queued them", n)
@@ -306,7 +306,7 @@
 		t.Fatal(err)
 	}
 	for _, want := range []bool{true, false} {
-		l.Post(func() { begun = l.Begun(); told <- 0 })
+		l.Post(func() { begun = l.HasPartialMessages(); told <- 0 })
 		if <-told; begun != want {
 			t.Errorf("a message has begun: %v, want %v", begun, want)
 		}
@@ -320,10 +320,10 @@
 // taker hands on what it hears, in order.
 type taker struct{ heard chan string }
 
-func (h *taker) Data(b []byte)         { h.heard <- string(b) }
-func (h *taker) Closed(error)          { h.heard <- "closed" }
-func (h *taker) Busy() bool            { return false }
-func (h *taker) Messages() (int, bool) { return 1, false }
+func (h *taker) OnData(b []byte)              { h.heard <- string(b) }
+func (h *taker) OnClose(error)                { h.heard <- "closed" }
+func (h *taker) HasOpenRequests() bool        { return false }
+func (h *taker) MessageProgress() (int, bool) { return 1, false }
 
 // While too much is queued no connection is read. A close that comes meanwhile, on the connection that filled
 // the queue or on another, is heard of as soon as the loop goes on, behind what was sent before it.
@@ -331,8 +331,8 @@
 	h := []*taker{{make(chan string, 1000)}, {make(chan string, 1000)}}
 	var accepted []*Conn
 	up := make(chan struct{})
-	l := New(Config{MaxAccepted: 10, MaxFiles: 256, MaxQueued: 10, MaxUnread: 1 << 20})
-	l.Listen("127.0.0.1:0", func(c *Conn) Accepted {
+	l := New(Config{MaxAcceptedConnections: 10, MaxFileDescriptors: 256, MaxQueuedBytes: 10, MaxUnreadBytes: 1 << 20})
+	l.Listen("127.0.0.1:0", func(c *Conn) AcceptedHandler {
 		accepted = append(accepted, c)
 		defer func() { up <- struct{}{} }()
 		return h[len(accepted)-1]
@@ -353,7 +353,7 @@
 	quiet.Close()
 	for full := false; !full; { // until the poller waits
 		l.mu.Lock()
-		full = l.queued > l.cfg.MaxQueued
+		full = l.queued > l.cfg.MaxQueuedBytes
 		l.mu.Unlock()
 	}
 	close(gate)
--- a/internal/loop/udp.go
+++ b/internal/eventloop/udp.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"bytes"
@@ -12,12 +12,12 @@
 // a UDP socket whose own address the system does not tell. Its methods are for the loop's goroutine.
 type UDPConn struct {
 	sock   net.Conn // nil until the dial has ended well
-	h      Dialled
+	h      DialHandler
 	closed bool
 }
 
 // DialUDP opens a connected UDP socket to addr and returns at once; what becomes of it is told to h.
-func (l *Loop) DialUDP(addr string, h Dialled) *UDPConn {
+func (l *Loop) DialUDP(addr string, h DialHandler) *UDPConn {
 	c := &UDPConn{h: h}
 	go func() {
 		sock, err := net.Dial("udp", addr)
@@ -49,12 +49,12 @@
 		c.sock = sock
 	}
 	c.closed = err != nil
-	c.h.Opened(err)
+	c.h.OnOpen(err)
 }
 
 func (c *UDPConn) data(b []byte) {
 	if !c.closed {
-		c.h.Data(b)
+		c.h.OnData(b)
 	}
 }
 
@@ -66,7 +66,7 @@
 	}
 	c.closed = true
 	c.sock.Close()
-	c.h.Closed(err)
+	c.h.OnClose(err)
 }
 
 // Write sends each buffer as one datagram. One that can't be sent is lost, as any may be on its way.
--- a/internal/loop/udp_test.go
+++ b/internal/eventloop/udp_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"errors"
@@ -22,13 +22,13 @@
 	return &udpPeer{make(chan error, 2), make(chan error, 2), make(chan string, 2)}
 }
 
-func (p *udpPeer) Opened(err error) { p.opened <- err }
-func (p *udpPeer) Data(b []byte)    { p.data <- string(b) }
-func (p *udpPeer) Closed(err error) { p.closed <- err }
+func (p *udpPeer) OnOpen(err error)  { p.opened <- err }
+func (p *udpPeer) OnData(b []byte)   { p.data <- string(b) }
+func (p *udpPeer) OnClose(err error) { p.closed <- err }
 
 // exchange has a fresh loop send a datagram, take in the answer, and close.
 func exchange(t *testing.T, peer net.PacketConn, to string) {
-	l := begin(t, New(Config{MaxFiles: 256, MaxQueued: 8 << 20}))
+	l := begin(t, New(Config{MaxFileDescriptors: 256, MaxQueuedBytes: 8 << 20}))
 	h := newUDPPeer()
 	var c *UDPConn
 	l.Post(func() { c = l.DialUDP(to, h) })
--- a/internal/thrift/front.go
+++ b/internal/frontend/thrift/front.go
@@ -11,31 +11,31 @@
 	"strings"
 	"time"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/router"
-	"crankhold/policy"
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/router"
+	"functionrouter/policy"
 )
 
 // maxOpen is how many calls one connection may have open. Clients keep to 32, but may not have heard
 // of an end yet. What goes beyond is refused, so that one that sends hundreds at once leaves room.
 const maxOpen = 64
 
-// Core is what the front hands requests to.
-type Core interface {
-	Take(now time.Duration, r router.Request) policy.RequestID
-	TurnAway(now time.Duration, r router.Request)
-	Leave(now time.Duration, id policy.RequestID)
+// RequestRouter is what the front hands requests to.
+type RequestRouter interface {
+	Submit(now time.Duration, r router.Request) policy.RequestID
+	Reject(now time.Duration, r router.Request)
+	Cancel(now time.Duration, id policy.RequestID)
 }
 
-// Line is a connection to a client; a loop.Conn is one.
-type Line interface {
+// Transport is a connection to a client; a eventloop.Conn is one.
+type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
 }
 
-// Front serves Thrift clients.
-type Front struct {
-	core    Core
+// Server serves Thrift clients.
+type Server struct {
+	core    RequestRouter
 	classes map[string]int
 	tenants map[string]int
 	clock   func() time.Duration
@@ -45,8 +45,8 @@
 }
 
 // New returns a Front for classes and tenants of these names. Ready tells what check answers.
-func New(core Core, classes, tenants []string, clock func() time.Duration, ready func() bool) *Front {
-	return &Front{core: core, classes: positions(classes), tenants: positions(tenants), clock: clock, ready: ready}
+func New(core RequestRouter, classes, tenants []string, clock func() time.Duration, ready func() bool) *Server {
+	return &Server{core: core, classes: positions(classes), tenants: positions(tenants), clock: clock, ready: ready}
 }
 
 func positions(names []string) map[string]int {
@@ -58,15 +58,17 @@
 }
 
 // Accept serves a connection.
-func (f *Front) Accept(c *loop.Conn) loop.Accepted { return f.serve(c, c.Peer()) }
+func (f *Server) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
+	return f.serve(c, c.RemoteAddr())
+}
 
-func (f *Front) serve(line Line, peer netip.AddrPort) *client {
+func (f *Server) serve(line Transport, peer netip.AddrPort) *client {
 	return &client{front: f, line: line, peer: peer, open: map[uint32]*call{}}
 }
 
 type client struct {
-	front *Front
-	line  Line
+	front *Server
+	line  Transport
 	peer  netip.AddrPort
 	part  []byte // the beginning of a frame
 	open  map[uint32]*call
@@ -83,14 +85,14 @@
 }
 
 // Busy tells whether answers are owed.
-func (c *client) Busy() bool { return len(c.open) > 0 }
+func (c *client) HasOpenRequests() bool { return len(c.open) > 0 }
 
 // Messages is how many whole ones have come, and whether the beginning of another has.
-func (c *client) Messages() (whole int, begun bool) { return c.whole, len(c.part) > 0 }
+func (c *client) MessageProgress() (whole int, begun bool) { return c.whole, len(c.part) > 0 }
 
 // Data takes in frames, split in any way. The beginning of one stays in a buffer that grows with it, so
 // that a frame that comes a few bytes at a time is not copied anew for each of them.
-func (c *client) Data(b []byte) {
+func (c *client) OnData(b []byte) {
 	if c.gone {
 		return
 	}
@@ -135,7 +137,7 @@
 }
 
 // Closed gives up all that is open: nobody waits for it.
-func (c *client) Closed(error) { c.leave() }
+func (c *client) OnClose(error) { c.leave() }
 
 func (c *client) leave() {
 	c.gone, c.part = true, nil
@@ -148,7 +150,7 @@
 	delete(k.client.open, k.seq)
 	if !k.done {
 		k.done = true
-		k.client.front.core.Leave(k.client.front.clock(), k.id)
+		k.client.front.core.Cancel(k.client.front.clock(), k.id)
 	}
 }
 
@@ -218,43 +220,43 @@
 		return nil
 	}
 	k := &call{client: c, seq: m.seq}
-	req.Asker, req.Client = k, c.peer
+	req.Responder, req.ClientAddr = k, c.peer
 	if len(c.open) >= maxOpen {
-		c.front.core.TurnAway(c.front.clock(), req)
+		c.front.core.Reject(c.front.clock(), req)
 		return nil
 	}
 	req.Body = bytes.Clone(body) // a large read is not kept for one small body in it
 	c.open[m.seq] = k
-	if id := c.front.core.Take(c.front.clock(), req); !k.done {
+	if id := c.front.core.Submit(c.front.clock(), req); !k.done {
 		k.id = id
 	}
 	return nil
 }
 
 // request reads the fields; reason says what is wrong with them.
-func (f *Front) request(fields map[string][]byte) (r router.Request, reason string) {
+func (f *Server) request(fields map[string][]byte) (r router.Request, reason string) {
 	class, ok := f.classes[string(fields["class"])]
 	if !ok {
 		return r, "class"
 	}
 	tenant, ok := f.tenants[string(fields["tenant"])]
 	if !ok {
-		tenant = router.NoTenant
+		tenant = router.UnknownTenant
 	}
-	r = router.Request{Front: router.Thrift, Class: class, Tenant: tenant, ID: string(fields["id"]), Key: string(fields["key"])}
-	if _, ok := router.ParseKey(r.ID); !ok {
+	r = router.Request{Frontend: router.Thrift, Class: class, Tenant: tenant, ID: string(fields["id"]), FunctionKey: string(fields["key"])}
+	if _, ok := router.ParseHexID(r.ID); !ok {
 		return r, "id"
 	}
-	key, ok := router.ParseKey(r.Key)
+	key, ok := router.ParseHexID(r.FunctionKey)
 	if !ok {
 		return r, "key"
 	}
 	r.Function = policy.FunctionID(key)
 	wait, err := strconv.ParseFloat(string(fields["wait"]), 64)
-	if err != nil || !router.Within(wait, router.MaxWaitMs) {
+	if err != nil || !router.InRange(wait, router.MaxWaitMs) {
 		return r, "wait"
 	}
-	r.Deadline = f.clock() + router.TimeFor(time.Duration(wait*1e6))
+	r.Deadline = f.clock() + router.AnswerBudget(time.Duration(wait*1e6))
 	for text := string(fields["props"]); text != ""; {
 		var pair string
 		pair, text, _ = strings.Cut(text, ";")
@@ -265,11 +267,11 @@
 		case "memory_mb":
 			r.MemoryMB, most = v, router.MaxMemoryMB
 		case "lanes":
-			r.Lanes, most = v, router.MaxLanes
+			r.Concurrency, most = v, router.MaxConcurrency
 		case "load_ms":
 			r.LoadTime, most = time.Duration(v*1e6), router.MaxLoadMs
 		}
-		if err != nil || !router.Within(v, most) {
+		if err != nil || !router.InRange(v, most) {
 			return r, "props"
 		}
 	}
@@ -277,13 +279,13 @@
 }
 
 // Answered writes the final answer. A client that has left is owed none.
-func (k *call) Answered(a router.Answer) {
+func (k *call) Respond(a router.Response) {
 	if k.done {
 		return
 	}
 	k.done = true
 	delete(k.client.open, k.seq)
-	switch a.Verdict {
+	switch a.Status {
 	case router.Served:
 		head := answer("execute", k.seq, len(a.Body), true)
 		k.client.line.Write(head[0], a.Body, head[1])
--- a/internal/thrift/main_test.go
+++ b/internal/frontend/thrift/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"crankhold/internal/standin"
+	"functionrouter/internal/standin"
 )
 
 func TestMain(m *testing.M) { standin.Main(m) }
--- a/internal/thrift/thrift_test.go
+++ b/internal/frontend/thrift/thrift_test.go
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
-	"crankhold/internal/router"
-	"crankhold/internal/standin"
-	"crankhold/policy"
+	"functionrouter/internal/router"
+	"functionrouter/internal/standin"
+	"functionrouter/policy"
 )
 
 // core keeps what it is handed.
@@ -22,15 +22,15 @@
 	away  int
 }
 
-func (c *core) Take(_ time.Duration, r router.Request) policy.RequestID {
+func (c *core) Submit(_ time.Duration, r router.Request) policy.RequestID {
 	c.taken = append(c.taken, r)
 	return policy.RequestID(len(c.taken))
 }
-func (c *core) TurnAway(_ time.Duration, r router.Request) {
+func (c *core) Reject(_ time.Duration, r router.Request) {
 	c.away++
-	r.Asker.Answered(router.Answer{Verdict: router.Refused})
+	r.Responder.Respond(router.Response{Status: router.Refused})
 }
-func (c *core) Leave(_ time.Duration, id policy.RequestID) { c.left = append(c.left, id) }
+func (c *core) Cancel(_ time.Duration, id policy.RequestID) { c.left = append(c.left, id) }
 
 func newClient() (*client, *core, *standin.Line) {
 	c, l := &core{}, &standin.Line{}
@@ -72,12 +72,12 @@
 // names none against nobody's, not against the first's.
 func TestCallsHaveTheirTenant(t *testing.T) {
 	c, k, _ := newClient()
-	for i, want := range map[string]int{"north": 0, "south": 1, "west": router.NoTenant, "": router.NoTenant} {
+	for i, want := range map[string]int{"north": 0, "south": 1, "west": router.UnknownTenant, "": router.UnknownTenant} {
 		fields := good
 		if i != "" {
 			fields = append(slices.Clone(good), "tenant", i)
 		}
-		c.Data(execute(c.last+1, "body", fields...))
+		c.OnData(execute(c.last+1, "body", fields...))
 		if got := k.taken[len(k.taken)-1].Tenant; got != want {
 			t.Errorf("tenant %q: %d, want %d", i, got, want)
 		}
@@ -93,7 +93,7 @@
 		feed := func(b []byte) {
 			for len(b) > 0 {
 				n := rapid.IntRange(1, len(b)).Draw(t, "n")
-				c.Data(bytes.Clone(b[:n]))
+				c.OnData(bytes.Clone(b[:n]))
 				b = b[n:]
 			}
 		}
@@ -117,7 +117,7 @@
 				open[seq] = len(k.taken) - 1
 				r := k.taken[len(k.taken)-1]
 				if r.Class != 1 || r.ID != "9b1f03aa5c7e2d41" || r.Function != 0x7f3a9c21e0b4d655 || string(r.Body) != "body" ||
-					r.Lanes != 2 || r.MemoryMB != 512 || r.LoadTime != 640*time.Millisecond ||
+					r.Concurrency != 2 || r.MemoryMB != 512 || r.LoadTime != 640*time.Millisecond ||
 					r.Deadline != time.Hour+1460*time.Millisecond {
 					t.Fatalf("took %+v", r)
 				}
@@ -127,12 +127,12 @@
 				if !ok {
 					return
 				}
-				a := router.Answer{Verdict: router.Verdict(rapid.IntRange(0, 2).Draw(t, "verdict")), Body: []byte("x"), RetryAfter: 1}
-				k.taken[open[s]].Asker.Answered(a)
-				k.taken[open[s]].Asker.Answered(a) // a second one goes nowhere
+				a := router.Response{Status: router.Status(rapid.IntRange(0, 2).Draw(t, "verdict")), Body: []byte("x"), RetryAfter: 1}
+				k.taken[open[s]].Responder.Respond(a)
+				k.taken[open[s]].Responder.Respond(a) // a second one goes nowhere
 				delete(open, s)
-				if got, field := outcome(t, l); got != s || field != uint16(a.Verdict) {
-					t.Fatalf("answer to %d has field %d, want %d of %d", got, field, a.Verdict, s)
+				if got, field := outcome(t, l); got != s || field != uint16(a.Status) {
+					t.Fatalf("answer to %d has field %d, want %d of %d", got, field, a.Status, s)
 				}
 			},
 			"interrupt": func(t *rapid.T) {
@@ -146,7 +146,7 @@
 				if len(k.left) == 0 || int(k.left[len(k.left)-1]) != open[s]+1 {
 					t.Fatalf("left %v", k.left)
 				}
-				k.taken[open[s]].Asker.Answered(router.Answer{})
+				k.taken[open[s]].Responder.Respond(router.Response{})
 				delete(open, s)
 			},
 			"bad": func(t *rapid.T) { // wrong fields are answered, with a failure
@@ -165,8 +165,8 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if l.Wrote.Len() > 0 || l.HasClosed || c.Busy() != (len(open) > 0) {
-					t.Fatalf("wrote %x, closed %v, busy %v", l.Wrote.Bytes(), l.HasClosed, c.Busy())
+				if l.Wrote.Len() > 0 || l.HasClosed || c.HasOpenRequests() != (len(open) > 0) {
+					t.Fatalf("wrote %x, closed %v, busy %v", l.Wrote.Bytes(), l.HasClosed, c.HasOpenRequests())
 				}
 			},
 		})
@@ -180,7 +180,7 @@
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
 		}
-		c.Data(b)
+		c.OnData(b)
 		if len(k.taken) > 1 || l.HasClosed && c.part != nil {
 			t.Fatalf("took %d, kept %d bytes", len(k.taken), len(c.part))
 		}
@@ -190,7 +190,7 @@
 		"a depth over the cap": seal(append(appendMessage(nil, kindCall, "execute", 1), append(bytes.Repeat([]byte{typeStruct, 0, 9}, 20), make([]byte, 21)...)...), 0),
 	} {
 		if c, _, l := newClient(); true {
-			if c.Data(b); !l.HasClosed {
+			if c.OnData(b); !l.HasClosed {
 				t.Errorf("%s was let in", name)
 			}
 		}
@@ -211,7 +211,7 @@
 			c, k, l := newClient()
 			fields := append([]string(nil), good...)
 			fields[at] = v
-			c.Data(execute(1, "", fields...))
+			c.OnData(execute(1, "", fields...))
 			if _, field := outcome(t, l); len(k.taken) != 0 || field != 2 {
 				t.Errorf("%s %q: %d taken, answer has field %d", good[at-1], v, len(k.taken), field)
 			}
@@ -228,7 +228,7 @@
 		c, k, _ := newClient()
 		fields := append([]string(nil), good...)
 		fields[5] = wait
-		if c.Data(execute(1, "", fields...)); len(k.taken) != 1 || k.taken[0].Deadline-time.Hour != want {
+		if c.OnData(execute(1, "", fields...)); len(k.taken) != 1 || k.taken[0].Deadline-time.Hour != want {
 			t.Errorf("of a wait of %s ms: %+v, want %v", wait, k.taken, want)
 		}
 	}
@@ -240,13 +240,13 @@
 	for _, answered := range []bool{true, false} {
 		for again := range uint32(3) {
 			c, k, l := newClient()
-			c.Data(execute(2, "", good...))
+			c.OnData(execute(2, "", good...))
 			if answered {
-				k.taken[0].Asker.Answered(router.Answer{})
+				k.taken[0].Responder.Respond(router.Response{})
 			}
-			c.Data(execute(again, "", good...))
-			c.Data(execute(5, "", good...))
-			if len(k.taken) != 1 || !l.HasClosed || c.Busy() {
+			c.OnData(execute(again, "", good...))
+			c.OnData(execute(5, "", good...))
+			if len(k.taken) != 1 || !l.HasClosed || c.HasOpenRequests() {
 				t.Errorf("number %d behind 2: %d taken, closed %v", again, len(k.taken), l.HasClosed)
 			}
 		}
@@ -258,7 +258,7 @@
 func TestCallsBeyondTheLimitAreRefused(t *testing.T) {
 	c, k, l := newClient()
 	for i := range uint32(200) {
-		c.Data(execute(i+1, "", good...))
+		c.OnData(execute(i+1, "", good...))
 	}
 	if len(k.taken) != maxOpen || k.away != 200-maxOpen || l.HasClosed || len(c.open) != maxOpen {
 		t.Fatalf("%d taken, %d turned away, closed %v", len(k.taken), k.away, l.HasClosed)
@@ -268,8 +268,8 @@
 			t.Fatalf("answer to %d has field %d", seq, field)
 		}
 	}
-	k.taken[0].Asker.Answered(router.Answer{})
-	if c.Data(execute(201, "", good...)); len(k.taken) != maxOpen+1 {
+	k.taken[0].Responder.Respond(router.Response{})
+	if c.OnData(execute(201, "", good...)); len(k.taken) != maxOpen+1 {
 		t.Error("no room after an answer")
 	}
 }
@@ -281,9 +281,9 @@
 	whole := execute(1, string(make([]byte, maxBody)), good...)
 	allocs := testing.AllocsPerRun(1, func() {
 		for i := range whole {
-			c.Data(whole[i : i+1])
+			c.OnData(whole[i : i+1])
 		}
-		if n, begun := c.Messages(); n != 1 && begun {
+		if n, begun := c.MessageProgress(); n != 1 && begun {
 			t.Errorf("%d whole messages, another begun: %v", n, begun)
 		}
 	})
@@ -292,7 +292,7 @@
 	}
 	c, k, _ = newClient()
 	read := append(execute(1, "small", good...), make([]byte, 3)...)
-	c.Data(read)
+	c.OnData(read)
 	clear(read)
 	if string(k.taken[0].Body) != "small" {
 		t.Error("the body points into the read")
--- a/internal/webhook/receiver.go
+++ b/internal/frontend/webhook/receiver.go
@@ -14,9 +14,9 @@
 	"net/netip"
 	"time"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/router"
-	"crankhold/policy"
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/router"
+	"functionrouter/policy"
 )
 
 const (
@@ -25,16 +25,16 @@
 	refusedFor  = time.Second // Retry-After where the module gives no advice
 )
 
-// Core is what the receiver hands calls to.
-type Core interface {
-	Take(now time.Duration, r router.Request) policy.RequestID
+// RequestRouter is what the receiver hands calls to.
+type RequestRouter interface {
+	Submit(now time.Duration, r router.Request) policy.RequestID
 }
 
-// Line is a connection to a peer; a loop.Conn is one.
-type Line interface {
+// Transport is a connection to a peer; a eventloop.Conn is one.
+type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
-	FlushClose()
+	CloseAfterFlush()
 }
 
 // Class is a class of calls as the receiver needs to know it.
@@ -52,7 +52,7 @@
 // Receiver serves signed webhooks.
 type Receiver struct {
 	cfg      *Config
-	core     Core
+	core     RequestRouter
 	classes  map[string]int
 	list     []Class
 	clock    func() time.Duration
@@ -98,7 +98,7 @@
 
 // NewReceiver reads the keys and the ledger. It remembers at most so many bytes of answers. Post runs a
 // function on the loop's goroutine.
-func NewReceiver(cfg *Config, core Core, classes []Class, most int, clock func() time.Duration, wall func() time.Time,
+func NewReceiver(cfg *Config, core RequestRouter, classes []Class, most int, clock func() time.Duration, wall func() time.Time,
 	post func(func())) (*Receiver, error) {
 	v := &Receiver{cfg: cfg, core: core, classes: map[string]int{}, list: classes, most: most, clock: clock, wall: wall, post: post,
 		outcomes: map[string]*outcome{}}
@@ -139,16 +139,18 @@
 }
 
 // Accept serves a connection.
-func (v *Receiver) Accept(c *loop.Conn) loop.Accepted { return v.serve(c, c.Peer()) }
+func (v *Receiver) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
+	return v.serve(c, c.RemoteAddr())
+}
 
-func (v *Receiver) serve(line Line, peer netip.AddrPort) *client {
+func (v *Receiver) serve(line Transport, peer netip.AddrPort) *client {
 	return &client{front: v, line: line, peer: peer}
 }
 
 // client is a connection. It has one request at a time; what follows it waits in buf.
 type client struct {
 	front   *Receiver
-	line    Line
+	line    Transport
 	peer    netip.AddrPort
 	buf     []byte
 	req     *request // its head has come, its body has not; it points into head
@@ -160,16 +162,16 @@
 }
 
 // Busy tells whether an answer is owed.
-func (c *client) Busy() bool { return c.pending }
+func (c *client) HasOpenRequests() bool { return c.pending }
 
 // Messages is how many whole requests have come, and whether the beginning of another has; what a client
 // sends behind the last answer is no more than that.
-func (c *client) Messages() (whole int, begun bool) {
+func (c *client) MessageProgress() (whole int, begun bool) {
 	return c.whole, c.gone || c.req != nil || len(c.buf) > 0
 }
 
 // Data takes in requests, split in any way.
-func (c *client) Data(b []byte) {
+func (c *client) OnData(b []byte) {
 	if c.gone {
 		if c.drained += len(b); c.drained > maxDrain {
 			c.line.Close()
@@ -215,7 +217,7 @@
 }
 
 // Closed forgets the client. What it asked for goes on: its sender comes again for the outcome.
-func (c *client) Closed(error) { c.gone, c.buf, c.req = true, nil, nil }
+func (c *client) OnClose(error) { c.gone, c.buf, c.req = true, nil, nil }
 
 func (c *client) close() {
 	c.gone, c.buf, c.req = true, nil, nil
@@ -239,7 +241,7 @@
 	if c.last {
 		c.gone, c.buf, c.req = true, nil, nil
 		if whole {
-			c.line.FlushClose()
+			c.line.CloseAfterFlush()
 		}
 		// Else closing on what is still being sent would reset the connection, and the answer with
 		// it: the client closes, or maxDrain or the idle limit does.
@@ -283,7 +285,7 @@
 		c.answer(503, nil, refusedFor)
 		return
 	}
-	req.Client, req.Ref = c.peer, id
+	req.ClientAddr, req.ClientReference = c.peer, id
 	o := &outcome{sum: sum, at: at, waiting: []*client{c}}
 	if k := v.list[req.Class]; k.Once {
 		o.order = true
@@ -343,12 +345,12 @@
 	case len(p.Data.Body) > maxCall:
 		return r, at, errors.New("body is too long")
 	}
-	f, ok := router.ParseKey(p.Data.Key)
+	f, ok := router.ParseHexID(p.Data.Key)
 	if !ok {
 		return r, at, errors.New("key is not 16 hex digits in lower case")
 	}
-	if !router.Within(p.Data.WaitMs, router.MaxWaitMs) || !router.Within(p.Data.MemoryMB, router.MaxMemoryMB) ||
-		!router.Within(p.Data.Lanes, router.MaxLanes) || !router.Within(p.Data.LoadMs, router.MaxLoadMs) {
+	if !router.InRange(p.Data.WaitMs, router.MaxWaitMs) || !router.InRange(p.Data.MemoryMB, router.MaxMemoryMB) ||
+		!router.InRange(p.Data.Lanes, router.MaxConcurrency) || !router.InRange(p.Data.LoadMs, router.MaxLoadMs) {
 		return r, at, errors.New("a figure is out of range")
 	}
 	k, l := v.list[class], v.cfg.Receiver.Ledger
@@ -360,9 +362,9 @@
 	if wait == 0 || wait > k.Longest {
 		wait = k.Longest
 	}
-	return router.Request{Front: router.Webhook, Class: class, Tenant: router.NoTenant, ID: newID(), Key: p.Data.Key, Function: policy.FunctionID(f),
-		MemoryMB: p.Data.MemoryMB, Lanes: p.Data.Lanes, LoadTime: time.Duration(p.Data.LoadMs * 1e6),
-		Body: p.Data.Body, Deadline: v.clock() + router.TimeFor(wait)}, p.Timestamp, nil
+	return router.Request{Frontend: router.Webhook, Class: class, Tenant: router.UnknownTenant, ID: newID(), FunctionKey: p.Data.Key, Function: policy.FunctionID(f),
+		MemoryMB: p.Data.MemoryMB, Concurrency: p.Data.Lanes, LoadTime: time.Duration(p.Data.LoadMs * 1e6),
+		Body: p.Data.Body, Deadline: v.clock() + router.AnswerBudget(wait)}, p.Timestamp, nil
 }
 
 // newID returns a request id for the workers; they know nothing of webhook-ids.
@@ -384,8 +386,8 @@
 }
 
 func (v *Receiver) start(id string, o *outcome, req router.Request) {
-	req.Asker = &asker{v, id, o}
-	v.core.Take(v.clock(), req)
+	req.Responder = &asker{v, id, o}
+	v.core.Submit(v.clock(), req)
 }
 
 type asker struct {
@@ -395,14 +397,14 @@
 }
 
 // Answered settles the outcome and answers all that wait for it.
-func (k *asker) Answered(a router.Answer) {
+func (k *asker) Respond(a router.Response) {
 	v, o := k.front, k.o
-	if a.Verdict == router.Refused && !a.MayHaveRun { // proven unrun: the id may come again
+	if a.Status == router.Refused && !a.MayHaveRun { // proven unrun: the id may come again
 		delete(v.outcomes, k.id)
 		if o.order {
 			v.ledger.settle(entry{ID: k.id, At: o.at, Sum: o.sum, State: freed})
 		}
-		if a.Overdue {
+		if a.DeadlineExceeded {
 			o.answer(504, nil, 0)
 		} else {
 			o.answer(503, nil, a.RetryAfter)
@@ -411,9 +413,9 @@
 	}
 	o.settled, o.since = true, v.clock()
 	switch {
-	case a.Verdict == router.Served:
+	case a.Status == router.Served:
 		o.status, o.body = 200, a.Body
-	case a.Overdue:
+	case a.DeadlineExceeded:
 		o.status = 504
 	default:
 		// Also a refusal of what may have run: coming again with this id brings nothing else.
--- a/internal/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -13,8 +13,8 @@
 	"strconv"
 	"time"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/router"
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/router"
 )
 
 const (
@@ -30,7 +30,7 @@
 	url    *url.URL
 	addr   string
 	secret []byte
-	dial   func(addr string, timeout time.Duration, h loop.Dialled) Line
+	dial   func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 	wall   func() time.Time
 	now    time.Duration
 	queue  []*notice // waiting for their time
@@ -50,7 +50,7 @@
 }
 
 // NewSender reads the key.
-func NewSender(cfg *Config, wall func() time.Time, dial func(addr string, timeout time.Duration, h loop.Dialled) Line) (*Sender, error) {
+func NewSender(cfg *Config, wall func() time.Time, dial func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport) (*Sender, error) {
 	u, err := url.Parse(cfg.Sender.URL)
 	if err != nil {
 		return nil, fmt.Errorf("sender.url: %w", err)
@@ -83,7 +83,7 @@
 		Type      string    `json:"type"`
 		Timestamp time.Time `json:"timestamp"`
 		Data      data      `json:"data"`
-	}{"repair-order." + what, s.wall().UTC(), data{r.ID, r.Ref, r.Key}})
+	}{"repair-order." + what, s.wall().UTC(), data{r.ID, r.ClientReference, r.FunctionKey}})
 	if err != nil {
 		s.Sent.Dropped++
 		return
@@ -94,11 +94,11 @@
 	s.queue = append(s.queue, &notice{id: "msg_" + base64.RawURLEncoding.EncodeToString(id[:]), body: body, due: s.now})
 }
 
-// Open is how many notices have not come to their end.
-func (s *Sender) Open() int { return len(s.queue) + s.out }
+// OpenNotices is how many notices have not come to their end.
+func (s *Sender) OpenNotices() int { return len(s.queue) + s.out }
 
-// Turn sends what is due, and returns when it is to be called again.
-func (s *Sender) Turn(now time.Duration) time.Duration {
+// Process sends what is due, and returns when it is to be called again.
+func (s *Sender) Process(now time.Duration) time.Duration {
 	s.now = max(s.now, now)
 	next := now + time.Hour
 	keep := s.queue[:0]
@@ -137,14 +137,14 @@
 type delivery struct {
 	sender *Sender
 	n      *notice
-	line   Line
+	line   Transport
 	until  time.Duration
 	reply  []byte
 	done   bool
 }
 
 // Opened sends the notice, signed with the time of this try.
-func (d *delivery) Opened(err error) {
+func (d *delivery) OnOpen(err error) {
 	if err != nil {
 		d.finish(0, err)
 		return
@@ -161,7 +161,7 @@
 }
 
 // Data reads the status line; nothing else of the answer matters.
-func (d *delivery) Data(b []byte) {
+func (d *delivery) OnData(b []byte) {
 	if d.done {
 		return
 	}
@@ -182,7 +182,7 @@
 		if end := bytes.Index(d.reply, []byte("\r\n\r\n")); end >= 0 {
 			rest := d.reply[end+4:]
 			d.reply = nil
-			d.Data(rest)
+			d.OnData(rest)
 		}
 		return
 	}
@@ -190,7 +190,7 @@
 }
 
 // Closed without an answer is a try that failed.
-func (d *delivery) Closed(err error) {
+func (d *delivery) OnClose(err error) {
 	if err == nil {
 		err = errors.New("closed without an answer")
 	}
--- a/internal/webhook/webhook_test.go
+++ b/internal/frontend/webhook/webhook_test.go
@@ -22,10 +22,10 @@
 
 	"pgregory.net/rapid"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/router"
-	"crankhold/internal/standin"
-	"crankhold/policy"
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/router"
+	"functionrouter/internal/standin"
+	"functionrouter/policy"
 )
 
 var (
@@ -40,7 +40,7 @@
 // core is a stand-in that keeps what it is handed.
 type core struct{ taken []router.Request }
 
-func (c *core) Take(_ time.Duration, r router.Request) policy.RequestID {
+func (c *core) Submit(_ time.Duration, r router.Request) policy.RequestID {
 	c.taken = append(c.taken, r)
 	return policy.RequestID(len(c.taken))
 }
@@ -55,7 +55,7 @@
 }
 
 // newReceiver returns a receiver; what it posts comes through the channel.
-func newReceiver(t rapid.TB, c Core, ledger string) (*Receiver, chan func()) {
+func newReceiver(t rapid.TB, c RequestRouter, ledger string) (*Receiver, chan func()) {
 	posts := make(chan func(), 100)
 	v, err := NewReceiver(testConfig(ledger), c, classes, 16<<20, func() time.Duration { return time.Hour }, wall, func(f func()) { posts <- f })
 	if err != nil {
@@ -151,7 +151,7 @@
 		k := &core{}
 		v, _ := newReceiver(t, k, "")
 		l := &standin.Line{}
-		v.serve(l, netip.AddrPort{}).Data(c.bytes)
+		v.serve(l, netip.AddrPort{}).OnData(c.bytes)
 		if got := statuses(t, l); len(got) != 1 || got[0] != c.status || len(k.taken) > 0 {
 			t.Errorf("%s: answers %v, want one %d; %d calls", name, got, c.status, len(k.taken))
 		}
@@ -173,37 +173,37 @@
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 				for b := deliveryOf(secret, id, noon, call("dim-level", id, noon)); len(b) > 0; {
 					n := rapid.IntRange(1, len(b)).Draw(t, "n")
-					c.Data(bytes.Clone(b[:n]))
+					c.OnData(bytes.Clone(b[:n]))
 					b = b[n:]
 				}
 				if status, ok := settled[id]; ok {
 					want = append(want, status)
-					if c.Busy() {
+					if c.HasOpenRequests() {
 						t.Fatal("a redelivery ran again")
 					}
 					return
 				}
-				if !c.Busy() || string(k.taken[len(k.taken)-1].Body) != id {
+				if !c.HasOpenRequests() || string(k.taken[len(k.taken)-1].Body) != id {
 					t.Fatal("the call did not reach the core")
 				}
-				a := router.Answer{Verdict: router.Verdict(rapid.IntRange(0, 2).Draw(t, "verdict")),
-					MayHaveRun: rapid.Bool().Draw(t, "ran"), Overdue: rapid.Bool().Draw(t, "overdue")}
-				status := map[router.Verdict]int{router.Served: 200, router.Refused: 502, router.Failed: 502}[a.Verdict]
-				if unrun := a.Verdict == router.Refused && !a.MayHaveRun; unrun {
+				a := router.Response{Status: router.Status(rapid.IntRange(0, 2).Draw(t, "verdict")),
+					MayHaveRun: rapid.Bool().Draw(t, "ran"), DeadlineExceeded: rapid.Bool().Draw(t, "overdue")}
+				status := map[router.Status]int{router.Served: 200, router.Refused: 502, router.Failed: 502}[a.Status]
+				if unrun := a.Status == router.Refused && !a.MayHaveRun; unrun {
 					status = 503
 				}
-				if a.Overdue && a.Verdict != router.Served {
+				if a.DeadlineExceeded && a.Status != router.Served {
 					status = 504
 				}
-				if a.Verdict != router.Refused || a.MayHaveRun {
+				if a.Status != router.Refused || a.MayHaveRun {
 					settled[id] = status
 				}
 				want = append(want, status)
-				k.taken[len(k.taken)-1].Asker.Answered(a)
+				k.taken[len(k.taken)-1].Responder.Respond(a)
 			},
 			"": func(t *rapid.T) {
-				if got := statuses(t, l); fmt.Sprint(got) != fmt.Sprint(want) || c.Busy() || l.HasClosed {
-					t.Fatalf("answers %v, want %v; busy %v, closed %v", got, want, c.Busy(), l.HasClosed)
+				if got := statuses(t, l); fmt.Sprint(got) != fmt.Sprint(want) || c.HasOpenRequests() || l.HasClosed {
+					t.Fatalf("answers %v, want %v; busy %v, closed %v", got, want, c.HasOpenRequests(), l.HasClosed)
 				}
 			},
 		})
@@ -281,7 +281,7 @@
 		v, posts := newReceiver(t, k, path)
 		spoil(v.ledger)
 		for i := range 2 { // also the one after it
-			v.serve(l, netip.AddrPort{}).Data(deliveryOf(secret, name[:4]+strconv.Itoa(i), noon, call("repair-order", "x", noon)))
+			v.serve(l, netip.AddrPort{}).OnData(deliveryOf(secret, name[:4]+strconv.Itoa(i), noon, call("repair-order", "x", noon)))
 			(<-posts)()
 		}
 		if got := statuses(t, l); fmt.Sprint(got) != "[503 503]" || len(k.taken) > 0 {
@@ -295,7 +295,7 @@
 	}
 	k, l := &core{}, &standin.Line{}
 	v, _ := newReceiver(t, k, filepath.Join(t.TempDir(), "ledger"))
-	v.serve(l, netip.AddrPort{}).Data(deliveryOf(secret, "old", noon, call("repair-order", "x", noon.Add(-72*time.Hour))))
+	v.serve(l, netip.AddrPort{}).OnData(deliveryOf(secret, "old", noon, call("repair-order", "x", noon.Add(-72*time.Hour))))
 	if got := statuses(t, l); fmt.Sprint(got) != "[400]" || len(k.taken) > 0 {
 		t.Errorf("an order older than the retention: answers %v, %d calls", got, len(k.taken))
 	}
@@ -312,7 +312,7 @@
 	}{{1, "[]"}, {0, "[502]"}} {
 		k, l := &core{}, &standin.Line{}
 		v, posts := newReceiver(t, k, path)
-		v.serve(l, netip.AddrPort{}).Data(b)
+		v.serve(l, netip.AddrPort{}).OnData(b)
 		if round == 0 {
 			(<-posts)() // it is on the disk, and is handed to the core
 		}
@@ -332,15 +332,15 @@
 	b := deliveryOf(secret, "m", noon, call("repair-order", "x", noon))
 	lines := []*standin.Line{{}, {}, {}}
 	first := v.serve(lines[0], netip.AddrPort{})
-	first.Data(b)
-	v.serve(lines[1], netip.AddrPort{}).Data(b) // before the ledger has answered
+	first.OnData(b)
+	v.serve(lines[1], netip.AddrPort{}).OnData(b) // before the ledger has answered
 	(<-posts)()
-	v.serve(lines[2], netip.AddrPort{}).Data(b) // and after
-	first.Closed(nil)
-	if len(k.taken) != 1 || k.taken[0].Ref != "m" {
+	v.serve(lines[2], netip.AddrPort{}).OnData(b) // and after
+	first.OnClose(nil)
+	if len(k.taken) != 1 || k.taken[0].ClientReference != "m" {
 		t.Fatalf("the core has %+v", k.taken)
 	}
-	k.taken[0].Asker.Answered(router.Answer{Verdict: router.Served, Body: []byte("done")})
+	k.taken[0].Responder.Respond(router.Response{Status: router.Served, Body: []byte("done")})
 	for i, want := range []string{"[]", "[200]", "[200]"} {
 		if got := statuses(t, lines[i]); fmt.Sprint(got) != want {
 			t.Errorf("client %d has answers %v, want %s", i, got, want)
@@ -351,8 +351,8 @@
 // plant is the whole path but for the workers: sockets, receiver, core and module. Its workers end
 // each run at once and count them by body.
 type plant struct {
-	lp    *loop.Loop
-	core  *router.Core
+	lp    *eventloop.Loop
+	core  *router.Router
 	front *Receiver
 	addr  string
 	done  chan struct{}
@@ -361,39 +361,39 @@
 	sends *Sender
 }
 
-func (p *plant) Run(_ policy.WorkerID, a router.Attempt, r *router.Request, _ time.Duration) {
+func (p *plant) StartAttempt(_ policy.WorkerID, a router.AttemptID, r *router.Request, _ time.Duration) {
 	body := string(r.Body)
 	p.mu.Lock()
 	p.runs[body]++
 	p.mu.Unlock()
 	o := policy.Served
 	if strings.HasSuffix(body, "7") {
-		o = policy.Reset // it may have run
+		o = policy.ConnectionReset // it may have run
 	}
-	p.core.AttemptEnded(a, o, policy.WasWarm, []byte("done "+body), nil)
+	p.core.AttemptEnded(a, o, policy.InstanceWarm, []byte("done "+body), nil)
 }
-func (p *plant) Withdraw(router.Attempt) bool         { return false }
-func (p *plant) Stop(policy.WorkerID, router.Attempt) {}
-func (p *plant) Hold(_ policy.WorkerID, _ policy.FunctionID, _ int, tag uint64) {
-	p.core.HoldEnded(tag, policy.Served, 1)
+func (p *plant) WithdrawQueued(router.AttemptID) bool            { return false }
+func (p *plant) CancelAttempt(policy.WorkerID, router.AttemptID) {}
+func (p *plant) LoadInstance(_ policy.WorkerID, _ policy.FunctionID, _ int, tag uint64) {
+	p.core.LoadOrderEnded(tag, policy.Served, 1)
 }
-func (p *plant) Probe(_ policy.WorkerID, tag uint64)     { p.core.Probed(tag, policy.Served, nil) }
-func (p *plant) Forget(policy.WorkerID, uint64)          {}
-func (p *plant) Free(policy.WorkerID, policy.FunctionID) {}
-func (p *plant) CloseIdle(policy.WorkerID)               {}
+func (p *plant) Probe(_ policy.WorkerID, tag uint64)               { p.core.ProbeEnded(tag, policy.Served, nil) }
+func (p *plant) AbandonControl(policy.WorkerID, uint64)            {}
+func (p *plant) UnloadInstance(policy.WorkerID, policy.FunctionID) {}
+func (p *plant) CloseIdleConnections(policy.WorkerID)              {}
 
 func startPlant(t *testing.T, ledger, notices string, runs map[string]int) *plant {
-	module, err := policy.New(policy.Config{Peers: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, MayCancel: true, MayProbe: true, OverShareWorth: 1,
-		KeepAlive: 10 * time.Second, RetryAfter: true, MaxRetryAfter: time.Second, Classes: []policy.Class{
-			{Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3},
-			{Aim: 1200 * time.Millisecond, Deadline: 3 * time.Second, Repeat: policy.Unsafe, Worth: 5}}}, 1)
+	module, err := policy.New(policy.Config{RouterCount: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, AllowCancel: true, AllowProbes: true, OverQuotaWeight: 1,
+		InstanceKeepAlive: 10 * time.Second, AllowRetryAfter: true, MaxRetryAfter: time.Second, Classes: []policy.Class{
+			{LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3},
+			{LatencyObjective: 1200 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: policy.NotIdempotent, PriorityWeight: 5}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &plant{lp: loop.New(loop.Config{MaxAccepted: 50, MaxFiles: 1024}), runs: runs, done: make(chan struct{})}
-	p.core = router.New(module, router.Limits{MaxOpen: 100, MaxBytes: 1 << 20, MaxAttempts: 3, ProbeTimeout: time.Second})
-	p.core.Use(p)
-	p.core.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
+	p := &plant{lp: eventloop.New(eventloop.Config{MaxAcceptedConnections: 50, MaxFileDescriptors: 1024}), runs: runs, done: make(chan struct{})}
+	p.core = router.New(module, router.Limits{MaxOpenRequests: 100, MaxBodyBytes: 1 << 20, MaxAttempts: 3, ProbeTimeout: time.Second})
+	p.core.SetWorkerPool(p)
+	p.core.UpdateEndpoints(policy.EndpointUpdate{Kind: policy.FullUpdate, Endpoints: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
 	if p.front, err = NewReceiver(testConfig(ledger), p.core, classes, 16<<20, p.lp.Now, wall, p.lp.Post); err != nil {
 		t.Fatal(err)
 	}
@@ -402,12 +402,12 @@
 	cfg.Sender.URL, cfg.Sender.Connect, cfg.Sender.Backoff = "http://hooks.example.org/notices", notices, time.Millisecond
 	cfg.Sender.Key = filepath.Join(t.TempDir(), "key")
 	os.WriteFile(cfg.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(secret)), 0o600)
-	if p.sends, err = NewSender(cfg, wall, func(addr string, timeout time.Duration, h loop.Dialled) Line {
+	if p.sends, err = NewSender(cfg, wall, func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport {
 		return p.lp.Dial(addr, timeout, h)
 	}); err != nil {
 		t.Fatal(err)
 	}
-	p.core.Observe = func(now time.Duration, r *router.Request, end string) {
+	p.core.OnRequestEnd = func(now time.Duration, r *router.Request, end string) {
 		if notices != "" {
 			p.sends.Notify(now, r, end)
 		}
@@ -418,7 +418,7 @@
 	}
 	p.addr = p.lp.Addrs()[0]
 	go func() {
-		p.lp.Run(p.core.SetNow, func(now time.Duration) time.Duration { return min(p.core.Turn(now), p.sends.Turn(now)) })
+		p.lp.Run(p.core.SetNow, func(now time.Duration) time.Duration { return min(p.core.Process(now), p.sends.Process(now)) })
 		close(p.done)
 	}()
 	return p
@@ -596,8 +596,8 @@
 	os.WriteFile(path, []byte("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"), 0o600)
 	cfg.Sender.Key = path
 	var lines []*standin.Line
-	var handlers []loop.Dialled
-	s, err := NewSender(cfg, wall, func(_ string, _ time.Duration, h loop.Dialled) Line {
+	var handlers []eventloop.DialHandler
+	s, err := NewSender(cfg, wall, func(_ string, _ time.Duration, h eventloop.DialHandler) Transport {
 		lines, handlers = append(lines, &standin.Line{}), append(handlers, h)
 		return lines[len(lines)-1]
 	})
@@ -605,14 +605,14 @@
 		t.Fatal(err)
 	}
 	for range 3 {
-		s.Notify(time.Hour, &router.Request{ID: "9b1f03aa5c7e2d41", Key: "7f3a9c21e0b4d655"}, "served")
+		s.Notify(time.Hour, &router.Request{ID: "9b1f03aa5c7e2d41", FunctionKey: "7f3a9c21e0b4d655"}, "served")
 	}
 	ids := map[string]int{}
 	now := time.Hour
-	for try := 0; s.Open() > 0; try++ {
-		next := s.Turn(now)
+	for try := 0; s.OpenNotices() > 0; try++ {
+		next := s.Process(now)
 		for i, h := range handlers {
-			h.Opened(nil)
+			h.OnOpen(nil)
 			r, err := http.ReadRequest(bufio.NewReader(&lines[i].Wrote))
 			if err != nil || r.Host != "hooks.example.org" || r.URL.Path != "/n" {
 				t.Fatalf("request %v: %v", r, err)
@@ -628,9 +628,9 @@
 				status = "204 No Content"
 			}
 			for _, b := range []byte("HTTP/1.1 " + status + "\r\n\r\n") {
-				h.Data([]byte{b})
+				h.OnData([]byte{b})
 			}
-			h.Closed(nil)
+			h.OnClose(nil)
 			if !lines[i].HasClosed {
 				t.Error("the connection was left open")
 			}
--- a/internal/ipfix/ipfix.go
+++ b/internal/ipfix/ipfix.go
@@ -12,7 +12,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"crankhold/internal/loop"
+	"functionrouter/internal/eventloop"
 )
 
 const (
@@ -83,8 +83,8 @@
 	Class          string
 }
 
-// Line is a socket to the collector; a loop.Conn is one.
-type Line interface {
+// Transport is a socket to the collector; a eventloop.Conn is one.
+type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
 }
@@ -95,9 +95,9 @@
 // Exporter gathers records and sends them.
 type Exporter struct {
 	domain   uint32
-	dial     func(h loop.Dialled) Line
+	dial     func(h eventloop.DialHandler) Transport
 	wall     func() time.Time
-	line     Line
+	line     Transport
 	up       bool
 	now      time.Duration
 	redial   time.Duration
@@ -105,7 +105,7 @@
 	template time.Duration
 	waiting  []record
 	sequence uint32 // records sent before, as each message tells
-	Count    Counters
+	Counters Counters
 }
 
 type record struct {
@@ -114,16 +114,16 @@
 }
 
 // New returns an Exporter that opens its socket by dial.
-func New(c *Config, wall func() time.Time, dial func(h loop.Dialled) Line) *Exporter {
+func New(c *Config, wall func() time.Time, dial func(h eventloop.DialHandler) Transport) *Exporter {
 	return &Exporter{domain: c.Domain, dial: dial, wall: wall}
 }
 
 // Add takes a call in.
 func (x *Exporter) Add(f Flow) {
-	x.Count.Records++
+	x.Counters.Records++
 	client, server := f.Client.Addr().Unmap(), f.Server.Addr().Unmap()
 	if len(x.waiting) >= maxWaiting || !client.IsValid() || client.Is4() != server.Is4() {
-		x.Count.Dropped++
+		x.Counters.Dropped++
 		return
 	}
 	r := record{template: 256}
@@ -142,8 +142,8 @@
 	x.waiting = append(x.waiting, record{r.template, append(r.data, class...)})
 }
 
-// Turn sends what has gathered, and returns when it is to be called again.
-func (x *Exporter) Turn(now time.Duration) time.Duration {
+// Process sends what has gathered, and returns when it is to be called again.
+func (x *Exporter) Process(now time.Duration) time.Duration {
 	x.now = now
 	if x.line == nil {
 		if now < x.redial {
@@ -194,8 +194,8 @@
 	binary.BigEndian.PutUint32(b[8:], x.sequence)
 	binary.BigEndian.PutUint32(b[12:], x.domain)
 	x.sequence += uint32(sent)
-	x.Count.Sent += uint64(sent)
-	x.Count.Messages++
+	x.Counters.Sent += uint64(sent)
+	x.Counters.Messages++
 	return b
 }
 
@@ -214,20 +214,20 @@
 	return b
 }
 
-// Opened is the end of the dial. A new socket's collector knows no template.
-func (x *Exporter) Opened(err error) {
+// OnOpen is the end of the dial. A new socket's collector knows no template.
+func (x *Exporter) OnOpen(err error) {
 	if x.up = err == nil; !x.up {
-		x.Closed(err)
+		x.OnClose(err)
 		return
 	}
 	x.template = 0
 }
 
-// Data ignores what a collector says: IPFIX has no answers.
-func (x *Exporter) Data([]byte) {}
+// OnData ignores what a collector says: IPFIX has no answers.
+func (x *Exporter) OnData([]byte) {}
 
-// Closed has the socket opened again a little later; a collector that is not there shows this way.
-func (x *Exporter) Closed(err error) {
+// OnClose has the socket opened again a little later; a collector that is not there shows this way.
+func (x *Exporter) OnClose(err error) {
 	if err == nil {
 		err = errors.New("closed")
 	}
--- a/internal/ipfix/ipfix_test.go
+++ b/internal/ipfix/ipfix_test.go
@@ -10,8 +10,8 @@
 	"github.com/netsampler/goflow2/v2/decoders/netflow"
 	"pgregory.net/rapid"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/standin"
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/standin"
 )
 
 func TestMain(m *testing.M) { standin.Main(m) }
@@ -23,10 +23,10 @@
 func TestCollectorReadsWhatWasAdded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &standin.Line{}
-		x := New(&Config{Domain: 7}, func() time.Time { return noon }, func(loop.Dialled) Line { return l })
+		x := New(&Config{Domain: 7}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport { return l })
 		now := time.Hour
-		x.Turn(now)
-		x.Opened(nil)
+		x.Process(now)
+		x.OnOpen(nil)
 		templates := netflow.CreateTemplateSystem()
 		var want, got []string
 		var records uint32
@@ -48,7 +48,7 @@
 					t.Skip("dropped some")
 				}
 				now += flushEvery
-				x.Turn(now)
+				x.Process(now)
 				for l.Wrote.Len() > 0 {
 					size := int(l.Wrote.Bytes()[2])<<8 | int(l.Wrote.Bytes()[3])
 					if size > maxMessage {
@@ -90,11 +90,11 @@
 
 // What a collector that is away would have been sent is bounded, and what is dropped is counted.
 func TestWaitingRecordsAreBounded(t *testing.T) {
-	x := New(&Config{}, func() time.Time { return noon }, func(loop.Dialled) Line { return &standin.Line{} })
+	x := New(&Config{}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport { return &standin.Line{} })
 	for range maxWaiting + 5 {
 		x.Add(Flow{Client: netip.MustParseAddrPort("127.0.0.9:1"), Server: netip.MustParseAddrPort("127.0.0.1:2")})
 	}
-	if x.Count.Dropped != 5 || len(x.waiting) != maxWaiting {
-		t.Errorf("%d wait, counters %+v", len(x.waiting), x.Count)
+	if x.Counters.Dropped != 5 || len(x.waiting) != maxWaiting {
+		t.Errorf("%d wait, counters %+v", len(x.waiting), x.Counters)
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -9,7 +9,7 @@
 	"net/netip"
 	"time"
 
-	"crankhold/policy"
+	"functionrouter/policy"
 )
 
 // answerMargin is how long before a client's wait runs out its answer is to leave, and answerPart the part
@@ -21,67 +21,67 @@
 	answerPart   = 10
 )
 
-// TimeFor is how long after it was taken a request whose client waits for wait is to be answered.
-func TimeFor(wait time.Duration) time.Duration { return wait - min(answerMargin, wait/answerPart) }
+// AnswerBudget is how long after it was taken a request whose client waits for wait is to be answered.
+func AnswerBudget(wait time.Duration) time.Duration { return wait - min(answerMargin, wait/answerPart) }
 
-// Verdict is the kind of a final answer.
-type Verdict uint8
+// Status is the kind of a final answer.
+type Status uint8
 
 // The verdicts.
 const (
-	Served  Verdict = iota // with the body that a worker gave
-	Refused                // trying again is harmless
-	Failed                 // promises nothing
+	Served  Status = iota // with the body that a worker gave
+	Refused               // trying again is harmless
+	Failed                // promises nothing
 )
 
-// Answer is the final answer to a request.
-type Answer struct {
-	Verdict    Verdict
-	Body       []byte
-	RetryAfter time.Duration // Refused: how long to stay away
-	MayHaveRun bool          // not proven that no attempt ever ran
-	Overdue    bool          // the time was over
+// Response is the final answer to a request.
+type Response struct {
+	Status           Status
+	Body             []byte
+	RetryAfter       time.Duration // Refused: how long to stay away
+	MayHaveRun       bool          // not proven that no attempt ever ran
+	DeadlineExceeded bool          // the time was over
 }
 
-// Asker is owed the final answer to a request.
-type Asker interface{ Answered(Answer) }
+// Responder is owed the final answer to a request.
+type Responder interface{ Respond(Response) }
 
-// Front names the front that a request came by.
-type Front uint8
+// Frontend names the front that a request came by.
+type Frontend uint8
 
 // The fronts.
 const (
-	Thrift Front = iota
+	Thrift Frontend = iota
 	Webhook
-	fronts
+	frontendCount
 )
 
 // Request is a call as a front took it.
 type Request struct {
-	Front    Front
-	Asker    Asker
-	ID       string // as the client worded it
-	Ref      string // the client's own name for it, where that is not the ID
-	Class    int
-	Tenant   int    // as in the settings, or NoTenant
-	Key      string // the function, as the client worded it
-	Function policy.FunctionID
-	MemoryMB float64
-	Lanes    float64
-	LoadTime time.Duration
-	Body     []byte
-	Deadline time.Duration // the final answer must have left by then
-
-	Client netip.AddrPort // for the record only
-	Taken  time.Duration  // set by Take
+	Frontend        Frontend
+	Responder       Responder
+	ID              string // as the client worded it
+	ClientReference string // the client's own name for it, where that is not the ID
+	Class           int
+	Tenant          int    // as in the settings, or NoTenant
+	FunctionKey     string // the function, as the client worded it
+	Function        policy.FunctionID
+	MemoryMB        float64
+	Concurrency     float64
+	LoadTime        time.Duration
+	Body            []byte
+	Deadline        time.Duration // the final answer must have left by then
+
+	ClientAddr netip.AddrPort // for the record only
+	ReceivedAt time.Duration  // set by Take
 }
 
-// NoTenant is the Tenant of a request that names none that the settings know.
-const NoTenant = -1
+// UnknownTenant is the Tenant of a request that names none that the settings know.
+const UnknownTenant = -1
 
-// ParseKey reads 16 hex digits in lower case, as keys and ids are worded. Any other wording of the same
+// ParseHexID reads 16 hex digits in lower case, as keys and ids are worded. Any other wording of the same
 // number is refused: workers compare these as text, and an order to load names its function in this one.
-func ParseKey(s string) (uint64, bool) {
+func ParseHexID(s string) (uint64, bool) {
 	if len(s) != 16 {
 		return 0, false
 	}
@@ -103,80 +103,80 @@
 // The most that a request's figures may say. What is beyond is no function that a worker could hold, and
 // would only spoil the module's estimates.
 const (
-	MaxMemoryMB = 1 << 20
-	MaxLanes    = 1024
-	MaxLoadMs   = 600_000
-	MaxWaitMs   = 600_000
+	MaxMemoryMB    = 1 << 20
+	MaxConcurrency = 1024
+	MaxLoadMs      = 600_000
+	MaxWaitMs      = 600_000
 )
 
-// Within tells whether a figure is a number from 0 to most.
-func Within(v, most float64) bool { return v >= 0 && v <= most }
+// InRange tells whether a figure is a number from 0 to most.
+func InRange(v, most float64) bool { return v >= 0 && v <= most }
 
-// Attempt names an attempt to the Workers.
-type Attempt struct {
+// AttemptID names an attempt to the Workers.
+type AttemptID struct {
 	Request policy.RequestID
 	Number  int
 }
 
-// Workers carries messages to workers. Each Run, Hold and Probe is answered by one call of the
+// WorkerPool carries messages to workers. Each Run, Hold and Probe is answered by one call of the
 // Core's AttemptEnded, HoldEnded or Probed, at once or later.
-type Workers interface {
-	Run(w policy.WorkerID, a Attempt, r *Request, budget time.Duration)
+type WorkerPool interface {
+	StartAttempt(w policy.WorkerID, a AttemptID, r *Request, budget time.Duration)
 	// Withdraw takes an attempt back of which nothing has been sent; false: it has ended, or is out.
-	Withdraw(a Attempt) bool
+	WithdrawQueued(a AttemptID) bool
 	// Stop gives an attempt up; it is answered no more.
-	Stop(w policy.WorkerID, a Attempt)
-	Hold(w policy.WorkerID, f policy.FunctionID, count int, tag uint64)
+	CancelAttempt(w policy.WorkerID, a AttemptID)
+	LoadInstance(w policy.WorkerID, f policy.FunctionID, count int, tag uint64)
 	// Forget drops interest in an order or a probe that took too long.
-	Forget(w policy.WorkerID, tag uint64)
-	Free(w policy.WorkerID, f policy.FunctionID)
+	AbandonControl(w policy.WorkerID, tag uint64)
+	UnloadInstance(w policy.WorkerID, f policy.FunctionID)
 	Probe(w policy.WorkerID, tag uint64)
-	CloseIdle(w policy.WorkerID)
+	CloseIdleConnections(w policy.WorkerID)
 }
 
 // Limits bounds a Core.
 type Limits struct {
-	MaxOpen      int           // requests open at once
-	MaxBytes     int           // their bodies together
-	RetryAfter   time.Duration // what those are told that are turned away; 0: nothing
-	MaxAttempts  int           // of a request
-	OrderTimeout time.Duration // an order with no answer by then has timed out
-	ProbeTimeout time.Duration
+	MaxOpenRequests  int           // requests open at once
+	MaxBodyBytes     int           // their bodies together
+	RetryAfter       time.Duration // what those are told that are turned away; 0: nothing
+	MaxAttempts      int           // of a request
+	LoadOrderTimeout time.Duration // an order with no answer by then has timed out
+	ProbeTimeout     time.Duration
 }
 
-// Core is the function router. It is not safe for concurrent use.
-type Core struct {
-	policy  *policy.Policy
-	workers Workers
-	limits  Limits
-	now     time.Duration
-	events  []policy.Event
-	spare   []policy.Event
-	actions []policy.Action
-	timers  timers
-	seq     uint64
-	reqs    map[policy.RequestID]*entry
-	ids     map[string]struct{} // what their clients call them
-	last    policy.RequestID
-	open    int
-	bytes   int
-	asked   map[uint64]*question
-	tag     uint64
-	Count   Counters
+// Router is the function router. It is not safe for concurrent use.
+type Router struct {
+	policy   *policy.Policy
+	workers  WorkerPool
+	limits   Limits
+	now      time.Duration
+	events   []policy.Event
+	spare    []policy.Event
+	actions  []policy.Action
+	timers   timers
+	seq      uint64
+	reqs     map[policy.RequestID]*entry
+	ids      map[string]struct{} // what their clients call them
+	last     policy.RequestID
+	open     int
+	bytes    int
+	asked    map[uint64]*question
+	tag      uint64
+	Counters Counters
 	// Draining has what comes from now on refused: the program is about to end.
 	Draining bool
 	// Observe, where set, is told how each request ended: served, refused, failed or abandoned.
-	Observe func(now time.Duration, r *Request, end string)
+	OnRequestEnd func(now time.Duration, r *Request, end string)
 }
 
 // Counters tells what the core took, sent and answered.
 type Counters struct {
-	Taken, Served, Refused, Failed, Left, Turned [fronts]uint64
-	Sent, Orders, Probes, Unloads                uint64
-	Ended                                        [policy.Missed + 1]uint64 // attempts, by outcome
-	OrderEnded, ProbeEnded                       [policy.Missed + 1]uint64 // by outcome
-	Overdue                                      uint64                    // answered by the guard, not by the module
-	GivenUp                                      [policy.Causes]uint64     // by the module, by cause
+	Received, Served, Refused, Failed, ClientCancelled, Rejected [frontendCount]uint64
+	AttemptsSent, LoadOrders, Probes, Unloads                    uint64
+	AttemptOutcomes                                              [policy.FunctionNotLoaded + 1]uint64 // attempts, by outcome
+	LoadOrderOutcomes, ProbeOutcomes                             [policy.FunctionNotLoaded + 1]uint64 // by outcome
+	Overdue                                                      uint64                               // answered by the guard, not by the module
+	GivenUp                                                      [policy.GiveUpReasonCount]uint64     // by the module, by cause
 }
 
 type entry struct {
@@ -202,75 +202,75 @@
 }
 
 // New returns a Core around p.
-func New(p *policy.Policy, limits Limits) *Core {
-	return &Core{policy: p, limits: limits, reqs: map[policy.RequestID]*entry{}, ids: map[string]struct{}{}, asked: map[uint64]*question{}}
+func New(p *policy.Policy, limits Limits) *Router {
+	return &Router{policy: p, limits: limits, reqs: map[policy.RequestID]*entry{}, ids: map[string]struct{}{}, asked: map[uint64]*question{}}
 }
 
-// Use sets the Workers; it is called once, before anything else.
-func (c *Core) Use(w Workers) { c.workers = w }
+// SetWorkerPool sets the Workers; it is called once, before anything else.
+func (c *Router) SetWorkerPool(w WorkerPool) { c.workers = w }
 
-// Open is how many requests are owed an answer.
-func (c *Core) Open() int { return c.open }
+// OpenRequests is how many requests are owed an answer.
+func (c *Router) OpenRequests() int { return c.open }
 
-// SetList hands in a worker list.
-func (c *Core) SetList(l policy.WorkerList) { c.events = append(c.events, l) }
+// UpdateEndpoints hands in a worker list.
+func (c *Router) UpdateEndpoints(l policy.EndpointUpdate) { c.events = append(c.events, l) }
 
-// Take hands in a request. It returns its id; the answer may come before Take returns.
-func (c *Core) Take(now time.Duration, r Request) policy.RequestID {
+// Submit hands in a request. It returns its id; the answer may come before Take returns.
+func (c *Router) Submit(now time.Duration, r Request) policy.RequestID {
 	c.now = max(c.now, now)
-	if c.Draining || c.open >= c.limits.MaxOpen || c.bytes+len(r.Body) > c.limits.MaxBytes {
+	if c.Draining || c.open >= c.limits.MaxOpenRequests || c.bytes+len(r.Body) > c.limits.MaxBodyBytes {
 		// Bounds our memory, and lets a stop come to its end under clients that go on sending.
-		c.TurnAway(now, r)
+		c.Reject(now, r)
 		return 0
 	}
-	c.Count.Taken[r.Front]++
+	c.Counters.Received[r.Frontend]++
 	if _, open := c.ids[r.ID]; open {
 		// Workers know a request by its id: under one id they would answer one request's body to the
 		// other. Which of the two a client means can't be told, so the later one fails.
-		c.Count.Failed[r.Front]++
-		if r.Taken = c.now; c.Observe != nil {
-			c.Observe(c.now, &r, "failed")
+		c.Counters.Failed[r.Frontend]++
+		if r.ReceivedAt = c.now; c.OnRequestEnd != nil {
+			c.OnRequestEnd(c.now, &r, "failed")
 		}
-		r.Asker.Answered(Answer{Verdict: Failed})
+		r.Responder.Respond(Response{Status: Failed})
 		return 0
 	}
 	for c.last++; c.last == 0 || c.reqs[c.last] != nil; c.last++ {
 	}
-	r.Taken = c.now
+	r.ReceivedAt = c.now
 	e := &entry{Request: r}
 	c.reqs[c.last] = e
 	c.ids[r.ID] = struct{}{}
 	c.open++
 	c.bytes += len(r.Body)
-	c.events = append(c.events, policy.Arrived{Request: c.last, Class: r.Class, Tenant: r.Tenant, Function: r.Function, Lanes: r.Lanes,
-		MemoryMB: r.MemoryMB, LoadTime: r.LoadTime, Left: max(r.Deadline-c.now, 0)})
+	c.events = append(c.events, policy.RequestArrived{Request: c.last, Class: r.Class, Tenant: r.Tenant, Function: r.Function, Concurrency: r.Concurrency,
+		MemoryMB: r.MemoryMB, LoadTime: r.LoadTime, TimeLeft: max(r.Deadline-c.now, 0)})
 	c.after(r.Deadline, timer{kind: timeUp, request: c.last})
 	return c.last
 }
 
-// TurnAway refuses a request that we have no room for; the module never hears of it.
-func (c *Core) TurnAway(now time.Duration, r Request) {
+// Reject refuses a request that we have no room for; the module never hears of it.
+func (c *Router) Reject(now time.Duration, r Request) {
 	c.now = max(c.now, now)
-	c.Count.Taken[r.Front]++
-	c.Count.Turned[r.Front]++
-	if r.Taken = c.now; c.Observe != nil {
-		c.Observe(c.now, &r, "refused")
+	c.Counters.Received[r.Frontend]++
+	c.Counters.Rejected[r.Frontend]++
+	if r.ReceivedAt = c.now; c.OnRequestEnd != nil {
+		c.OnRequestEnd(c.now, &r, "refused")
 	}
-	r.Asker.Answered(Answer{Verdict: Refused, RetryAfter: c.limits.RetryAfter})
+	r.Responder.Respond(Response{Status: Refused, RetryAfter: c.limits.RetryAfter})
 }
 
-// Leave says that the client no longer waits for a request.
-func (c *Core) Leave(now time.Duration, id policy.RequestID) {
+// Cancel says that the client no longer waits for a request.
+func (c *Router) Cancel(now time.Duration, id policy.RequestID) {
 	c.now = max(c.now, now)
 	if e := c.reqs[id]; e != nil && !e.done {
-		c.Count.Left[e.Front]++
+		c.Counters.ClientCancelled[e.Frontend]++
 		c.close(id, e, "abandoned")
-		c.events = append(c.events, policy.Abandoned{Request: id})
+		c.events = append(c.events, policy.ClientCancelled{Request: id})
 	}
 }
 
 // AttemptEnded says how an attempt ended. Reports of one that has ended already are ignored.
-func (c *Core) AttemptEnded(a Attempt, o policy.Outcome, n policy.Note, body []byte, report []float64) {
+func (c *Router) AttemptEnded(a AttemptID, o policy.Outcome, n policy.InstanceStatus, body []byte, report []float64) {
 	e := c.reqs[a.Request]
 	if e == nil || a.Number >= len(e.attempts) || e.attempts[a.Number].ended {
 		return
@@ -279,42 +279,42 @@
 	t.ended = true
 	e.out--
 	e.mayRun = e.mayRun || !o.NeverRan()
-	c.Count.Ended[o]++
+	c.Counters.AttemptOutcomes[o]++
 	if o == policy.Served && !e.done {
-		c.Count.Served[e.Front]++
-		e.Asker.Answered(Answer{Verdict: Served, Body: body, MayHaveRun: true})
+		c.Counters.Served[e.Frontend]++
+		e.Responder.Respond(Response{Status: Served, Body: body, MayHaveRun: true})
 		c.close(a.Request, e, "served")
 	}
 	c.events = append(c.events, policy.AttemptEnded{Request: a.Request, Attempt: a.Number, Worker: t.worker, Outcome: o,
-		Note: n, Closed: e.done, Took: c.now - t.sent, Report: report})
+		InstanceStatus: n, RequestClosed: e.done, Duration: c.now - t.sent, LoadReport: report})
 	c.release(a.Request, e)
 }
 
-// HoldEnded says how an order to load ended.
-func (c *Core) HoldEnded(tag uint64, o policy.Outcome, count int) {
+// LoadOrderEnded says how an order to load ended.
+func (c *Router) LoadOrderEnded(tag uint64, o policy.Outcome, count int) {
 	if q := c.asked[tag]; q != nil && !q.probe {
 		delete(c.asked, tag)
-		c.Count.OrderEnded[o]++
-		c.events = append(c.events, policy.LoadEnded{Worker: q.worker, Function: q.function, Outcome: o,
-			Took: c.now - q.sent, Count: count})
+		c.Counters.LoadOrderOutcomes[o]++
+		c.events = append(c.events, policy.LoadOrderEnded{Worker: q.worker, Function: q.function, Outcome: o,
+			Duration: c.now - q.sent, Instances: count})
 	}
 }
 
-// Probed says how a probe ended.
-func (c *Core) Probed(tag uint64, o policy.Outcome, report []float64) {
+// ProbeEnded says how a probe ended.
+func (c *Router) ProbeEnded(tag uint64, o policy.Outcome, report []float64) {
 	if q := c.asked[tag]; q != nil && q.probe {
 		delete(c.asked, tag)
-		c.Count.ProbeEnded[o]++
-		c.events = append(c.events, policy.Probed{Worker: q.worker, Outcome: o, Took: c.now - q.sent, Report: report})
+		c.Counters.ProbeOutcomes[o]++
+		c.events = append(c.events, policy.ProbeEnded{Worker: q.worker, Outcome: o, Duration: c.now - q.sent, LoadReport: report})
 	}
 }
 
 // SetNow moves the clock on before what happened in a turn is handed in.
-func (c *Core) SetNow(now time.Duration) { c.now = max(c.now, now) }
+func (c *Router) SetNow(now time.Duration) { c.now = max(c.now, now) }
 
-// Turn hands the module all that was gathered, carries out what it answers, and returns when it
+// Process hands the module all that was gathered, carries out what it answers, and returns when it
 // is to be called again at the latest.
-func (c *Core) Turn(now time.Duration) (next time.Duration) {
+func (c *Router) Process(now time.Duration) (next time.Duration) {
 	c.SetNow(now)
 	for {
 		for len(c.timers) > 0 && c.timers[0].due <= c.now {
@@ -340,34 +340,34 @@
 	return c.timers[0].due
 }
 
-func (c *Core) carryOut(a policy.Action) {
+func (c *Router) carryOut(a policy.Action) {
 	switch a := a.(type) {
-	case policy.Send:
+	case policy.SendAttempt:
 		c.send(a)
-	case policy.Cancel:
-		c.cancel(Attempt{a.Request, a.Attempt}, policy.Cancelled)
-	case policy.Refuse:
+	case policy.CancelAttempt:
+		c.cancel(AttemptID{a.Request, a.Attempt}, policy.Cancelled)
+	case policy.RefuseRequest:
 		if e := c.reqs[a.Request]; e != nil && !e.done {
-			c.Count.GivenUp[a.Cause]++
-			c.final(a.Request, e, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
+			c.Counters.GivenUp[a.Reason]++
+			c.final(a.Request, e, Response{Status: Refused, RetryAfter: a.RetryAfter})
 		}
-	case policy.Fail:
+	case policy.FailRequest:
 		if e := c.reqs[a.Request]; e != nil && !e.done {
-			c.Count.GivenUp[a.Cause]++
-			c.final(a.Request, e, Answer{Verdict: Failed})
+			c.Counters.GivenUp[a.Reason]++
+			c.final(a.Request, e, Response{Status: Failed})
 		}
-	case policy.OrderLoad:
-		c.Count.Orders++
-		tag := c.ask(question{worker: a.Worker, function: a.Function}, c.limits.OrderTimeout)
-		c.workers.Hold(a.Worker, a.Function, a.Count, tag)
-	case policy.Probe:
-		c.Count.Probes++
+	case policy.LoadInstance:
+		c.Counters.LoadOrders++
+		tag := c.ask(question{worker: a.Worker, function: a.Function}, c.limits.LoadOrderTimeout)
+		c.workers.LoadInstance(a.Worker, a.Function, a.Instances, tag)
+	case policy.ProbeWorker:
+		c.Counters.Probes++
 		c.workers.Probe(a.Worker, c.ask(question{worker: a.Worker, probe: true}, c.limits.ProbeTimeout))
-	case policy.Unload:
-		c.Count.Unloads++
-		c.workers.Free(a.Worker, a.Function)
-	case policy.CloseIdle:
-		c.workers.CloseIdle(a.Worker)
+	case policy.UnloadInstance:
+		c.Counters.Unloads++
+		c.workers.UnloadInstance(a.Worker, a.Function)
+	case policy.CloseIdleConnections:
+		c.workers.CloseIdleConnections(a.Worker)
 	case policy.SetTimer:
 		c.after(c.now+max(a.After, 0), timer{kind: moduleTimer, token: a.Token})
 	}
@@ -376,7 +376,7 @@
 }
 
 // send starts an attempt.
-func (c *Core) send(a policy.Send) {
+func (c *Router) send(a policy.SendAttempt) {
 	e := c.reqs[a.Request]
 	if e == nil {
 		return
@@ -384,41 +384,41 @@
 	n := len(e.attempts)
 	e.attempts = append(e.attempts, attempt{worker: a.Worker, sent: c.now})
 	e.out++
-	id, left := Attempt{a.Request, n}, e.Deadline-c.now
-	if a.Limit > 0 {
-		left = min(left, a.Limit)
+	id, left := AttemptID{a.Request, n}, e.Deadline-c.now
+	if a.Timeout > 0 {
+		left = min(left, a.Timeout)
 	}
 	if e.done || left <= 0 || c.limits.MaxAttempts > 0 && n >= c.limits.MaxAttempts {
-		c.AttemptEnded(id, policy.Moot, policy.NoNote, nil, nil)
+		c.AttemptEnded(id, policy.NotSent, policy.InstanceUnknown, nil, nil)
 		return
 	}
-	if a.Limit > 0 && left == a.Limit { // else the request's own timer does it
+	if a.Timeout > 0 && left == a.Timeout { // else the request's own timer does it
 		c.after(c.now+left, timer{kind: attemptUp, request: a.Request, number: n})
 	}
-	c.Count.Sent++
-	c.workers.Run(a.Worker, id, &e.Request, left)
+	c.Counters.AttemptsSent++
+	c.workers.StartAttempt(a.Worker, id, &e.Request, left)
 }
 
 // cancel gives an attempt up. Whether the worker stops is up to the worker: it may have run.
-func (c *Core) cancel(a Attempt, o policy.Outcome) {
+func (c *Router) cancel(a AttemptID, o policy.Outcome) {
 	if e := c.reqs[a.Request]; e != nil && a.Number < len(e.attempts) && !e.attempts[a.Number].ended {
-		c.workers.Stop(e.attempts[a.Number].worker, a)
-		c.AttemptEnded(a, o, policy.NoNote, nil, nil)
+		c.workers.CancelAttempt(e.attempts[a.Number].worker, a)
+		c.AttemptEnded(a, o, policy.InstanceUnknown, nil, nil)
 	}
 }
 
 // final gives the answer that is not a worker's.
-func (c *Core) final(id policy.RequestID, e *entry, a Answer) {
+func (c *Router) final(id policy.RequestID, e *entry, a Response) {
 	a.MayHaveRun = e.mayRun || e.out > 0
-	a.Overdue = c.now >= e.Deadline-finalMargin
+	a.DeadlineExceeded = c.now >= e.Deadline-finalMargin
 	end := "failed"
-	if a.Verdict == Refused {
+	if a.Status == Refused {
 		end = "refused"
-		c.Count.Refused[e.Front]++
+		c.Counters.Refused[e.Frontend]++
 	} else {
-		c.Count.Failed[e.Front]++
+		c.Counters.Failed[e.Frontend]++
 	}
-	e.Asker.Answered(a)
+	e.Responder.Respond(a)
 	c.close(id, e, end)
 }
 
@@ -426,30 +426,30 @@
 // module ends requests two of its ticks before, 8 ms in this deployment's settings.
 const finalMargin = 10 * time.Millisecond
 
-func (c *Core) close(id policy.RequestID, e *entry, end string) {
+func (c *Router) close(id policy.RequestID, e *entry, end string) {
 	e.done = true
 	for n := range e.attempts { // nobody waits any more for what has yet to be sent
-		if a := (Attempt{id, n}); !e.attempts[n].ended && c.workers.Withdraw(a) {
-			c.AttemptEnded(a, policy.Moot, policy.NoNote, nil, nil)
+		if a := (AttemptID{id, n}); !e.attempts[n].ended && c.workers.WithdrawQueued(a) {
+			c.AttemptEnded(a, policy.NotSent, policy.InstanceUnknown, nil, nil)
 		}
 	}
-	if c.Observe != nil {
-		c.Observe(c.now, &e.Request, end)
+	if c.OnRequestEnd != nil {
+		c.OnRequestEnd(c.now, &e.Request, end)
 	}
 	c.open--
 	c.bytes -= len(e.Body)
-	e.Body, e.Asker = nil, nil
+	e.Body, e.Responder = nil, nil
 	c.release(id, e)
 }
 
-func (c *Core) release(id policy.RequestID, e *entry) {
+func (c *Router) release(id policy.RequestID, e *entry) {
 	if e.done && e.out == 0 && c.reqs[id] == e {
 		delete(c.reqs, id)
 		delete(c.ids, e.ID)
 	}
 }
 
-func (c *Core) ask(q question, limit time.Duration) uint64 {
+func (c *Router) ask(q question, limit time.Duration) uint64 {
 	c.tag++
 	q.sent = c.now
 	c.asked[c.tag] = &q
@@ -457,22 +457,22 @@
 	return c.tag
 }
 
-func (c *Core) fire(t timer) {
+func (c *Router) fire(t timer) {
 	switch t.kind {
 	case moduleTimer:
 		c.events = append(c.events, policy.TimerFired{Token: t.token})
 	case attemptUp:
-		c.cancel(Attempt{t.request, t.number}, policy.TimedOut)
+		c.cancel(AttemptID{t.request, t.number}, policy.TimedOut)
 	case questionUp:
 		q := c.asked[t.token]
 		if q == nil {
 			return
 		}
-		c.workers.Forget(q.worker, t.token)
+		c.workers.AbandonControl(q.worker, t.token)
 		if q.probe {
-			c.Probed(t.token, policy.TimedOut, nil)
+			c.ProbeEnded(t.token, policy.TimedOut, nil)
 		} else {
-			c.HoldEnded(t.token, policy.TimedOut, 0)
+			c.LoadOrderEnded(t.token, policy.TimedOut, 0)
 		}
 	case timeUp:
 		// The module ends every request before this. Should it not, the client still gets its one
@@ -482,16 +482,16 @@
 			return
 		}
 		for n := range e.attempts {
-			c.cancel(Attempt{t.request, n}, policy.TimedOut)
+			c.cancel(AttemptID{t.request, n}, policy.TimedOut)
 		}
 		if !e.done {
-			c.Count.Overdue++
+			c.Counters.Overdue++
 			v := Failed
 			if !e.mayRun {
 				v = Refused
 			}
-			c.final(t.request, e, Answer{Verdict: v})
-			c.events = append(c.events, policy.Abandoned{Request: t.request})
+			c.final(t.request, e, Response{Status: v})
+			c.events = append(c.events, policy.ClientCancelled{Request: t.request})
 		}
 	}
 }
@@ -514,7 +514,7 @@
 	number  int
 }
 
-func (c *Core) after(due time.Duration, t timer) {
+func (c *Router) after(due time.Duration, t timer) {
 	c.seq++
 	t.due, t.seq = due, c.seq
 	heap.Push(&c.timers, t)
--- a/internal/wire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"crankhold/policy"
+	"functionrouter/policy"
 )
 
 // settings mirrors the keys of the JSON that are read; all others are passed over.
@@ -76,67 +76,67 @@
 		return policy.Config{}, fmt.Errorf("settings: %w", err)
 	}
 	c := policy.Config{
-		Peers:          s.PeersTotal,
-		Zone:           s.Zone,
-		WorthByWork:    s.CountedBy == "work",
-		Tick:           millis(s.GranularityMs),
-		ListByAsking:   s.MembershipMode == "subscribe",
-		ReportFields:   s.Report.Fields,
-		ReportInline:   s.Report.How == "inline",
-		MaxAttempts:    s.Limits.MaxAttempts,
-		MayCancel:      s.Limits.Cancel,
-		MayProbe:       s.Limits.MayProbe,
-		MayTell:        s.Limits.Peers,
-		SecondAttempts: s.Limits.SecondCopies,
-		RetryAfter:     s.Limits.RetryAfter,
-		MaxRetryAfter:  millis(s.Limits.MaxRetryAfterMs),
-		OverShareWorth: 1,
-		AskWithin:      millis(s.Rules.AskWithinMs),
-		ColdFrom:       s.Rules.ColdFrom,
-		ColdFor:        millis(s.Rules.ColdMs),
-		FallMultiple:   s.Rules.FallMultiple,
-		FallFor:        millis(s.Rules.FallMs),
-		DrainGrace:     millis(s.Rules.DrainGraceMs),
-		MissWhenCold:   s.Specifics.IfCold == "miss",
-		MayOrder:       s.Specifics.PlacementCalls,
-		WarmNotes:      s.Specifics.WarmNotes,
-		CrowdNotes:     s.Specifics.NotesPeersInHand,
-		KeepAlive:      millis(s.Specifics.LingerIdleMs),
-		OrderTimeout:   millis(s.Specifics.LoadWaitMs),
-		LoadWindow:     millis(s.Specifics.LoadsWithinMs),
-		LoadFree:       s.Specifics.LoadFree,
-		LoadShare:      s.Specifics.LoadPart,
+		RouterCount:             s.PeersTotal,
+		Zone:                    s.Zone,
+		WeightByWork:            s.CountedBy == "work",
+		Tick:                    millis(s.GranularityMs),
+		RequiresSubscription:    s.MembershipMode == "subscribe",
+		LoadReportFields:        s.Report.Fields,
+		InlineLoadReports:       s.Report.How == "inline",
+		MaxAttempts:             s.Limits.MaxAttempts,
+		AllowCancel:             s.Limits.Cancel,
+		AllowProbes:             s.Limits.MayProbe,
+		AllowGossip:             s.Limits.Peers,
+		AllowHedging:            s.Limits.SecondCopies,
+		AllowRetryAfter:         s.Limits.RetryAfter,
+		MaxRetryAfter:           millis(s.Limits.MaxRetryAfterMs),
+		OverQuotaWeight:         1,
+		ImplicitListAge:         millis(s.Rules.AskWithinMs),
+		SlowStartCapacity:       s.Rules.ColdFrom,
+		SlowStartDuration:       millis(s.Rules.ColdMs),
+		OverloadMultiple:        s.Rules.FallMultiple,
+		OverloadWindow:          millis(s.Rules.FallMs),
+		DrainGrace:              millis(s.Rules.DrainGraceMs),
+		MissWhenNotLoaded:       s.Specifics.IfCold == "miss",
+		AllowLoadOrders:         s.Specifics.PlacementCalls,
+		InstanceStatusInAnswers: s.Specifics.WarmNotes,
+		ConcurrencyInAnswers:    s.Specifics.NotesPeersInHand,
+		InstanceKeepAlive:       millis(s.Specifics.LingerIdleMs),
+		LoadOrderTimeout:        millis(s.Specifics.LoadWaitMs),
+		LoadOrderWindow:         millis(s.Specifics.LoadsWithinMs),
+		LoadOrderAllowance:      s.Specifics.LoadFree,
+		LoadOrdersPerRequest:    s.Specifics.LoadPart,
 	}
 	if s.OverShareWorth != nil {
-		c.OverShareWorth = *s.OverShareWorth
+		c.OverQuotaWeight = *s.OverShareWorth
 	}
 	for i, k := range s.Classes {
 		out := policy.Class{
-			Aim: millis(k.GoalTimeMs), Deadline: millis(k.DeadlineMs), Window: millis(k.WindowMs),
-			Streamed: k.Streamed, Worth: k.Worth, LateWorth: k.LateWorth, AimStretch: k.AimStretch,
+			LatencyObjective: millis(k.GoalTimeMs), Deadline: millis(k.DeadlineMs), DedupWindow: millis(k.WindowMs),
+			Streamed: k.Streamed, PriorityWeight: k.Worth, LateWeight: k.LateWorth, ObjectiveStretch: k.AimStretch,
 		}
 		switch k.Semantics {
 		case "safe":
-			out.Repeat = policy.Safe
+			out.Idempotency = policy.Idempotent
 		case "keyed":
-			out.Repeat = policy.Keyed
+			out.Idempotency = policy.IdempotentWithKey
 		case "unsafe":
-			out.Repeat = policy.Unsafe
+			out.Idempotency = policy.NotIdempotent
 		default:
 			return policy.Config{}, fmt.Errorf("settings: class %d: unknown semantics %q", i, k.Semantics)
 		}
 		switch k.Group {
 		case "all":
-			out.Group = policy.GroupAll
+			out.DedupScope = policy.DedupFleet
 		case "zone":
-			out.Group = policy.GroupZone
+			out.DedupScope = policy.DedupZone
 		default: // cell, or absent: the narrowest promise
-			out.Group = policy.GroupCell
+			out.DedupScope = policy.DedupCell
 		}
 		c.Classes = append(c.Classes, out)
 	}
 	for _, a := range s.Accounts {
-		c.Tenants = append(c.Tenants, policy.Tenant{PerSecond: a.AllowancePerS})
+		c.Tenants = append(c.Tenants, policy.Tenant{QuotaPerSecond: a.AllowancePerS})
 	}
 	return c, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's frames and the types of package policy.
+// Package simwire translates between the simulator's frames and the types of package policy.
 // It only translates: every decision is taken by package policy.
-package wire
+package simwire
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 	"math"
 	"time"
 
-	"crankhold/policy"
+	"functionrouter/policy"
 )
 
 // Event record codes.
@@ -50,14 +50,14 @@
 	allPeers = math.MaxUint32
 )
 
-// Init says that an instance starts with these settings and this seed.
-type Init struct {
+// InstanceStarted says that an instance starts with these settings and this seed.
+type InstanceStarted struct {
 	Seed     uint64
 	Settings []byte
 }
 
-// Kill says that an instance is killed.
-type Kill struct{}
+// InstanceKilled says that an instance is killed.
+type InstanceKilled struct{}
 
 // Record is one decoded record: Event holds a policy.Event, an Init or a Kill.
 type Record struct {
@@ -165,8 +165,8 @@
 	return append([]byte(nil), d.take(int(n))...)
 }
 
-var outcomes = [...]policy.Outcome{policy.Served, policy.Errored, policy.Full, policy.TimedOut,
-	policy.Unreachable, policy.Reset, policy.Cancelled, policy.Moot, policy.Missed}
+var outcomes = [...]policy.Outcome{policy.Served, policy.Errored, policy.WorkerOverloaded, policy.TimedOut,
+	policy.Unreachable, policy.ConnectionReset, policy.Cancelled, policy.NotSent, policy.FunctionNotLoaded}
 
 func (d *decoder) outcome() (policy.Outcome, error) {
 	if rc := d.u8(); int(rc) < len(outcomes) {
@@ -177,10 +177,10 @@
 }
 
 // note splits the info byte of an outcome into the note and the crowd.
-func note(info uint8) (policy.Note, int) {
-	n := policy.Note(info & 7)
+func note(info uint8) (policy.InstanceStatus, int) {
+	n := policy.InstanceStatus(info & 7)
 	if n > policy.LoadFailed {
-		n = policy.NoNote
+		n = policy.InstanceUnknown
 	}
 	return n, int(info >> 3)
 }
@@ -191,58 +191,58 @@
 	var err error
 	switch code {
 	case codeFirst:
-		e := policy.StreamBegan{Request: policy.RequestID(d.u32()), Attempt: int(d.u16())}
+		e := policy.ResponseStarted{Request: policy.RequestID(d.u32()), Attempt: int(d.u16())}
 		d.worker()
 		d.f64()
 		rec.Event = e
 	case codeOutcome:
 		e := policy.AttemptEnded{Request: policy.RequestID(d.u32()), Worker: d.worker()}
-		e.Note, e.Crowd = note(d.u8())
-		e.Closed = d.u8() != 0
+		e.InstanceStatus, e.FunctionConcurrency = note(d.u8())
+		e.RequestClosed = d.u8() != 0
 		e.Outcome, err = d.outcome()
 		e.Attempt = int(d.u16())
-		e.Took = d.dur()
-		e.Report = d.report()
+		e.Duration = d.dur()
+		e.LoadReport = d.report()
 		rec.Event = e
 	case codeAborted:
-		rec.Event = policy.Abandoned{Request: policy.RequestID(d.u32())}
+		rec.Event = policy.ClientCancelled{Request: policy.RequestID(d.u32())}
 	case codeKill:
-		rec.Event = Kill{}
+		rec.Event = InstanceKilled{}
 	case codeHealth:
-		e := policy.Probed{Took: d.dur()}
+		e := policy.ProbeEnded{Duration: d.dur()}
 		e.Outcome, err = d.outcome()
 		e.Worker = d.worker()
-		e.Report = d.report()
+		e.LoadReport = d.report()
 		rec.Event = e
 	case codeTargets:
 		rec.Event, err = d.targets()
 	case codeReminder:
 		rec.Event = policy.TimerFired{Token: d.u64()}
 	case codeMessage:
-		e := policy.Told{From: int(d.u16())}
+		e := policy.GossipReceived{From: int(d.u16())}
 		e.Data = d.bytes(uint32(d.u16()))
 		rec.Event = e
 	case codeInit:
-		e := Init{Seed: d.u64()}
+		e := InstanceStarted{Seed: d.u64()}
 		e.Settings = d.bytes(d.u32())
 		rec.Event = e
 	case codeIncoming:
-		e := policy.Arrived{Request: policy.RequestID(d.u32()), Tenant: int(d.u16()), LoadTime: d.dur4()}
+		e := policy.RequestArrived{Request: policy.RequestID(d.u32()), Tenant: int(d.u16()), LoadTime: d.dur4()}
 		bits := d.u8()
-		e.Repeated = bits&2 != 0
+		e.IsRetry = bits&2 != 0
 		e.Function = policy.FunctionID(d.u64())
-		e.Lanes, e.MemoryMB = d.f32(), d.f32()
+		e.Concurrency, e.MemoryMB = d.f32(), d.f32()
 		e.Class = int(d.u16())
 		if work := d.dur(); bits&1 != 0 {
-			e.Work = work
+			e.WorkHint = work
 		}
-		e.Left = d.dur()
+		e.TimeLeft = d.dur()
 		rec.Event = e
 	case codeReady:
-		e := policy.LoadEnded{Worker: d.worker(), Function: policy.FunctionID(d.u64())}
+		e := policy.LoadOrderEnded{Worker: d.worker(), Function: policy.FunctionID(d.u64())}
 		e.Outcome, err = d.outcome()
-		e.Took = d.dur()
-		e.Count = int(d.u8())
+		e.Duration = d.dur()
+		e.Instances = int(d.u8())
 		rec.Event = e
 	default:
 		return rec, fmt.Errorf("unknown record code %d", code)
@@ -253,21 +253,21 @@
 	return rec, err
 }
 
-func (d *decoder) targets() (policy.WorkerList, error) {
+func (d *decoder) targets() (policy.EndpointUpdate, error) {
 	const entryBytes = 24
 	mode := d.u8()
 	d.u32()
 	n := d.u32()
-	if mode > uint8(policy.ListFailed) {
-		return policy.WorkerList{}, fmt.Errorf("unknown list mode %d", mode)
+	if mode > uint8(policy.UpdateFailed) {
+		return policy.EndpointUpdate{}, fmt.Errorf("unknown list mode %d", mode)
 	}
 	if uint64(n)*entryBytes > uint64(len(d.b)) {
 		d.short = true
-		return policy.WorkerList{}, nil
+		return policy.EndpointUpdate{}, nil
 	}
-	l := policy.WorkerList{Kind: policy.ListKind(mode)}
+	l := policy.EndpointUpdate{Kind: policy.EndpointUpdateKind(mode)}
 	for range n {
-		e := policy.WorkerEntry{Worker: d.worker(), Zone: int(d.u16())}
+		e := policy.Endpoint{Worker: d.worker(), Zone: int(d.u16())}
 		state := d.u8()
 		if state > uint8(policy.Draining) {
 			return l, fmt.Errorf("unknown worker state %d", state)
@@ -276,8 +276,8 @@
 		e.Weight = d.f32()
 		e.Cell = int(d.u16())
 		d.u8()
-		e.Started = d.dur()
-		l.Workers = append(l.Workers, e)
+		e.StartedAt = d.dur()
+		l.Endpoints = append(l.Endpoints, e)
 	}
 	return l, nil
 }
@@ -304,35 +304,35 @@
 	}
 	data := func(b []byte) { r.b = append(be.AppendUint16(r.b, uint16(len(b))), b...) }
 	switch a := a.(type) {
-	case policy.Send:
+	case policy.SendAttempt:
 		head(codePlace)
 		u32(uint32(a.Request))
 		worker(a.Worker)
-		dur(a.Limit)
-	case policy.Cancel:
+		dur(a.Timeout)
+	case policy.CancelAttempt:
 		head(codeStop)
 		u32(uint32(a.Request))
 		r.b = be.AppendUint16(r.b, uint16(a.Attempt))
-	case policy.Refuse:
+	case policy.RefuseRequest:
 		head(codeDecline)
 		u32(uint32(a.Request))
 		dur(a.RetryAfter)
-	case policy.Fail:
+	case policy.FailRequest:
 		head(codeDrop)
 		u32(uint32(a.Request))
-	case policy.OrderLoad:
+	case policy.LoadInstance:
 		head(codeMount)
-		r.b = append(r.b, uint8(a.Count))
+		r.b = append(r.b, uint8(a.Instances))
 		u64(uint64(a.Function))
 		worker(a.Worker)
-	case policy.Unload:
+	case policy.UnloadInstance:
 		head(codeUnmount)
 		worker(a.Worker)
 		u64(uint64(a.Function))
-	case policy.Probe:
+	case policy.ProbeWorker:
 		head(codeAskLoad)
 		worker(a.Worker)
-	case policy.Tell:
+	case policy.SendGossip:
 		head(codeTell)
 		if a.To < 0 {
 			u32(allPeers)
@@ -351,12 +351,12 @@
 			on = 1
 		}
 		r.b = append(r.b, on)
-	case policy.FetchList:
+	case policy.FetchEndpoints:
 		head(codeSnapshot)
-	case policy.CloseIdle:
+	case policy.CloseIdleConnections:
 		head(codeHangUp)
 		worker(a.Worker)
-	case policy.Log:
+	case policy.LogLine:
 		head(codeWriteLog)
 		data([]byte(a.Text))
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"crankhold/policy"
+	"functionrouter/policy"
 )
 
 func unhex(t testing.TB, s string) []byte {
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	want := []Record{
-		{3, policy.Arrived{Request: 0x5d3a91c4, Function: 0x7c55d20a01, Lanes: 2, MemoryMB: 384,
-			LoadTime: 900 * time.Millisecond, Work: 12 * time.Millisecond, Left: 240 * time.Millisecond}},
+		{3, policy.RequestArrived{Request: 0x5d3a91c4, Function: 0x7c55d20a01, Concurrency: 2, MemoryMB: 384,
+			LoadTime: 900 * time.Millisecond, WorkHint: 12 * time.Millisecond, TimeLeft: 240 * time.Millisecond}},
 		{3, policy.TimerFired{Token: 77}},
-		{5, policy.Abandoned{Request: 0x0e6f2b19}},
+		{5, policy.ClientCancelled{Request: 0x0e6f2b19}},
 	}
 	if b.Seq != 12 || b.Now != 8412250*time.Microsecond || !reflect.DeepEqual(b.Records, want) {
 		t.Errorf("got %+v", b)
@@ -45,9 +45,9 @@
 
 func TestSampleReply(t *testing.T) {
 	var r Reply
-	r.Add(3, []policy.Action{policy.Send{Request: 0x5d3a91c4, Worker: 0x0a124a07232b, Limit: 80 * time.Millisecond},
+	r.Add(3, []policy.Action{policy.SendAttempt{Request: 0x5d3a91c4, Worker: 0x0a124a07232b, Timeout: 80 * time.Millisecond},
 		policy.SetTimer{After: 500*time.Millisecond + 0, Token: 77}})
-	r.Add(5, []policy.Action{policy.Log{Text: "two servers known"}})
+	r.Add(5, []policy.Action{policy.LogLine{Text: "two servers known"}})
 	want := unhex(t, `0000000c 0000003e 45 0003 5d3a91c4 0a124a07 232b 4054000000000000
 		41 0003 407f400000000000 000000000000004d 4b 0005 0011 74776f2073657276657273206b6e6f776e`)
 	var out bytes.Buffer
@@ -60,18 +60,18 @@
 	const w = policy.WorkerID(0x0a9011f22354)
 	for text, want := range map[string]any{
 		"02 0003 5d3a91c4 0a9011f22354 0b 01 00 0002 4032800000000000 01 40000000": policy.AttemptEnded{
-			Request: 0x5d3a91c4, Attempt: 2, Worker: w, Note: policy.AwaitedOne, Crowd: 1, Closed: true,
-			Took: 18500 * time.Microsecond, Report: []float64{2}},
-		"0b 0003 0a9011f22354 0000007c55d20a01 00 4084000000000000 01": policy.LoadEnded{
-			Worker: w, Function: 0x7c55d20a01, Took: 640 * time.Millisecond, Count: 1},
-		"01 0003 00000007 0001 0a9011f22354 0000000000000000": policy.StreamBegan{Request: 7, Attempt: 1},
-		"05 0003 4014000000000000 03 0a9011f22354 00":         policy.Probed{Worker: w, Outcome: policy.TimedOut, Took: 5 * time.Millisecond},
-		"08 0003 0002 0003 616263":                            policy.Told{From: 2, Data: []byte("abc")},
-		"04 0003":                                             Kill{},
-		"09 0003 0000000000000009 00000002 7b7d":              Init{Seed: 9, Settings: []byte("{}")},
-		"06 0003 02 00000029 00000001 0a9011f22354 0000 01 3fc00000 0000 00 40b7d40000000000": policy.WorkerList{
-			Kind: policy.ListCached, Workers: []policy.WorkerEntry{{Worker: w, State: policy.Ready, Weight: 1.5,
-				Started: 6100 * time.Millisecond}}},
+			Request: 0x5d3a91c4, Attempt: 2, Worker: w, InstanceStatus: policy.LoadAwaited, FunctionConcurrency: 1, RequestClosed: true,
+			Duration: 18500 * time.Microsecond, LoadReport: []float64{2}},
+		"0b 0003 0a9011f22354 0000007c55d20a01 00 4084000000000000 01": policy.LoadOrderEnded{
+			Worker: w, Function: 0x7c55d20a01, Duration: 640 * time.Millisecond, Instances: 1},
+		"01 0003 00000007 0001 0a9011f22354 0000000000000000": policy.ResponseStarted{Request: 7, Attempt: 1},
+		"05 0003 4014000000000000 03 0a9011f22354 00":         policy.ProbeEnded{Worker: w, Outcome: policy.TimedOut, Duration: 5 * time.Millisecond},
+		"08 0003 0002 0003 616263":                            policy.GossipReceived{From: 2, Data: []byte("abc")},
+		"04 0003":                                             InstanceKilled{},
+		"09 0003 0000000000000009 00000002 7b7d":              InstanceStarted{Seed: 9, Settings: []byte("{}")},
+		"06 0003 02 00000029 00000001 0a9011f22354 0000 01 3fc00000 0000 00 40b7d40000000000": policy.EndpointUpdate{
+			Kind: policy.CachedUpdate, Endpoints: []policy.Endpoint{{Worker: w, State: policy.Ready, Weight: 1.5,
+				StartedAt: 6100 * time.Millisecond}}},
 	} {
 		d := decoder{b: unhex(t, text)}
 		rec, err := d.record()
@@ -86,16 +86,16 @@
 		action policy.Action
 		want   string
 	}{
-		{policy.Cancel{Request: 1, Attempt: 2}, "4c 0003 00000001 0002"},
-		{policy.Refuse{Request: 1}, "4e 0003 00000001 0000000000000000"},
-		{policy.Fail{Request: 1}, "43 0003 00000001"},
-		{policy.OrderLoad{Worker: 0x0a9011f22354, Function: 0x7c55d20a01, Count: 1}, "48 0003 01 0000007c55d20a01 0a9011f22354"},
-		{policy.Unload{Worker: 1, Function: 2}, "4a 0003 000000000001 0000000000000002"},
-		{policy.Probe{Worker: 1}, "49 0003 000000000001"},
-		{policy.Tell{To: -1, Data: []byte("hi 7")}, "46 0003 ffffffff 0004 68692037"},
+		{policy.CancelAttempt{Request: 1, Attempt: 2}, "4c 0003 00000001 0002"},
+		{policy.RefuseRequest{Request: 1}, "4e 0003 00000001 0000000000000000"},
+		{policy.FailRequest{Request: 1}, "43 0003 00000001"},
+		{policy.LoadInstance{Worker: 0x0a9011f22354, Function: 0x7c55d20a01, Instances: 1}, "48 0003 01 0000007c55d20a01 0a9011f22354"},
+		{policy.UnloadInstance{Worker: 1, Function: 2}, "4a 0003 000000000001 0000000000000002"},
+		{policy.ProbeWorker{Worker: 1}, "49 0003 000000000001"},
+		{policy.SendGossip{To: -1, Data: []byte("hi 7")}, "46 0003 ffffffff 0004 68692037"},
 		{policy.Subscribe{On: true}, "47 0003 01"},
-		{policy.FetchList{}, "4d 0003"},
-		{policy.CloseIdle{Worker: 1}, "42 0003 000000000001"},
+		{policy.FetchEndpoints{}, "4d 0003"},
+		{policy.CloseIdleConnections{Worker: 1}, "42 0003 000000000001"},
 	} {
 		var r Reply
 		r.Add(3, []policy.Action{c.action})
@@ -131,8 +131,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Peers != 3 || !c.ListByAsking || !c.MissWhenCold || c.KeepAlive != 9200*time.Millisecond ||
-		c.Classes[0].Repeat != policy.Keyed || c.Classes[0].Window != 2500*time.Millisecond || c.OverShareWorth != 1 {
+	if c.RouterCount != 3 || !c.RequiresSubscription || !c.MissWhenNotLoaded || c.InstanceKeepAlive != 9200*time.Millisecond ||
+		c.Classes[0].Idempotency != policy.IdempotentWithKey || c.Classes[0].DedupWindow != 2500*time.Millisecond || c.OverQuotaWeight != 1 {
 		t.Errorf("got %+v", c)
 	}
 	for _, bad := range []string{`{`, `{"classes": [{"semantics": "maybe"}]}`} {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -25,8 +25,8 @@
 // Close notes that the line is closed.
 func (l *Line) Close() { l.HasClosed = true }
 
-// FlushClose is Close: what was written is kept.
-func (l *Line) FlushClose() { l.Close() }
+// CloseAfterFlush is Close: what was written is kept.
+func (l *Line) CloseAfterFlush() { l.Close() }
 
 // Main runs a package's tests with fixed random steps, so that each run gives the same verdict.
 func Main(m *testing.M) {
