--- a/policy/policy.go
+++ b/policy/policy.go
@@ -93,7 +93,7 @@
 type fit struct{ nn, ny float64 }
 
 type worker struct {
-	WorkerEntry
+	Endpoint
 	cold            time.Duration // when it last began cold, as told; 0: long ago
 	luck            float64       // drawn at each start, part of a call
 	out             []*attempt    // in the order of their sends
@@ -120,7 +120,7 @@
 }
 
 type request struct {
-	Arrived
+	RequestArrived
 	fn                 *function
 	deadline           time.Duration
 	attempts           []*attempt
@@ -144,27 +144,29 @@
 		return nil, fmt.Errorf("policy: no request classes")
 	}
 	for i, c := range cfg.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 || c.Window < 0 || c.Repeat > Unsafe || c.Group > GroupCell {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DedupWindow < 0 ||
+			c.Idempotency > NotIdempotent || c.DedupScope > DedupCell {
 			return nil, fmt.Errorf("policy: class %d is impossible: %+v", i, c)
 		}
 	}
-	for _, v := range []float64{cfg.ColdFrom, cfg.FallMultiple, cfg.LoadFree, cfg.LoadShare,
-		float64(cfg.MaxAttempts), float64(cfg.Tick), float64(cfg.ColdFor), float64(cfg.FallFor),
-		float64(cfg.KeepAlive), float64(cfg.LoadWindow)} {
-		if !(v >= 0) || math.IsInf(v, 1) || cfg.ColdFrom > 1 {
+	for _, v := range []float64{cfg.SlowStartCapacity, cfg.OverloadMultiple, cfg.LoadOrderAllowance,
+		cfg.LoadOrdersPerRequest, float64(cfg.MaxAttempts), float64(cfg.Tick),
+		float64(cfg.SlowStartDuration), float64(cfg.OverloadWindow),
+		float64(cfg.InstanceKeepAlive), float64(cfg.LoadOrderWindow)} {
+		if !(v >= 0) || math.IsInf(v, 1) || cfg.SlowStartCapacity > 1 {
 			return nil, fmt.Errorf("policy: settings hold an impossible amount: %+v", cfg)
 		}
 	}
-	cfg.Peers = max(cfg.Peers, 1)
+	cfg.RouterCount = max(cfg.RouterCount, 1)
 	p := &Policy{cfg: cfg, self: seed, rng: rand.New(rand.NewPCG(seed, 0x7468796d65)), loadRatio: 1,
-		waiting: slices.Index(cfg.ReportFields, "queue"),
+		waiting: slices.Index(cfg.LoadReportFields, "queue"),
 		workers: map[WorkerID]*worker{}, reqs: map[RequestID]*request{}, funcs: map[FunctionID]*function{}}
 	for _, c := range cfg.Classes {
-		run := unheardRun * float64(c.Aim)
+		run := unheardRun * float64(c.LatencyObjective)
 		p.classes = append(p.classes, classState{c, run, 0, runPrior * run, runPrior * run})
 	}
 	for _, t := range cfg.Tenants {
-		rate := sane(t.PerSecond, 0, 1e9) / float64(cfg.Peers)
+		rate := sane(t.QuotaPerSecond, 0, 1e9) / float64(cfg.RouterCount)
 		p.tenants = append(p.tenants, bucket{level: rate + 1, rate: rate})
 	}
 	return p, nil
@@ -187,23 +189,23 @@
 		p.emit(Subscribe{On: true})
 	}
 	switch e := ev.(type) {
-	case WorkerList:
+	case EndpointUpdate:
 		p.list(e)
-	case Arrived:
+	case RequestArrived:
 		p.arrived(e)
 	case AttemptEnded:
 		p.ended(e)
-	case LoadEnded:
+	case LoadOrderEnded:
 		p.loadEnded(e)
-	case Probed:
+	case ProbeEnded:
 		p.probedBack(e)
-	case Told:
+	case GossipReceived:
 		p.told(e.Data)
-	case StreamBegan:
+	case ResponseStarted:
 		if r := p.reqs[e.Request]; r != nil {
 			r.stream = true
 		}
-	case Abandoned:
+	case ClientCancelled:
 		p.close(p.reqs[e.Request])
 	case TimerFired:
 		if e.Token == beatToken {
@@ -211,7 +213,7 @@
 		} else if e.Token == askToken {
 			p.emit(Subscribe{On: true})
 		} else if r := p.reqs[RequestID(e.Token-doneToken)]; r != nil && e.Token >= doneToken && !r.stream {
-			p.finish(r, 0, OutOfTime)
+			p.finish(r, 0, DeadlineExceeded)
 		}
 	}
 	out, p.out = p.out, nil
@@ -221,44 +223,46 @@
 // emit is the one place where actions leave. It keeps the rules: what would break one is not emitted.
 func (p *Policy) emit(a Action) bool {
 	switch a := a.(type) {
-	case Send:
+	case SendAttempt:
 		r, w := p.reqs[a.Request], p.workers[a.Worker]
 		if r == nil || w == nil || !p.maySend(r, w) {
 			return false
 		}
-	case Refuse: // nothing may have run, or its repeat is harmless wherever it goes
+	case RefuseRequest: // nothing may have run, or its repeat is harmless wherever it goes
 		r := p.reqs[a.Request]
 		if r == nil || r.done {
 			return false
 		}
 		if c := &p.classes[r.Class]; (r.ran != nil || r.outstand > 0) &&
-			(c.Repeat == Unsafe || c.Repeat == Keyed && c.Group != GroupAll) {
-			p.out = append(p.out, Fail{Request: r.Request, Cause: a.Cause}) // promises nothing
+			(c.Idempotency == NotIdempotent ||
+				c.Idempotency == IdempotentWithKey && c.DedupScope != DedupFleet) {
+			p.out = append(p.out, FailRequest{Request: r.Request, Reason: a.Reason}) // promises nothing
 			return true
 		}
-	case OrderLoad:
+	case LoadInstance:
 		w := p.workers[a.Worker]
-		if w == nil || !p.cfg.MayOrder || a.Count > 0 && w.State != Ready {
+		if w == nil || !p.cfg.AllowLoadOrders || a.Instances > 0 && w.State != Ready {
 			return false
 		}
-		if a.Count > 0 && p.cfg.LoadWindow > 0 {
-			p.arrivals, p.orders = p.recent(p.arrivals, p.cfg.LoadWindow-1),
-				p.recent(p.orders, p.cfg.LoadWindow)
-			if float64(len(p.orders)+1) > p.cfg.LoadFree+p.cfg.LoadShare*float64(len(p.arrivals)) {
+		if a.Instances > 0 && p.cfg.LoadOrderWindow > 0 {
+			p.arrivals, p.orders = p.recent(p.arrivals, p.cfg.LoadOrderWindow-1),
+				p.recent(p.orders, p.cfg.LoadOrderWindow)
+			ration := p.cfg.LoadOrderAllowance + p.cfg.LoadOrdersPerRequest*float64(len(p.arrivals))
+			if float64(len(p.orders)+1) > ration {
 				return false
 			}
 			p.orders = append(p.orders, p.now)
 		}
 	case Subscribe: // only where the list does not come by itself
-		if !p.cfg.ListByAsking || p.subscribed {
+		if !p.cfg.RequiresSubscription || p.subscribed {
 			return false
 		}
-	case Probe:
-		if !p.cfg.MayProbe {
+	case ProbeWorker:
+		if !p.cfg.AllowProbes {
 			return false
 		}
-	case Cancel:
-		if !p.cfg.MayCancel {
+	case CancelAttempt:
+		if !p.cfg.AllowCancel {
 			return false
 		}
 	}
@@ -283,12 +287,12 @@
 		return false
 	}
 	c, ran := &p.classes[r.Class], r.ran
-	if ran == nil || c.Repeat == Safe {
+	if ran == nil || c.Idempotency == Idempotent {
 		return true
 	}
-	return c.Repeat == Keyed && p.now < ran.sent+c.Window-p.cfg.Tick &&
-		(w == nil || c.Group == GroupAll || c.Group == GroupZone && w.Zone == ran.w.Zone ||
-			c.Group == GroupCell && w.Cell == ran.w.Cell)
+	return c.Idempotency == IdempotentWithKey && p.now < ran.sent+c.DedupWindow-p.cfg.Tick &&
+		(w == nil || c.DedupScope == DedupFleet || c.DedupScope == DedupZone && w.Zone == ran.w.Zone ||
+			c.DedupScope == DedupCell && w.Cell == ran.w.Cell)
 }
 
 // coldRoom guards a cold worker from being pushed over by all dispatchers together. What workers serve is
@@ -297,56 +301,56 @@
 // drawn at each start of a worker, to none or one: many dispatchers that send little still send their sum.
 func (p *Policy) coldRoom(w *worker, class int) bool {
 	share := p.capacity(w)
-	if share >= 1 || p.cfg.FallFor <= 0 || p.cfg.FallMultiple <= 0 {
+	if share >= 1 || p.cfg.OverloadWindow <= 0 || p.cfg.OverloadMultiple <= 0 {
 		return true
 	}
 	sum, run := 0.0, p.classes[class].run
-	w.sends = slices.DeleteFunc(w.sends, func(a *attempt) bool { return a.sent < p.now-p.cfg.FallFor })
+	w.sends = slices.DeleteFunc(w.sends, func(a *attempt) bool { return a.sent < p.now-p.cfg.OverloadWindow })
 	for _, a := range w.sends {
 		sum += p.classes[a.req.Class].run
 	}
-	mean := p.rate / rateSpan.Seconds() / float64(max(p.ready, 1)) * p.cfg.FallFor.Seconds()
-	return sum+run*(1-w.luck) <= coldMargin*p.cfg.FallMultiple*share*mean
+	mean := p.rate / rateSpan.Seconds() / float64(max(p.ready, 1)) * p.cfg.OverloadWindow.Seconds()
+	return sum+run*(1-w.luck) <= coldMargin*p.cfg.OverloadMultiple*share*mean
 }
 
 // capacity is the least share of its full capacity that w has now.
 func (p *Policy) capacity(w *worker) float64 {
-	if w.cold == 0 || p.cfg.ColdFor <= 0 {
+	if w.cold == 0 || p.cfg.SlowStartDuration <= 0 {
 		return 1
 	}
-	age := sane(float64(p.now-w.cold)/float64(p.cfg.ColdFor), 0, 1)
-	return p.cfg.ColdFrom + (1-p.cfg.ColdFrom)*age
+	age := sane(float64(p.now-w.cold)/float64(p.cfg.SlowStartDuration), 0, 1)
+	return p.cfg.SlowStartCapacity + (1-p.cfg.SlowStartCapacity)*age
 }
 
 // list follows the worker list.
-func (p *Policy) list(l WorkerList) {
-	if l.Kind == ListFailed {
+func (p *Policy) list(l EndpointUpdate) {
+	if l.Kind == UpdateFailed {
 		p.subscribed = false
-		p.emit(SetTimer{After: max(p.cfg.AskWithin/8, beat), Token: askToken})
+		p.emit(SetTimer{After: max(p.cfg.ImplicitListAge/8, beat), Token: askToken})
 		return
 	}
-	p.subscribed = p.subscribed || l.Kind != ListCached
+	p.subscribed = p.subscribed || l.Kind != CachedUpdate
 	named := map[WorkerID]bool{}
-	for _, e := range l.Workers {
+	for _, e := range l.Endpoints {
 		named[e.Worker] = true
 		w := p.workers[e.Worker]
 		if w == nil {
-			w = &worker{WorkerEntry: e, copies: map[FunctionID]*instance{}, cold: e.Started,
+			w = &worker{Endpoint: e, copies: map[FunctionID]*instance{}, cold: e.StartedAt,
 				luck: p.rng.Float64(), fails: make([]drift, len(p.classes))}
 			p.workers[e.Worker] = w
 			p.fleet = append(p.fleet, w)
-		} else if e.Started > w.Started { // a new process: nothing we believe of the old one holds
+		} else if e.StartedAt > w.StartedAt { // a new process: nothing we believe of the old one holds
 			for _, i := range w.copies {
 				i.warmUntil, i.loading, i.lanes = 0, 0, 0
 			}
-			w.cold, w.luck, w.strikes, w.aside = e.Started, p.rng.Float64(), 0, 0
+			w.cold, w.luck, w.strikes, w.aside = e.StartedAt, p.rng.Float64(), 0, 0
 			w.slope, w.delay, w.fails = fit{}, drift{}, make([]drift, len(p.classes))
 		}
-		w.WorkerEntry = e
+		w.Endpoint = e
 	}
 	p.ready = 0
 	for _, w := range p.fleet {
-		if l.Kind != ListChanges && !named[w.Worker] {
+		if l.Kind != IncrementalUpdate && !named[w.Worker] {
 			w.State = Gone
 		}
 		p.ready += int(w.State & Ready)
@@ -362,14 +366,14 @@
 	return i
 }
 
-func (p *Policy) arrived(e Arrived) {
+func (p *Policy) arrived(e RequestArrived) {
 	if e.Class < 0 || e.Class >= len(p.classes) || p.reqs[e.Request] != nil {
 		return
 	}
-	if p.cfg.LoadWindow > 0 {
-		p.arrivals = append(p.recent(p.arrivals, p.cfg.LoadWindow), p.now)
+	if p.cfg.LoadOrderWindow > 0 {
+		p.arrivals = append(p.recent(p.arrivals, p.cfg.LoadOrderWindow), p.now)
 	}
-	p.spare = min(p.spare+2, float64(p.cfg.Peers)) // a call pays for two receivers, at any size
+	p.spare = min(p.spare+2, float64(p.cfg.RouterCount)) // a call pays for two receivers, at any size
 	f := p.funcs[e.Function]
 	if f == nil {
 		f = &function{id: e.Function, run: p.classes[e.Class].run}
@@ -378,17 +382,17 @@
 	f.calls *= math.Exp(-float64(p.now-f.used) / float64(rateSpan))
 	f.used = p.now
 	if f.loadTime = e.LoadTime; f.loadTime <= 0 || f.loadTime > time.Hour {
-		f.loadTime = p.classes[e.Class].Aim // not told: as long as an answer may take
+		f.loadTime = p.classes[e.Class].LatencyObjective // not told: as long as an answer may take
 	}
-	e.Left = max(e.Left, 0)
-	r := &request{Arrived: e, fn: f, deadline: p.now + e.Left}
+	e.TimeLeft = max(e.TimeLeft, 0)
+	r := &request{RequestArrived: e, fn: f, deadline: p.now + e.TimeLeft}
 	p.reqs[e.Request] = r
 	if e.Tenant >= 0 && e.Tenant < len(p.tenants) { // a second's worth may be saved up, and chance
 		b := &p.tenants[e.Tenant]
 		b.level = min(b.level+b.rate*(p.now-b.at).Seconds(), b.rate+3*math.Sqrt(b.rate)+1)
 		b.at, r.over = p.now, b.level < 1
 	}
-	p.emit(SetTimer{After: max(e.Left-2*p.cfg.Tick, 0), Token: doneToken + uint64(e.Request)})
+	p.emit(SetTimer{After: max(e.TimeLeft-2*p.cfg.Tick, 0), Token: doneToken + uint64(e.Request)})
 	p.place(r)
 	f.calls++
 }
@@ -422,8 +426,8 @@
 // run predicts the time of r's own work at a usual worker.
 func (p *Policy) run(r *request) float64 {
 	c := &p.classes[r.Class]
-	if r.Work > 0 && r.Work < time.Hour {
-		return c.took / c.hinted * float64(r.Work)
+	if r.WorkHint > 0 && r.WorkHint < time.Hour {
+		return c.took / c.hinted * float64(r.WorkHint)
 	}
 	return (runPrior*c.run + r.fn.n*r.fn.run) / (runPrior + r.fn.n)
 }
@@ -448,7 +452,7 @@
 func (p *Policy) predict(w *worker, r *request) float64 {
 	score := p.queueing(w, len(w.out)) + p.run(r) + p.loadLeft(w, r) +
 		w.fails[r.Class].now(p.now)*float64(r.deadline-p.now) // who is not served waits in vain
-	if i := w.copies[r.fn.id]; i != nil && float64(i.inFlight) >= max(r.Lanes, 1, float64(i.lanes)) {
+	if i := w.copies[r.fn.id]; i != nil && float64(i.inFlight) >= max(r.Concurrency, 1, float64(i.lanes)) {
 		score += laneLoad * p.loadTime(r.fn) // no lane is free, as far as we know: w may begin a further copy
 	}
 	if len(w.out) > 0 { // censored data: it has been silent for longer than expected of its oldest attempt
@@ -472,7 +476,7 @@
 func (p *Policy) homeOf(r *request, cands []*worker) (at *worker, chance float64) {
 	f, run, slot := r.fn, p.run(r), 0
 	share := f.calls * run * float64(p.ready) / max(p.rate, run)
-	homes := 1 + int((1-1/float64(p.cfg.Peers))*max(share, f.jams))
+	homes := 1 + int((1-1/float64(p.cfg.RouterCount))*max(share, f.jams))
 	for s := 1; s < min(homes, p.ready); s++ {
 		if home(f.id+FunctionID(s), WorkerID(p.self)) > home(f.id+FunctionID(slot), WorkerID(p.self)) {
 			slot = s
@@ -487,10 +491,10 @@
 			at = w
 		}
 	}
-	chance = min(likely, 0.2*float64(p.cfg.Peers+1)) // of a lone dispatcher only what it lost sight of
+	chance = min(likely, 0.2*float64(p.cfg.RouterCount+1)) // of a lone dispatcher only what it lost sight of
 	if at != nil && at == first {
-		others := f.calls * float64(p.cfg.Peers-1) / float64(homes)
-		chance = max(chance, 1-math.Exp(-others*float64(p.cfg.KeepAlive)/float64(rateSpan)))
+		others := f.calls * float64(p.cfg.RouterCount-1) / float64(homes)
+		chance = max(chance, 1-math.Exp(-others*float64(p.cfg.InstanceKeepAlive)/float64(rateSpan)))
 	} else if first != nil && p.loadLeft(first, r) > 0 { // it loads at the first: none stands further down
 		chance = 0
 	}
@@ -523,7 +527,7 @@
 // looksBad tells whether w is set aside: until a probe is answered or, without probes, for its spell; then it
 // gets one attempt at a time until one is served.
 func (p *Policy) looksBad(w *worker) bool {
-	return w.strikes > 0 && (p.cfg.MayProbe || p.now < w.aside || len(w.out) > 0)
+	return w.strikes > 0 && (p.cfg.AllowProbes || p.now < w.aside || len(w.out) > 0)
 }
 
 // place sends r to the worker with the lowest predicted latency, or refuses or holds it.
@@ -543,7 +547,7 @@
 		if float64(r.deadline-until) > p.run(r) && p.mayYet(r) {
 			p.held = append(p.held, r)
 		} else {
-			p.finish(r, float64(until-p.now), NoWorker)
+			p.finish(r, float64(until-p.now), NoWorkerAvailable)
 		}
 		return
 	}
@@ -569,11 +573,11 @@
 		sure -= p.loadLeft(w, r)
 	}
 	shed, wait := p.shed(r, w, sure)
-	cause := Overloaded
-	if sure > float64(r.deadline-p.now) || r.over && best > float64(p.classes[r.Class].Aim) {
-		cause = TooLate
+	cause := LoadShed
+	if sure > float64(r.deadline-p.now) || r.over && best > float64(p.classes[r.Class].LatencyObjective) {
+		cause = PredictedTooLate
 	}
-	if cause == TooLate || len(r.attempts) == 0 && shed {
+	if cause == PredictedTooLate || len(r.attempts) == 0 && shed {
 		if p.now-p.lastTrial < slowBeat || r.over {
 			p.finish(r, wait, cause)
 			return
@@ -597,28 +601,28 @@
 // The wait is the time in which the queue drains to where r is let in.
 func (p *Policy) shed(r *request, w *worker, score float64) (shed bool, wait float64) {
 	c := &p.classes[r.Class]
-	start, aim := 0.5, float64(c.Aim)
+	start, aim := 0.5, float64(c.LatencyObjective)
 	for i := range p.classes {
 		if o := &p.classes[i]; p.density(o) > 1.5*p.density(c) {
-			start, aim = 0.25, min(aim, float64(o.Aim))
+			start, aim = 0.25, min(aim, float64(o.LatencyObjective))
 		}
 	}
 	if r.over {
-		start = 0.15 * p.cfg.OverShareWorth
-	} else if score > float64(c.Aim) {
+		start = 0.15 * p.cfg.OverQuotaWeight
+	} else if score > float64(c.LatencyObjective) {
 		start = 0.15
 	}
-	others := (1 - 1/float64(p.cfg.Peers)) * w.delay.now(p.now) // what they queue at the best worker
+	others := (1 - 1/float64(p.cfg.RouterCount)) * w.delay.now(p.now) // what they queue at the best worker
 	delay := max(p.standing, others)
 	return p.rng.Float64() < min(2*(delay/aim-start), 0.9), delay - start*aim
 }
 
 // density is the worth of a class for the work that it takes.
 func (p *Policy) density(c *classState) float64 {
-	if p.cfg.WorthByWork {
-		return c.Worth
+	if p.cfg.WeightByWork {
+		return c.PriorityWeight
 	}
-	return c.Worth / max(c.run, 1)
+	return c.PriorityWeight / max(c.run, 1)
 }
 
 // sawDelay tracks the delay that most warm answers exceed: slowly up to those that took longer, fast down.
@@ -632,7 +636,7 @@
 
 func (p *Policy) send(r *request, w *worker, expected time.Duration, likely bool) {
 	load, i := p.loadLeft(w, r), w.instance(r.fn.id)
-	if !p.emit(Send{Request: r.Request, Worker: w.Worker}) {
+	if !p.emit(SendAttempt{Request: r.Request, Worker: w.Worker}) {
 		return
 	}
 	a := &attempt{req: r, number: len(r.attempts), w: w, sent: p.now, expected: expected,
@@ -647,7 +651,7 @@
 	if p.capacity(w) < 1 {
 		w.sends = append(w.sends, a)
 	}
-	if !p.cfg.MissWhenCold && load > 0 && i.loading == 0 {
+	if !p.cfg.MissWhenNotLoaded && load > 0 && i.loading == 0 {
 		i.loading = p.now + time.Duration(load)
 	}
 	if p.failed > 0 && load > 0 && p.now >= p.gate {
@@ -668,8 +672,8 @@
 	if !e.Outcome.NeverRan() && r.ran == nil {
 		r.ran = a
 	}
-	e.Took = min(max(e.Took, 0), time.Hour)
-	if e.Outcome != Reset || a.number > 0 { // a connection may break alone: its worker still has the copy
+	e.Duration = min(max(e.Duration, 0), time.Hour)
+	if e.Outcome != ConnectionReset || a.number > 0 { // a connection may break alone: its worker has the copy
 		r.shunned = append(r.shunned, w) // read only if another attempt follows
 	}
 	switch e.Outcome {
@@ -678,28 +682,28 @@
 		w.fails[r.Class].see(p.now, 0)
 		p.rate, r.fn.served = p.rate+p.classes[r.Class].run, true
 		p.learn(a, e)
-	case Errored, Full, Missed:
+	case Errored, WorkerOverloaded, FunctionNotLoaded:
 		p.alive(w)
-		if e.Outcome == Missed || e.Note == LoadFailed {
+		if e.Outcome == FunctionNotLoaded || e.InstanceStatus == LoadFailed {
 			i.warmUntil, i.loading, i.lanes = 0, 0, 0
-		} else if e.Outcome == Full && i.inFlight == 0 && !i.ordered { // it began no load
+		} else if e.Outcome == WorkerOverloaded && i.inFlight == 0 && !i.ordered { // it began no load
 			i.loading = 0
 		}
 		switch {
-		case e.Note == LoadFailed:
+		case e.InstanceStatus == LoadFailed:
 			p.loadFailed(1)
 		case e.Outcome == Errored && r.fn.served: // else the call may be to blame
 			w.fails[r.Class].see(p.now, 1)
-		case e.Outcome == Full && (!a.cold || a.likely):
+		case e.Outcome == WorkerOverloaded && (!a.cold || a.likely):
 			p.jam(r.fn)
-			p.reported(w, e.Report)
+			p.reported(w, e.LoadReport)
 			w.delay.see(p.now, max(clip*p.run(r), w.delay.now(p.now)))
 		}
 	case Cancelled, TimedOut: // unanswered to its end: the worker may be well and serve others only
-		if !a.cold && p.now >= r.deadline-2*p.cfg.Tick && e.Took > clip*a.expected {
+		if !a.cold && p.now >= r.deadline-2*p.cfg.Tick && e.Duration > clip*a.expected {
 			w.fails[r.Class].see(p.now, 1)
 		}
-	case Reset: // its process died, or a connection broke alone: a probe tells, else the next dial
+	case ConnectionReset: // its process died, or a connection broke alone: a probe tells, else the next dial
 		if !w.probing && w.broke != p.now { // one sign, however many calls were on the connection
 			w.broke = p.now
 			w.fails[r.Class].see(p.now, 1)
@@ -708,14 +712,14 @@
 	case Unreachable:
 		p.strike(w)
 	}
-	if e.Closed {
+	if e.RequestClosed {
 		p.close(r)
 	}
 	switch {
 	case r.done || r.outstand > 0:
-	case e.Outcome == Missed && p.order(r, w, i):
-	case e.Outcome == Moot || e.Outcome == TimedOut && p.now >= r.deadline-2*p.cfg.Tick:
-		p.finish(r, 0, OutOfTime)
+	case e.Outcome == FunctionNotLoaded && p.order(r, w, i):
+	case e.Outcome == NotSent || e.Outcome == TimedOut && p.now >= r.deadline-2*p.cfg.Tick:
+		p.finish(r, 0, DeadlineExceeded)
 	default:
 		p.place(r)
 	}
@@ -725,25 +729,25 @@
 // learn takes a served attempt into the estimates.
 func (p *Policy) learn(a *attempt, e AttemptEnded) {
 	r, w, f := a.req, a.w, a.req.fn
-	p.reported(w, e.Report)
-	i, c, took, base := w.instance(f.id), &p.classes[r.Class], float64(e.Took), p.run(r)
+	p.reported(w, e.LoadReport)
+	i, c, took, base := w.instance(f.id), &p.classes[r.Class], float64(e.Duration), p.run(r)
 	queue, at := p.queueing(w, a.inFlight), max(0, w.delay.now(p.now))
-	loaded := e.Note == BeganLoad || e.Note == AwaitedOne
-	if !p.cfg.WarmNotes && !p.cfg.MissWhenCold { // not told: a load shows in the time
+	loaded := e.InstanceStatus == LoadStarted || e.InstanceStatus == LoadAwaited
+	if !p.cfg.InstanceStatusInAnswers && !p.cfg.MissWhenNotLoaded { // not told: a load shows in the time
 		loaded = took > base+queue+p.loadTime(f)/2
 	}
-	if !a.cold && e.Note <= WasWarm { // a guessed load may be a queue
-		p.sawDelay(took-base, c.Aim)
+	if !a.cold && e.InstanceStatus <= InstanceWarm { // a guessed load may be a queue
+		p.sawDelay(took-base, c.LatencyObjective)
 	}
-	i.warmUntil, i.loading, i.lanes = p.now+p.cfg.KeepAlive, 0, max(i.lanes, i.inFlight+1)
+	i.warmUntil, i.loading, i.lanes = p.now+p.cfg.InstanceKeepAlive, 0, max(i.lanes, i.inFlight+1)
 	p.tell(i, f)
-	if took < float64(c.Aim) {
+	if took < float64(c.LatencyObjective) {
 		f.jams *= fitKeep
-	} else if (!a.cold || a.likely) && e.Note <= WasWarm {
+	} else if (!a.cold || a.likely) && e.InstanceStatus <= InstanceWarm {
 		p.jam(f)
 	}
-	if loaded || a.cold && p.cfg.MissWhenCold {
-		if e.Note == BeganLoad || e.Note == NoNote && a.cold && loaded {
+	if loaded || a.cold && p.cfg.MissWhenNotLoaded {
+		if e.InstanceStatus == LoadStarted || e.InstanceStatus == InstanceUnknown && a.cold && loaded {
 			p.sawLoad(took-base-queue, f)
 		}
 		return
@@ -752,14 +756,14 @@
 	for _, s := range []*fit{&w.slope, &p.slope} {
 		s.nn, s.ny = s.nn*fitKeep+n, s.ny*fitKeep+y
 	}
-	w.delay.see(p.now, min(took-base, clip*float64(c.Aim))-(queue-at))
-	if q := p.queued(e.Report); q >= 0 {
+	w.delay.see(p.now, min(took-base, clip*float64(c.LatencyObjective))-(queue-at))
+	if q := p.queued(e.LoadReport); q >= 0 {
 		p.pace.nn, p.pace.ny = p.pace.nn*fitKeep+q, p.pace.ny*fitKeep+max(y-(queue-at), 0)
 	}
 	net := max(took-queue, took/4)
-	if r.Work > 0 {
+	if r.WorkHint > 0 {
 		c.took += min(net, clip*base) - c.took/runMemory
-		c.hinted += min(float64(r.Work), float64(time.Hour)) - c.hinted/runMemory
+		c.hinted += min(float64(r.WorkHint), float64(time.Hour)) - c.hinted/runMemory
 	}
 	f.n, c.n = min(f.n+1, runMemory), min(c.n+1, runMemory)
 	f.run += (min(net, clip*f.run) - f.run) / f.n
@@ -783,7 +787,7 @@
 // mean. Late and noisy as it is, it counts as one answer, and at most as what answers may take.
 func (p *Policy) reported(w *worker, report []float64) {
 	if q := p.queued(report); q >= 0 {
-		w.delay.see(p.now, min(q*p.pace.ny/max(p.pace.nn, 1), clip*float64(p.classes[0].Aim)))
+		w.delay.see(p.now, min(q*p.pace.ny/max(p.pace.nn, 1), clip*float64(p.classes[0].LatencyObjective)))
 	}
 }
 
@@ -795,7 +799,7 @@
 
 // tell has few others know of an instance, renewed in its keep-alive: else each loads copies of its own.
 func (p *Policy) tell(i *instance, f *function) {
-	if p.cfg.MayTell && p.cfg.Peers > 1 && p.now-i.told > p.cfg.KeepAlive/4 {
+	if p.cfg.AllowGossip && p.cfg.RouterCount > 1 && p.now-i.told > p.cfg.InstanceKeepAlive/4 {
 		i.told = p.now
 		p.news = binary.BigEndian.AppendUint64(p.news, uint64(i.w.Worker))
 		p.news = binary.BigEndian.AppendUint64(p.news, uint64(f.id))
@@ -806,7 +810,7 @@
 	for ; len(news) >= newsBytes; news = news[newsBytes:] {
 		if w := p.workers[WorkerID(binary.BigEndian.Uint64(news))]; w != nil && w.State == Ready {
 			i := w.instance(FunctionID(binary.BigEndian.Uint64(news[8:])))
-			i.warmUntil = max(i.warmUntil, p.now+p.cfg.KeepAlive*9/10)
+			i.warmUntil = max(i.warmUntil, p.now+p.cfg.InstanceKeepAlive*9/10)
 		}
 	}
 }
@@ -826,7 +830,7 @@
 // order has a missing function loaded at w, with r to follow.
 func (p *Policy) order(r *request, w *worker, i *instance) bool {
 	if !i.ordered {
-		if !p.emit(OrderLoad{Worker: w.Worker, Function: r.Function, Count: 1}) {
+		if !p.emit(LoadInstance{Worker: w.Worker, Function: r.Function, Instances: 1}) {
 			return false
 		}
 		w.orders++
@@ -837,7 +841,7 @@
 	return true
 }
 
-func (p *Policy) loadEnded(e LoadEnded) {
+func (p *Policy) loadEnded(e LoadOrderEnded) {
 	w, f := p.workers[e.Worker], p.funcs[e.Function]
 	if w == nil || f == nil || w.copies[f.id] == nil || !w.copies[f.id].ordered {
 		return
@@ -848,14 +852,14 @@
 	switch e.Outcome {
 	case Served:
 		p.alive(w)
-		i.warmUntil = p.now + p.cfg.KeepAlive
+		i.warmUntil = p.now + p.cfg.InstanceKeepAlive
 		p.tell(i, f)
-		if e.Took > f.loadTime/5 { // else it stood, or nearly
-			p.sawLoad(float64(e.Took), f)
+		if e.Duration > f.loadTime/5 { // else it stood, or nearly
+			p.sawLoad(float64(e.Duration), f)
 		}
 	case Errored:
 		p.loadFailed(1)
-	case Reset, Unreachable: // a connection may break alone: a probe tells
+	case ConnectionReset, Unreachable: // a connection may break alone: a probe tells
 		if e.Outcome == Unreachable || !w.probing && !p.probe(w) {
 			p.strike(w)
 		}
@@ -863,7 +867,7 @@
 	parked := i.parked
 	i.parked = nil
 	for _, r := range parked { // elsewhere, unless it stands
-		if e.Outcome != Served && e.Outcome != Reset {
+		if e.Outcome != Served && e.Outcome != ConnectionReset {
 			r.shunned = append(r.shunned, w)
 		}
 		p.place(r)
@@ -871,26 +875,27 @@
 }
 
 func (p *Policy) probe(w *worker) bool {
-	w.probing, w.probed = p.emit(Probe{Worker: w.Worker}), p.now
+	w.probing, w.probed = p.emit(ProbeWorker{Worker: w.Worker}), p.now
 	return w.probing
 }
 
-func (p *Policy) probedBack(e Probed) {
+func (p *Policy) probedBack(e ProbeEnded) {
 	w := p.workers[e.Worker]
 	if w == nil {
 		return
 	}
 	w.probing = false
-	if e.Outcome != TimedOut && e.Outcome != Unreachable && e.Outcome != Reset {
+	if e.Outcome != TimedOut && e.Outcome != Unreachable && e.Outcome != ConnectionReset {
 		p.alive(w)
-		p.reported(w, e.Report)
+		p.reported(w, e.LoadReport)
 	} else if w.heard < w.probed {
 		p.strike(w)
 		for _, a := range slices.Clone(w.out) { // what may be sent elsewhere is called off
 			r := a.req
-			if c := &p.classes[r.Class]; !r.done && !r.stream && !a.called && c.Repeat != Unsafe &&
-				(c.Repeat == Safe || p.now < a.sent+c.Window-2*p.cfg.Tick) {
-				a.called = p.emit(Cancel{Request: r.Request, Attempt: a.number})
+			if c := &p.classes[r.Class]; !r.done && !r.stream && !a.called &&
+				c.Idempotency != NotIdempotent &&
+				(c.Idempotency == Idempotent || p.now < a.sent+c.DedupWindow-2*p.cfg.Tick) {
+				a.called = p.emit(CancelAttempt{Request: r.Request, Attempt: a.number})
 			}
 		}
 	}
@@ -910,8 +915,8 @@
 		}
 	}
 	p.news = p.news[max(0, len(p.news)-16*newsBytes):]
-	if peers := float64(p.cfg.Peers - 1); len(p.news) > 0 && p.spare >= peers &&
-		p.emit(Tell{To: -1, Data: slices.Clone(p.news)}) {
+	if peers := float64(p.cfg.RouterCount - 1); len(p.news) > 0 && p.spare >= peers &&
+		p.emit(SendGossip{To: -1, Data: slices.Clone(p.news)}) {
 		p.news, p.spare = p.news[:0], p.spare-peers
 	}
 	held := p.held
@@ -947,9 +952,9 @@
 
 // finish gives the final answer: a refusal where that is true, else a failure. The client is told to come
 // back after what is in the way now, spread by chance: else all that were refused come back at once.
-func (p *Policy) finish(r *request, wait float64, cause Cause) {
-	a := Refuse{Request: r.Request, Cause: cause}
-	if most := float64(p.cfg.MaxRetryAfter); p.cfg.RetryAfter && most > 0 {
+func (p *Policy) finish(r *request, wait float64, cause GiveUpReason) {
+	a := RefuseRequest{Request: r.Request, Reason: cause}
+	if most := float64(p.cfg.MaxRetryAfter); p.cfg.AllowRetryAfter && most > 0 {
 		a.RetryAfter = time.Duration(sane(wait, float64(beat), most) * (1 - p.rng.Float64()/2))
 	}
 	if !r.done && p.emit(a) {
@@ -965,7 +970,7 @@
 	r.done = true
 	for _, a := range r.attempts {
 		if !a.ended && !a.called {
-			a.called = p.emit(Cancel{Request: r.Request, Attempt: a.number})
+			a.called = p.emit(CancelAttempt{Request: r.Request, Attempt: a.number})
 		}
 	}
 	p.release(r)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,13 +10,13 @@
 const ms = time.Millisecond
 
 func config() Config {
-	return Config{Peers: 1, Tick: 2 * ms, MaxAttempts: 5, MayCancel: true, MayProbe: true, OverShareWorth: 1,
-		ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 2, FallFor: 3 * time.Second,
-		DrainGrace: 500 * ms, KeepAlive: 10 * time.Second, WarmNotes: true, LoadFree: 1,
+	return Config{RouterCount: 1, Tick: 2 * ms, MaxAttempts: 5, AllowCancel: true, AllowProbes: true, OverQuotaWeight: 1,
+		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: 3 * time.Second,
+		DrainGrace: 500 * ms, InstanceKeepAlive: 10 * time.Second, InstanceStatusInAnswers: true, LoadOrderAllowance: 1,
 		Classes: []Class{
-			{Aim: 400 * ms, Deadline: 4 * time.Second, Repeat: Safe, Worth: 1, LateWorth: 0.2},
-			{Aim: 400 * ms, Deadline: 4 * time.Second, Repeat: Keyed, Group: GroupZone, Window: time.Second, Worth: 1},
-			{Aim: 400 * ms, Deadline: 4 * time.Second, Repeat: Unsafe, Worth: 5, LateWorth: 0.2},
+			{LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: Idempotent, PriorityWeight: 1, LateWeight: 0.2},
+			{LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: time.Second, PriorityWeight: 1},
+			{LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: NotIdempotent, PriorityWeight: 5, LateWeight: 0.2},
 		}}
 }
 
@@ -35,10 +35,10 @@
 		t.Fatal(err)
 	}
 	b := &bed{t: t, p: p, now: time.Hour}
-	var l WorkerList
-	l.Kind = ListWhole
+	var l EndpointUpdate
+	l.Kind = FullUpdate
 	for i := range workers {
-		l.Workers = append(l.Workers, WorkerEntry{Worker: WorkerID(i + 1), State: Ready, Weight: 1})
+		l.Endpoints = append(l.Endpoints, Endpoint{Worker: WorkerID(i + 1), State: Ready, Weight: 1})
 	}
 	b.do(l)
 	return b
@@ -48,19 +48,19 @@
 
 func (b *bed) arrive(class int, f FunctionID) (RequestID, []Action) {
 	b.id++
-	return b.id, b.do(Arrived{Request: b.id, Class: class, Function: f, Lanes: 4, LoadTime: time.Second, Left: 4 * time.Second})
+	return b.id, b.do(RequestArrived{Request: b.id, Class: class, Function: f, Concurrency: 4, LoadTime: time.Second, TimeLeft: 4 * time.Second})
 }
 
 // serve has one request of f arrive and served after took.
-func (b *bed) serve(f FunctionID, took time.Duration, note Note) WorkerID {
+func (b *bed) serve(f FunctionID, took time.Duration, note InstanceStatus) WorkerID {
 	b.t.Helper()
 	id, acts := b.arrive(0, f)
-	s, ok := first[Send](acts)
+	s, ok := first[SendAttempt](acts)
 	if !ok {
 		b.t.Fatalf("request not sent: %v", acts)
 	}
 	b.now += took
-	b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: note, Closed: true, Took: took})
+	b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, InstanceStatus: note, RequestClosed: true, Duration: took})
 	return s.Worker
 }
 
@@ -80,10 +80,10 @@
 	for name, spoil := range map[string]func(*Config){
 		"no classes":     func(c *Config) { c.Classes = nil },
 		"no deadline":    func(c *Config) { c.Classes[0].Deadline = 0 },
-		"cold share":     func(c *Config) { c.ColdFrom = 1.5 },
-		"not a number":   func(c *Config) { c.FallMultiple = math.NaN() },
+		"cold share":     func(c *Config) { c.SlowStartCapacity = 1.5 },
+		"not a number":   func(c *Config) { c.OverloadMultiple = math.NaN() },
 		"negative tick":  func(c *Config) { c.Tick = -1 },
-		"infinite loads": func(c *Config) { c.LoadFree = math.Inf(1) },
+		"infinite loads": func(c *Config) { c.LoadOrderAllowance = math.Inf(1) },
 	} {
 		c := config()
 		spoil(&c)
@@ -95,9 +95,9 @@
 
 func TestSticksToTheWarmWorker(t *testing.T) {
 	b := newBed(t, config(), 6)
-	w := b.serve(7, 1100*ms, BeganLoad)
+	w := b.serve(7, 1100*ms, LoadStarted)
 	for range 20 {
-		if got := b.serve(7, 80*ms, WasWarm); got != w {
+		if got := b.serve(7, 80*ms, InstanceWarm); got != w {
 			t.Fatalf("warm at %d, sent to %d", w, got)
 		}
 	}
@@ -113,15 +113,15 @@
 func TestCallsGoWhereALaneIsFree(t *testing.T) {
 	send := func(b *bed) (RequestID, WorkerID) {
 		b.id++
-		s, ok := first[Send](b.do(Arrived{Request: b.id, Function: 7, Lanes: 1, LoadTime: time.Second, Left: 4 * time.Second}))
+		s, ok := first[SendAttempt](b.do(RequestArrived{Request: b.id, Function: 7, Concurrency: 1, LoadTime: time.Second, TimeLeft: 4 * time.Second}))
 		if !ok {
 			b.t.Fatal("not sent")
 		}
 		return b.id, s.Worker
 	}
-	served := func(b *bed, id RequestID, w WorkerID, note Note) {
+	served := func(b *bed, id RequestID, w WorkerID, note InstanceStatus) {
 		b.now += 80 * ms
-		b.do(AttemptEnded{Request: id, Worker: w, Outcome: Served, Note: note, Closed: true, Took: 80 * ms})
+		b.do(AttemptEnded{Request: id, Worker: w, Outcome: Served, InstanceStatus: note, RequestClosed: true, Duration: 80 * ms})
 	}
 	b := newBed(t, config(), 2)
 	for _, w := range []WorkerID{1, 2} { // both hold a copy; queueing at 2 looks a little worse
@@ -133,8 +133,8 @@
 	if at1 != 1 || at2 != 2 {
 		t.Fatalf("sent to %d, then to %d", at1, at2)
 	}
-	served(b, one, at1, WasWarm)
-	served(b, two, at2, WasWarm)
+	served(b, one, at1, InstanceWarm)
+	served(b, two, at2, InstanceWarm)
 	b.p.workers[1].instance(7).lanes = 2 // two were served at a time
 	b.p.workers[2].delay.see(b.now, float64(100*ms))
 	if _, at1 = send(b); at1 != 1 {
@@ -144,7 +144,7 @@
 	if at2 != 1 {
 		t.Fatalf("sent to %d though a second lane was seen", at2)
 	}
-	b.do(AttemptEnded{Request: id, Worker: 1, Outcome: Missed})
+	b.do(AttemptEnded{Request: id, Worker: 1, Outcome: FunctionNotLoaded})
 	if n := b.p.workers[1].instance(7).lanes; n != 0 {
 		t.Errorf("%d lanes are believed in after a miss", n)
 	}
@@ -153,29 +153,29 @@
 // Guards against a load for each call whose connection broke: the worker that holds the copy is tried once
 // more, over another connection. Where that ends badly too the call goes elsewhere.
 func TestBrokenConnectionDoesNotSendACallToAColdWorker(t *testing.T) {
-	for _, again := range []Outcome{Reset, Unreachable} {
+	for _, again := range []Outcome{ConnectionReset, Unreachable} {
 		b := newBed(t, config(), 3)
-		w := b.serve(7, 1100*ms, BeganLoad)
+		w := b.serve(7, 1100*ms, LoadStarted)
 		for range 20 {
-			b.serve(7, 80*ms, WasWarm)
+			b.serve(7, 80*ms, InstanceWarm)
 		}
 		others, _ := b.arrive(0, 7) // on the same connection
 		id, acts := b.arrive(0, 7)
-		if s, _ := first[Send](acts); s.Worker != w {
+		if s, _ := first[SendAttempt](acts); s.Worker != w {
 			t.Fatalf("warm at %d, sent to %d", w, s.Worker)
 		}
 		b.now += 10 * ms
-		probes := b.do(AttemptEnded{Request: others, Worker: w, Outcome: Reset, Took: 10 * ms})
+		probes := b.do(AttemptEnded{Request: others, Worker: w, Outcome: ConnectionReset, Duration: 10 * ms})
 		n := b.p.workers[w].fails[0].n
-		acts = b.do(AttemptEnded{Request: id, Worker: w, Outcome: Reset, Took: 10 * ms})
-		if s, ok := first[Send](acts); !ok || s.Worker != w || !has[Probe](probes) || has[Probe](acts) {
+		acts = b.do(AttemptEnded{Request: id, Worker: w, Outcome: ConnectionReset, Duration: 10 * ms})
+		if s, ok := first[SendAttempt](acts); !ok || s.Worker != w || !has[ProbeWorker](probes) || has[ProbeWorker](acts) {
 			t.Fatalf("after a reset: %v, %v", probes, acts)
 		}
 		if b.p.workers[w].fails[0].n != n {
 			t.Error("one broken connection counts as two failures")
 		}
 		acts = b.do(AttemptEnded{Request: id, Attempt: 1, Worker: w, Outcome: again})
-		if s, ok := first[Send](acts); !ok || s.Worker == w {
+		if s, ok := first[SendAttempt](acts); !ok || s.Worker == w {
 			t.Errorf("after outcome %d of the second: %v", again, acts)
 		}
 	}
@@ -185,13 +185,13 @@
 // once and does not set the worker aside. A dial that is refused does.
 func TestBrokenConnectionCountsOnceWithoutProbes(t *testing.T) {
 	cfg := config()
-	cfg.MayProbe = false
+	cfg.AllowProbes = false
 	b := newBed(t, cfg, 3)
-	at := b.serve(7, 80*ms, WasWarm)
+	at := b.serve(7, 80*ms, InstanceWarm)
 	var ids []RequestID
 	for range 4 {
 		id, acts := b.arrive(2, 7)
-		if s, _ := first[Send](acts); s.Worker != at {
+		if s, _ := first[SendAttempt](acts); s.Worker != at {
 			t.Fatalf("warm at %d, sent to %d", at, s.Worker)
 		}
 		ids = append(ids, id)
@@ -200,7 +200,7 @@
 	w := b.p.workers[at]
 	before := w.fails[2].n
 	for _, id := range ids[1:] {
-		b.do(AttemptEnded{Request: id, Worker: at, Outcome: Reset, Took: 10 * ms})
+		b.do(AttemptEnded{Request: id, Worker: at, Outcome: ConnectionReset, Duration: 10 * ms})
 	}
 	if n := w.fails[2].n; n > before+1 {
 		t.Errorf("one broken connection counts as %.1f failures", n-before)
@@ -216,18 +216,18 @@
 // Guards a worker that is well against an order to load whose connection broke: a probe tells, and until
 // then neither is the worker set aside nor do the calls that wait for the load go elsewhere.
 func TestBrokenConnectionOfAnOrderSetsNoWorkerAside(t *testing.T) {
-	for _, o := range []Outcome{Reset, Unreachable} {
+	for _, o := range []Outcome{ConnectionReset, Unreachable} {
 		cfg := config()
-		cfg.MissWhenCold, cfg.MayOrder = true, true
+		cfg.MissWhenNotLoaded, cfg.AllowLoadOrders = true, true
 		b := newBed(t, cfg, 3)
 		id, acts := b.arrive(0, 7)
-		s, _ := first[Send](acts)
-		if acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Missed}); !has[OrderLoad](acts) {
+		s, _ := first[SendAttempt](acts)
+		if acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: FunctionNotLoaded}); !has[LoadInstance](acts) {
 			t.Fatalf("after a miss: %v", acts)
 		}
-		acts = b.do(LoadEnded{Worker: s.Worker, Function: 7, Outcome: o})
+		acts = b.do(LoadOrderEnded{Worker: s.Worker, Function: 7, Outcome: o})
 		aside := b.p.looksBad(b.p.workers[s.Worker])
-		if next, ok := first[Send](acts); !ok || aside != (o == Unreachable) || has[Probe](acts) != (o == Reset) ||
+		if next, ok := first[SendAttempt](acts); !ok || aside != (o == Unreachable) || has[ProbeWorker](acts) != (o == ConnectionReset) ||
 			o == Unreachable && next.Worker == s.Worker {
 			t.Errorf("after outcome %d of the order: %v, aside %v", o, acts, aside)
 		}
@@ -236,8 +236,8 @@
 
 func TestRestartEndsWarmBelief(t *testing.T) {
 	b := newBed(t, config(), 3)
-	w := b.serve(7, 1100*ms, BeganLoad)
-	b.do(WorkerList{Workers: []WorkerEntry{{Worker: w, State: Ready, Started: b.now}}})
+	w := b.serve(7, 1100*ms, LoadStarted)
+	b.do(EndpointUpdate{Endpoints: []Endpoint{{Worker: w, State: Ready, StartedAt: b.now}}})
 	if b.p.workers[w].copies[7].warmUntil > b.now {
 		t.Error("a restarted worker is still thought warm")
 	}
@@ -245,19 +245,19 @@
 
 func TestNothingGoesToADrainingWorker(t *testing.T) {
 	b := newBed(t, config(), 1)
-	b.do(WorkerList{Workers: []WorkerEntry{{Worker: 1, State: Draining}}})
-	if _, acts := b.arrive(0, 7); has[Send](acts) {
+	b.do(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Draining}}})
+	if _, acts := b.arrive(0, 7); has[SendAttempt](acts) {
 		t.Error("sent to a draining worker")
 	}
 }
 
 func TestUnsafeThatMayHaveRunIsFailedNotRepeated(t *testing.T) {
-	for _, o := range []Outcome{Errored, TimedOut, Reset, Cancelled} {
+	for _, o := range []Outcome{Errored, TimedOut, ConnectionReset, Cancelled} {
 		b := newBed(t, config(), 4)
 		id, acts := b.arrive(2, 7)
-		s, _ := first[Send](acts)
+		s, _ := first[SendAttempt](acts)
 		acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: o})
-		if has[Send](acts) || has[Refuse](acts) || !has[Fail](acts) {
+		if has[SendAttempt](acts) || has[RefuseRequest](acts) || !has[FailRequest](acts) {
 			t.Errorf("outcome %d: %v", o, acts)
 		}
 	}
@@ -267,10 +267,10 @@
 func TestEmissionGuardsUnsafeRepeats(t *testing.T) {
 	b := newBed(t, config(), 2)
 	id, acts := b.arrive(2, 7)
-	s, _ := first[Send](acts)
+	s, _ := first[SendAttempt](acts)
 	r := b.p.reqs[id]
 	r.outstand, r.ran = 0, r.attempts[0]
-	if b.p.emit(Send{Request: id, Worker: 3 - s.Worker}) {
+	if b.p.emit(SendAttempt{Request: id, Worker: 3 - s.Worker}) {
 		t.Error("a repeat of an unsafe request left")
 	}
 }
@@ -278,8 +278,8 @@
 func TestUnsafeThatNeverRanGoesElsewhere(t *testing.T) {
 	b := newBed(t, config(), 4)
 	id, acts := b.arrive(2, 7)
-	s, _ := first[Send](acts)
-	again, ok := first[Send](b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Full}))
+	s, _ := first[SendAttempt](acts)
+	again, ok := first[SendAttempt](b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: WorkerOverloaded}))
 	if !ok || again.Worker == s.Worker {
 		t.Errorf("after full: %v %v", again, ok)
 	}
@@ -287,20 +287,20 @@
 
 func TestKeyedIsRepeatedOnlyInsideItsGroupAndWindow(t *testing.T) {
 	b := newBed(t, config(), 0)
-	b.do(WorkerList{Kind: ListWhole, Workers: []WorkerEntry{{Worker: 1, State: Ready, Zone: 0},
+	b.do(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Worker: 1, State: Ready, Zone: 0},
 		{Worker: 2, State: Ready, Zone: 1}, {Worker: 3, State: Ready, Zone: 1}}})
 	for range 20 {
 		id, acts := b.arrive(1, 7)
-		s, _ := first[Send](acts)
+		s, _ := first[SendAttempt](acts)
 		b.now += 10 * ms
-		again, ok := first[Send](b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored}))
+		again, ok := first[SendAttempt](b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored}))
 		if ok && (again.Worker == 1) != (s.Worker == 1) {
 			t.Fatalf("sent to %d, then to %d of another group", s.Worker, again.Worker)
 		}
 		id, acts = b.arrive(1, 8)
-		s, _ = first[Send](acts)
+		s, _ = first[SendAttempt](acts)
 		b.now += 1100 * ms
-		if acts := b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored}); has[Send](acts) || has[Refuse](acts) {
+		if acts := b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored}); has[SendAttempt](acts) || has[RefuseRequest](acts) {
 			t.Fatal("repeated or refused outside the window")
 		}
 	}
@@ -314,44 +314,44 @@
 		t.Fatalf("no timer before the deadline: %v", acts)
 	}
 	b.now += timer.After
-	if acts := b.do(TimerFired{Token: timer.Token}); !has[Fail](acts) {
+	if acts := b.do(TimerFired{Token: timer.Token}); !has[FailRequest](acts) {
 		t.Errorf("no failure at the deadline: %v", acts)
 	}
 }
 
 func TestMissOrdersOneLoadAndTheRequestFollows(t *testing.T) {
 	cfg := config()
-	cfg.MissWhenCold, cfg.MayOrder, cfg.WarmNotes = true, true, false
+	cfg.MissWhenNotLoaded, cfg.AllowLoadOrders, cfg.InstanceStatusInAnswers = true, true, false
 	b := newBed(t, cfg, 4)
 	id, acts := b.arrive(0, 7)
-	s, _ := first[Send](acts)
-	acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Missed})
-	if o, ok := first[OrderLoad](acts); !ok || o.Worker != s.Worker || o.Count != 1 || has[Send](acts) {
+	s, _ := first[SendAttempt](acts)
+	acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: FunctionNotLoaded})
+	if o, ok := first[LoadInstance](acts); !ok || o.Worker != s.Worker || o.Instances != 1 || has[SendAttempt](acts) {
 		t.Fatalf("after a miss: %v", acts)
 	}
 	b.now += time.Second
-	acts = b.do(LoadEnded{Worker: s.Worker, Function: 7, Outcome: Served, Took: time.Second, Count: 1})
-	if again, ok := first[Send](acts); !ok || again.Worker != s.Worker {
+	acts = b.do(LoadOrderEnded{Worker: s.Worker, Function: 7, Outcome: Served, Duration: time.Second, Instances: 1})
+	if again, ok := first[SendAttempt](acts); !ok || again.Worker != s.Worker {
 		t.Errorf("after the load: %v", acts)
 	}
 }
 
 func TestLoadOrdersAreRationed(t *testing.T) {
 	cfg := config()
-	cfg.MissWhenCold, cfg.MayOrder, cfg.WarmNotes = true, true, false
-	cfg.LoadWindow, cfg.LoadFree, cfg.LoadShare = 10*time.Second, 2, 0.1
+	cfg.MissWhenNotLoaded, cfg.AllowLoadOrders, cfg.InstanceStatusInAnswers = true, true, false
+	cfg.LoadOrderWindow, cfg.LoadOrderAllowance, cfg.LoadOrdersPerRequest = 10*time.Second, 2, 0.1
 	b := newBed(t, cfg, 8)
 	orders := 0
 	for f := FunctionID(1); f <= 9; f++ {
 		id, acts := b.arrive(0, f)
-		s, ok := first[Send](acts)
+		s, ok := first[SendAttempt](acts)
 		for n := 0; ok; n++ {
-			acts = b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Missed})
-			if has[OrderLoad](acts) {
+			acts = b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: FunctionNotLoaded})
+			if has[LoadInstance](acts) {
 				orders++
 				break
 			}
-			s, ok = first[Send](acts)
+			s, ok = first[SendAttempt](acts)
 		}
 	}
 	if orders != 2 {
@@ -363,21 +363,21 @@
 func TestColdWorkerGetsNoMoreThanItsBudget(t *testing.T) {
 	b := newBed(t, config(), 5)
 	for range 200 { // 10 a second over 5 workers
-		b.serve(FunctionID(b.now%50), 100*ms, WasWarm)
+		b.serve(FunctionID(b.now%50), 100*ms, InstanceWarm)
 		if b.now%time.Second < 100*ms {
 			b.do(TimerFired{Token: beatToken})
 		}
 	}
-	b.do(WorkerList{Workers: []WorkerEntry{{Worker: 1, State: Ready, Started: b.now}}})
+	b.do(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Ready, StartedAt: b.now}}})
 	sent := 0
 	for f := FunctionID(1000); f < 1400; f++ {
 		id, acts := b.arrive(0, f)
-		s, ok := first[Send](acts)
+		s, ok := first[SendAttempt](acts)
 		for n := 0; ok; n++ {
 			if s.Worker == 1 {
 				sent++
 			}
-			s, ok = first[Send](b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Errored}))
+			s, ok = first[SendAttempt](b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Errored}))
 		}
 	}
 	// A share of 0.2 at a multiple of 2 allows 0.4 of the mean: 2.4 of 6 in the 3 s window.
@@ -390,25 +390,25 @@
 func TestManyDispatchersTogetherSpareAColdWorker(t *testing.T) {
 	const peers, workers, each = 100, 10, 30 // calls of each dispatcher in 10 s
 	cfg := config()
-	cfg.Peers = peers
+	cfg.RouterCount = peers
 	sent := 0
 	for n := range peers {
 		b := newBed(t, cfg, workers)
 		b.p.rng = rand.New(rand.NewPCG(uint64(n), 1))
 		for k := range each {
-			b.serve(FunctionID(k), 300*ms, WasWarm)
+			b.serve(FunctionID(k), 300*ms, InstanceWarm)
 			b.now += 33 * ms
 		}
-		b.do(WorkerList{Workers: []WorkerEntry{{Worker: 1, State: Ready, Started: b.now}}})
+		b.do(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Ready, StartedAt: b.now}}})
 		for f := FunctionID(1000); f < 1009; f++ { // 3 s of calls for functions that stand nowhere
 			b.now += 333 * ms
 			id, acts := b.arrive(0, f)
-			s, ok := first[Send](acts)
+			s, ok := first[SendAttempt](acts)
 			for try := 0; ok; try++ {
 				if s.Worker == 1 {
 					sent++
 				}
-				s, ok = first[Send](b.do(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Errored}))
+				s, ok = first[SendAttempt](b.do(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Errored}))
 			}
 		}
 	}
@@ -422,19 +422,19 @@
 func TestExtrasCostTheSameACallAtAnySize(t *testing.T) {
 	perCall := func(peers, calls int) (probes, receivers float64) {
 		cfg := config()
-		cfg.Peers, cfg.MayTell = peers, true
+		cfg.RouterCount, cfg.AllowGossip = peers, true
 		b := newBed(t, cfg, 40)
 		gap := 20 * time.Second / time.Duration(calls)
 		for n := range calls {
-			b.serve(FunctionID(n%30), 10*ms, WasWarm)
+			b.serve(FunctionID(n%30), 10*ms, InstanceWarm)
 			for left := gap - 10*ms; left > 0; left -= beat {
 				b.now += min(left, beat)
 				for _, a := range b.do(TimerFired{Token: beatToken}) {
 					switch a := a.(type) {
-					case Probe:
+					case ProbeWorker:
 						probes++
-						b.do(Probed{Worker: a.Worker})
-					case Tell:
+						b.do(ProbeEnded{Worker: a.Worker})
+					case SendGossip:
 						receivers += float64(peers - 1)
 					}
 				}
@@ -456,13 +456,13 @@
 func TestCallsWaitForTheLoadAtTheFirstHome(t *testing.T) {
 	for peers := 1; peers <= 4; peers++ {
 		cfg := config()
-		cfg.Peers = peers
+		cfg.RouterCount = peers
 		b := newBed(t, cfg, 6)
 		b.p.rate = 6 * float64(rateSpan) // all are at work, so one function deserves one home
 		at := map[WorkerID]int{}
 		for range 4 { // as many as a copy serves at a time
 			_, acts := b.arrive(0, 7)
-			s, ok := first[Send](acts)
+			s, ok := first[SendAttempt](acts)
 			if !ok {
 				t.Fatalf("%d dispatchers: not sent: %v", peers, acts)
 			}
@@ -478,7 +478,7 @@
 // A hot function needs many workers, and no dispatcher sees more than a call of it now and then.
 func TestHotFunctionSpreadsAndRareOneStays(t *testing.T) {
 	cfg := config()
-	cfg.Peers = 50
+	cfg.RouterCount = 50
 	hot, rare := map[WorkerID]bool{}, map[WorkerID]bool{}
 	for n := range uint64(50) {
 		b := newBed(t, cfg, 20)
@@ -489,14 +489,14 @@
 				f = 7 // a third of all work: a third of the fleet
 			}
 			b.now += 300 * ms
-			w := b.serve(f, 30*ms, WasWarm)
+			w := b.serve(f, 30*ms, InstanceWarm)
 			b.p.workers[w].copies[f].warmUntil = b.now // as a dispatcher that has just lost sight of it
 			if k > 15 && f == 7 {
 				hot[w] = true
 			}
 		}
 		b.now += time.Minute
-		rare[b.serve(9, 30*ms, WasWarm)] = true
+		rare[b.serve(9, 30*ms, InstanceWarm)] = true
 	}
 	if len(hot) < 4 || len(hot) > 14 {
 		t.Errorf("a third of all work went to %d of 20 workers", len(hot))
@@ -510,14 +510,14 @@
 func TestOthersQueuesShowInTheScore(t *testing.T) {
 	b := newBed(t, config(), 6)
 	for range 10 {
-		b.serve(7, 100*ms, WasWarm)
+		b.serve(7, 100*ms, InstanceWarm)
 	}
-	w := b.serve(7, 100*ms, WasWarm)
-	b.serve(7, 900*ms, WasWarm)
-	b.serve(7, 900*ms, WasWarm)
+	w := b.serve(7, 100*ms, InstanceWarm)
+	b.serve(7, 900*ms, InstanceWarm)
+	b.serve(7, 900*ms, InstanceWarm)
 	other := b.p.workers[w%6+1]
 	other.instance(7).warmUntil = b.now + time.Minute // a second copy stands
-	if got := b.serve(7, 100*ms, WasWarm); got != other.Worker {
+	if got := b.serve(7, 100*ms, InstanceWarm); got != other.Worker {
 		t.Errorf("sent to %d again after two late answers", got)
 	}
 	before := b.p.queueing(b.p.workers[w], 0)
@@ -525,7 +525,7 @@
 		t.Errorf("late answers predict %v, nothing known %v", before, idle)
 	}
 	b.now += 20 * time.Second
-	b.do(Probed{Worker: w})
+	b.do(ProbeEnded{Worker: w})
 	if after := b.p.queueing(b.p.workers[w], 0); after > before/10 {
 		t.Errorf("a queue is still believed in after 20 s: %v of %v", after, before)
 	}
@@ -534,11 +534,11 @@
 // Reports tell of others' queues even where no late answer did, and absurd ones tell nothing.
 func TestReportsShowOthersQueues(t *testing.T) {
 	cfg := config()
-	cfg.ReportFields, cfg.ReportInline = []string{"inflight", "queue"}, true
+	cfg.LoadReportFields, cfg.InlineLoadReports = []string{"inflight", "queue"}, true
 	b := newBed(t, cfg, 4)
 	for k := range 20 { // 10 waiting mean 300 ms
 		id, acts := b.arrive(0, 7)
-		s, ok := first[Send](acts)
+		s, ok := first[SendAttempt](acts)
 		if !ok {
 			t.Fatal("not sent")
 		}
@@ -548,29 +548,29 @@
 			took, queue = 400*ms, 10
 		}
 		b.now += took
-		b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: took,
-			Report: []float64{queue + 3, queue}})
+		b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, InstanceStatus: InstanceWarm, RequestClosed: true, Duration: took,
+			LoadReport: []float64{queue + 3, queue}})
 	}
 	b.now += time.Minute
-	b.do(Probed{Worker: 1, Report: []float64{33, 30}})
-	b.do(Probed{Worker: 2, Report: []float64{3, 0}})
+	b.do(ProbeEnded{Worker: 1, LoadReport: []float64{33, 30}})
+	b.do(ProbeEnded{Worker: 2, LoadReport: []float64{3, 0}})
 	full, idle := b.p.queueing(b.p.workers[1], 0), b.p.queueing(b.p.workers[2], 0)
 	if full < idle+float64(150*ms) {
 		t.Errorf("30 waiting predict %v, none %v", full, idle)
 	}
 	before := b.p.queueing(b.p.workers[3], 0)
 	for _, r := range [][]float64{nil, {1}, {math.NaN(), math.NaN()}, {-5, -5}, {math.Inf(-1), math.Inf(-1)}} {
-		b.do(Probed{Worker: 3, Report: r})
+		b.do(ProbeEnded{Worker: 3, LoadReport: r})
 	}
 	if got := b.p.queueing(b.p.workers[3], 0); got != before {
 		t.Errorf("absurd reports predict %v", got)
 	}
-	b.do(Probed{Worker: 3, Report: []float64{1e300, 1e300}})
+	b.do(ProbeEnded{Worker: 3, LoadReport: []float64{1e300, 1e300}})
 	if got := b.p.queueing(b.p.workers[3], 0); got > clip*float64(400*ms) {
 		t.Errorf("a report far off predicts %v", got)
 	}
 	b.now += time.Minute
-	b.do(Probed{Worker: 3, Report: []float64{3, 0}})
+	b.do(ProbeEnded{Worker: 3, LoadReport: []float64{3, 0}})
 	if got := b.p.queueing(b.p.workers[3], 0); got > float64(50*ms) {
 		t.Errorf("a report far off is still believed after a minute: %v", got)
 	}
@@ -580,7 +580,7 @@
 // others, move their sum of sends off it within seconds and come back after.
 func TestCallsMoveOffAFullHomeAndBack(t *testing.T) {
 	cfg := config()
-	cfg.Peers, cfg.WarmNotes = 60, false
+	cfg.RouterCount, cfg.InstanceStatusInAnswers = 60, false
 	var beds []*bed
 	for n := range uint64(60) {
 		b := newBed(t, cfg, 20)
@@ -600,7 +600,7 @@
 				b.do(TimerFired{Token: beatToken})
 				id, acts := b.arrive(0, f)
 				for try := 0; try < 3; try++ {
-					s, ok := first[Send](acts)
+					s, ok := first[SendAttempt](acts)
 					if !ok {
 						break
 					}
@@ -613,11 +613,11 @@
 					}
 					if f == 7 && full && s.Worker == home {
 						b.now += 5 * ms
-						acts = b.do(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Full, Took: 5 * ms})
+						acts = b.do(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: WorkerOverloaded, Duration: 5 * ms})
 						continue
 					}
 					b.now += 60 * ms
-					b.do(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Served, Closed: true, Took: 60 * ms})
+					b.do(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Served, RequestClosed: true, Duration: 60 * ms})
 					break
 				}
 			}
@@ -655,34 +655,34 @@
 func TestOwnStallIsNotTheWorkersSilence(t *testing.T) {
 	b := newBed(t, config(), 4)
 	for range 8 {
-		b.serve(7, 100*ms, WasWarm)
+		b.serve(7, 100*ms, InstanceWarm)
 	}
 	id, acts := b.arrive(0, 7)
-	s, _ := first[Send](acts)
+	s, _ := first[SendAttempt](acts)
 	due, _ := b.arrive(2, 7)
 	b.now += 3999 * ms // beyond the time to answer the second, whose worker has not
 	probes := 0
 	for _, a := range b.do(TimerFired{Token: beatToken}) {
-		if _, ok := a.(Probe); ok {
+		if _, ok := a.(ProbeWorker); ok {
 			probes++
 		}
 	}
 	if probes > 4 {
 		t.Errorf("%d probes of 4 workers in one turn", probes)
 	}
-	if acts := b.do(TimerFired{Token: doneToken + uint64(due)}); !has[Fail](acts) {
+	if acts := b.do(TimerFired{Token: doneToken + uint64(due)}); !has[FailRequest](acts) {
 		t.Errorf("an unsafe call that may have run is not failed when due: %v", acts)
 	}
-	b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: 100 * ms})
+	b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, InstanceStatus: InstanceWarm, RequestClosed: true, Duration: 100 * ms})
 	for _, w := range b.p.fleet {
 		if w.probing {
-			b.do(Probed{Worker: w.Worker, Took: 2 * ms})
+			b.do(ProbeEnded{Worker: w.Worker, Duration: 2 * ms})
 		}
 		if b.p.looksBad(w) {
 			t.Errorf("worker %d is set aside", w.Worker)
 		}
 	}
-	if got := b.serve(7, 100*ms, WasWarm); got != s.Worker {
+	if got := b.serve(7, 100*ms, InstanceWarm); got != s.Worker {
 		t.Errorf("the warm worker %d is left for %d", s.Worker, got)
 	}
 }
@@ -691,8 +691,8 @@
 func TestFullAnswerBeganNoLoad(t *testing.T) {
 	b := newBed(t, config(), 3)
 	id, acts := b.arrive(0, 7)
-	s, _ := first[Send](acts)
-	b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Full, Took: ms})
+	s, _ := first[SendAttempt](acts)
+	b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: WorkerOverloaded, Duration: ms})
 	if w := b.p.workers[s.Worker]; !b.p.cold(w, b.p.reqs[id]) {
 		t.Errorf("a load is thought under way: %v left", b.p.loadLeft(w, b.p.reqs[id]))
 	}
@@ -701,15 +701,15 @@
 // What others queue at the one worker that has the function makes less worthy calls give way there, and only there.
 func TestShedsWhereOthersQueue(t *testing.T) {
 	cfg := config()
-	cfg.Peers = 50
+	cfg.RouterCount = 50
 	b := newBed(t, cfg, 2)
 	sent := func(w *worker, f FunctionID) (n int) {
 		w.instance(f).warmUntil = b.now + time.Minute
 		for range 100 {
 			id, acts := b.arrive(0, f)
-			if has[Send](acts) {
+			if has[SendAttempt](acts) {
 				n++
-				b.do(AttemptEnded{Request: id, Worker: w.Worker, Outcome: Cancelled, Closed: true})
+				b.do(AttemptEnded{Request: id, Worker: w.Worker, Outcome: Cancelled, RequestClosed: true})
 			}
 		}
 		return n
@@ -729,18 +729,18 @@
 
 // What no worker can take any more is answered in the same call, long before its deadline, not held.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
-	final := func(acts []Action) bool { return has[Refuse](acts) || has[Fail](acts) }
+	final := func(acts []Action) bool { return has[RefuseRequest](acts) || has[FailRequest](acts) }
 	t.Run("all turned it away", func(t *testing.T) {
 		b := newBed(t, config(), 3)
 		id, acts := b.arrive(0, 7)
 		for n := range 3 {
-			s, ok := first[Send](acts)
+			s, ok := first[SendAttempt](acts)
 			if !ok {
 				t.Fatalf("attempt %d not sent: %v", n, acts)
 			}
-			acts = b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Full})
+			acts = b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: WorkerOverloaded})
 		}
-		if !has[Refuse](acts) {
+		if !has[RefuseRequest](acts) {
 			t.Errorf("not refused: %v", acts)
 		}
 	})
@@ -748,17 +748,17 @@
 		b := newBed(t, config(), 9)
 		id, acts := b.arrive(0, 7)
 		for n := range 5 {
-			s, _ := first[Send](acts)
-			acts = b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Full})
+			s, _ := first[SendAttempt](acts)
+			acts = b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: WorkerOverloaded})
 		}
-		if !has[Refuse](acts) {
+		if !has[RefuseRequest](acts) {
 			t.Errorf("not refused: %v", acts)
 		}
 	})
 	t.Run("keyed window past", func(t *testing.T) {
 		b := newBed(t, config(), 9)
 		id, acts := b.arrive(1, 7)
-		s, _ := first[Send](acts)
+		s, _ := first[SendAttempt](acts)
 		b.now += 1200 * ms
 		if acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored}); !final(acts) {
 			t.Errorf("held: %v", acts)
@@ -767,8 +767,8 @@
 	t.Run("keyed window past, no worker listed", func(t *testing.T) {
 		b := newBed(t, config(), 1)
 		id, acts := b.arrive(1, 7)
-		s, _ := first[Send](acts)
-		b.do(WorkerList{Kind: ListWhole})
+		s, _ := first[SendAttempt](acts)
+		b.do(EndpointUpdate{Kind: FullUpdate})
 		b.now += 1200 * ms
 		if acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored}); !final(acts) {
 			t.Errorf("held: %v", acts)
@@ -777,12 +777,12 @@
 	t.Run("gate shut for longer than the client waits", func(t *testing.T) {
 		b := newBed(t, config(), 3)
 		b.p.gate = b.now + 1500*ms
-		b.do(WorkerList{Kind: ListWhole, Workers: []WorkerEntry{{Worker: 9, State: Ready}}})
-		b.p.cfg.Peers = 1
-		if acts := b.do(Arrived{Request: 77, Function: 3, LoadTime: time.Second, Left: 1400 * ms}); !final(acts) {
+		b.do(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Worker: 9, State: Ready}}})
+		b.p.cfg.RouterCount = 1
+		if acts := b.do(RequestArrived{Request: 77, Function: 3, LoadTime: time.Second, TimeLeft: 1400 * ms}); !final(acts) {
 			t.Errorf("held: %v", acts)
 		}
-		if acts := b.do(Arrived{Request: 78, Function: 3, LoadTime: time.Second, Left: 4 * time.Second}); final(acts) || has[Send](acts) {
+		if acts := b.do(RequestArrived{Request: 78, Function: 3, LoadTime: time.Second, TimeLeft: 4 * time.Second}); final(acts) || has[SendAttempt](acts) {
 			t.Errorf("not held though the gate opens in time: %v", acts)
 		}
 	})
@@ -792,9 +792,9 @@
 		if final(acts) {
 			t.Fatalf("not held: %v", acts)
 		}
-		b.do(WorkerList{Kind: ListWhole, Workers: []WorkerEntry{{Worker: 1, State: Ready}}})
+		b.do(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Worker: 1, State: Ready}}})
 		b.now += beat
-		if s, ok := first[Send](b.do(TimerFired{Token: beatToken})); !ok || s.Request != id {
+		if s, ok := first[SendAttempt](b.do(TimerFired{Token: beatToken})); !ok || s.Request != id {
 			t.Error("not sent once a worker is listed")
 		}
 	})
@@ -804,14 +804,14 @@
 func TestRefusalsTellWhenToComeBack(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		cfg := config()
-		cfg.RetryAfter, cfg.MaxRetryAfter = allowed, 300*ms
+		cfg.AllowRetryAfter, cfg.MaxRetryAfter = allowed, 300*ms
 		for _, delay := range []time.Duration{150 * ms, 900 * ms} {
 			b := newBed(t, cfg, 3)
 			b.p.standing, b.p.lastTrial = float64(delay), b.now
 			waits := map[time.Duration]bool{}
 			for range 100 {
 				_, acts := b.arrive(0, 7)
-				if r, ok := first[Refuse](acts); ok {
+				if r, ok := first[RefuseRequest](acts); ok {
 					waits[r.RetryAfter] = true
 					if allowed != (r.RetryAfter > 0) || r.RetryAfter > cfg.MaxRetryAfter {
 						t.Fatalf("allowed %v, delay %v: told to come back after %v", allowed, delay, r.RetryAfter)
@@ -828,19 +828,19 @@
 // One class failing at a worker that serves the rest: its calls go elsewhere, the others stay, and it is tried again.
 func TestFailuresOfOneClassMoveOnlyThatClass(t *testing.T) {
 	b := newBed(t, config(), 5)
-	w := b.serve(7, 1100*ms, BeganLoad)
+	w := b.serve(7, 1100*ms, LoadStarted)
 	for range 2 {
 		id, acts := b.arrive(1, 7)
-		s, _ := first[Send](acts)
-		b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored, Took: 5 * ms})
-		b.do(Abandoned{Request: id})
+		s, _ := first[SendAttempt](acts)
+		b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored, Duration: 5 * ms})
+		b.do(ClientCancelled{Request: id})
 	}
-	if _, acts := b.arrive(1, 7); has[Send](acts) {
-		if s, _ := first[Send](acts); s.Worker == w {
+	if _, acts := b.arrive(1, 7); has[SendAttempt](acts) {
+		if s, _ := first[SendAttempt](acts); s.Worker == w {
 			t.Error("the failing class goes on at the worker")
 		}
 	}
-	if got := b.serve(7, 80*ms, WasWarm); got != w {
+	if got := b.serve(7, 80*ms, InstanceWarm); got != w {
 		t.Errorf("the other class left for %d", got)
 	}
 	b.now += 30 * time.Second
@@ -850,8 +850,8 @@
 			delete(x.copies, 7)
 		}
 	}
-	if _, acts := b.arrive(1, 7); has[Send](acts) {
-		if s, _ := first[Send](acts); s.Worker != w {
+	if _, acts := b.arrive(1, 7); has[SendAttempt](acts) {
+		if s, _ := first[SendAttempt](acts); s.Worker != w {
 			t.Error("the worker is shut out for the class")
 		}
 	}
@@ -861,15 +861,15 @@
 // that do not exist, and have each worker called unfit in turn.
 func TestCallsOfUnknownFunctionsBlameNoWorker(t *testing.T) {
 	b := newBed(t, config(), 4)
-	at := b.serve(7, 80*ms, WasWarm)
+	at := b.serve(7, 80*ms, InstanceWarm)
 	for f := FunctionID(100); f < 110; f++ {
 		id, acts := b.arrive(0, f)
 		for n := 0; ; n++ { // at one worker after another
-			s, ok := first[Send](acts)
+			s, ok := first[SendAttempt](acts)
 			if !ok {
 				break
 			}
-			acts = b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Errored, Took: ms})
+			acts = b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Errored, Duration: ms})
 		}
 	}
 	for _, w := range b.p.fleet {
@@ -878,10 +878,10 @@
 		}
 	}
 	id, acts := b.arrive(0, 7)
-	if s, _ := first[Send](acts); s.Worker != at {
+	if s, _ := first[SendAttempt](acts); s.Worker != at {
 		t.Errorf("the warm worker %d is left for %d", at, s.Worker)
 	}
-	b.do(AttemptEnded{Request: id, Worker: at, Outcome: Errored, Took: ms})
+	b.do(AttemptEnded{Request: id, Worker: at, Outcome: Errored, Duration: ms})
 	if b.p.workers[at].fails[0].now(b.now) == 0 {
 		t.Error("an error to a call of a function that was served counts for nothing")
 	}
@@ -891,29 +891,29 @@
 func TestUnansweredClassLeavesItsWorker(t *testing.T) {
 	for _, given := range []bool{false, true} { // up, by the client
 		cfg := config()
-		cfg.MayProbe = false
+		cfg.AllowProbes = false
 		b := newBed(t, cfg, 4)
-		at := b.serve(7, 80*ms, WasWarm)
+		at := b.serve(7, 80*ms, InstanceWarm)
 		id, acts := b.arrive(2, 7)
-		if s, _ := first[Send](acts); s.Worker != at {
+		if s, _ := first[SendAttempt](acts); s.Worker != at {
 			t.Fatalf("warm at %d, sent to %d", at, s.Worker)
 		}
 		start := b.now
 		for range 30 {
-			b.serve(7, 80*ms, WasWarm)
+			b.serve(7, 80*ms, InstanceWarm)
 		}
 		if given {
-			b.do(Abandoned{Request: id})
+			b.do(ClientCancelled{Request: id})
 		} else {
 			b.now = start + 4*time.Second - 2*cfg.Tick
 			b.do(TimerFired{Token: doneToken + uint64(id)})
 		}
-		b.do(AttemptEnded{Request: id, Worker: at, Outcome: Cancelled, Closed: true, Took: b.now - start})
-		if got := b.serve(7, 80*ms, WasWarm); got != at {
+		b.do(AttemptEnded{Request: id, Worker: at, Outcome: Cancelled, RequestClosed: true, Duration: b.now - start})
+		if got := b.serve(7, 80*ms, InstanceWarm); got != at {
 			t.Errorf("given up by the client %v: the class that is served left for %d", given, got)
 		}
 		_, acts = b.arrive(2, 7)
-		if s, _ := first[Send](acts); (s.Worker == at) != given {
+		if s, _ := first[SendAttempt](acts); (s.Worker == at) != given {
 			t.Errorf("given up by the client %v: the next call went to %d from %d", given, s.Worker, at)
 		}
 	}
@@ -923,12 +923,12 @@
 func TestShortOfTimeIsSentToALikelyWarmHome(t *testing.T) {
 	for left, want := range map[time.Duration]bool{20 * ms: false, 300 * ms: true} { // no run ends in 20 ms
 		cfg := config()
-		cfg.Peers = 40
+		cfg.RouterCount = 40
 		b := newBed(t, cfg, 5)
-		b.serve(7, 100*ms, WasWarm)
+		b.serve(7, 100*ms, InstanceWarm)
 		b.p.lastTrial = b.now
-		acts := b.do(Arrived{Request: 99, Function: 8, LoadTime: time.Second, Left: left})
-		if has[Send](acts) != want {
+		acts := b.do(RequestArrived{Request: 99, Function: 8, LoadTime: time.Second, TimeLeft: left})
+		if has[SendAttempt](acts) != want {
 			t.Errorf("%v left: %v", left, acts)
 		}
 	}
@@ -937,16 +937,16 @@
 // While loads fail, what most likely stands at its home is served; only a further attempt may begin no load.
 func TestGateLetsLikelyWarmHomesPass(t *testing.T) {
 	cfg := config()
-	cfg.Peers = 40
+	cfg.RouterCount = 40
 	b := newBed(t, cfg, 5)
-	b.serve(7, 100*ms, WasWarm)
+	b.serve(7, 100*ms, InstanceWarm)
 	b.p.failed, b.p.gate = 1, b.now+time.Second
 	id, acts := b.arrive(0, 8)
-	s, ok := first[Send](acts)
+	s, ok := first[SendAttempt](acts)
 	if !ok {
 		t.Fatalf("a call to a likely warm home is held: %v", acts)
 	}
-	if acts := b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored, Note: LoadFailed}); has[Send](acts) {
+	if acts := b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored, InstanceStatus: LoadFailed}); has[SendAttempt](acts) {
 		t.Error("a further attempt began another load")
 	}
 }
@@ -954,21 +954,21 @@
 // An answer lost by a reset is not a dead process.
 func TestResetCallsForAProbeAndEndsNoBelief(t *testing.T) {
 	b := newBed(t, config(), 5)
-	w := b.serve(7, 1100*ms, BeganLoad)
+	w := b.serve(7, 1100*ms, LoadStarted)
 	id, _ := b.arrive(2, 7)
-	acts := b.do(AttemptEnded{Request: id, Worker: w, Outcome: Reset})
-	if pr, ok := first[Probe](acts); !ok || pr.Worker != w {
+	acts := b.do(AttemptEnded{Request: id, Worker: w, Outcome: ConnectionReset})
+	if pr, ok := first[ProbeWorker](acts); !ok || pr.Worker != w {
 		t.Fatalf("no probe of the worker: %v", acts)
 	}
-	b.do(Probed{Worker: w})
+	b.do(ProbeEnded{Worker: w})
 	if b.p.looksBad(b.p.workers[w]) || b.p.workers[w].copies[7].warmUntil <= b.now {
 		t.Error("a living worker is set aside or thought empty")
 	}
 	b.now += ms
-	b.do(Probed{Worker: 999}) // the clock goes on
+	b.do(ProbeEnded{Worker: 999}) // the clock goes on
 	b.p.probe(b.p.workers[w])
 	b.now += time.Second
-	b.do(Probed{Worker: w, Outcome: TimedOut})
+	b.do(ProbeEnded{Worker: w, Outcome: TimedOut})
 	if !b.p.looksBad(b.p.workers[w]) {
 		t.Error("a worker that answers no probe is still used")
 	}
@@ -977,10 +977,10 @@
 // A first answer to a call with a tiny hint must not multiply all later estimates.
 func TestHintsAreBelievedUntilAnswersAddUp(t *testing.T) {
 	b := newBed(t, config(), 3)
-	b.do(Arrived{Request: 99, Function: 7, LoadTime: time.Second, Work: ms, Left: 4 * time.Second})
+	b.do(RequestArrived{Request: 99, Function: 7, LoadTime: time.Second, WorkHint: ms, TimeLeft: 4 * time.Second})
 	r := b.p.reqs[99]
-	b.do(AttemptEnded{Request: 99, Worker: r.attempts[0].w.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: 150 * ms})
-	if got := b.p.run(&request{Arrived: Arrived{Work: 100 * ms}, fn: r.fn}); got > float64(200*ms) {
+	b.do(AttemptEnded{Request: 99, Worker: r.attempts[0].w.Worker, Outcome: Served, InstanceStatus: InstanceWarm, RequestClosed: true, Duration: 150 * ms})
+	if got := b.p.run(&request{RequestArrived: RequestArrived{WorkHint: 100 * ms}, fn: r.fn}); got > float64(200*ms) {
 		t.Errorf("a hint of 100 ms counts as %v", time.Duration(got))
 	}
 }
@@ -988,20 +988,20 @@
 // A tenant within its share must not look beyond it by chance, however few calls of it a dispatcher gets.
 func TestTenantWithinItsShareIsNotOver(t *testing.T) {
 	cfg := config()
-	cfg.Peers, cfg.Tenants = 100, []Tenant{{PerSecond: 200}}
+	cfg.RouterCount, cfg.Tenants = 100, []Tenant{{QuotaPerSecond: 200}}
 	b := newBed(t, cfg, 5)
 	rng := rand.New(rand.NewPCG(5, 5))
 	over := func(rate float64) (n int) {
 		for range 300 {
 			b.now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 			b.id++
-			b.do(Arrived{Request: b.id, Function: 7, LoadTime: time.Second, Left: 4 * time.Second})
+			b.do(RequestArrived{Request: b.id, Function: 7, LoadTime: time.Second, TimeLeft: 4 * time.Second})
 			r := b.p.reqs[b.id]
 			if r == nil || r.over {
 				n++
 			}
 			if r != nil && len(r.attempts) > 0 {
-				b.do(AttemptEnded{Request: b.id, Worker: r.attempts[0].w.Worker, Note: WasWarm, Closed: true, Took: 50 * ms})
+				b.do(AttemptEnded{Request: b.id, Worker: r.attempts[0].w.Worker, InstanceStatus: InstanceWarm, RequestClosed: true, Duration: 50 * ms})
 			}
 		}
 		return n
@@ -1017,9 +1017,9 @@
 // A silent worker gives no outcomes: the failed probe is the signal to call off what may be repeated.
 func TestSilentWorkerIsLeftAndItsSafeCallsRescued(t *testing.T) {
 	b := newBed(t, config(), 4)
-	w := b.serve(7, 1100*ms, BeganLoad)
+	w := b.serve(7, 1100*ms, LoadStarted)
 	id, acts := b.arrive(0, 7)
-	if s, _ := first[Send](acts); s.Worker != w {
+	if s, _ := first[SendAttempt](acts); s.Worker != w {
 		t.Fatal("not sent to the warm worker")
 	}
 	probed, called := false, false
@@ -1027,12 +1027,12 @@
 		b.now += beat
 		acts := b.do(TimerFired{Token: beatToken})
 		for _, a := range acts {
-			if pr, ok := a.(Probe); ok {
+			if pr, ok := a.(ProbeWorker); ok {
 				o := Served
 				if pr.Worker == w {
 					probed, o = true, TimedOut
 				}
-				called = called || has[Cancel](b.do(Probed{Worker: pr.Worker, Outcome: o}))
+				called = called || has[CancelAttempt](b.do(ProbeEnded{Worker: pr.Worker, Outcome: o}))
 			}
 		}
 		if called {
@@ -1042,12 +1042,12 @@
 	if !probed || !called {
 		t.Fatalf("probed %v, called off %v", probed, called)
 	}
-	again, ok := first[Send](b.do(AttemptEnded{Request: id, Worker: w, Outcome: Cancelled}))
+	again, ok := first[SendAttempt](b.do(AttemptEnded{Request: id, Worker: w, Outcome: Cancelled}))
 	if !ok || again.Worker == w {
 		t.Errorf("rescued call: %v %v", again, ok)
 	}
-	if _, acts := b.arrive(2, 9); has[Send](acts) {
-		if s, _ := first[Send](acts); s.Worker == w {
+	if _, acts := b.arrive(2, 9); has[SendAttempt](acts) {
+		if s, _ := first[SendAttempt](acts); s.Worker == w {
 			t.Error("an unsafe call went to the silent worker")
 		}
 	}
@@ -1056,12 +1056,12 @@
 // A dispatcher that restarts knows only a list: the others tell it where instances stand.
 func TestToldInstancesAreUsed(t *testing.T) {
 	cfg := config()
-	cfg.MayTell, cfg.Peers = true, 2
+	cfg.AllowGossip, cfg.RouterCount = true, 2
 	a, b := newBed(t, cfg, 8), newBed(t, cfg, 8)
 	for f := FunctionID(1); f <= 12; f++ {
-		w := a.serve(f, 1100*ms, BeganLoad)
+		w := a.serve(f, 1100*ms, LoadStarted)
 		a.now += beat
-		news, ok := first[Tell](a.do(TimerFired{Token: beatToken}))
+		news, ok := first[SendGossip](a.do(TimerFired{Token: beatToken}))
 		if !ok || len(news.Data) > 256 {
 			t.Fatalf("told %v %d", ok, len(news.Data))
 		}
@@ -1070,18 +1070,18 @@
 		}
 		w = w%8 + 1 // not where b would look by itself
 		news.Data[7] = byte(w)
-		b.do(Told{Data: news.Data})
-		if got := b.serve(f, 80*ms, WasWarm); got != w {
+		b.do(GossipReceived{Data: news.Data})
+		if got := b.serve(f, 80*ms, InstanceWarm); got != w {
 			t.Errorf("function %d stands at %d, sent to %d", f, w, got)
 		}
 	}
-	b.do(Told{Data: []byte("short and odd, not a whole number of entries")})
+	b.do(GossipReceived{Data: []byte("short and odd, not a whole number of entries")})
 }
 
 // In overload a call that must wait for a load is late at best and gives way before one that is warm.
 func TestLateAtBestGivesWayFirst(t *testing.T) {
 	b := newBed(t, config(), 4)
-	b.serve(7, 1100*ms, BeganLoad)
+	b.serve(7, 1100*ms, LoadStarted)
 	sent := map[FunctionID]int{}
 	for n := range 200 {
 		b.p.standing = float64(220 * ms)
@@ -1090,9 +1090,9 @@
 			f = FunctionID(1000 + n)
 		}
 		id, acts := b.arrive(2, f)
-		if s, ok := first[Send](acts); ok {
+		if s, ok := first[SendAttempt](acts); ok {
 			sent[min(f, 8)]++
-			b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: BeganLoad, Closed: true, Took: 900 * ms})
+			b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, InstanceStatus: LoadStarted, RequestClosed: true, Duration: 900 * ms})
 		}
 	}
 	if sent[7] < sent[8]+15 {
@@ -1111,10 +1111,10 @@
 			acts = append(acts, b.do(TimerFired{Token: beatToken})...)
 		}
 		for _, a := range acts {
-			if s, ok := a.(Send); ok {
+			if s, ok := a.(SendAttempt); ok {
 				begun++
 				n := len(b.p.reqs[s.Request].attempts) - 1
-				b.do(AttemptEnded{Request: s.Request, Attempt: n, Worker: s.Worker, Outcome: Errored, Note: LoadFailed})
+				b.do(AttemptEnded{Request: s.Request, Attempt: n, Worker: s.Worker, Outcome: Errored, InstanceStatus: LoadFailed})
 			}
 		}
 	}
@@ -1125,16 +1125,16 @@
 	b.do(TimerFired{Token: beatToken})
 	b.p.held = nil
 	b.now += 2 * time.Second
-	b.serve(500, time.Second, BeganLoad)
-	b.serve(501, time.Second, BeganLoad) // one success opens the gate
-	b.serve(502, time.Second, BeganLoad)
+	b.serve(500, time.Second, LoadStarted)
+	b.serve(501, time.Second, LoadStarted) // one success opens the gate
+	b.serve(502, time.Second, LoadStarted)
 }
 
 // Work that takes a good part of its wanted time is not a queue: on idle workers nothing gives way to it.
 func TestLongRunsAreNoStandingDelay(t *testing.T) {
 	b := newBed(t, config(), 4)
 	for range 200 {
-		b.serve(7, 280*ms, WasWarm) // of 400 ms wanted
+		b.serve(7, 280*ms, InstanceWarm) // of 400 ms wanted
 	}
 	if d := time.Duration(b.p.standing); d > 100*ms { // a quarter of the wanted time: where giving way begins
 		t.Errorf("a standing delay of %v is seen where nothing queues", d)
@@ -1147,9 +1147,9 @@
 	count := func(class int) (sent int) {
 		for range 100 {
 			id, acts := b.arrive(class, 7)
-			if s, ok := first[Send](acts); ok {
+			if s, ok := first[SendAttempt](acts); ok {
 				sent++
-				b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: BeganLoad, Closed: true, Took: 10 * ms})
+				b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, InstanceStatus: LoadStarted, RequestClosed: true, Duration: 10 * ms})
 			}
 		}
 		return sent
@@ -1161,8 +1161,8 @@
 	}
 	for range 200 {
 		id, acts := b.arrive(2, 7)
-		if s, ok := first[Send](acts); ok {
-			b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: 50 * ms})
+		if s, ok := first[SendAttempt](acts); ok {
+			b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, InstanceStatus: InstanceWarm, RequestClosed: true, Duration: 50 * ms})
 		}
 	}
 	if got := count(0); got < 95 {
@@ -1173,15 +1173,15 @@
 func TestAbsurdFiguresPoisonNothing(t *testing.T) {
 	b := newBed(t, config(), 3)
 	id := RequestID(99)
-	b.do(Arrived{Request: id, Function: 7, Lanes: math.NaN(), MemoryMB: math.Inf(1), LoadTime: -time.Hour,
-		Work: math.MaxInt64, Left: time.Second})
-	b.do(AttemptEnded{Request: id, Worker: 1, Outcome: Served, Took: -time.Hour, Report: []float64{math.NaN()}, Closed: true})
-	b.do(LoadEnded{Worker: 77, Function: 5})
-	b.do(Probed{Worker: 77})
+	b.do(RequestArrived{Request: id, Function: 7, Concurrency: math.NaN(), MemoryMB: math.Inf(1), LoadTime: -time.Hour,
+		WorkHint: math.MaxInt64, TimeLeft: time.Second})
+	b.do(AttemptEnded{Request: id, Worker: 1, Outcome: Served, Duration: -time.Hour, LoadReport: []float64{math.NaN()}, RequestClosed: true})
+	b.do(LoadOrderEnded{Worker: 77, Function: 5})
+	b.do(ProbeEnded{Worker: 77})
 	b.do(AttemptEnded{Request: 5000, Attempt: -3})
-	b.do(Arrived{Request: 100, Class: 44, Tenant: -4})
+	b.do(RequestArrived{Request: 100, Class: 44, Tenant: -4})
 	for range 5 {
-		b.serve(7, 100*ms, WasWarm)
+		b.serve(7, 100*ms, InstanceWarm)
 	}
 	for _, w := range b.p.fleet {
 		if v := w.slope.ny + p0(b).run + b.p.loadRatio + b.p.standing; math.IsNaN(v) || math.IsInf(v, 0) {
@@ -1216,7 +1216,7 @@
 func (c *checker) look(now time.Duration, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Send:
+		case SendAttempt:
 			r := c.reqs[a.Request]
 			class := c.cfg.Classes[r.class]
 			risky := r.ran || len(r.open) > 0
@@ -1225,41 +1225,41 @@
 				c.t.Fatalf("%v: send after the final answer of %d", now, a.Request)
 			case c.state[a.Worker] != Ready:
 				c.t.Fatalf("%v: send to worker %d in state %d", now, a.Worker, c.state[a.Worker])
-			case risky && class.Repeat == Unsafe, len(r.open) > 0 && !c.cfg.SecondAttempts:
+			case risky && class.Idempotency == NotIdempotent, len(r.open) > 0 && !c.cfg.AllowHedging:
 				c.t.Fatalf("%v: repeat of %d", now, a.Request)
-			case r.ran && class.Repeat == Keyed && now > r.mayRan+class.Window:
+			case r.ran && class.Idempotency == IdempotentWithKey && now > r.mayRan+class.DedupWindow:
 				c.t.Fatalf("%v: keyed repeat outside the window", now)
 			case len(r.sent) >= c.cfg.MaxAttempts:
 				c.t.Fatalf("%v: too many attempts", now)
 			}
 			r.open[len(r.sent)] = true
 			r.sent, r.sentAt = append(r.sent, a.Worker), append(r.sentAt, now)
-		case Refuse:
+		case RefuseRequest:
 			r := c.reqs[a.Request]
-			if class := c.cfg.Classes[r.class]; (r.ran || len(r.open) > 0) && (class.Repeat == Unsafe ||
-				class.Repeat == Keyed && class.Group != GroupAll) {
+			if class := c.cfg.Classes[r.class]; (r.ran || len(r.open) > 0) && (class.Idempotency == NotIdempotent ||
+				class.Idempotency == IdempotentWithKey && class.DedupScope != DedupFleet) {
 				c.t.Fatalf("%v: refusal of %d, which may have run", now, a.Request)
 			}
 			c.end(now, r)
-		case Fail:
+		case FailRequest:
 			c.end(now, c.reqs[a.Request])
-		case OrderLoad:
+		case LoadInstance:
 			if c.state[a.Worker] != Ready {
 				c.t.Fatalf("%v: order to worker %d in state %d", now, a.Worker, c.state[a.Worker])
 			}
 			c.order = append(c.order, now)
 			n, m := 0, 0
 			for _, at := range c.order {
-				if at >= now-c.cfg.LoadWindow {
+				if at >= now-c.cfg.LoadOrderWindow {
 					n++
 				}
 			}
 			for _, at := range c.took {
-				if at > now-c.cfg.LoadWindow {
+				if at > now-c.cfg.LoadOrderWindow {
 					m++
 				}
 			}
-			if float64(n) > c.cfg.LoadFree+c.cfg.LoadShare*float64(m) {
+			if float64(n) > c.cfg.LoadOrderAllowance+c.cfg.LoadOrdersPerRequest*float64(m) {
 				c.t.Fatalf("%v: %d orders with %d calls", now, n, m)
 			}
 		}
@@ -1283,9 +1283,9 @@
 func randomWorld(t *testing.T, seed uint64, steps int) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	cfg := config()
-	cfg.MissWhenCold, cfg.MayOrder = seed%2 == 0, seed%3 != 0
-	cfg.SecondAttempts, cfg.MayTell = seed%5 == 0, seed%4 == 0
-	cfg.LoadWindow, cfg.LoadFree, cfg.LoadShare = 10*time.Second, 3, 0.2
+	cfg.MissWhenNotLoaded, cfg.AllowLoadOrders = seed%2 == 0, seed%3 != 0
+	cfg.AllowHedging, cfg.AllowGossip = seed%5 == 0, seed%4 == 0
+	cfg.LoadOrderWindow, cfg.LoadOrderAllowance, cfg.LoadOrdersPerRequest = 10*time.Second, 3, 0.2
 	p, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -1297,7 +1297,7 @@
 		token uint64
 	}
 	var timers []timer
-	var loads []OrderLoad
+	var loads []LoadInstance
 	handle := func(ev Event) {
 		acts := p.Handle(now, ev, nil)
 		c.look(now, acts)
@@ -1305,23 +1305,23 @@
 			switch a := a.(type) {
 			case SetTimer:
 				timers = append(timers, timer{now + a.After, a.Token})
-			case OrderLoad:
+			case LoadInstance:
 				loads = append(loads, a)
 			}
 		}
 	}
 	list := func() {
-		l := WorkerList{Kind: ListWhole}
+		l := EndpointUpdate{Kind: FullUpdate}
 		for w := WorkerID(1); w <= 6; w++ {
-			e := WorkerEntry{Worker: w, State: WorkerState(1 + rng.IntN(5)/4), Zone: int(w) % 2}
+			e := Endpoint{Worker: w, State: WorkerState(1 + rng.IntN(5)/4), Zone: int(w) % 2}
 			if rng.IntN(4) == 0 {
-				e.Started = now - time.Duration(rng.IntN(9000))*ms
+				e.StartedAt = now - time.Duration(rng.IntN(9000))*ms
 			}
 			if rng.IntN(6) == 0 {
 				e.State = Gone
 			}
 			c.state[w] = e.State
-			l.Workers = append(l.Workers, e)
+			l.Endpoints = append(l.Endpoints, e)
 		}
 		handle(l)
 	}
@@ -1343,23 +1343,23 @@
 			left := time.Duration(rng.IntN(3000)) * ms
 			c.took = append(c.took, now)
 			c.reqs[next] = &seen{class: rng.IntN(3), deadline: now + left, open: map[int]bool{}}
-			handle(Arrived{Request: next, Class: c.reqs[next].class, Function: FunctionID(rng.IntN(12)), Lanes: 2,
-				LoadTime: 800 * ms, Left: left})
+			handle(RequestArrived{Request: next, Class: c.reqs[next].class, Function: FunctionID(rng.IntN(12)), Concurrency: 2,
+				LoadTime: 800 * ms, TimeLeft: left})
 		case k == 9 && next > 0:
 			if r := c.reqs[1+RequestID(rng.IntN(int(next)))]; !r.final {
 				r.final = true
 				for id, o := range c.reqs {
 					if o == r {
-						handle(Abandoned{Request: id})
+						handle(ClientCancelled{Request: id})
 					}
 				}
 			}
 		case k == 10 && len(loads) > 0:
 			o := loads[0]
 			loads = loads[1:]
-			handle(LoadEnded{Worker: o.Worker, Function: o.Function, Outcome: Outcome(rng.IntN(6)), Took: 900 * ms, Count: rng.IntN(2)})
+			handle(LoadOrderEnded{Worker: o.Worker, Function: o.Function, Outcome: Outcome(rng.IntN(6)), Duration: 900 * ms, Instances: rng.IntN(2)})
 		case k == 11:
-			handle(Probed{Worker: WorkerID(rng.IntN(8)), Outcome: Outcome(rng.IntN(6))})
+			handle(ProbeEnded{Worker: WorkerID(rng.IntN(8)), Outcome: Outcome(rng.IntN(6))})
 		default:
 			id := RequestID(0)
 			for try := range int(next) {
@@ -1376,14 +1376,14 @@
 				if !r.open[n] {
 					continue
 				}
-				o := []Outcome{Served, Served, Errored, Full, TimedOut, Unreachable, Reset, Cancelled, Moot, Missed}[rng.IntN(10)]
+				o := []Outcome{Served, Served, Errored, WorkerOverloaded, TimedOut, Unreachable, ConnectionReset, Cancelled, NotSent, FunctionNotLoaded}[rng.IntN(10)]
 				delete(r.open, n)
 				if !o.NeverRan() && !r.ran {
 					r.ran, r.mayRan = true, r.sentAt[n]
 				}
 				closed := r.final || o == Served
 				r.final = closed
-				handle(AttemptEnded{Request: id, Attempt: n, Worker: r.sent[n], Outcome: o, Closed: closed, Took: now - r.sentAt[n]})
+				handle(AttemptEnded{Request: id, Attempt: n, Worker: r.sent[n], Outcome: o, RequestClosed: closed, Duration: now - r.sentAt[n]})
 				break
 			}
 		}
@@ -1415,8 +1415,8 @@
 	f.Add([]byte{0, 255, 0, 0, 1, 0, 2, 1, 2, 0, 8, 0, 4, 1, 1, 0, 5, 3, 0, 0, 7, 1, 0, 0, 6, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		cfg := config()
-		cfg.MissWhenCold, cfg.MayOrder, cfg.MayTell, cfg.Peers = true, true, true, 3
-		cfg.LoadWindow, cfg.LoadShare, cfg.ListByAsking = time.Second, 0.5, len(data)%2 == 0
+		cfg.MissWhenNotLoaded, cfg.AllowLoadOrders, cfg.AllowGossip, cfg.RouterCount = true, true, true, 3
+		cfg.LoadOrderWindow, cfg.LoadOrdersPerRequest, cfg.RequiresSubscription = time.Second, 0.5, len(data)%2 == 0
 		p, err := New(cfg, 3)
 		if err != nil {
 			t.Fatal(err)
@@ -1430,28 +1430,28 @@
 			var ev Event
 			switch data[0] % 9 {
 			case 0:
-				ev = WorkerList{Kind: ListKind(a % 4), Workers: []WorkerEntry{{Worker: w, State: WorkerState(b % 3),
-					Started: time.Duration(c) * time.Minute}}}
+				ev = EndpointUpdate{Kind: EndpointUpdateKind(a % 4), Endpoints: []Endpoint{{Worker: w, State: WorkerState(b % 3),
+					StartedAt: time.Duration(c) * time.Minute}}}
 				known[w] = true
 			case 1:
-				ev = Arrived{Request: id, Class: int(a%4) - 1, Tenant: int(c) - 9, Function: fn, Lanes: math.NaN(),
-					LoadTime: time.Duration(int64(c)-3) * time.Second, Work: time.Duration(a) * time.Hour,
-					Left: time.Duration(int64(a)-9) * 40 * ms}
+				ev = RequestArrived{Request: id, Class: int(a%4) - 1, Tenant: int(c) - 9, Function: fn, Concurrency: math.NaN(),
+					LoadTime: time.Duration(int64(c)-3) * time.Second, WorkHint: time.Duration(a) * time.Hour,
+					TimeLeft: time.Duration(int64(a)-9) * 40 * ms}
 			case 2:
-				ev = AttemptEnded{Request: id, Attempt: int(a%6) - 1, Worker: w, Outcome: Outcome(c % 9), Note: Note(a % 5),
-					Closed: c%9 == 0, Took: time.Duration(int64(a)-9) * time.Second}
+				ev = AttemptEnded{Request: id, Attempt: int(a%6) - 1, Worker: w, Outcome: Outcome(c % 9), InstanceStatus: InstanceStatus(a % 5),
+					RequestClosed: c%9 == 0, Duration: time.Duration(int64(a)-9) * time.Second}
 			case 3:
-				ev = LoadEnded{Worker: w, Function: fn, Outcome: Outcome(b % 9), Took: -time.Second, Count: int(c) - 9}
+				ev = LoadOrderEnded{Worker: w, Function: fn, Outcome: Outcome(b % 9), Duration: -time.Second, Instances: int(c) - 9}
 			case 4:
-				ev = Probed{Worker: w, Outcome: Outcome(b % 9), Report: []float64{math.NaN(), -1}}
+				ev = ProbeEnded{Worker: w, Outcome: Outcome(b % 9), LoadReport: []float64{math.NaN(), -1}}
 			case 5:
 				ev = TimerFired{Token: uint64(b%16)<<uint(c%40) + uint64(a)}
 			case 6:
 				ev = TimerFired{Token: beatToken}
 			case 7:
-				ev = Told{From: int(a), Data: data}
+				ev = GossipReceived{From: int(a), Data: data}
 			case 8:
-				ev = Abandoned{Request: id}
+				ev = ClientCancelled{Request: id}
 			}
 			before := map[RequestID]bool{}
 			for id, r := range p.reqs {
@@ -1462,18 +1462,18 @@
 				var req RequestID
 				var to WorkerID
 				switch act := act.(type) {
-				case Send:
+				case SendAttempt:
 					req, to = act.Request, act.Worker
-				case Refuse:
+				case RefuseRequest:
 					req = act.Request
-				case Fail:
+				case FailRequest:
 					req = act.Request
-				case OrderLoad:
+				case LoadInstance:
 					to = act.Worker
-				case Probe:
+				case ProbeWorker:
 					to = act.Worker
 				}
-				if arr, ok := ev.(Arrived); ok {
+				if arr, ok := ev.(RequestArrived); ok {
 					before[arr.Request] = true
 				}
 				if req != 0 && (!before[req] || over[req]) {
@@ -1483,7 +1483,7 @@
 					t.Fatalf("%T names unknown worker %d", act, to)
 				}
 				switch act.(type) {
-				case Refuse, Fail:
+				case RefuseRequest, FailRequest:
 					over[req] = true
 				}
 			}
