--- a/cmd/functionrouter/hooks.go
+++ b/cmd/functionrouter/hooks.go
@@ -62,9 +62,9 @@
 			log.Printf("event=export_on collector=%s", cfg.Collector)
 		}
 	}
-	core.OnRequestEnd = func(now time.Duration, r *router.Request, end string) {
+	core.OnRequestEnd = func(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 		if h.sender != nil && c.module.Classes[r.Class].Idempotency == policy.NotIdempotent {
-			h.sender.Notify(now, r, end)
+			h.sender.Notify(now, r, outcome)
 		}
 		if h.exporter != nil {
 			wall := time.Now()
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -67,8 +67,8 @@
 	return s, nil
 }
 
-// Notify queues a notice of an order's outcome: served, refused, failed or abandoned.
-func (s *Sender) Notify(now time.Duration, r *router.Request, what string) {
+// Notify queues a notice of an order's outcome, whose name becomes part of the notice's type.
+func (s *Sender) Notify(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	s.now = max(s.now, now)
 	if len(s.queue)+s.out >= s.cfg.Sender.Queue {
 		s.Sent.Dropped++
@@ -83,7 +83,7 @@
 		Type      string    `json:"type"`
 		Timestamp time.Time `json:"timestamp"`
 		Data      data      `json:"data"`
-	}{"repair-order." + what, s.wall().UTC(), data{r.ID, r.ClientReference, r.FunctionKey}})
+	}{"repair-order." + outcome.String(), s.wall().UTC(), data{r.ID, r.ClientReference, r.FunctionKey}})
 	if err != nil {
 		s.Sent.Dropped++
 		return
--- a/internal/frontend/webhook/webhook_test.go
+++ b/internal/frontend/webhook/webhook_test.go
@@ -407,9 +407,9 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	p.core.OnRequestEnd = func(now time.Duration, r *router.Request, end string) {
+	p.core.OnRequestEnd = func(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 		if notices != "" {
-			p.sends.Notify(now, r, end)
+			p.sends.Notify(now, r, outcome)
 		}
 	}
 	p.lp.Listen("127.0.0.1:0", p.front.Accept)
@@ -605,7 +605,7 @@
 		t.Fatal(err)
 	}
 	for range 3 {
-		s.Notify(time.Hour, &router.Request{ID: "9b1f03aa5c7e2d41", FunctionKey: "7f3a9c21e0b4d655"}, "served")
+		s.Notify(time.Hour, &router.Request{ID: "9b1f03aa5c7e2d41", FunctionKey: "7f3a9c21e0b4d655"}, router.RequestServed)
 	}
 	ids := map[string]int{}
 	now := time.Hour
--- /dev/null
+++ b/internal/router/names_test.go
@@ -0,0 +1,33 @@
+package router
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Guards the names in log fields and, of request outcomes, in the webhook notices.
+func TestEnumsHaveFixedNames(t *testing.T) {
+	for _, test := range []struct {
+		value fmt.Stringer
+		want  string
+	}{
+		{Served, "served"},
+		{Refused, "refused"},
+		{Failed, "failed"},
+		{Status(9), "Status(9)"},
+		{Thrift, "thrift"},
+		{Webhook, "webhook"},
+		{frontendCount, "Frontend(2)"},
+		{RequestServed, "served"},
+		{RequestRefused, "refused"},
+		{RequestFailed, "failed"},
+		{RequestAbandoned, "abandoned"},
+		{RequestOutcome(9), "RequestOutcome(9)"},
+	} {
+		t.Run(fmt.Sprintf("%T/%s", test.value, test.want), func(t *testing.T) {
+			if got := test.value.String(); got != test.want {
+				t.Errorf("got %q, want %q", got, test.want)
+			}
+		})
+	}
+}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -6,6 +6,7 @@
 
 import (
 	"container/heap"
+	"fmt"
 	"net/netip"
 	"time"
 
@@ -34,6 +35,19 @@
 	Failed                // promises nothing
 )
 
+// String returns the status's name.
+func (s Status) String() string {
+	switch s {
+	case Served:
+		return "served"
+	case Refused:
+		return "refused"
+	case Failed:
+		return "failed"
+	}
+	return fmt.Sprintf("Status(%d)", uint8(s))
+}
+
 // Response is the final answer to a request.
 type Response struct {
 	Status           Status
@@ -56,6 +70,17 @@
 	frontendCount
 )
 
+// String returns the front's name.
+func (f Frontend) String() string {
+	switch f {
+	case Thrift:
+		return "thrift"
+	case Webhook:
+		return "webhook"
+	}
+	return fmt.Sprintf("Frontend(%d)", uint8(f))
+}
+
 // Request is a call as a front took it.
 type Request struct {
 	Frontend        Frontend
@@ -165,8 +190,8 @@
 	Counters Counters
 	// Draining has what comes from now on refused: the program is about to end.
 	Draining bool
-	// Observe, where set, is told how each request ended: served, refused, failed or abandoned.
-	OnRequestEnd func(now time.Duration, r *Request, end string)
+	// OnRequestEnd, where set, is called once for each request, when it has ended.
+	OnRequestEnd func(now time.Duration, r *Request, outcome RequestOutcome)
 }
 
 // Counters tells what the core took, sent and answered.
@@ -229,7 +254,7 @@
 		// other. Which of the two a client means can't be told, so the later one fails.
 		c.Counters.Failed[r.Frontend]++
 		if r.ReceivedAt = c.now; c.OnRequestEnd != nil {
-			c.OnRequestEnd(c.now, &r, "failed")
+			c.OnRequestEnd(c.now, &r, RequestFailed)
 		}
 		r.Responder.Respond(Response{Status: Failed})
 		return 0
@@ -254,7 +279,7 @@
 	c.Counters.Received[r.Frontend]++
 	c.Counters.Rejected[r.Frontend]++
 	if r.ReceivedAt = c.now; c.OnRequestEnd != nil {
-		c.OnRequestEnd(c.now, &r, "refused")
+		c.OnRequestEnd(c.now, &r, RequestRefused)
 	}
 	r.Responder.Respond(Response{Status: Refused, RetryAfter: c.limits.RetryAfter})
 }
@@ -264,7 +289,7 @@
 	c.now = max(c.now, now)
 	if e := c.reqs[id]; e != nil && !e.done {
 		c.Counters.ClientCancelled[e.Frontend]++
-		c.close(id, e, "abandoned")
+		c.close(id, e, RequestAbandoned)
 		c.events = append(c.events, policy.ClientCancelled{Request: id})
 	}
 }
@@ -283,7 +308,7 @@
 	if o == policy.Served && !e.done {
 		c.Counters.Served[e.Frontend]++
 		e.Responder.Respond(Response{Status: Served, Body: body, MayHaveRun: true})
-		c.close(a.Request, e, "served")
+		c.close(a.Request, e, RequestServed)
 	}
 	c.events = append(c.events, policy.AttemptEnded{Request: a.Request, Attempt: a.Number, Worker: t.worker, Outcome: o,
 		InstanceStatus: n, RequestClosed: e.done, Duration: c.now - t.sent, LoadReport: report})
@@ -411,9 +436,9 @@
 func (c *Router) final(id policy.RequestID, e *entry, a Response) {
 	a.MayHaveRun = e.mayRun || e.out > 0
 	a.DeadlineExceeded = c.now >= e.Deadline-finalMargin
-	end := "failed"
+	end := RequestFailed
 	if a.Status == Refused {
-		end = "refused"
+		end = RequestRefused
 		c.Counters.Refused[e.Frontend]++
 	} else {
 		c.Counters.Failed[e.Frontend]++
@@ -426,7 +451,7 @@
 // module ends requests two of its ticks before, 8 ms in this deployment's settings.
 const finalMargin = 10 * time.Millisecond
 
-func (c *Router) close(id policy.RequestID, e *entry, end string) {
+func (c *Router) close(id policy.RequestID, e *entry, end RequestOutcome) {
 	e.done = true
 	for n := range e.attempts { // nobody waits any more for what has yet to be sent
 		if a := (AttemptID{id, n}); !e.attempts[n].ended && c.workers.WithdrawQueued(a) {
