--- a/policy/api.go
+++ b/policy/api.go
@@ -1,115 +1,142 @@
-// Package policy decides to which worker a request for an on-demand function goes.
+// Package policy decides which worker serves a request for a function that is loaded on demand.
 //
-// A Policy is one dispatcher's decision maker. It is fed events in the order in
-// which they happen and answers each with actions. It keeps no clock, starts no
-// goroutine and does no I/O, so the same events always give the same actions.
+// A [Policy] is the decision maker of one router. It is a deterministic state machine: the router feeds it
+// events in the order in which they happen, and it answers each with actions for the router to carry out.
+// It reads no clock, starts no goroutine and does no I/O, so the same seed and events always give the same
+// actions.
+//
+// Scoring follows the mask-aware scheduler of InstGenIE ("InstGenIE: Generative Image Editing Made Efficient
+// with Mask-aware Caching and Scheduling"): a request goes to the worker with the lowest predicted latency.
+// The term for the cold start, the estimators that work without a view of other routers' requests, placement
+// by rendezvous hashing, slow start, outlier ejection and load shedding are additions to it.
+//
+// All times are offsets on the router's monotonic clock; all durations that an event reports are clamped to
+// a plausible range before use.
 package policy
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
 
-// RequestID names a request; it is never used twice.
+// RequestID identifies a request; a router never uses one twice.
 type RequestID uint32
 
-// WorkerID names a worker. It survives a restart of the worker's process.
+// WorkerID identifies a worker. It survives a restart of the worker's process.
 type WorkerID uint64
 
-// FunctionID names a function (a model) that workers load on demand.
+// FunctionID identifies a function (a model) that workers load on demand.
 type FunctionID uint64
 
-// Idempotency says how far a class of requests may be sent again once it may have run.
+// Idempotency says under which conditions a request that may have run may be sent again.
 type Idempotency uint8
 
-// The kinds of Repeat.
+// The levels of idempotency.
 const (
 	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // repeats are dropped within a group of workers, for a time
-	NotIdempotent                        // must never run twice
+	IdempotentWithKey                    // workers in the DedupScope drop repeats within the DedupWindow
+	NotIdempotent                        // must not run twice
 )
 
-// DedupScope says which workers drop the repeats of a Keyed request.
+// String returns the level's name for logs.
+func (i Idempotency) String() string {
+	return enumName(uint8(i), "idempotent", "idempotent_with_key", "not_idempotent")
+}
+
+// DedupScope says which workers share the memory of idempotency keys that detects repeats.
 type DedupScope uint8
 
-// The kinds of Group.
+// The deduplication scopes.
 const (
-	DedupFleet DedupScope = iota // every worker
-	DedupZone                    // workers of one zone
-	DedupCell                    // workers of one cell
+	DedupFleet DedupScope = iota // all workers
+	DedupZone                    // the workers of one zone
+	DedupCell                    // the workers of one cell
 )
 
-// Class is a class of requests.
+// String returns the scope's name for logs.
+func (s DedupScope) String() string { return enumName(uint8(s), "fleet", "zone", "cell") }
+
+// Class describes a class of requests.
 type Class struct {
-	LatencyObjective time.Duration // answers within it earn the full worth
-	Deadline         time.Duration // what a client waits in all
+	LatencyObjective time.Duration // an answer within it earns the full PriorityWeight
+	Deadline         time.Duration // after which a client gives up
 	Idempotency      Idempotency
-	DedupScope       DedupScope
-	DedupWindow      time.Duration // Keyed: how long repeats are remembered
-	Streamed         bool
-	PriorityWeight   float64
-	LateWeight       float64
-	// AimStretch lengthens Aim by this many times the request's own work; 0 where unused.
+	DedupScope       DedupScope    // for IdempotentWithKey
+	DedupWindow      time.Duration // for IdempotentWithKey: how long workers remember a key
+	Streamed         bool          // the response is streamed
+	PriorityWeight   float64       // value of an answer within the objective, relative to other classes
+	LateWeight       float64       // value of a later answer
+	// ObjectiveStretch lengthens LatencyObjective by this multiple of the request's own work; 0 if unused.
 	ObjectiveStretch float64
 }
 
 // Tenant is a customer with a share of the service.
 type Tenant struct {
-	QuotaPerSecond float64 // requests a second within its share, over all dispatchers
+	QuotaPerSecond float64 // requests per second within its share, over all routers
 }
 
-// Config is what a dispatcher is told when it starts.
+// Config holds a router's settings. [New] rejects impossible values with a [*ConfigError].
 type Config struct {
-	RouterCount int // dispatchers, this one included; at least 1
-	Zone        int // this dispatcher's zone
-	Classes     []Class
-	Tenants     []Tenant
-	// WorthByWork says that a request's worth grows with its work.
-	WeightByWork bool
-	Tick         time.Duration // events come at most this often
-
-	RequiresSubscription bool     // the worker list comes only after Subscribe or FetchList
-	LoadReportFields     []string // names of the values in a load report
-	InlineLoadReports    bool     // reports come with answers as well as with probes
-
-	MaxAttempts     int // per request; 0: no limit
-	AllowCancel     bool
-	AllowProbes     bool
-	AllowGossip     bool
-	AllowHedging    bool // two attempts of a request may be out at once
-	AllowRetryAfter bool // clients are given the advice in Refuse
+	RouterCount  int // routers that share the fleet, this one included; at least 1
+	Zone         int // this router's zone
+	Classes      []Class
+	Tenants      []Tenant
+	WeightByWork bool          // a request's value grows with its work
+	Tick         time.Duration // least time between two events with different times
+
+	RequiresSubscription bool     // endpoint updates come only after Subscribe or FetchEndpoints
+	LoadReportFields     []string // names of the values of a load report, in order
+	InlineLoadReports    bool     // load reports come with answers as well as with probes
+
+	MaxAttempts     int  // per request; 0: unlimited
+	AllowCancel     bool // CancelAttempt is available
+	AllowProbes     bool // ProbeWorker is available
+	AllowGossip     bool // SendGossip is available
+	AllowHedging    bool // two attempts of a request may be in flight at once
+	AllowRetryAfter bool // clients receive RefuseRequest.RetryAfter
 	MaxRetryAfter   time.Duration
-	OverQuotaWeight float64 // worth of a request beyond its tenant's share; 1 where unused
+	OverQuotaWeight float64 // factor on the value of a request beyond its tenant's quota; 1 if unused
 
-	ImplicitListAge   time.Duration // ListByAsking: an unasked list counts as told after this
-	SlowStartCapacity float64       // a worker starts at this share of its capacity or more
-	SlowStartDuration time.Duration // and is warm after this at the latest
-	OverloadMultiple  float64       // sent more than this many times its present capacity
-	OverloadWindow    time.Duration // for this long, a cold worker falls over
+	ImplicitListAge   time.Duration // a list that was not asked for counts as known after this
+	SlowStartCapacity float64       // least share of its capacity that a worker has at its start, 0 to 1
+	SlowStartDuration time.Duration // time after which a worker has its full capacity
+	OverloadMultiple  float64       // a warming worker fails if sent more than this multiple of its capacity
+	OverloadWindow    time.Duration // over this window
 	DrainGrace        time.Duration
 
-	MissWhenNotLoaded       bool          // a worker without the function answers Missed instead of loading it
-	AllowLoadOrders         bool          // OrderLoad and Unload are allowed
-	InstanceStatusInAnswers bool          // answers tell whether an instance stood loaded
-	ConcurrencyInAnswers    bool          // answers tell how many requests of the function the worker held
-	InstanceKeepAlive       time.Duration // an idle instance stays this long at least
-	LoadOrderTimeout        time.Duration // an order with no answer by then ends as TimedOut
-	LoadOrderWindow         time.Duration // window of the ration of load orders; 0: none
-	LoadOrderAllowance      float64       // orders free in a window
-	LoadOrdersPerRequest    float64       // and further ones as a share of the calls taken in it
+	MissWhenNotLoaded       bool          // a worker answers FunctionNotLoaded instead of loading the function
+	AllowLoadOrders         bool          // LoadInstance and UnloadInstance are available
+	InstanceStatusInAnswers bool          // answers carry an InstanceStatus
+	ConcurrencyInAnswers    bool          // answers carry AttemptEnded.FunctionConcurrency
+	InstanceKeepAlive       time.Duration // least time that a worker keeps an idle instance
+	LoadOrderTimeout        time.Duration // a load order without an answer ends as TimedOut after this
+	LoadOrderWindow         time.Duration // window of the load order budget; 0: no budget
+	LoadOrderAllowance      float64       // load orders per window that are always allowed
+	LoadOrdersPerRequest    float64       // further ones per request that arrived within the window
+}
+
+// ConfigError reports a setting that a Policy cannot work with.
+type ConfigError struct {
+	Field  string // path of the field in Config, such as "Classes[1].Deadline"
+	Reason string // what is wrong with its value
 }
 
-// Outcome is how an attempt, a probe or a load order ended.
+func (e *ConfigError) Error() string { return "policy: invalid " + e.Field + ": " + e.Reason }
+
+// Outcome says how an attempt, a probe or a load order ended.
 type Outcome uint8
 
-// The outcomes. Full, Unreachable, Moot and Missed prove that an attempt never ran.
+// The outcomes. WorkerOverloaded, Unreachable, NotSent and FunctionNotLoaded prove that an attempt never ran.
 const (
-	Served            Outcome = iota
-	Errored                   // the worker answered with an error
-	WorkerOverloaded          // turned away unseen
-	TimedOut                  // no answer in time
-	Unreachable               // no connection could be made
-	ConnectionReset           // the connection broke
-	Cancelled                 // called off
-	NotSent                   // not sent
-	FunctionNotLoaded         // the function is not loaded there
+	Served            Outcome = iota // answered with success
+	Errored                          // answered with an error
+	WorkerOverloaded                 // rejected by the worker before it looked at the request
+	TimedOut                         // no answer in time
+	Unreachable                      // no connection could be made
+	ConnectionReset                  // the connection broke before the answer
+	Cancelled                        // cancelled by the router
+	NotSent                          // never left the router
+	FunctionNotLoaded                // rejected since the worker has no instance of the function
 )
 
 // NeverRan reports whether the outcome proves that the attempt never ran.
@@ -117,118 +144,145 @@
 	return o == WorkerOverloaded || o == Unreachable || o == NotSent || o == FunctionNotLoaded
 }
 
-// InstanceStatus is what an answer tells of the function's instance.
+// String returns the outcome's name for logs.
+func (o Outcome) String() string {
+	return enumName(uint8(o), "served", "errored", "worker_overloaded", "timed_out", "unreachable",
+		"connection_reset", "cancelled", "not_sent", "function_not_loaded")
+}
+
+// InstanceStatus is what an answer says of the function's instance at the worker.
 type InstanceStatus uint8
 
-// The notes.
+// The instance statuses.
 const (
 	InstanceUnknown InstanceStatus = iota
-	InstanceWarm                   // an instance stood loaded
-	LoadStarted                    // this request began a load
-	LoadAwaited                    // it waited for a load begun before
-	LoadFailed                     // the load that it waited for failed
+	InstanceWarm                   // an instance was loaded already
+	LoadStarted                    // the request began a load
+	LoadAwaited                    // the request waited for a load that was under way
+	LoadFailed                     // the load that the request waited for failed
 )
 
-// WorkerState is what the list says of a worker.
+// String returns the status's name for logs.
+func (s InstanceStatus) String() string {
+	return enumName(uint8(s), "unknown", "warm", "load_started", "load_awaited", "load_failed")
+}
+
+// WorkerState is the state of a worker by the endpoint list.
 type WorkerState uint8
 
 // The worker states.
 const (
-	Gone WorkerState = iota
-	Ready
-	Draining
+	Gone     WorkerState = iota // no longer listed
+	Ready                       // takes requests
+	Draining                    // finishes what it has and takes no more
 )
 
-// Endpoint is one line of a worker list.
+// String returns the state's name for logs.
+func (s WorkerState) String() string { return enumName(uint8(s), "gone", "ready", "draining") }
+
+// Endpoint is an entry of the endpoint list: a worker and its state.
 type Endpoint struct {
 	Worker    WorkerID
 	State     WorkerState
 	Zone      int
 	Cell      int
-	Weight    float64       // size in comparison with other workers; 0 where unknown
-	StartedAt time.Duration // clock time of its last start; 0: long ago
+	Weight    float64       // size relative to other workers; 0: unknown
+	StartedAt time.Duration // clock time of the process's last start; 0: long ago
 }
 
-// EndpointUpdateKind is the kind of a WorkerList.
+// EndpointUpdateKind is the kind of an [EndpointUpdate].
 type EndpointUpdateKind uint8
 
-// The list kinds.
+// The kinds of endpoint updates.
 const (
 	IncrementalUpdate EndpointUpdateKind = iota // changed entries only
-	FullUpdate                                  // the whole list
-	CachedUpdate                                // the whole list as last known, maybe old
-	UpdateFailed                                // a call failed or the subscription broke; no entries
+	FullUpdate                                  // the whole list; workers that it lacks are gone
+	CachedUpdate                                // the whole list as last known, possibly out of date
+	UpdateFailed                                // a fetch failed or the subscription broke; no entries
 )
 
-// Event is something that happened to the dispatcher. Only this package's types are events.
+// String returns the kind's name for logs.
+func (k EndpointUpdateKind) String() string {
+	return enumName(uint8(k), "incremental", "full", "cached", "failed")
+}
+
+// enumName returns the name at an enum's value, or the number where it has none.
+func enumName(value uint8, names ...string) string {
+	if int(value) < len(names) {
+		return names[value]
+	}
+	return fmt.Sprintf("unknown(%d)", value)
+}
+
+// Event is something that happened at the router. Only this package's types are events.
 type Event interface{ event() }
 
-// EndpointUpdate tells what is known of the workers.
+// EndpointUpdate brings news of the endpoint list.
 type EndpointUpdate struct {
 	Kind      EndpointUpdateKind
 	Endpoints []Endpoint
 }
 
-// RequestArrived is a new request, to which one final answer is owed.
+// RequestArrived is a new request, which is owed one final answer.
 type RequestArrived struct {
 	Request     RequestID
-	Class       int
-	Tenant      int
+	Class       int // index into Config.Classes
+	Tenant      int // index into Config.Tenants; out of range: none
 	Function    FunctionID
 	Concurrency float64       // requests that one instance runs at a time
-	MemoryMB    float64       // memory of one instance
-	LoadTime    time.Duration // usual time of a load; 0 where not told
-	WorkHint    time.Duration // hint of its work; 0 where not told
+	MemoryMB    float64       // memory of one instance, in MB
+	LoadTime    time.Duration // usual time of a load; 0: unknown
+	WorkHint    time.Duration // hint of the request's run time; 0: none
 	TimeLeft    time.Duration // until the client gives up
-	IsRetry     bool          // the client has tried before
+	IsRetry     bool          // the client has sent it before
 }
 
 // ClientCancelled says that the client has left; no answer is owed any more.
 type ClientCancelled struct{ Request RequestID }
 
-// TimerFired is a timer set by SetTimer.
+// TimerFired says that a timer set by SetTimer has expired.
 type TimerFired struct{ Token uint64 }
 
-// ProbeEnded is the answer to a Probe.
+// ProbeEnded is the result of a ProbeWorker.
 type ProbeEnded struct {
 	Worker     WorkerID
 	Outcome    Outcome
 	Duration   time.Duration
-	LoadReport []float64 // in the order of Config.ReportFields; empty where none came
+	LoadReport []float64 // in the order of Config.LoadReportFields; empty where none came
 }
 
-// GossipReceived is a message of another dispatcher.
+// GossipReceived is a message of another router.
 type GossipReceived struct {
 	From int
 	Data []byte
 }
 
-// LoadOrderEnded is the answer to an OrderLoad.
+// LoadOrderEnded is the result of a LoadInstance.
 type LoadOrderEnded struct {
 	Worker    WorkerID
 	Function  FunctionID
 	Outcome   Outcome
 	Duration  time.Duration
-	Instances int // instances that stand loaded there
+	Instances int // instances that are loaded at the worker
 }
 
-// ResponseStarted says that the answer of a streamed request has begun.
+// ResponseStarted says that the response of a streamed request has begun to reach the client.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
 }
 
-// AttemptEnded says how an attempt ended.
+// AttemptEnded is the result of a SendAttempt.
 type AttemptEnded struct {
 	Request             RequestID
 	Attempt             int
 	Worker              WorkerID
 	Outcome             Outcome
 	InstanceStatus      InstanceStatus
-	FunctionConcurrency int  // requests of the function that the worker held, with CrowdNotes
-	RequestClosed       bool // the request is over
+	FunctionConcurrency int  // requests of the function at the worker, with Config.ConcurrencyInAnswers
+	RequestClosed       bool // the client has its final answer
 	Duration            time.Duration
-	LoadReport          []float64
+	LoadReport          []float64 // in the order of Config.LoadReportFields; empty where none came
 }
 
 func (EndpointUpdate) event()  {}
@@ -241,85 +295,90 @@
 func (ResponseStarted) event() {}
 func (AttemptEnded) event()    {}
 
-// Action is something that the dispatcher is to do. Only this package's types are actions.
+// Action is something for the router to do. Only this package's types are actions.
 type Action interface{ action() }
 
-// SendAttempt starts an attempt; attempts of a request are numbered from 0 in the order of their sends.
+// SendAttempt sends a request to a worker; a request's attempts are numbered from 0 in the order of their sends.
 type SendAttempt struct {
 	Request RequestID
 	Worker  WorkerID
-	Timeout time.Duration // time-out of the attempt; 0: until the client gives up
+	Timeout time.Duration // of the attempt; 0: until the client gives up
 }
 
-// CancelAttempt calls an attempt off.
+// CancelAttempt cancels an attempt in flight; its AttemptEnded still follows.
 type CancelAttempt struct {
 	Request RequestID
 	Attempt int
 }
 
-// GiveUpReason is why the module gave a request up.
+// GiveUpReason is why the policy gave a request up.
 type GiveUpReason uint8
 
-// The causes.
+// The reasons to give a request up.
 const (
 	DeadlineExceeded  GiveUpReason = iota // its time ran out
-	NoWorkerAvailable                     // none may take it, or none soon enough
-	PredictedTooLate                      // none would serve it in time
-	LoadShed                              // it gave way to others
-	GiveUpReasonCount                     // how many there are
+	NoWorkerAvailable                     // no worker may take it, or none soon enough
+	PredictedTooLate                      // no worker is predicted to serve it in time
+	LoadShed                              // it was shed in overload
+	GiveUpReasonCount                     // the number of reasons
 )
 
-// RefuseRequest is the final answer that trying again is harmless.
+// String returns the reason's name for logs.
+func (r GiveUpReason) String() string {
+	return enumName(uint8(r), "deadline_exceeded", "no_worker_available", "predicted_too_late", "load_shed")
+}
+
+// RefuseRequest is a final answer that promises that the request did no work, or that repeating it is harmless.
 type RefuseRequest struct {
 	Request    RequestID
-	RetryAfter time.Duration // how long to stay away; 0: no advice
+	RetryAfter time.Duration // advice when to try again; 0: none
 	Reason     GiveUpReason
 }
 
-// FailRequest is the final answer that promises nothing.
+// FailRequest is a final answer that promises nothing: the request may have run.
 type FailRequest struct {
 	Request RequestID
 	Reason  GiveUpReason
 }
 
-// LoadInstance asks a worker to hold Count instances of a function; with Count 0 it only asks.
+// LoadInstance orders a worker to hold a number of instances of a function; with 0 it only asks how many there are.
 type LoadInstance struct {
 	Worker    WorkerID
 	Function  FunctionID
 	Instances int
 }
 
-// UnloadInstance drops the idle instances of a function at a worker.
+// UnloadInstance orders a worker to unload the idle instances of a function.
 type UnloadInstance struct {
 	Worker   WorkerID
 	Function FunctionID
 }
 
-// ProbeWorker checks a worker; Probed answers it.
+// ProbeWorker sends a health check to a worker; ProbeEnded follows.
 type ProbeWorker struct{ Worker WorkerID }
 
-// SendGossip sends bytes to another dispatcher, or to all with To below 0.
+// SendGossip sends a message to another router, or to all others with a negative To.
 type SendGossip struct {
 	To   int
 	Data []byte
 }
 
-// SetTimer asks for a TimerFired after a time.
+// SetTimer asks for a TimerFired with the token after a time.
 type SetTimer struct {
 	After time.Duration
 	Token uint64
 }
 
-// Subscribe asks for changes of the worker list from now on, or no longer.
+// Subscribe starts or ends the subscription to the endpoint list.
 type Subscribe struct{ On bool }
 
-// FetchEndpoints asks for the whole worker list once.
+// FetchEndpoints asks for the whole endpoint list once.
 type FetchEndpoints struct{}
 
 // CloseIdleConnections closes the idle connections to a worker.
 type CloseIdleConnections struct{ Worker WorkerID }
 
-// LogLine is a line for the operators.
+// LogLine is a line for the operators' log.
 type LogLine struct{ Text string }
 
 func (SendAttempt) action()          {}
