--- /dev/null
+++ b/internal/frontend/thrift/response_test.go
@@ -0,0 +1,67 @@
+package thrift
+
+import (
+	"encoding/hex"
+	"testing"
+	"time"
+
+	"functionrouter/internal/router"
+)
+
+// Frames are compared byte for byte, because clients decode them with code that this module does not have.
+func TestFramesOnTheWire(t *testing.T) {
+	emptyArguments := func(method string, messageType byte) []byte {
+		return seal(append(appendMessage(nil, messageType, method, 7), typeStop), 0)
+	}
+	respond := func(answer router.Response) func(*client, *core) {
+		return func(c *client, k *core) {
+			c.OnData(execute(7, "request", good...))
+			k.taken[0].Responder.Respond(answer)
+		}
+	}
+	for _, test := range []struct {
+		name string
+		play func(*client, *core)
+		want string
+	}{
+		{"served", respond(router.Response{Status: router.Served, Body: []byte("a body")}),
+			"00000032800100020000000765786563757465000000070c00000b0001000000066120626f64790d00020b0b00000000" +
+				"020003010000"},
+		{"served with an empty body", respond(router.Response{Status: router.Served}),
+			"0000002c800100020000000765786563757465000000070c00000b0001000000000d00020b0b00000000020003010000"},
+		{"refused with no time to stay away", respond(router.Response{Status: router.Refused}),
+			"0000002f800100020000000765786563757465000000070c00010d00010b0b0000000100000005616674657200000001" +
+				"300000"},
+		{"refused for a fraction of a millisecond", respond(router.Response{Status: router.Refused, RetryAfter: 1}),
+			"0000002f800100020000000765786563757465000000070c00010d00010b0b0000000100000005616674657200000001" +
+				"310000"},
+		{"refused for a while", respond(router.Response{Status: router.Refused, RetryAfter: 1500 * time.Millisecond}),
+			"00000032800100020000000765786563757465000000070c00010d00010b0b0000000100000005616674657200000004" +
+				"313530300000"},
+		{"failed", respond(router.Response{Status: router.Failed}),
+			"00000021800100020000000765786563757465000000070c00020d00010b0b000000000000"},
+		{"field out of range", func(c *client, _ *core) { c.OnData(execute(7, "", "class", "no such")) },
+			"00000034800100020000000765786563757465000000070c00020d00010b0b0000000100000006726561736f6e000000" +
+				"05636c6173730000"},
+		{"check while ready", func(c *client, _ *core) { c.OnData(emptyArguments("check", kindCall)) },
+			"0000002a8001000200000005636865636b000000070c00000b0001000000000d00020b0b00000000020003010000"},
+		{"check while not ready", func(c *client, _ *core) {
+			c.front.ready = func() bool { return false }
+			c.OnData(emptyArguments("check", kindCall))
+		},
+			"0000002a8001000200000005636865636b000000070c00000b0001000000000d00020b0b00000000020003000000"},
+		{"unknown method", func(c *client, _ *core) { c.OnData(emptyArguments("other", kindCall)) },
+			"0000002e80010003000000056f74686572000000070b00010000000e756e6b6e6f776e206d6574686f64080002000000" +
+				"0100"},
+		{"unknown one-way method", func(c *client, _ *core) { c.OnData(emptyArguments("other", kindOneway)) }, ""},
+		{"interrupt of no open call", func(c *client, _ *core) { c.OnData(emptyArguments("interrupt", kindCall)) }, ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c, k, l := newClient()
+			test.play(c, k)
+			if got := hex.EncodeToString(l.Wrote.Bytes()); got != test.want || l.HasClosed {
+				t.Errorf("wrote %s, want %s; closed %v", got, test.want, l.HasClosed)
+			}
+		})
+	}
+}
