--- a/cmd/functionrouter/crossings_test.go
+++ b/cmd/functionrouter/crossings_test.go
@@ -208,7 +208,7 @@
 	addr := r.names.addr()
 	from = r.log.mark()
 	r.names.Close() // its port refuses from now on
-	r.log.wait(t, from, "event=directory_lost")
+	r.log.wait(t, from, "directory unreachable")
 	serve(first, "00000000000000a3")
 	r.names = listenNamesAt(t, addr)
 	r.tell(3, entry{id: "s-2", addr: second.addr}) // the whole list: s-1 has gone
--- /dev/null
+++ b/internal/discovery/client_test.go
@@ -0,0 +1,220 @@
+package discovery
+
+import (
+	"bytes"
+	"errors"
+	"log/slog"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestClientFollowsTheList(t *testing.T) {
+	c := newTestClient(t)
+	c.follow()
+}
+
+// unusableAnswers are answers to a client that holds a list with serial 4.
+var unusableAnswers = []struct {
+	name    string
+	message func(c *testClient) []byte
+}{
+	{"older than the list", func(c *testClient) []byte { return buildResponse(c.query(), 3) }},
+	{"unexpected id", func(c *testClient) []byte { return buildResponse(c.query()+1, 9, 0) }},
+	{"query answered before", func(c *testClient) []byte {
+		id := c.query()
+		c.socket.OnData(buildResponse(id, 4, 0, 1))
+		return buildResponse(id, 9, 0)
+	}},
+	{"truncated", func(c *testClient) []byte {
+		b := buildResponse(c.query(), 9, 0)
+		b[2] |= flagTruncated >> 8
+		return b
+	}},
+	{"server failure", func(c *testClient) []byte {
+		b := buildResponse(c.query(), 9, 0)
+		b[3] |= 2
+		return b
+	}},
+	{"not a response", func(c *testClient) []byte {
+		b := buildResponse(c.query(), 9, 0)
+		b[2] &^= flagResponse >> 8
+		return b
+	}},
+	{"other question", func(c *testClient) []byte {
+		b := buildResponse(c.query(), 9, 0)
+		b[13] = 'x'
+		return b
+	}},
+	{"worker without an address", func(c *testClient) []byte {
+		b := buildResponse(c.query(), 9, 0)
+		at := bytes.LastIndex(b, []byte{0, typeA, 0, classIN})
+		b[at+1] = typeTXT + 1 // a type that isn't used
+		return b
+	}},
+}
+
+func TestUnusableAnswersChangeNothing(t *testing.T) {
+	for _, test := range unusableAnswers {
+		t.Run(test.name, func(t *testing.T) {
+			c := newTestClient(t)
+			want := c.follow()
+			c.socket.OnData(test.message(c))
+			c.wantReported(want)
+		})
+	}
+	t.Run("cut short at any byte", func(t *testing.T) {
+		c := newTestClient(t)
+		want := c.follow()
+		complete := len(buildResponse(0, 9, 0))
+		for length := range complete {
+			c.socket.OnData(buildResponse(c.query(), 9, 0)[:length])
+			if !reflect.DeepEqual(c.reported, want) {
+				t.Fatalf("cut at %d of %d: list became %v", length, complete, c.reported)
+			}
+		}
+	})
+	t.Run("all in turn, then a usable one", func(t *testing.T) {
+		c := newTestClient(t)
+		want := c.follow()
+		for _, test := range unusableAnswers {
+			c.socket.OnData(test.message(c))
+			c.wantReported(want)
+		}
+		if c.socket.OnData(buildResponse(c.query(), 5, 0)); len(c.reported) != 1 {
+			t.Errorf("list %v, want one worker", c.reported)
+		}
+	})
+}
+
+// A directory slower than the poll interval answers a query that is no longer the latest.
+func TestLateAnswerIsTaken(t *testing.T) {
+	c := newTestClient(t)
+	c.follow()
+	late := c.query()
+	for range 3 {
+		c.query()
+	}
+	if c.socket.OnData(buildResponse(late, 5, 0)); len(c.reported) != 1 {
+		t.Errorf("after a late answer the list is %v", c.reported)
+	}
+}
+
+func TestOnlyTheLatestQueriesMayBeAnswered(t *testing.T) {
+	c := newTestClient(t)
+	tooOld := c.query()
+	oldest := c.query()
+	for range maxPendingQueries - 1 {
+		c.query()
+	}
+	if c.socket.OnData(buildResponse(tooOld, 4)); c.list.serial != 3 {
+		t.Error("an answer to a query that is too old was taken")
+	}
+	if c.socket.OnData(buildResponse(oldest, 4)); c.list.serial != 4 {
+		t.Error("an answer to the oldest pending query wasn't taken")
+	}
+}
+
+func TestClosedSocketIsReplaced(t *testing.T) {
+	c := newTestClient(t)
+	c.follow()
+	c.socket.OnClose(errors.New("refused"))
+	if c.socket != nil || c.nextPoll > c.now+redialDelay {
+		t.Error("a closed socket isn't replaced at once")
+	}
+	c.Poll(c.nextPoll)
+	c.socket.OnOpen(nil)
+	if c.socket.OnData(buildResponse(c.query(), 6, 0, 0, 0)); len(c.reported) != 3 {
+		t.Errorf("after a new socket the list is %v", c.reported)
+	}
+}
+
+// Guards a reload: the new directory is polled at once, at its address, with the list and its serial kept;
+// nothing that comes late on a socket to the old one counts, in whatever order dials and closes end.
+func TestMigrate(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		open bool
+	}{
+		{"while the old socket is open", true},
+		{"while the old socket is dialled", false},
+	} {
+		t.Run(test.name, func(t *testing.T) { testMigrate(t, test.open) })
+	}
+}
+
+func testMigrate(t *testing.T, open bool) {
+	c := newTestClient(t)
+	pending := uint16(0)
+	if open {
+		pending = c.query()
+	} else {
+		c.socket.OnClose(errors.New("refused"))
+		c.Poll(c.nextPoll)
+	}
+	abandoned := c.socket
+	abandonedTransport := c.lastTransport()
+	c.Migrate(c.now+time.Millisecond, "new")
+	c.Poll(c.now + time.Millisecond)
+	if !abandonedTransport.closed || c.addresses[len(c.addresses)-1] != "new" || c.socket == abandoned {
+		t.Fatalf("dialled %v, old socket closed: %v", c.addresses, abandonedTransport.closed)
+	}
+
+	current := c.socket
+	abandoned.OnOpen(nil)
+	abandoned.OnData(buildResponse(pending, 8, 0, 0))
+	abandoned.OnClose(errors.New("late"))
+	if c.socket != current || len(c.reported) != 1 || c.list.serial != 3 {
+		t.Fatalf("the old socket changed the list to %v", c.reported)
+	}
+	current.OnOpen(nil)
+	if c.nextPoll > c.now {
+		t.Error("the new directory isn't polled at once")
+	}
+
+	current.OnData(buildResponse(c.query(), 2, 0, 0)) // older than the list
+	if c.list.serial != 3 {
+		t.Errorf("the serial fell to %d", c.list.serial)
+	}
+	if current.OnData(buildResponse(c.query(), 4, 0, 0)); len(c.reported) != 2 {
+		t.Errorf("list %v, want two workers", c.reported)
+	}
+
+	dials := len(c.addresses)
+	c.Migrate(c.now, "new") // a repeated signal changes nothing
+	if c.Poll(c.now); c.socket != current || len(c.addresses) != dials {
+		t.Error("the same address was dialled again")
+	}
+}
+
+// A directory that fails several times a second is logged once until it answers again.
+func TestFailuresAreLoggedOnce(t *testing.T) {
+	var logged bytes.Buffer
+	previous := slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
+	t.Cleanup(func() { slog.SetDefault(previous) })
+	c := newTestClient(t)
+	wantLines := func(event string, want int) {
+		t.Helper()
+		if got := strings.Count(logged.String(), event); got != want {
+			t.Errorf("%d lines %q, want %d, in:\n%s", got, event, want, logged.String())
+		}
+	}
+	for range 3 {
+		c.socket.OnClose(errors.New("refused"))
+		c.Poll(c.nextPoll)
+		c.socket.OnOpen(nil)
+		c.socket.OnData(nil)
+	}
+	wantLines("directory unreachable", 1)
+	wantLines("directory answer not usable", 0)
+	c.follow()
+	c.socket.OnData(nil)
+	c.socket.OnData(nil)
+	wantLines("directory answer not usable", 1)
+	c.Migrate(c.now, "new")
+	c.Poll(c.now)
+	c.socket.OnClose(errors.New("refused"))
+	wantLines("directory unreachable", 2)
+}
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -4,11 +4,13 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"net/netip"
 	"strings"
 )
 
-// Record types of RFC 1035 and RFC 2782.
+// serviceName is the name whose SRV records are the list of workers.
+const serviceName = "_back._tcp.pool.lan"
+
+// Record types and the class of RFC 1035 section 3.2 and RFC 2782.
 const (
 	typeA   = 1
 	typeSOA = 6
@@ -17,163 +19,146 @@
 	classIN = 1
 )
 
+// The flags of a message's header, RFC 1035 section 4.1.1.
 const (
-	maxRecords = 1024
-	maxName    = 255
-	maxJumps   = 16
+	flagResponse         = 0x8000 // QR
+	flagTruncated        = 0x0200 // TC
+	flagRecursionDesired = 0x0100 // RD
+	maskResponseCode     = 0x000f // RCODE
 )
 
-var errFormat = errors.New("malformed DNS message")
+// Lengths of the fixed parts of a message, in bytes.
+const (
+	headerLength       = 12
+	questionTailLength = 4 // type, class
+)
+
+// What can be wrong with an answer.
+var (
+	errMalformed        = errors.New("malformed DNS message")
+	errNotResponse      = errors.New("not a response")
+	errTruncated        = errors.New("response is truncated")
+	errQuestionMismatch = errors.New("response to another question")
+	errNoSerial         = errors.New("response has no SOA record")
+	errUnexpectedID     = errors.New("response matches no pending query")
+)
 
-// query returns a query for the SRV records of name.
-func query(id uint16, name string) []byte {
+// responseCodeError is a response code (RCODE) other than 0, "no error".
+type responseCodeError uint8
+
+func (e responseCodeError) Error() string { return fmt.Sprintf("response code %d", uint8(e)) }
+
+// encodeQuery returns a query for the SRV records of name.
+func encodeQuery(id uint16, name string) []byte {
 	b := binary.BigEndian.AppendUint16(nil, id)
-	b = append(b, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0)
+	b = binary.BigEndian.AppendUint16(b, flagRecursionDesired)
+	for _, count := range [...]uint16{1, 0, 0, 0} { // questions, answers, authorities, additional records
+		b = binary.BigEndian.AppendUint16(b, count)
+	}
 	for label := range strings.SplitSeq(strings.Trim(name, "."), ".") {
-		b = append(append(b, byte(len(label))), label...)
+		b = append(b, byte(len(label)))
+		b = append(b, label...)
 	}
-	return append(b, 0, 0, typeSRV, 0, classIN)
+	b = append(b, 0) // the root ends the name
+	b = binary.BigEndian.AppendUint16(b, typeSRV)
+	return binary.BigEndian.AppendUint16(b, classIN)
 }
 
-// reply is what an answer holds of use.
-type reply struct {
-	serial uint32
-	srv    []srv
-	addrs  map[string]netip.Addr
-	texts  map[string][]string
-}
-
-type srv struct {
-	priority, weight, port uint16
-	target                 string
+// parseResponse reads a response to a query of ours. It returns the id wherever the message has one.
+func parseResponse(message []byte) (id uint16, r response, err error) {
+	p := parser{message: message}
+	h, err := p.header()
+	if err != nil {
+		return 0, response{}, err
+	}
+	if err := h.check(); err != nil {
+		return h.id, response{}, err
+	}
+	for range h.questions {
+		if err := p.question(); err != nil {
+			return h.id, response{}, err
+		}
+	}
+	r, err = p.records(h.records)
+	return h.id, r, err
 }
 
-// parse reads an answer to one of our queries and tells the query's id.
-func parse(b []byte) (id uint16, r reply, err error) {
-	if len(b) < 12 {
-		return 0, r, errFormat
-	}
-	id = binary.BigEndian.Uint16(b)
-	r, err = parseReply(b)
-	return id, r, err
+// header is what is used of a message's header.
+type header struct {
+	id        uint16
+	flags     uint16
+	questions int
+	records   int // of the answer, authority and additional sections together
 }
 
-func parseReply(b []byte) (reply, error) {
-	r := reply{addrs: map[string]netip.Addr{}, texts: map[string][]string{}}
-	if b[2]&0x80 == 0 {
-		return r, errors.New("not an answer")
+// check reports whether the message is a complete, successful response.
+func (h header) check() error {
+	if h.flags&flagResponse == 0 {
+		return errNotResponse
 	}
-	if b[2]&0x02 != 0 {
-		return r, errors.New("answer is truncated")
+	if h.flags&flagTruncated != 0 {
+		return errTruncated
 	}
-	if code := b[3] & 0x0f; code != 0 {
-		return r, fmt.Errorf("answer has code %d", code)
+	if code := h.flags & maskResponseCode; code != 0 {
+		return responseCodeError(code)
 	}
-	at := 12
-	for range binary.BigEndian.Uint16(b[4:]) {
-		asked, next, err := name(b, at)
-		if err != nil {
-			return r, err
-		}
-		if at = next + 4; len(b) < at {
-			return r, errFormat
-		}
-		if asked != serviceName || binary.BigEndian.Uint16(b[next:]) != typeSRV {
-			return r, errors.New("answer to another question")
-		}
+	return nil
+}
+
+// parser reads a message from front to back. Compressed names point back into what it has read.
+type parser struct {
+	message []byte
+	offset  int
+}
+
+// take returns the next bytes.
+func (p *parser) take(length int) ([]byte, error) {
+	if len(p.message)-p.offset < length {
+		return nil, errMalformed
 	}
-	records := 0
-	for _, off := range []int{6, 8, 10} {
-		records += int(binary.BigEndian.Uint16(b[off:]))
+	b := p.message[p.offset : p.offset+length]
+	p.offset += length
+	return b, nil
+}
+
+// name reads the name that comes next.
+func (p *parser) name() (string, error) {
+	name, next, err := parseName(p.message, p.offset)
+	if err != nil {
+		return "", err
 	}
-	if records > maxRecords {
-		return r, errFormat
+	p.offset = next
+	return name, nil
+}
+
+func (p *parser) header() (header, error) {
+	b, err := p.take(headerLength)
+	if err != nil {
+		return header{}, err
 	}
-	haveSerial := false
-	for range records {
-		owner, next, err := name(b, at)
-		if err != nil {
-			return r, err
-		}
-		if len(b) < next+10 {
-			return r, errFormat
-		}
-		typ, size := binary.BigEndian.Uint16(b[next:]), int(binary.BigEndian.Uint16(b[next+8:]))
-		from := next + 10
-		if at = from + size; len(b) < at {
-			return r, errFormat
-		}
-		switch data := b[from:at]; {
-		case typ == typeSRV && size > 6 && owner == serviceName:
-			target, _, err := name(b, from+6)
-			if err != nil {
-				return r, err
-			}
-			r.srv = append(r.srv, srv{binary.BigEndian.Uint16(data), binary.BigEndian.Uint16(data[2:]),
-				binary.BigEndian.Uint16(data[4:]), target})
-		case typ == typeA && size == 4:
-			r.addrs[owner] = netip.AddrFrom4([4]byte(data))
-		case typ == typeTXT:
-			for len(data) > 0 {
-				n := int(data[0])
-				if len(data) < 1+n {
-					return r, errFormat
-				}
-				r.texts[owner] = append(r.texts[owner], string(data[1:1+n]))
-				data = data[1+n:]
-			}
-		case typ == typeSOA:
-			_, p, err := name(b, from)
-			if err == nil {
-				_, p, err = name(b, p)
-			}
-			if err != nil || at < p+20 {
-				return r, errFormat
-			}
-			r.serial, haveSerial = binary.BigEndian.Uint32(b[p:]), true
-		}
+	h := header{
+		id:        binary.BigEndian.Uint16(b),
+		flags:     binary.BigEndian.Uint16(b[2:]),
+		questions: int(binary.BigEndian.Uint16(b[4:])),
 	}
-	if !haveSerial {
-		return r, errors.New("answer has no serial")
+	for _, section := range [...]int{6, 8, 10} { // answer, authority, additional
+		h.records += int(binary.BigEndian.Uint16(b[section:]))
 	}
-	return r, nil
+	return h, nil
 }
 
-// name reads a name, compressed or not, in lower case; next is where what follows it begins.
-func name(b []byte, at int) (text string, next int, err error) {
-	var out []byte
-	for jumps := 0; ; {
-		if at >= len(b) {
-			return "", 0, errFormat
-		}
-		n := int(b[at])
-		switch {
-		case n == 0:
-			if next == 0 {
-				next = at + 1
-			}
-			return strings.ToLower(string(out)), next, nil
-		case n&0xc0 == 0xc0:
-			// Each jump must go back, and there are few: a loop of pointers ends here.
-			if at+2 > len(b) {
-				return "", 0, errFormat
-			}
-			to := int(binary.BigEndian.Uint16(b[at:]) & 0x3fff)
-			if next == 0 {
-				next = at + 2
-			}
-			if jumps++; to >= at || jumps > maxJumps {
-				return "", 0, errFormat
-			}
-			at = to
-		case n&0xc0 != 0 || at+1+n > len(b) || len(out)+n+1 > maxName:
-			return "", 0, errFormat
-		default:
-			if len(out) > 0 {
-				out = append(out, '.')
-			}
-			out = append(out, b[at+1:at+1+n]...)
-			at += 1 + n
-		}
+// question reads one question and compares it with ours.
+func (p *parser) question() error {
+	name, err := p.name()
+	if err != nil {
+		return err
+	}
+	tail, err := p.take(questionTailLength)
+	if err != nil {
+		return err
+	}
+	if name != serviceName || binary.BigEndian.Uint16(tail) != typeSRV {
+		return errQuestionMismatch
 	}
+	return nil
 }
--- /dev/null
+++ b/internal/discovery/dns_test.go
@@ -0,0 +1,73 @@
+package discovery
+
+import (
+	"bytes"
+	"errors"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+func TestParseResponseErrors(t *testing.T) {
+	const id = 7
+	response := buildResponse(id, 9, 0)
+	changed := func(offset int, value byte) []byte {
+		b := bytes.Clone(response)
+		b[offset] = value
+		return b
+	}
+	withoutSOA := encodeQuery(id, serviceName)
+	withoutSOA[2] |= flagResponse >> 8
+	pointerLoop := bytes.Clone(response[:headerLength])
+	pointerLoop = append(pointerLoop, 0xc0, headerLength, 0, typeSRV, 0, classIN)
+	for _, test := range []struct {
+		name    string
+		message []byte
+		want    error
+	}{
+		{"empty", nil, errMalformed},
+		{"header cut short", response[:headerLength-1], errMalformed},
+		{"question cut short", response[:headerLength+3], errMalformed},
+		{"records cut short", response[:len(response)-1], errMalformed},
+		{"too many records", changed(answerCount, 0xff), errMalformed},
+		{"name that points to itself", pointerLoop, errMalformed},
+		{"query", changed(2, 0), errNotResponse},
+		{"truncated", changed(2, 0x82), errTruncated},
+		{"other question", changed(13, 'x'), errQuestionMismatch},
+		{"no serial", withoutSOA, errNoSerial},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if _, _, err := parseResponse(test.message); !errors.Is(err, test.want) {
+				t.Errorf("got %v, want %v", err, test.want)
+			}
+		})
+	}
+	t.Run("response code", func(t *testing.T) {
+		gotID, _, err := parseResponse(changed(3, 3))
+		var code responseCodeError
+		if !errors.As(err, &code) || code != 3 || gotID != id {
+			t.Errorf("got id %d, %v; want id %d, response code 3", gotID, err, id)
+		}
+	})
+}
+
+func TestParseNameRejectsLongNames(t *testing.T) {
+	label := "\x3f" + strings.Repeat("x", 63)
+	if _, _, err := parseName([]byte(strings.Repeat(label, 5)+"\x00"), 0); !errors.Is(err, errMalformed) {
+		t.Errorf("a name over %d bytes: %v", maxNameLength, err)
+	}
+}
+
+func TestParseResponseSurvivesAnyBytes(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		b := buildResponse(1, 9, 0, 1, 0)
+		for range rapid.IntRange(1, 5).Draw(t, "changes") {
+			b[rapid.IntRange(2, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
+		}
+		_, r, err := parseResponse(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")])
+		if err == nil && len(r.services) > 3 {
+			t.Fatalf("read %d services", len(r.services))
+		}
+	})
+}
--- /dev/null
+++ b/internal/discovery/endpoint_test.go
@@ -0,0 +1,62 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"reflect"
+	"testing"
+
+	"functionrouter/policy"
+)
+
+func TestLoadInitialAppliesEvents(t *testing.T) {
+	var initial InitialEndpoints
+	err := json.Unmarshal([]byte(`{"offset": 41, "batch": [
+		{"offset": 39, "topology": {"revision": 6, "complete": true, "members": [
+			{"id": "s-0", "host_port": "10.1.0.1:10080", "phase": "Ready"},
+			{"id": "s-1", "host_port": "10.1.0.2:10080", "phase": "Ready"}]}},
+		{"offset": 40, "topology": {"revision": 7, "complete": false, "members": [
+			{"id": "s-1", "host_port": "10.1.0.2:10080", "phase": "Gone"},
+			{"id": "s-00c41f7a", "host_port": "10.1.0.9:10080", "locality": "east", "flavor": "std",
+				"cell": 2, "phase": "Terminating", "size": 4, "up_since_ms": 17}]}}]}`), &initial)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var reported []Endpoint
+	c := New("", nil, func(list []Endpoint) { reported = list })
+	if err := c.LoadInitial(initial); err != nil {
+		t.Fatal(err)
+	}
+	want := []Endpoint{
+		{Name: "s-0", Addr: "10.1.0.1:10080", State: policy.Ready},
+		{Name: "s-00c41f7a", Addr: "10.1.0.9:10080", Zone: "east", State: policy.Draining, Weight: 4, Cell: 2, Started: 17},
+	}
+	if !reflect.DeepEqual(reported, want) || c.list.serial != 41 || c.EndpointCount() != 2 {
+		t.Errorf("got %v with serial %d, want %v with 41", reported, c.list.serial, want)
+	}
+}
+
+func TestLoadInitialRejects(t *testing.T) {
+	load := func(member initialMember) error {
+		initial := InitialEndpoints{Batch: make([]initialEvent, 1)}
+		initial.Batch[0].Topology.Members = []initialMember{member}
+		return New("", nil, func([]Endpoint) { t.Error("a list was reported") }).LoadInitial(initial)
+	}
+	t.Run("unknown phase", func(t *testing.T) {
+		if err := load(initialMember{HostPort: "10.1.0.1:10080", Phase: "Asleep"}); !errors.Is(err, errUnknownPhase) {
+			t.Errorf("got %v", err)
+		}
+	})
+	t.Run("address without a port", func(t *testing.T) {
+		if err := load(initialMember{HostPort: "10.1.0.1", Phase: "Ready"}); err == nil {
+			t.Error("no error")
+		}
+	})
+}
+
+// Guards the ids that routers of different versions share by gossip.
+func TestEndpointIDIsTheHashOfTheName(t *testing.T) {
+	if got, want := (Endpoint{Name: "s-00c41f7a"}).ID(), policy.WorkerID(0x31dedea5b2c6c47d); got != want {
+		t.Errorf("got %#x, want %#x", uint64(got), uint64(want))
+	}
+}
--- /dev/null
+++ b/internal/discovery/list.go
@@ -0,0 +1,69 @@
+package discovery
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"functionrouter/policy"
+)
+
+// endpointList is the newest list of workers.
+type endpointList struct {
+	serial    uint32 // number of the last event that it holds
+	endpoints map[string]Endpoint
+}
+
+func newEndpointList() endpointList { return endpointList{endpoints: map[string]Endpoint{}} }
+
+// loadInitial applies the events of the configuration.
+func (l *endpointList) loadInitial(initial InitialEndpoints) error {
+	for _, event := range initial.Batch {
+		if event.Topology.Complete {
+			clear(l.endpoints)
+		}
+		for _, member := range event.Topology.Members {
+			e, err := member.endpoint()
+			if err != nil {
+				return fmt.Errorf("known: worker %q: %w", member.ID, err)
+			}
+			if e.State == policy.Gone {
+				delete(l.endpoints, e.Name)
+			} else {
+				l.endpoints[e.Name] = e
+			}
+		}
+		l.serial = max(l.serial, event.Offset)
+	}
+	l.serial = max(l.serial, initial.Offset)
+	return nil
+}
+
+// update replaces the list by that of a response if that one is newer, and reports whether it did. A response
+// that can't be used changes nothing.
+func (l *endpointList) update(r response) (changed bool, err error) {
+	if r.serial <= l.serial {
+		return false, nil
+	}
+	endpoints := map[string]Endpoint{}
+	for _, service := range r.services {
+		e, err := r.endpoint(service)
+		if err != nil {
+			return false, err
+		}
+		endpoints[e.Name] = e
+	}
+	l.serial = r.serial
+	l.endpoints = endpoints
+	return true, nil
+}
+
+// sorted returns the workers in the order of their names.
+func (l *endpointList) sorted() []Endpoint {
+	list := make([]Endpoint, 0, len(l.endpoints))
+	for _, e := range l.endpoints {
+		list = append(list, e)
+	}
+	slices.SortFunc(list, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
+	return list
+}
--- /dev/null
+++ b/internal/discovery/message_test.go
@@ -0,0 +1,62 @@
+package discovery
+
+import (
+	"encoding/binary"
+	"fmt"
+)
+
+// Offsets of the record counts in a message's header.
+const (
+	answerCount     = 6
+	authorityCount  = 8
+	additionalCount = 10
+)
+
+// A pointer to the name in the question, for a compressed message.
+var questionName = []byte{0xc0, headerLength}
+
+// buildResponse returns the directory's response to query id: a list with one worker for each SRV priority.
+// Names are compressed wherever RFC 1035 allows it.
+func buildResponse(id uint16, serial uint32, priorities ...uint16) []byte {
+	b := encodeQuery(id, serviceName)
+	b[2] |= flagResponse >> 8
+	var targets [][]byte
+	for i, priority := range priorities {
+		data := binary.BigEndian.AppendUint16(nil, priority)
+		data = binary.BigEndian.AppendUint16(data, 40) // weight
+		data = binary.BigEndian.AppendUint16(data, 10080)
+		targetOffset := len(b) + len(questionName) + recordTailLength + len(data)
+		data = append(data, counted(fmt.Sprintf("s-%d", i))...)
+		data = append(data, counted("east")...)
+		data = append(data, counted("hosts")...)
+		data = append(data, 0)
+		b = appendRecord(b, answerCount, questionName, typeSRV, data)
+		targets = append(targets, binary.BigEndian.AppendUint16(nil, pointerTag<<8|uint16(targetOffset)))
+	}
+	soa := append([]byte{}, questionName...)
+	soa = append(soa, questionName...)
+	soa = binary.BigEndian.AppendUint32(soa, serial)
+	soa = append(soa, make([]byte, 16)...)
+	b = appendRecord(b, authorityCount, questionName, typeSOA, soa)
+	for i, name := range targets {
+		b = appendRecord(b, additionalCount, name, typeA, []byte{10, 1, 0, byte(i)})
+		texts := append(counted("kind=std"), counted("cell=2")...)
+		texts = append(texts, counted("started=5")...)
+		b = appendRecord(b, additionalCount, name, typeTXT, texts)
+	}
+	return b
+}
+
+// appendRecord appends a resource record and counts it in the header.
+func appendRecord(b []byte, countOffset int, owner []byte, kind uint16, data []byte) []byte {
+	binary.BigEndian.PutUint16(b[countOffset:], binary.BigEndian.Uint16(b[countOffset:])+1)
+	b = append(b, owner...)
+	b = binary.BigEndian.AppendUint16(b, kind)
+	b = binary.BigEndian.AppendUint16(b, classIN)
+	b = binary.BigEndian.AppendUint32(b, 0) // TTL
+	b = binary.BigEndian.AppendUint16(b, uint16(len(data)))
+	return append(b, data...)
+}
+
+// counted returns s with its length in front, as labels and TXT strings have it.
+func counted(s string) []byte { return append([]byte{byte(len(s))}, s...) }
--- /dev/null
+++ b/internal/discovery/socket.go
@@ -0,0 +1,75 @@
+package discovery
+
+import (
+	"math/rand/v2"
+	"slices"
+)
+
+// maxPendingQueries is how many of the last queries may still be answered.
+const maxPendingQueries = 32
+
+// socket is one socket to the directory and the handler of its events. Each has pending queries of its own:
+// a late answer on one that was given up, from a directory at an earlier address, answers nothing.
+type socket struct {
+	client    *Client
+	transport Transport
+	open      bool
+	pending   []uint16 // ids of the queries without an answer, the latest last
+}
+
+// isCurrent reports whether the client still uses the socket; Migrate leaves sockets behind that don't know it.
+func (s *socket) isCurrent() bool { return s.client.socket == s }
+
+// sendQuery sends a query under an id that can't be guessed and that no other pending one has (RFC 5452).
+func (s *socket) sendQuery() {
+	id := uint16(rand.Uint32())
+	for slices.Contains(s.pending, id) {
+		id++
+	}
+	oldestKept := max(0, len(s.pending)+1-maxPendingQueries)
+	s.pending = append(s.pending[oldestKept:], id)
+	s.transport.Write(encodeQuery(id, serviceName))
+}
+
+// OnOpen ends the dial.
+func (s *socket) OnOpen(err error) {
+	s.open = err == nil
+	if err != nil {
+		s.OnClose(err)
+		return
+	}
+	if s.isCurrent() {
+		s.client.nextPoll = s.client.now
+	}
+}
+
+// OnClose has the client open another socket.
+func (s *socket) OnClose(err error) {
+	if s.isCurrent() {
+		s.client.socketClosed(err)
+	}
+}
+
+// OnData takes an answer. A directory slower than pollInterval answers a query that is no longer the latest:
+// taking only the latest one's answer would then take none. Lists are complete, so that a lost or overtaken
+// answer does no harm.
+func (s *socket) OnData(message []byte) {
+	if !s.isCurrent() {
+		return
+	}
+	id, r, err := parseResponse(message)
+	if err == nil {
+		err = s.removePending(id)
+	}
+	s.client.answerReceived(r, err)
+}
+
+// removePending ends the query with that id. It returns errUnexpectedID where none is pending.
+func (s *socket) removePending(id uint16) error {
+	i := slices.Index(s.pending, id)
+	if i < 0 {
+		return errUnexpectedID
+	}
+	s.pending = slices.Delete(s.pending, i, i+1)
+	return nil
+}
