--- a/cmd/functionrouter/config.go
+++ b/cmd/functionrouter/config.go
@@ -15,153 +15,204 @@
 	"functionrouter/policy"
 )
 
-// config is what the platform tells a function router.
+// The environment variables of the platform. The name and the address go before those in the file.
+const (
+	configVariable = "EDGE_CONFIG" // path of the configuration file
+	nameVariable   = "EDGE_NAME"
+	listenVariable = "EDGE_LISTEN"
+)
+
+// Defaults of settings that are absent, or not above zero.
+const (
+	defaultDialTimeoutMs        = 250
+	defaultKeepaliveMs          = 30_000
+	defaultMaxOpenRequests      = 20_000
+	defaultStreamsPerConnection = 32
+	defaultMemoryMB             = 192  // the limits of the days that count
+	defaultSockets              = 1024 // likewise
+)
+
+// The least limits with which the program is of use: below, the Go runtime and the descriptors of its own would
+// leave next to nothing.
+const (
+	minMemoryMB = 32
+	minSockets  = 64
+)
+
+var (
+	errNoConfigFile = errors.New("names no file")
+	errNoClassName  = errors.New("has no name")
+	errLimitsTooLow = errors.New("too little memory or too few sockets")
+)
+
+// ConfigError reports a configuration that can't be used.
+type ConfigError struct {
+	Path  string // of the file; empty where none is named
+	Field string // the key or the environment variable that is at fault; empty for the file as a whole
+	Err   error
+}
+
+func (e *ConfigError) Error() string {
+	text := "config"
+	if e.Path != "" {
+		text += " " + e.Path
+	}
+	if e.Field != "" {
+		text += ": " + e.Field
+	}
+	return text + ": " + e.Err.Error()
+}
+
+// Unwrap returns the cause.
+func (e *ConfigError) Unwrap() error { return e.Err }
+
+// config is what the platform tells a function router. Its keys are the platform's.
 type config struct {
-	Name   string `json:"name"`
-	Listen string `json:"listen"`
-	Seed   string `json:"seed"`
-	Limits struct {
-		MemoryMB int `json:"memory_mb"`
-		Sockets  int `json:"sockets"`
-	} `json:"limits"`
-	Names    string                     `json:"names"`
+	Name     string                     `json:"name"`
+	Listen   string                     `json:"listen"`
+	Seed     string                     `json:"seed"` // 16 hex digits
+	Limits   processLimits              `json:"limits"`
+	Names    string                     `json:"names"` // address of the directory
 	Known    discovery.InitialEndpoints `json:"known"`
 	Settings json.RawMessage            `json:"settings"`
 
-	seed    uint64
-	module  policy.Config
-	network network
+	seed      uint64            // parsed from Seed
+	policy    policy.Config     // the part of Settings that decisions depend on
+	transport transportSettings // the part of Settings that connections depend on
+}
+
+// processLimits is what the process may use.
+type processLimits struct {
+	MemoryMB int `json:"memory_mb"` // MiB
+	Sockets  int `json:"sockets"`   // file descriptors
+}
+
+// transportSettings is what the connections need of the settings and the policy does not.
+type transportSettings struct {
+	FailureDomains []string        `json:"failureDomains"` // the zones
+	Classes        []namedSetting  `json:"classes"`
+	Accounts       []namedSetting  `json:"accounts"` // the tenants
+	Limits         transportLimits `json:"limits"`
 }
 
-// network is what the sockets need of the settings and the module does not.
-type network struct {
-	FailureDomains []string `json:"failureDomains"`
-	Classes        []struct {
-		Name string `json:"name"`
-	} `json:"classes"`
-	Accounts []struct {
-		Name string `json:"name"`
-	} `json:"accounts"`
-	Limits struct {
-		DialTimeoutMs  float64 `json:"dialTimeoutMs"`
-		KeepaliveMs    float64 `json:"keepaliveMs"`
-		MaxOpen        int     `json:"maxOpen"`
-		StreamsPerConn int     `json:"streamsPerConn"`
-	} `json:"limits"`
+// namedSetting is a class or a tenant, of which connections need the name alone.
+type namedSetting struct {
+	Name string `json:"name"`
 }
 
-// readConfig reads and checks the file that EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN go before
-// what it says.
+// transportLimits bounds the connections.
+type transportLimits struct {
+	DialTimeoutMs  float64 `json:"dialTimeoutMs"`
+	KeepaliveMs    float64 `json:"keepaliveMs"` // idle connections to workers are closed after this
+	MaxOpen        int     `json:"maxOpen"`     // open requests
+	StreamsPerConn int     `json:"streamsPerConn"`
+}
+
+// readConfig reads and checks the file that EDGE_CONFIG names. Its errors are of type *ConfigError.
 func readConfig(getenv func(string) string) (*config, error) {
-	path := getenv("EDGE_CONFIG")
+	path := getenv(configVariable)
 	if path == "" {
-		return nil, errors.New("EDGE_CONFIG names no file")
+		return nil, &ConfigError{Field: configVariable, Err: errNoConfigFile}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("config: %w", err)
+		return nil, &ConfigError{Path: path, Err: err}
 	}
-	var c config
-	if err := json.Unmarshal(text, &c); err != nil {
-		return nil, fmt.Errorf("config %s: %w", path, err)
+	c, field, err := parseConfig(text, getenv)
+	if err != nil {
+		return nil, &ConfigError{Path: path, Field: field, Err: err}
 	}
-	for name, to := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen} {
-		if v := getenv(name); v != "" {
-			*to = v
-		}
+	return c, nil
+}
+
+// parseConfig parses the text of a file. Of an error it tells the field.
+func parseConfig(text []byte, getenv func(string) string) (c *config, field string, err error) {
+	c = &config{}
+	if err := json.Unmarshal(text, c); err != nil {
+		return nil, "", err
 	}
-	for name, addr := range map[string]string{"listen": c.Listen, "names": c.Names} {
-		if _, err := netip.ParseAddrPort(addr); err != nil {
-			return nil, fmt.Errorf("config %s: %s: %w", path, name, err)
-		}
+	if name := getenv(nameVariable); name != "" {
+		c.Name = name
 	}
-	if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("config %s: seed: %w", path, err)
+	if listen := getenv(listenVariable); listen != "" {
+		c.Listen = listen
 	}
-	if c.module, err = simwire.ParseSettings(c.Settings); err != nil {
-		return nil, fmt.Errorf("config %s: %w", path, err)
+	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
+		return nil, "listen", err
 	}
-	n := &c.network
-	if err := json.Unmarshal(c.Settings, n); err != nil {
-		return nil, fmt.Errorf("config %s: settings: %w", path, err)
+	if _, err := netip.ParseAddrPort(c.Names); err != nil {
+		return nil, "names", err
 	}
-	for i, k := range n.Classes {
-		if k.Name == "" {
-			return nil, fmt.Errorf("config %s: class %d has no name", path, i)
-		}
+	if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
+		return nil, "seed", err
 	}
-	orDefault(&n.Limits.DialTimeoutMs, 250)
-	orDefault(&n.Limits.KeepaliveMs, 30000)
-	orDefault(&n.Limits.MaxOpen, 20000)
-	orDefault(&n.Limits.StreamsPerConn, 32)
-	orDefault(&c.Limits.MemoryMB, 192)
-	orDefault(&c.Limits.Sockets, 1024)
-	if c.Limits.MemoryMB < 32 || c.Limits.Sockets < 64 {
-		return nil, fmt.Errorf("config %s: limits: too little memory or too few sockets", path)
+	if c.policy, err = simwire.ParseSettings(c.Settings); err != nil {
+		return nil, "", err // it names the key
 	}
-	return &c, nil
-}
-
-// ownFiles is how many descriptors are kept for what is neither a client nor a worker: pollers,
-// listeners, the directory, notices, files, and an accepted connection that is yet to be turned away.
-const ownFiles = 32
-
-// clientConns is how many accepted connections there may be: a third of the descriptors.
-func (c *config) clientConns() int { return c.Limits.Sockets / 3 }
-
-// workerConns is how many connections to workers there may be: what the clients' third leaves.
-func (c *config) workerConns() int {
-	return c.Limits.Sockets - c.clientConns() - min(ownFiles, c.Limits.Sockets/4)
-}
-
-// share scales a bound that is right for 192 MB to the memory that there is. The bounds on what is held for
-// peers come to 80 MiB of those 192 with the webhooks' outcomes, and keep that part of any smaller limit.
-func (c *config) share(bytes int) int { return bytes * min(c.Limits.MemoryMB, 192) / 192 }
-
-// maxOpen is how many requests may be open: at 2 KiB each, bodies aside, a sixteenth of the memory.
-func (c *config) maxOpen() int { return min(c.network.Limits.MaxOpen, c.Limits.MemoryMB*32) }
-
-// flushFor is how long after SIGTERM slow clients may take their answers in or send the rest of a request, and
-// notices be delivered. The platform kills the longest deadline, or 3 s if that is less, and 0.7 s after
-// SIGTERM at the earliest; the last 0.2 s of that are for a machine that stalls.
-func (c *config) flushFor() time.Duration {
-	longest := time.Duration(0)
-	for _, k := range c.module.Classes {
-		longest = max(longest, k.Deadline)
+	if err := c.transport.parse(c.Settings); err != nil {
+		return nil, "settings", err
 	}
-	return min(longest, 3*time.Second) + 500*time.Millisecond
+	setDefault(&c.Limits.MemoryMB, defaultMemoryMB)
+	setDefault(&c.Limits.Sockets, defaultSockets)
+	if c.Limits.MemoryMB < minMemoryMB || c.Limits.Sockets < minSockets {
+		return nil, "limits", errLimitsTooLow
+	}
+	return c, "", nil
 }
 
-// turnedAway is what clients are told that there is no room for.
-func (c *config) turnedAway() time.Duration {
-	if !c.module.AllowRetryAfter {
-		return 0
+// parse reads the part of the settings that connections depend on.
+func (t *transportSettings) parse(settings []byte) error {
+	if err := json.Unmarshal(settings, t); err != nil {
+		return err
+	}
+	for i, class := range t.Classes {
+		if class.Name == "" {
+			return fmt.Errorf("class %d: %w", i, errNoClassName)
+		}
 	}
-	return min(time.Second, c.module.MaxRetryAfter)
+	setDefault(&t.Limits.DialTimeoutMs, defaultDialTimeoutMs)
+	setDefault(&t.Limits.KeepaliveMs, defaultKeepaliveMs)
+	setDefault(&t.Limits.MaxOpen, defaultMaxOpenRequests)
+	setDefault(&t.Limits.StreamsPerConn, defaultStreamsPerConnection)
+	return nil
 }
 
-// needsRestart names what fresh changes and a reload does not take over. The seed and the start's list
-// count at a start alone.
+// needsRestart names what fresh changes and a reload does not take over. The seed and the initial endpoints count
+// at a start alone.
 func (c *config) needsRestart(fresh *config) (changed []string) {
-	for _, part := range []struct {
-		name string
-		same bool
-	}{
-		{"name", c.Name == fresh.Name}, {"listen", c.Listen == fresh.Listen}, {"limits", c.Limits == fresh.Limits},
-		{"settings", reflect.DeepEqual(c.module, fresh.module) && reflect.DeepEqual(c.network, fresh.network)},
-	} {
-		if !part.same {
-			changed = append(changed, part.name)
-		}
+	if c.Name != fresh.Name {
+		changed = append(changed, "name")
+	}
+	if c.Listen != fresh.Listen {
+		changed = append(changed, "listen")
+	}
+	if c.Limits != fresh.Limits {
+		changed = append(changed, "limits")
+	}
+	if !reflect.DeepEqual(c.policy, fresh.policy) || !reflect.DeepEqual(c.transport, fresh.transport) {
+		changed = append(changed, "settings")
 	}
 	return changed
 }
 
-// orDefault sets what is absent or no use.
-func orDefault[T int | float64](v *T, to T) {
-	if *v <= 0 {
-		*v = to
+// classNames returns the names of the request classes, in the settings' order.
+func (t *transportSettings) classNames() []string { return settingNames(t.Classes) }
+
+// tenantNames returns the names of the tenants, in the settings' order.
+func (t *transportSettings) tenantNames() []string { return settingNames(t.Accounts) }
+
+func settingNames(settings []namedSetting) (names []string) {
+	for _, s := range settings {
+		names = append(names, s.Name)
+	}
+	return names
+}
+
+// setDefault replaces a value that is absent or not above zero.
+func setDefault[T int | float64](value *T, fallback T) {
+	if *value <= 0 {
+		*value = fallback
 	}
 }
 
-func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/cmd/functionrouter/config_test.go
+++ b/cmd/functionrouter/config_test.go
@@ -28,7 +28,7 @@
 	read := func(text string) (*config, error) { return readText(path, text) }
 	c, err := read(goodConfig)
 	if err != nil || c.Name != "n4" || c.seed != 0x8c1f30d27a5be964 || c.Known.Offset != 3 ||
-		c.network.Classes[0].Name != "repair-order" || c.network.Limits.StreamsPerConn != 32 {
+		c.transport.Classes[0].Name != "repair-order" || c.transport.Limits.StreamsPerConn != 32 {
 		t.Errorf("read %+v, %v", c, err)
 	}
 	for old, new := range map[string]string{
@@ -78,23 +78,23 @@
 	for _, memory := range []int{32, 48, 64, 192, 2048} {
 		for _, sockets := range []int{64, 256, 1024} {
 			var c config
-			c.Limits.MemoryMB, c.Limits.Sockets, c.network.Limits.MaxOpen = memory, sockets, 20000
-			held := c.share(8<<20) + c.share(32<<20) + c.share(24<<20) + c.share(16<<20) + c.maxOpen()*2048
-			if held > memory<<20/2 || c.share(24<<20) < 1<<20 || c.maxOpen() < 1000 {
-				t.Errorf("%d MB: %d bytes may be held, %d requests open", memory, held, c.maxOpen())
+			c.Limits.MemoryMB, c.Limits.Sockets, c.transport.Limits.MaxOpen = memory, sockets, 20000
+			held := c.scaleToMemory(maxQueuedBytes) + c.scaleToMemory(maxUnreadBytes) + c.scaleToMemory(maxBodyBytes) + c.scaleToMemory(maxWebhookResultBytes) + c.maxOpenRequests()*2048
+			if held > memory<<20/2 || c.scaleToMemory(maxBodyBytes) < 1<<20 || c.maxOpenRequests() < 1000 {
+				t.Errorf("%d MB: %d bytes may be held, %d requests open", memory, held, c.maxOpenRequests())
 			}
-			if own := sockets - c.clientConns() - c.workerConns(); c.clientConns()*3 > sockets || own < 16 || c.workerConns() < 20 {
-				t.Errorf("%d descriptors: %d for clients, %d for workers", sockets, c.clientConns(), c.workerConns())
+			if own := sockets - c.maxClientConnections() - c.maxWorkerConnections(); c.maxClientConnections()*3 > sockets || own < 16 || c.maxWorkerConnections() < 20 {
+				t.Errorf("%d descriptors: %d for clients, %d for workers", sockets, c.maxClientConnections(), c.maxWorkerConnections())
 			}
 		}
 	}
 	var c config
-	if c.turnedAway() != 0 {
+	if c.rejectionRetryAfter() != 0 {
 		t.Error("advice where the settings allow none")
 	}
-	c.module.AllowRetryAfter, c.module.MaxRetryAfter = true, 300*time.Millisecond
-	if c.turnedAway() != c.module.MaxRetryAfter {
-		t.Errorf("advice %v", c.turnedAway())
+	c.policy.AllowRetryAfter, c.policy.MaxRetryAfter = true, 300*time.Millisecond
+	if c.rejectionRetryAfter() != c.policy.MaxRetryAfter {
+		t.Errorf("advice %v", c.rejectionRetryAfter())
 	}
 }
 
@@ -104,8 +104,8 @@
 	for deadline, want := range map[string]time.Duration{"3000": 3500 * time.Millisecond, "9000": 3500 * time.Millisecond,
 		"1800": 2300 * time.Millisecond} {
 		c, err := readText(path, strings.Replace(goodConfig, `"deadlineMs":3000`, `"deadlineMs":`+deadline, 1))
-		if err != nil || c.flushFor() != want {
-			t.Errorf("deadline of %s ms: %v, %v; want %v", deadline, c.flushFor(), err, want)
+		if err != nil || c.flushTimeout() != want {
+			t.Errorf("deadline of %s ms: %v, %v; want %v", deadline, c.flushTimeout(), err, want)
 		}
 	}
 }
--- /dev/null
+++ b/cmd/functionrouter/counters.go
@@ -0,0 +1,78 @@
+package main
+
+import (
+	"log/slog"
+
+	"functionrouter/internal/router"
+	"functionrouter/policy"
+)
+
+// outcomeCounts is how many attempts, load orders or health checks ended with each policy.Outcome.
+type outcomeCounts = [policy.FunctionNotLoaded + 1]uint64
+
+// logCounters logs all counters, one message for each group. They count from the start of the process.
+func (s *server) logCounters() {
+	c := &s.router.Counters
+	for f := range c.Received {
+		logRequestCounters(c, router.Frontend(f))
+	}
+	logAttemptCounters(c)
+	logGiveUpCounters(c)
+	logLoadOrderCounters(c)
+	logHealthCheckCounters(c)
+	s.extensions.logCounters()
+	slog.Info("discovery counters",
+		"queries_sent", s.discovery.QueriesSent, "answers_received", s.discovery.AnswersReceived)
+}
+
+// logRequestCounters logs what clients sent to a frontend and what they were answered.
+func logRequestCounters(c *router.Counters, f router.Frontend) {
+	slog.Info("request counters", "frontend", f.String(), "received", c.Received[f], "served", c.Served[f],
+		"refused", c.Refused[f], "failed", c.Failed[f], "client_cancelled", c.ClientCancelled[f], "rejected", c.Rejected[f])
+}
+
+// logAttemptCounters logs the attempts sent to workers and their outcomes. Requests that are overdue were answered
+// by the router at their deadline, since the policy had not.
+func logAttemptCounters(c *router.Counters) {
+	attributes := withOutcomes([]any{"sent", c.AttemptsSent}, &c.AttemptOutcomes)
+	attributes = append(attributes, "overdue_requests", c.Overdue)
+	slog.Info("attempt counters", attributes...)
+}
+
+// logGiveUpCounters logs the requests that the policy gave up, by reason.
+func logGiveUpCounters(c *router.Counters) {
+	var attributes []any
+	for reason, count := range c.GivenUp {
+		attributes = append(attributes, giveUpReasonNames[reason], count)
+	}
+	slog.Info("give-up counters", attributes...)
+}
+
+// logLoadOrderCounters logs the orders to load function instances and their outcomes, and the orders to unload them.
+func logLoadOrderCounters(c *router.Counters) {
+	attributes := withOutcomes([]any{"sent", c.LoadOrders}, &c.LoadOrderOutcomes)
+	attributes = append(attributes, "unloads_sent", c.Unloads)
+	slog.Info("load order counters", attributes...)
+}
+
+// logHealthCheckCounters logs the health checks sent to workers and their outcomes.
+func logHealthCheckCounters(c *router.Counters) {
+	slog.Info("health check counters", withOutcomes([]any{"sent", c.Probes}, &c.ProbeOutcomes)...)
+}
+
+// withOutcomes appends an attribute for each outcome that occurred.
+func withOutcomes(attributes []any, counts *outcomeCounts) []any {
+	for outcome, count := range counts {
+		if count > 0 {
+			attributes = append(attributes, outcomeNames[outcome], count)
+		}
+	}
+	return attributes
+}
+
+// The names of the policy's outcomes and reasons in the log.
+var (
+	outcomeNames = [...]string{"served", "errored", "worker_overloaded", "timed_out", "unreachable", "connection_reset",
+		"cancelled", "not_sent", "function_not_loaded"}
+	giveUpReasonNames = [...]string{"deadline_exceeded", "no_worker_available", "predicted_too_late", "load_shed"}
+)
--- a/cmd/functionrouter/crossings_test.go
+++ b/cmd/functionrouter/crossings_test.go
@@ -202,7 +202,7 @@
 	serve(first, "00000000000000a1")
 	from := r.log.mark()
 	r.names.answer(early, 2, entry{id: "s-1", addr: first.addr}, entry{id: "s-2", addr: second.addr, draining: true})
-	r.log.wait(t, from, "event=worker name=s-2 ")
+	r.log.wait(t, from, `msg="endpoint updated" worker=s-2 `)
 	serve(first, "00000000000000a2")
 
 	addr := r.names.addr()
--- /dev/null
+++ b/cmd/functionrouter/endpoints.go
@@ -0,0 +1,44 @@
+package main
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"functionrouter/internal/discovery"
+	"functionrouter/policy"
+)
+
+// updateEndpoints passes a new endpoint list to the router and then to the pool. The order matters: attempts that the
+// pool gives back on account of the list are placed again by this list, not by the one before.
+func (s *server) updateEndpoints(list []discovery.Endpoint) {
+	update := policy.EndpointUpdate{Kind: policy.FullUpdate}
+	for _, e := range list {
+		update.Endpoints = append(update.Endpoints, s.policyEndpoint(e))
+		slog.Info("endpoint updated", "worker", e.Name, "address", e.Addr, "state", e.State, "weight", e.Weight,
+			"started_unix_ms", e.Started)
+	}
+	s.router.UpdateEndpoints(update)
+	present := map[policy.WorkerID]bool{}
+	for i, e := range update.Endpoints {
+		present[e.Worker] = true
+		s.pool.UpdateEndpoint(e.Worker, list[i].Addr, e.State, e.StartedAt)
+	}
+	s.pool.RetainEndpoints(present)
+}
+
+// policyEndpoint converts an endpoint to the policy's form.
+func (s *server) policyEndpoint(e discovery.Endpoint) policy.Endpoint {
+	converted := policy.Endpoint{
+		Worker: e.ID(),
+		State:  e.State,
+		Weight: e.Weight,
+		Cell:   e.Cell,
+		Zone:   max(slices.Index(s.cfg.transport.FailureDomains, e.Zone), 0), // an unknown zone counts as the first
+	}
+	if e.Started > 0 {
+		// At least 1, since 0 means that the start is not known.
+		converted.StartedAt = max(s.loop.TimeFromUnix(time.UnixMilli(e.Started)), 1)
+	}
+	return converted
+}
--- /dev/null
+++ b/cmd/functionrouter/extensions.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"errors"
+	"io/fs"
+	"net/netip"
+	"os"
+	"time"
+
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/frontend/webhook"
+	"functionrouter/internal/ipfix"
+	"functionrouter/internal/router"
+)
+
+// extensions are the optional parts beside the platform's frontend; each is nil where it is off, as all are on the
+// platform.
+type extensions struct {
+	receiver *webhook.Receiver // signed webhooks that carry requests
+	sender   *webhook.Sender   // signed notices of how requests ended
+	exporter *ipfix.Exporter   // flow records
+
+	frontendAddrs [2]netip.AddrPort // where each router.Frontend listens, for the flow records
+}
+
+// newExtensions reads the files and joins the parts that they turn on to the loop and the router.
+func newExtensions(cfg *config, loop *eventloop.Loop, core *router.Router) (*extensions, error) {
+	x := &extensions{}
+	x.frontendAddrs[router.Thrift] = netip.MustParseAddrPort(cfg.Listen) // readConfig checked it
+	if path := extensionFile(webhookVariable, webhookFile); path != "" {
+		if err := x.addWebhooks(path, cfg, loop, core); err != nil {
+			return nil, err
+		}
+	}
+	if path := extensionFile(flowExportVariable, flowExportFile); path != "" {
+		if err := x.addFlowExport(path, loop); err != nil {
+			return nil, err
+		}
+	}
+	core.OnRequestEnd = func(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
+		if x.sender != nil {
+			x.notify(now, r, outcome, cfg.policy.Classes[r.Class])
+		}
+		if x.exporter != nil {
+			x.exportFlow(now, r, cfg.transport.Classes[r.Class].Name)
+		}
+	}
+	return x, nil
+}
+
+// extensionFile returns the file to read: the one that the variable names, or the default if it exists, or none.
+func extensionFile(variable, defaultFile string) string {
+	if path := os.Getenv(variable); path != "" {
+		return path
+	}
+	if _, err := os.Stat(defaultFile); errors.Is(err, fs.ErrNotExist) {
+		return ""
+	}
+	return defaultFile
+}
+
+// process sends the notices and flow records that are due. It returns when it must be called again at the latest.
+func (x *extensions) process(now time.Duration) (next time.Duration) {
+	next = now + time.Hour // with nothing to do, any time will do
+	if x.sender != nil {
+		next = min(next, x.sender.Process(now))
+	}
+	if x.exporter != nil {
+		next = min(next, x.exporter.Process(now))
+	}
+	return next
+}
+
+// sweep drops the results of webhooks that are too old to be delivered again.
+func (x *extensions) sweep(now time.Duration) {
+	if x.receiver != nil {
+		x.receiver.Sweep(now)
+	}
+}
+
+// logCounters logs the counters of the parts that are on.
+func (x *extensions) logCounters() {
+	if x.receiver != nil {
+		logWebhookCounters(&x.receiver.Count)
+	}
+	if x.sender != nil {
+		logNoticeCounters(&x.sender.Sent, x.sender.OpenNotices())
+	}
+	if x.exporter != nil {
+		logFlowCounters(&x.exporter.Counters)
+	}
+}
--- /dev/null
+++ b/cmd/functionrouter/flow_export.go
@@ -0,0 +1,50 @@
+package main
+
+import (
+	"log/slog"
+	"time"
+
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/ipfix"
+	"functionrouter/internal/router"
+)
+
+// flowExportFile turns on the export of flow records (RFC 7011); flowExportVariable names another file. The variable
+// keeps the program's first name, since deployed environments set it.
+const (
+	flowExportFile     = "deploy/ipfix.toml"
+	flowExportVariable = "CRANKHOLD_IPFIX"
+)
+
+// addFlowExport turns on the export if the file at path enables it.
+func (x *extensions) addFlowExport(path string, loop *eventloop.Loop) error {
+	file, err := ipfix.ReadConfig(path)
+	if err != nil {
+		return err
+	}
+	if !file.Enabled {
+		return nil
+	}
+	x.exporter = ipfix.New(file, time.Now, func(h eventloop.DialHandler) ipfix.Transport {
+		return loop.DialUDP(file.Collector, h)
+	})
+	slog.Info("flow export enabled", "collector", file.Collector)
+	return nil
+}
+
+// exportFlow adds a record of a request that has just ended.
+func (x *extensions) exportFlow(now time.Duration, r *router.Request, class string) {
+	end := time.Now()
+	x.exporter.Add(ipfix.Flow{
+		Client: r.ClientAddr,
+		Server: x.frontendAddrs[r.Frontend],
+		Start:  end.Add(r.ReceivedAt - now),
+		End:    end,
+		Octets: uint64(len(r.Body)),
+		Class:  class,
+	})
+}
+
+func logFlowCounters(c *ipfix.Counters) {
+	slog.Info("flow export counters", "records", c.Records, "sent", c.Sent, "dropped", c.Dropped, "messages", c.Messages)
+}
--- a/cmd/functionrouter/process_test.go
+++ b/cmd/functionrouter/process_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"os"
 	"os/exec"
@@ -30,6 +31,7 @@
 		main()
 		return
 	}
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil))) // as main does
 	os.Exit(m.Run())
 }
 
--- a/cmd/functionrouter/rig_test.go
+++ b/cmd/functionrouter/rig_test.go
@@ -7,7 +7,7 @@
 	"errors"
 	"fmt"
 	"io"
-	"log"
+	"log/slog"
 	"net"
 	"net/netip"
 	"os"
@@ -52,8 +52,9 @@
 	kept := make(chan os.Signal, 1)
 	signal.Notify(kept, syscall.SIGTERM)
 	t.Cleanup(func() { signal.Stop(kept) })
-	log.SetOutput(r.log)
-	t.Cleanup(func() { log.SetOutput(os.Stderr) })
+	previous := slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(r.log, nil)))
+	t.Cleanup(func() { slog.SetDefault(previous) })
 	go func() {
 		r.ended <- serve(cfg, func() (*config, error) {
 			fresh, err := readConfig(func(name string) string { return map[string]string{"EDGE_CONFIG": r.path}[name] })
@@ -542,7 +543,7 @@
 	from := r.log.mark()
 	r.names.answer(r.names.query(), serial, list...)
 	for _, e := range list {
-		r.log.wait(r.t, from, "event=worker name="+e.id+" ")
+		r.log.wait(r.t, from, `msg="endpoint updated" worker=`+e.id+" ")
 	}
 	r.dial().check()
 }
--- /dev/null
+++ b/cmd/functionrouter/webhooks.go
@@ -0,0 +1,99 @@
+package main
+
+import (
+	"log/slog"
+	"net/netip"
+	"time"
+
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/frontend/webhook"
+	"functionrouter/internal/router"
+	"functionrouter/policy"
+)
+
+// webhookFile turns on the webhook frontend and the notices; webhookVariable names another file. The variable keeps
+// the program's first name, since deployed environments set it.
+const (
+	webhookFile     = "deploy/webhook.toml"
+	webhookVariable = "CRANKHOLD_WEBHOOK"
+)
+
+// addWebhooks turns on the parts that the file at path enables.
+func (x *extensions) addWebhooks(path string, cfg *config, loop *eventloop.Loop, core *router.Router) error {
+	file, err := webhook.ReadConfig(path)
+	if err != nil {
+		return err
+	}
+	if file.Receiver.Enabled {
+		if err := x.addReceiver(file, cfg, loop, core); err != nil {
+			return err
+		}
+	}
+	if file.Sender.Enabled {
+		dial := func(addr string, timeout time.Duration, h eventloop.DialHandler) webhook.Transport {
+			return loop.Dial(addr, timeout, h)
+		}
+		if x.sender, err = webhook.NewSender(file, time.Now, dial); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// addReceiver turns on the webhook frontend.
+func (x *extensions) addReceiver(file *webhook.Config, cfg *config, loop *eventloop.Loop, core *router.Router) error {
+	var classes []webhook.Class
+	for i, class := range cfg.policy.Classes {
+		classes = append(classes, webhook.Class{
+			Name:    cfg.transport.Classes[i].Name,
+			Once:    class.Idempotency != policy.Idempotent,
+			Longest: class.Deadline,
+		})
+	}
+	receiver, err := webhook.NewReceiver(file, core, classes, cfg.scaleToMemory(maxWebhookResultBytes),
+		loop.Now, time.Now, loop.Post)
+	if err != nil {
+		return err
+	}
+	x.receiver = receiver
+	x.frontendAddrs[router.Webhook] = netip.MustParseAddrPort(file.Receiver.Listen) // webhook.ReadConfig checked it
+	loop.Listen(file.Receiver.Listen, receiver.Accept)
+	slog.Info("webhook frontend enabled", "listen", file.Receiver.Listen, "path", file.Receiver.Path,
+		"ledger", file.Receiver.Ledger.Path)
+	return nil
+}
+
+// notify queues a notice of how a request ended, if it is one that must not run twice.
+func (x *extensions) notify(now time.Duration, r *router.Request, outcome router.RequestOutcome, class policy.Class) {
+	if class.Idempotency == policy.NotIdempotent {
+		x.sender.Notify(now, r, outcome)
+	}
+}
+
+// openNotices is how many notices are not delivered yet.
+func (x *extensions) openNotices() int {
+	if x.sender == nil {
+		return 0
+	}
+	return x.sender.OpenNotices()
+}
+
+// close writes what must be on disk before the program ends.
+func (x *extensions) close() {
+	if x.receiver == nil {
+		return
+	}
+	if err := x.receiver.Close(); err != nil {
+		slog.Error("webhook ledger not closed", "error", err)
+	}
+}
+
+func logWebhookCounters(c *webhook.Counters) {
+	slog.Info("webhook counters", "deliveries", c.Deliveries, "unauthorized", c.Unauthorized, "malformed", c.Malformed,
+		"replayed", c.Replayed, "joined", c.Joined, "ledger_refused", c.LedgerRefused)
+}
+
+func logNoticeCounters(c *webhook.SenderCounters, open int) {
+	slog.Info("notice counters", "queued", c.Queued, "dropped", c.Dropped, "delivered", c.Delivered,
+		"retried", c.Retried, "given_up", c.GivenUp, "open", open)
+}
