--- /dev/null
+++ b/internal/simwire/decoder.go
@@ -0,0 +1,104 @@
+package simwire
+
+import (
+	"encoding/binary"
+	"math"
+	"time"
+
+	"functionrouter/policy"
+)
+
+const (
+	workerLength  = 6 // IPv4 address and port
+	float32Length = 4
+)
+
+// decoder takes fields off the front of rest. The first error stays in err; later fields then read as zero or
+// as what comes next, so that a record's fields can be read without a check after each.
+type decoder struct {
+	rest []byte
+	err  error
+}
+
+func (d *decoder) fail(err error) {
+	if d.err == nil {
+		d.err = err
+	}
+}
+
+// take returns the next bytes: a field of fixed length.
+func (d *decoder) take(length int) []byte {
+	if length > len(d.rest) {
+		d.fail(errTruncated)
+		d.rest = nil
+		return make([]byte, length)
+	}
+	field := d.rest[:length]
+	d.rest = d.rest[length:]
+	return field
+}
+
+// bytes returns a copy of the next bytes, as many as the record claims to hold; nil for none.
+func (d *decoder) bytes(length uint32) []byte {
+	if uint64(length) > uint64(len(d.rest)) {
+		d.fail(errTruncated)
+		d.rest = nil
+		return nil
+	}
+	return append([]byte(nil), d.take(int(length))...)
+}
+
+func (d *decoder) u8() uint8                   { return d.take(1)[0] }
+func (d *decoder) u16() uint16                 { return binary.BigEndian.Uint16(d.take(2)) }
+func (d *decoder) u32() uint32                 { return binary.BigEndian.Uint32(d.take(4)) }
+func (d *decoder) u64() uint64                 { return binary.BigEndian.Uint64(d.take(8)) }
+func (d *decoder) f32() float64                { return float64(math.Float32frombits(d.u32())) }
+func (d *decoder) f64() float64                { return math.Float64frombits(d.u64()) }
+func (d *decoder) millis() time.Duration       { return fromMillis(d.f64()) }
+func (d *decoder) millis32() time.Duration     { return fromMillis(d.f32()) }
+func (d *decoder) request() policy.RequestID   { return policy.RequestID(d.u32()) }
+func (d *decoder) function() policy.FunctionID { return policy.FunctionID(d.u64()) }
+
+// worker reads a worker's address and port, which together are its id.
+func (d *decoder) worker() policy.WorkerID {
+	b := d.take(workerLength)
+	address := policy.WorkerID(binary.BigEndian.Uint32(b))
+	port := policy.WorkerID(binary.BigEndian.Uint16(b[4:]))
+	return address<<16 | port
+}
+
+// loadReport reads a worker's load report; nil where there is none.
+func (d *decoder) loadReport() []float64 {
+	count := int(d.u8())
+	if count*float32Length > len(d.rest) {
+		d.fail(errTruncated)
+		return nil
+	}
+	var values []float64
+	for range count {
+		values = append(values, d.f32())
+	}
+	return values
+}
+
+// outcomes are the wire's outcome codes, from 0.
+var outcomes = [...]policy.Outcome{
+	policy.Served,
+	policy.Errored,
+	policy.WorkerOverloaded,
+	policy.TimedOut,
+	policy.Unreachable,
+	policy.ConnectionReset,
+	policy.Cancelled,
+	policy.NotSent,
+	policy.FunctionNotLoaded,
+}
+
+func (d *decoder) outcome() policy.Outcome {
+	code := d.u8()
+	if int(code) >= len(outcomes) {
+		d.fail(unknownCodeError{"outcome", code})
+		return 0
+	}
+	return outcomes[code]
+}
--- /dev/null
+++ b/internal/simwire/frames.go
@@ -0,0 +1,132 @@
+// Package simwire translates between the simulator's frames and the types of package policy, and its settings
+// into a policy.Config. It only translates: every decision is taken by package policy.
+//
+// A batch of events comes in one frame and is answered by a frame of actions. All numbers are big-endian;
+// times are milliseconds on the wire.
+package simwire
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"time"
+)
+
+const (
+	batchHeaderLength = 20
+	maxFrameLength    = 1 << 30 // bytes after a header
+)
+
+// What can be wrong with a frame.
+var (
+	errBadClock      = errors.New("clock out of range")
+	errFrameTooLong  = errors.New("frame is too long")
+	errTruncated     = errors.New("truncated")
+	errTrailingBytes = errors.New("bytes after the last record")
+)
+
+// unknownCodeError is a code that this version doesn't know.
+type unknownCodeError struct {
+	field string
+	code  uint8
+}
+
+func (e unknownCodeError) Error() string { return fmt.Sprintf("unknown %s %d", e.field, e.code) }
+
+// Batch is one batch of events, all of which happen at the same time.
+type Batch struct {
+	Seq     uint32        // repeated in the reply
+	Now     time.Duration // the simulator's clock
+	Records []Record
+}
+
+// Record is one event of an instance: a policy.Event, an InstanceStarted or an InstanceKilled.
+type Record struct {
+	Instance uint16
+	Event    any
+}
+
+// ReadBatch reads one batch. It returns io.EOF where the input ends before a batch, and another error where the
+// input ends within it or the batch is malformed; no further batch can be read then.
+func ReadBatch(r io.Reader) (Batch, error) {
+	h, err := readBatchHeader(r)
+	if err != nil {
+		return Batch{}, err
+	}
+	batch := Batch{Seq: h.seq, Now: h.now}
+	body, err := readBody(r, h.length)
+	if err != nil {
+		return Batch{}, fmt.Errorf("batch %d: %w", h.seq, err)
+	}
+	d := decoder{rest: body}
+	for i := range h.records {
+		record, err := d.record()
+		if err != nil {
+			return Batch{}, fmt.Errorf("batch %d, record %d: %w", h.seq, i, err)
+		}
+		batch.Records = append(batch.Records, record)
+	}
+	if len(d.rest) > 0 {
+		return Batch{}, fmt.Errorf("batch %d: %d %w", h.seq, len(d.rest), errTrailingBytes)
+	}
+	return batch, nil
+}
+
+type batchHeader struct {
+	seq     uint32
+	length  uint32 // of the records, in bytes
+	records uint32
+	now     time.Duration
+}
+
+func readBatchHeader(r io.Reader) (batchHeader, error) {
+	var b [batchHeaderLength]byte
+	if _, err := io.ReadFull(r, b[:]); err != nil {
+		if errors.Is(err, io.EOF) {
+			return batchHeader{}, io.EOF
+		}
+		return batchHeader{}, fmt.Errorf("batch header: %w", err)
+	}
+	h := batchHeader{
+		seq:     binary.BigEndian.Uint32(b[0:]),
+		length:  binary.BigEndian.Uint32(b[4:]),
+		records: binary.BigEndian.Uint32(b[8:]),
+	}
+	clock := math.Float64frombits(binary.BigEndian.Uint64(b[12:]))
+	if math.IsNaN(clock) || clock < 0 || clock > maxMillis {
+		return batchHeader{}, fmt.Errorf("batch %d: %w", h.seq, errBadClock)
+	}
+	h.now = fromMillis(clock)
+	return h, nil
+}
+
+// readBody reads the bytes after a header. Its buffer grows with what comes, whatever length is claimed.
+func readBody(r io.Reader, length uint32) ([]byte, error) {
+	if length > maxFrameLength {
+		return nil, fmt.Errorf("%w: %d bytes", errFrameTooLong, length)
+	}
+	body, err := io.ReadAll(io.LimitReader(r, int64(length)))
+	if err != nil {
+		return nil, err
+	}
+	if len(body) < int(length) {
+		return nil, fmt.Errorf("%w at byte %d of %d", errTruncated, len(body), length)
+	}
+	return body, nil
+}
+
+// maxMillis bounds the times that are converted, in milliseconds; it is some 30 years.
+const maxMillis = 1e12
+
+// fromMillis converts milliseconds to a Duration; what is no number, or out of range, becomes 0.
+func fromMillis(ms float64) time.Duration {
+	if math.IsNaN(ms) || math.Abs(ms) > maxMillis {
+		return 0
+	}
+	return time.Duration(math.Round(ms * float64(time.Millisecond)))
+}
+
+// toMillis converts a Duration to milliseconds.
+func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -3,57 +3,76 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math"
-	"time"
 
 	"functionrouter/policy"
 )
 
-// settings mirrors the keys of the JSON that are read; all others are passed over.
+// unknownSemanticsError is a class's "semantics" that this version doesn't know.
+type unknownSemanticsError string
+
+func (e unknownSemanticsError) Error() string { return fmt.Sprintf("unknown semantics %q", string(e)) }
+
+// ParseSettings converts the settings of an instance, JSON, to a policy.Config. Unknown keys are ignored. It
+// fails where the text isn't JSON of the expected form or a class has unknown semantics.
+func ParseSettings(text []byte) (policy.Config, error) {
+	var s settings
+	if err := json.Unmarshal(text, &s); err != nil {
+		return policy.Config{}, fmt.Errorf("settings: %w", err)
+	}
+	config, err := s.config()
+	if err != nil {
+		return policy.Config{}, fmt.Errorf("settings: %w", err)
+	}
+	return config, nil
+}
+
+// settings mirrors the keys that are used. Times are in milliseconds.
 type settings struct {
-	PeersTotal     int       `json:"peersTotal"`
-	Zone           int       `json:"zone"`
-	GranularityMs  float64   `json:"granularityMs"`
-	CountedBy      string    `json:"countedBy"`
-	MembershipMode string    `json:"membershipMode"`
-	OverShareWorth *float64  `json:"overShareWorth"`
-	Classes        []class   `json:"classes"`
-	Accounts       []account `json:"accounts"`
-	Report         struct {
-		Fields []string `json:"fields"`
-		How    string   `json:"how"`
-	} `json:"report"`
-	Limits struct {
-		Cancel          bool    `json:"cancel"`
-		MayProbe        bool    `json:"mayProbe"`
-		Peers           bool    `json:"peers"`
-		SecondCopies    bool    `json:"secondCopies"`
-		RetryAfter      bool    `json:"retryAfter"`
-		MaxAttempts     int     `json:"maxAttempts"`
-		MaxRetryAfterMs float64 `json:"maxRetryAfterMs"`
-	} `json:"limits"`
-	Rules struct {
-		AskWithinMs  float64 `json:"askWithinMs"`
-		ColdFrom     float64 `json:"coldFrom"`
-		ColdMs       float64 `json:"coldMs"`
-		DrainGraceMs float64 `json:"drainGraceMs"`
-		FallMs       float64 `json:"fallMs"`
-		FallMultiple float64 `json:"fallMultiple"`
-	} `json:"rules"`
-	Specifics struct {
-		IfCold           string  `json:"ifCold"`
-		LingerIdleMs     float64 `json:"lingerIdleMs"`
-		LoadFree         float64 `json:"loadFree"`
-		LoadPart         float64 `json:"loadPart"`
-		LoadWaitMs       float64 `json:"loadWaitMs"`
-		LoadsWithinMs    float64 `json:"loadsWithinMs"`
-		NotesPeersInHand bool    `json:"notesPeersInHand"`
-		PlacementCalls   bool    `json:"placementCalls"`
-		WarmNotes        bool    `json:"warmNotes"`
-	} `json:"specifics"`
-}
-
-type class struct {
+	PeersTotal     int              `json:"peersTotal"`
+	Zone           int              `json:"zone"`
+	GranularityMs  float64          `json:"granularityMs"`
+	CountedBy      string           `json:"countedBy"`
+	MembershipMode string           `json:"membershipMode"`
+	OverShareWorth *float64         `json:"overShareWorth"`
+	Classes        []classSettings  `json:"classes"`
+	Accounts       []tenantSettings `json:"accounts"`
+	Report         reportSettings   `json:"report"`
+	Limits         limitSettings    `json:"limits"`
+	Rules          ruleSettings     `json:"rules"`
+	Specifics      functionSettings `json:"specifics"`
+}
+
+// config converts the settings section by section.
+func (s settings) config() (policy.Config, error) {
+	config := policy.Config{
+		RouterCount:          s.PeersTotal,
+		Zone:                 s.Zone,
+		WeightByWork:         s.CountedBy == "work",
+		Tick:                 fromMillis(s.GranularityMs),
+		RequiresSubscription: s.MembershipMode == "subscribe",
+		OverQuotaWeight:      1,
+	}
+	if s.OverShareWorth != nil {
+		config.OverQuotaWeight = *s.OverShareWorth
+	}
+	for i, c := range s.Classes {
+		class, err := c.class()
+		if err != nil {
+			return policy.Config{}, fmt.Errorf("class %d: %w", i, err)
+		}
+		config.Classes = append(config.Classes, class)
+	}
+	for _, t := range s.Accounts {
+		config.Tenants = append(config.Tenants, policy.Tenant{QuotaPerSecond: t.AllowancePerS})
+	}
+	s.Report.apply(&config)
+	s.Limits.apply(&config)
+	s.Rules.apply(&config)
+	s.Specifics.apply(&config)
+	return config, nil
+}
+
+type classSettings struct {
 	DeadlineMs float64 `json:"deadlineMs"`
 	GoalTimeMs float64 `json:"goalTimeMs"`
 	AimStretch float64 `json:"aimStretch"`
@@ -65,86 +84,122 @@
 	Worth      float64 `json:"worth"`
 }
 
-type account struct {
-	AllowancePerS float64 `json:"allowancePerS"`
+func (c classSettings) class() (policy.Class, error) {
+	idempotency, err := parseSemantics(c.Semantics)
+	if err != nil {
+		return policy.Class{}, err
+	}
+	return policy.Class{
+		LatencyObjective: fromMillis(c.GoalTimeMs),
+		Deadline:         fromMillis(c.DeadlineMs),
+		Idempotency:      idempotency,
+		DedupScope:       parseGroup(c.Group),
+		DedupWindow:      fromMillis(c.WindowMs),
+		Streamed:         c.Streamed,
+		PriorityWeight:   c.Worth,
+		LateWeight:       c.LateWorth,
+		ObjectiveStretch: c.AimStretch,
+	}, nil
 }
 
-// ParseSettings turns the settings of an INIT event into a policy.Config.
-func ParseSettings(text []byte) (policy.Config, error) {
-	var s settings
-	if err := json.Unmarshal(text, &s); err != nil {
-		return policy.Config{}, fmt.Errorf("settings: %w", err)
+func parseSemantics(semantics string) (policy.Idempotency, error) {
+	switch semantics {
+	case "safe":
+		return policy.Idempotent, nil
+	case "keyed":
+		return policy.IdempotentWithKey, nil
+	case "unsafe":
+		return policy.NotIdempotent, nil
 	}
-	c := policy.Config{
-		RouterCount:             s.PeersTotal,
-		Zone:                    s.Zone,
-		WeightByWork:            s.CountedBy == "work",
-		Tick:                    millis(s.GranularityMs),
-		RequiresSubscription:    s.MembershipMode == "subscribe",
-		LoadReportFields:        s.Report.Fields,
-		InlineLoadReports:       s.Report.How == "inline",
-		MaxAttempts:             s.Limits.MaxAttempts,
-		AllowCancel:             s.Limits.Cancel,
-		AllowProbes:             s.Limits.MayProbe,
-		AllowGossip:             s.Limits.Peers,
-		AllowHedging:            s.Limits.SecondCopies,
-		AllowRetryAfter:         s.Limits.RetryAfter,
-		MaxRetryAfter:           millis(s.Limits.MaxRetryAfterMs),
-		OverQuotaWeight:         1,
-		ImplicitListAge:         millis(s.Rules.AskWithinMs),
-		SlowStartCapacity:       s.Rules.ColdFrom,
-		SlowStartDuration:       millis(s.Rules.ColdMs),
-		OverloadMultiple:        s.Rules.FallMultiple,
-		OverloadWindow:          millis(s.Rules.FallMs),
-		DrainGrace:              millis(s.Rules.DrainGraceMs),
-		MissWhenNotLoaded:       s.Specifics.IfCold == "miss",
-		AllowLoadOrders:         s.Specifics.PlacementCalls,
-		InstanceStatusInAnswers: s.Specifics.WarmNotes,
-		ConcurrencyInAnswers:    s.Specifics.NotesPeersInHand,
-		InstanceKeepAlive:       millis(s.Specifics.LingerIdleMs),
-		LoadOrderTimeout:        millis(s.Specifics.LoadWaitMs),
-		LoadOrderWindow:         millis(s.Specifics.LoadsWithinMs),
-		LoadOrderAllowance:      s.Specifics.LoadFree,
-		LoadOrdersPerRequest:    s.Specifics.LoadPart,
-	}
-	if s.OverShareWorth != nil {
-		c.OverQuotaWeight = *s.OverShareWorth
-	}
-	for i, k := range s.Classes {
-		out := policy.Class{
-			LatencyObjective: millis(k.GoalTimeMs), Deadline: millis(k.DeadlineMs), DedupWindow: millis(k.WindowMs),
-			Streamed: k.Streamed, PriorityWeight: k.Worth, LateWeight: k.LateWorth, ObjectiveStretch: k.AimStretch,
-		}
-		switch k.Semantics {
-		case "safe":
-			out.Idempotency = policy.Idempotent
-		case "keyed":
-			out.Idempotency = policy.IdempotentWithKey
-		case "unsafe":
-			out.Idempotency = policy.NotIdempotent
-		default:
-			return policy.Config{}, fmt.Errorf("settings: class %d: unknown semantics %q", i, k.Semantics)
-		}
-		switch k.Group {
-		case "all":
-			out.DedupScope = policy.DedupFleet
-		case "zone":
-			out.DedupScope = policy.DedupZone
-		default: // cell, or absent: the narrowest promise
-			out.DedupScope = policy.DedupCell
-		}
-		c.Classes = append(c.Classes, out)
-	}
-	for _, a := range s.Accounts {
-		c.Tenants = append(c.Tenants, policy.Tenant{QuotaPerSecond: a.AllowancePerS})
-	}
-	return c, nil
+	return 0, unknownSemanticsError(semantics)
 }
 
-// millis turns milliseconds into a Duration; what is no number, or out of range, becomes 0.
-func millis(ms float64) time.Duration {
-	if math.IsNaN(ms) || math.Abs(ms) > 1e12 {
-		return 0
+// parseGroup converts the group of a keyed class. What is absent or unknown counts as "cell", the narrowest
+// promise.
+func parseGroup(group string) policy.DedupScope {
+	switch group {
+	case "all":
+		return policy.DedupFleet
+	case "zone":
+		return policy.DedupZone
+	default:
+		return policy.DedupCell
 	}
-	return time.Duration(math.Round(ms * 1e6))
+}
+
+type tenantSettings struct {
+	AllowancePerS float64 `json:"allowancePerS"`
+}
+
+type reportSettings struct {
+	Fields []string `json:"fields"`
+	How    string   `json:"how"`
+}
+
+func (r reportSettings) apply(config *policy.Config) {
+	config.LoadReportFields = r.Fields
+	config.InlineLoadReports = r.How == "inline"
+}
+
+type limitSettings struct {
+	Cancel          bool    `json:"cancel"`
+	MayProbe        bool    `json:"mayProbe"`
+	Peers           bool    `json:"peers"`
+	SecondCopies    bool    `json:"secondCopies"`
+	RetryAfter      bool    `json:"retryAfter"`
+	MaxAttempts     int     `json:"maxAttempts"`
+	MaxRetryAfterMs float64 `json:"maxRetryAfterMs"`
+}
+
+func (l limitSettings) apply(config *policy.Config) {
+	config.AllowCancel = l.Cancel
+	config.AllowProbes = l.MayProbe
+	config.AllowGossip = l.Peers
+	config.AllowHedging = l.SecondCopies
+	config.AllowRetryAfter = l.RetryAfter
+	config.MaxAttempts = l.MaxAttempts
+	config.MaxRetryAfter = fromMillis(l.MaxRetryAfterMs)
+}
+
+type ruleSettings struct {
+	AskWithinMs  float64 `json:"askWithinMs"`
+	ColdFrom     float64 `json:"coldFrom"`
+	ColdMs       float64 `json:"coldMs"`
+	DrainGraceMs float64 `json:"drainGraceMs"`
+	FallMs       float64 `json:"fallMs"`
+	FallMultiple float64 `json:"fallMultiple"`
+}
+
+func (r ruleSettings) apply(config *policy.Config) {
+	config.ImplicitListAge = fromMillis(r.AskWithinMs)
+	config.SlowStartCapacity = r.ColdFrom
+	config.SlowStartDuration = fromMillis(r.ColdMs)
+	config.DrainGrace = fromMillis(r.DrainGraceMs)
+	config.OverloadWindow = fromMillis(r.FallMs)
+	config.OverloadMultiple = r.FallMultiple
+}
+
+// functionSettings are the "specifics" of a service that loads functions on demand.
+type functionSettings struct {
+	IfCold           string  `json:"ifCold"`
+	LingerIdleMs     float64 `json:"lingerIdleMs"`
+	LoadFree         float64 `json:"loadFree"`
+	LoadPart         float64 `json:"loadPart"`
+	LoadWaitMs       float64 `json:"loadWaitMs"`
+	LoadsWithinMs    float64 `json:"loadsWithinMs"`
+	NotesPeersInHand bool    `json:"notesPeersInHand"`
+	PlacementCalls   bool    `json:"placementCalls"`
+	WarmNotes        bool    `json:"warmNotes"`
+}
+
+func (f functionSettings) apply(config *policy.Config) {
+	config.MissWhenNotLoaded = f.IfCold == "miss"
+	config.InstanceKeepAlive = fromMillis(f.LingerIdleMs)
+	config.LoadOrderAllowance = f.LoadFree
+	config.LoadOrdersPerRequest = f.LoadPart
+	config.LoadOrderTimeout = fromMillis(f.LoadWaitMs)
+	config.LoadOrderWindow = fromMillis(f.LoadsWithinMs)
+	config.ConcurrencyInAnswers = f.NotesPeersInHand
+	config.AllowLoadOrders = f.PlacementCalls
+	config.InstanceStatusInAnswers = f.WarmNotes
 }
