--- /dev/null
+++ b/internal/eventloop/activity_test.go
@@ -0,0 +1,110 @@
+package eventloop
+
+import (
+	"io"
+	"testing"
+	"time"
+)
+
+// Guards the time that a client has for its message: complete messages count, not the bytes that trickle in,
+// and a client that has sent one may keep its connection for longer.
+func TestAcceptedConnectionsTimeOut(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		// receive sets the state of h at a time since the accept and reports whether data arrives then.
+		receive func(h *echoHandler, at time.Duration) bool
+		want    time.Duration // when the connection is closed
+	}{
+		{"silent", func(*echoHandler, time.Duration) bool { return false }, messageTimeout},
+		{"trickling", func(h *echoHandler, _ time.Duration) bool {
+			h.partialMessage = true
+			return true
+		}, messageTimeout},
+		{"idle after a message", func(h *echoHandler, at time.Duration) bool {
+			h.completeMessages = 1
+			return at == 0
+		}, idleTimeout},
+		{"part of a second message", func(h *echoHandler, at time.Duration) bool {
+			h.completeMessages = 1
+			h.partialMessage = at >= 5*time.Second
+			return at == 0 || h.partialMessage
+		}, 5*time.Second + messageTimeout},
+		{"message after message", func(h *echoHandler, _ time.Duration) bool {
+			h.completeMessages++
+			return true
+		}, time.Minute},
+		{"open request", func(h *echoHandler, at time.Duration) bool {
+			h.openRequests = at < 20*time.Second
+			return false
+		}, 20 * time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			const step = 100 * time.Millisecond
+			closedAt := playUntilClosed(step, time.Minute, c.receive)
+			if closedAt < c.want || closedAt > c.want+2*step {
+				t.Errorf("closed after %v, want %v", closedAt, c.want)
+			}
+		})
+	}
+}
+
+// playUntilClosed plays an accepted connection, step by step, and returns when the loop closed it, or end.
+func playUntilClosed(step, end time.Duration, receive func(h *echoHandler, at time.Duration) bool) time.Duration {
+	l := New(Config{})
+	h := &echoHandler{}
+	conn := &Conn{loop: l, handler: h, connected: true, activity: messageActivity{lastActivity: l.now}}
+	l.accepted[conn] = struct{}{}
+	start := l.now
+	for at := time.Duration(0); at < end; at += step {
+		l.now = start + at
+		if receive(h, at) {
+			conn.handleData(nil)
+		}
+		l.sweep()
+		if conn.closed {
+			return at
+		}
+	}
+	return end
+}
+
+// Guards the last answers of a program that shuts down: what a turn has queued counts as unread before the
+// turn's flush, and a message of which only the beginning has come is known of.
+func TestUnreadBytesAndPartialMessagesAreKnown(t *testing.T) {
+	h := &echoHandler{times: 1, partialMessage: true, closed: make(chan error, 1)}
+	accepted := make(chan struct{})
+	l := startLoop(t, 10, func(c *Conn) AcceptedHandler {
+		h.conn = c
+		close(accepted)
+		return h
+	})
+	client := dialLoop(t, l)
+	<-accepted
+	queued := 0
+	call(l, func() {
+		before := l.UnreadBytes()
+		h.conn.Write([]byte("answer"), nil, []byte("|"))
+		queued = l.UnreadBytes() - before
+	})
+	if queued != 7 {
+		t.Errorf("%d bytes of 7 count as unread in the turn that queued them", queued)
+	}
+	if _, err := io.ReadFull(client, make([]byte, 7)); err != nil {
+		t.Fatal(err)
+	}
+	write(t, client, []byte("half"))
+	if _, err := io.ReadFull(client, make([]byte, 5)); err != nil {
+		t.Fatal(err)
+	}
+	hasPartial := false
+	call(l, func() { hasPartial = l.HasPartialMessages() })
+	if !hasPartial {
+		t.Error("the partial message is not known of")
+	}
+	check(t, client.Close())
+	t.Logf("closed with %v", <-h.closed)
+	call(l, func() { hasPartial = l.HasPartialMessages() })
+	if hasPartial {
+		t.Error("the partial message of a closed connection counts")
+	}
+}
--- /dev/null
+++ b/internal/eventloop/clock.go
@@ -0,0 +1,22 @@
+package eventloop
+
+import "time"
+
+// clockOrigin is the clock's reading at its start. It is above zero so that instants shortly before the start
+// are positive too, and zero can stand for "never".
+const clockOrigin = time.Hour
+
+// clock is a monotonic clock with readings in whole microseconds. It is safe for concurrent use.
+type clock struct {
+	start time.Time
+}
+
+// now reads the clock.
+func (c clock) now() time.Duration {
+	return (clockOrigin + time.Since(c.start)).Truncate(time.Microsecond)
+}
+
+// fromWallTime converts a wall-clock time to a reading of the clock.
+func (c clock) fromWallTime(t time.Time) time.Duration {
+	return (clockOrigin + t.Sub(c.start.Round(0))).Truncate(time.Microsecond)
+}
--- /dev/null
+++ b/internal/eventloop/helpers_test.go
@@ -0,0 +1,97 @@
+package eventloop
+
+import (
+	"net"
+	"testing"
+	"time"
+)
+
+// testTimeout bounds what a test waits for. No test takes as long unless it fails.
+const testTimeout = 20 * time.Second
+
+// echoHandler answers each piece of data with as many copies of it as times says, each with a "|" behind it. A
+// test sets what it reports of its requests and messages.
+type echoHandler struct {
+	conn             *Conn
+	times            int
+	openRequests     bool
+	completeMessages int
+	partialMessage   bool
+	closed           chan error
+}
+
+func (h *echoHandler) OnData(b []byte) {
+	for range h.times {
+		h.conn.Write(b, nil, []byte("|"))
+	}
+}
+func (h *echoHandler) OnClose(err error)            { h.closed <- err }
+func (h *echoHandler) HasOpenRequests() bool        { return h.openRequests }
+func (h *echoHandler) MessageProgress() (int, bool) { return h.completeMessages, h.partialMessage }
+
+// startLoop runs a loop until the test ends. It listens on a free port and accepts maxAccepted connections.
+func startLoop(t *testing.T, maxAccepted int, accept func(*Conn) AcceptedHandler) *Loop {
+	t.Helper()
+	l := New(Config{
+		MaxAcceptedConnections: maxAccepted,
+		MaxFileDescriptors:     256,
+		MaxQueuedBytes:         8 << 20,
+		MaxUnreadBytes:         32 << 20,
+	})
+	l.Listen("127.0.0.1:0", accept)
+	runLoop(t, l)
+	return l
+}
+
+// runLoop runs l until the test ends.
+func runLoop(t *testing.T, l *Loop) {
+	t.Helper()
+	if err := l.Start(); err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan struct{})
+	go func() {
+		l.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Hour })
+		close(done)
+	}()
+	t.Cleanup(func() {
+		l.Post(l.Stop)
+		<-done
+	})
+}
+
+// call runs f on l's goroutine and waits until it has returned.
+func call(l *Loop, f func()) {
+	done := make(chan struct{})
+	l.Post(func() {
+		f()
+		close(done)
+	})
+	<-done
+}
+
+// dialLoop connects a client to l until the test ends.
+func dialLoop(t *testing.T, l *Loop) *net.TCPConn {
+	t.Helper()
+	conn, err := net.Dial("tcp", l.Addrs()[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // some tests close it themselves
+	check(t, conn.SetDeadline(time.Now().Add(testTimeout)))
+	return conn.(*net.TCPConn)
+}
+
+func write(t *testing.T, conn net.Conn, b []byte) {
+	t.Helper()
+	if _, err := conn.Write(b); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func check(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/eventloop/write_test.go
@@ -0,0 +1,58 @@
+package eventloop
+
+import (
+	"bytes"
+	"io"
+	"testing"
+)
+
+// startEchoLoop runs a loop whose connections answer with so many copies of what they receive, through a small
+// kernel buffer, so that little is needed to fill it.
+func startEchoLoop(t *testing.T, copies int) (*Loop, *echoHandler) {
+	t.Helper()
+	h := &echoHandler{times: copies, completeMessages: 1, closed: make(chan error, 1)}
+	l := startLoop(t, 10, func(c *Conn) AcceptedHandler {
+		if err := c.nbioConn.SetWriteBuffer(4 << 10); err != nil {
+			t.Error(err)
+		}
+		h.conn = c
+		return h
+	})
+	return l, h
+}
+
+// Guards against nbio's Writev, which drops the buffers behind a short write: a reader that starts
+// late, so that the socket fills, still gets every byte in order.
+func TestShortWritesLoseNothing(t *testing.T) {
+	l, h := startEchoLoop(t, 3000)
+	client := dialLoop(t, l)
+	check(t, client.SetReadBuffer(64<<10))
+	text := bytes.Repeat([]byte("0123456789"), 20)
+	write(t, client, text)
+	// Until the loop has written, and more than the kernel takes.
+	for unread := 0; unread == 0; {
+		call(l, func() { unread = l.UnreadBytes() })
+	}
+	want := bytes.Repeat(append(bytes.Clone(text), '|'), h.times)
+	got := make([]byte, len(want))
+	if _, err := io.ReadFull(client, got); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("the bytes differ; read error: %v", err)
+	}
+	// The poller may still have to count its last write.
+	for unread := 1; unread != 0; {
+		call(l, func() { unread = l.UnreadBytes() })
+	}
+	if len(h.closed) > 0 { // the unread bytes of a closed connection don't count
+		t.Errorf("the connection was closed with %v before all its bytes were counted", <-h.closed)
+	}
+}
+
+func TestPeerThatDoesNotReadIsClosed(t *testing.T) {
+	l, h := startEchoLoop(t, 40000)
+	client := dialLoop(t, l)
+	check(t, client.SetReadBuffer(4<<10))
+	write(t, client, bytes.Repeat([]byte("x"), 200)) // 8 MB of answers
+	if err := <-h.closed; err == nil {
+		t.Error("closed without a reason")
+	}
+}
