--- /dev/null
+++ b/internal/router/attempt.go
@@ -0,0 +1,93 @@
+package router
+
+import (
+	"time"
+
+	"functionrouter/policy"
+)
+
+// attempt is one try of a request at a worker.
+type attempt struct {
+	worker policy.WorkerID
+	sentAt time.Duration
+	ended  bool
+}
+
+// startAttempt sends a request to a worker. If no time or no attempt is left, the attempt ends as policy.NotSent.
+func (r *Router) startAttempt(a policy.SendAttempt) {
+	p := r.requests.byID[a.Request]
+	if p == nil {
+		return
+	}
+	id := AttemptID{Request: a.Request, Number: len(p.attempts)}
+	p.attempts = append(p.attempts, attempt{worker: a.Worker, sentAt: r.now})
+	p.openAttempts++
+	budget := p.Deadline - r.now
+	if a.Timeout > 0 {
+		budget = min(budget, a.Timeout)
+	}
+	outOfAttempts := r.limits.MaxAttempts > 0 && id.Number >= r.limits.MaxAttempts
+	if p.closed || budget <= 0 || outOfAttempts {
+		r.AttemptEnded(id, policy.NotSent, policy.InstanceUnknown, nil, nil)
+		return
+	}
+	if budget == a.Timeout { // else the timer of the request's deadline ends the attempt
+		r.timers.schedule(r.now+budget, timer{kind: attemptTimeout, attempt: id})
+	}
+	r.Counters.AttemptsSent++
+	r.workers.StartAttempt(a.Worker, id, &p.Request, budget)
+}
+
+// openAttempt returns an attempt that has not ended and its request, or nils.
+func (r *Router) openAttempt(id AttemptID) (*pendingRequest, *attempt) {
+	p := r.requests.byID[id.Request]
+	if p == nil || id.Number >= len(p.attempts) || p.attempts[id.Number].ended {
+		return nil, nil
+	}
+	return p, &p.attempts[id.Number]
+}
+
+// cancelAttempt gives an attempt up and ends it with the outcome. The worker may run it all the same.
+func (r *Router) cancelAttempt(id AttemptID, outcome policy.Outcome) {
+	if _, a := r.openAttempt(id); a != nil {
+		r.workers.CancelAttempt(a.worker, id)
+		r.AttemptEnded(id, outcome, policy.InstanceUnknown, nil, nil)
+	}
+}
+
+// withdrawQueuedAttempts ends the attempts of a closed request of which nothing has been sent.
+func (r *Router) withdrawQueuedAttempts(request policy.RequestID, p *pendingRequest) {
+	for n := range p.attempts {
+		id := AttemptID{Request: request, Number: n}
+		if !p.attempts[n].ended && r.workers.WithdrawQueued(id) {
+			r.AttemptEnded(id, policy.NotSent, policy.InstanceUnknown, nil, nil)
+		}
+	}
+}
+
+// AttemptEnded reports how an attempt ended, with the worker's result and load report where it gave them. A report
+// of an attempt that has ended already is ignored.
+func (r *Router) AttemptEnded(id AttemptID, outcome policy.Outcome, instance policy.InstanceStatus, body []byte, loadReport []float64) {
+	p, a := r.openAttempt(id)
+	if a == nil {
+		return
+	}
+	a.ended = true
+	p.openAttempts--
+	p.mayHaveRun = p.mayHaveRun || !outcome.NeverRan()
+	r.Counters.AttemptOutcomes[outcome]++
+	if outcome == policy.Served && !p.closed {
+		r.respond(id.Request, p, Response{Status: Served, Body: body, MayHaveRun: true})
+	}
+	r.events.add(policy.AttemptEnded{
+		Request:        id.Request,
+		Attempt:        id.Number,
+		Worker:         a.worker,
+		Outcome:        outcome,
+		InstanceStatus: instance,
+		RequestClosed:  p.closed,
+		Duration:       r.now - a.sentAt,
+		LoadReport:     loadReport,
+	})
+	r.requests.removeIfDone(id.Request, p)
+}
--- /dev/null
+++ b/internal/router/counters.go
@@ -0,0 +1,46 @@
+package router
+
+import "functionrouter/policy"
+
+// outcomeCount is the number of policy.Outcome values.
+const outcomeCount = policy.FunctionNotLoaded + 1
+
+// Counters counts events since the start of the program. They never decrease.
+type Counters struct {
+	// Requests, by frontend. Each one that was received is counted once more when it ends, in one of the others.
+	Received        [frontendCount]uint64
+	Served          [frontendCount]uint64
+	Refused         [frontendCount]uint64 // by the policy, or at the deadline
+	Failed          [frontendCount]uint64
+	ClientCancelled [frontendCount]uint64
+	Rejected        [frontendCount]uint64 // refused for want of room, unseen by the policy
+
+	// Messages to workers.
+	AttemptsSent uint64
+	LoadOrders   uint64
+	Probes       uint64
+	Unloads      uint64
+
+	// How attempts, load orders and probes ended, by policy.Outcome.
+	AttemptOutcomes   [outcomeCount]uint64
+	LoadOrderOutcomes [outcomeCount]uint64
+	ProbeOutcomes     [outcomeCount]uint64
+
+	// Overdue counts requests that the policy had not ended by their deadlines. It stays 0 unless the policy is
+	// at fault or the machine stalled.
+	Overdue uint64
+	// GivenUp counts requests that the policy refused or failed, by reason.
+	GivenUp [policy.GiveUpReasonCount]uint64
+}
+
+// countResponse counts the final answer to a request that was open.
+func (c *Counters) countResponse(f Frontend, s Status) {
+	switch s {
+	case Served:
+		c.Served[f]++
+	case Refused:
+		c.Refused[f]++
+	case Failed:
+		c.Failed[f]++
+	}
+}
--- /dev/null
+++ b/internal/router/deadline.go
@@ -0,0 +1,50 @@
+package router
+
+import (
+	"time"
+
+	"functionrouter/policy"
+)
+
+// An answer leaves answerMargin before its client stops waiting. The way back to the client takes about a
+// millisecond; the rest covers a machine that stalls. On a crowded one, requests were measured to spend 46 ms (99th
+// percentile) inside the program, and one answer arrived too late.
+//
+// The margin must not use up a wait that is as short as the work itself, so it is at most one part in
+// answerMarginDivisor of the wait.
+const (
+	answerMargin        = 40 * time.Millisecond
+	answerMarginDivisor = 10
+)
+
+// AnswerBudget returns how long after its arrival a request must be answered if its client waits for wait.
+func AnswerBudget(wait time.Duration) time.Duration {
+	return wait - min(answerMargin, wait/answerMarginDivisor)
+}
+
+// deadlineTolerance is how close before its deadline a request that is given up counts as out of time. The policy
+// gives up two of its ticks before the deadline, 8 ms with this deployment's settings, to be sure that its answer
+// is not late. An answer that early still means that the time ran out.
+const deadlineTolerance = 10 * time.Millisecond
+
+// enforceDeadline answers a request whose deadline has come. The policy ends every request before that. Should it
+// not, the client still gets its one answer in time: a refusal if it is proven that nothing ran, else a failure.
+func (r *Router) enforceDeadline(id policy.RequestID) {
+	p := r.requests.byID[id]
+	if p == nil {
+		return
+	}
+	for n := range p.attempts {
+		r.cancelAttempt(AttemptID{id, n}, policy.TimedOut)
+	}
+	if p.closed {
+		return
+	}
+	r.Counters.Overdue++
+	status := Refused
+	if p.mayHaveRun {
+		status = Failed
+	}
+	r.respondUnserved(id, p, Response{Status: status})
+	r.events.add(policy.ClientCancelled{Request: id})
+}
--- /dev/null
+++ b/internal/router/deadline_test.go
@@ -0,0 +1,111 @@
+package router
+
+import (
+	"testing"
+	"time"
+
+	"functionrouter/policy"
+)
+
+// Guards the client's wait: a request that the policy has not ended by its deadline is ended by the router, as a
+// refusal only if nothing was sent.
+func TestRouterEnforcesDeadline(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		workers  int
+		attempts int
+		want     Status
+	}{
+		{"nothing sent", 0, 0, Refused},
+		{"attempt open", 1, 1, Failed},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			r, workers := newTestRouter(t, 1)
+			if test.workers > 0 {
+				addReadyWorkers(r, test.workers)
+			}
+			id, responder := submit(r, notIdempotentClass)
+			r.Process(testStart)
+			if len(workers.sent[id]) != test.attempts {
+				t.Fatalf("%d attempts sent, want %d", len(workers.sent[id]), test.attempts)
+			}
+			deadline := findTimer(t, r, requestDeadline)
+			if deadline.due != testStart+3*time.Second {
+				t.Fatalf("deadline %+v", deadline)
+			}
+			r.now = deadline.due
+			r.fire(deadline)
+			r.Process(r.now)
+			if resp := responder.only(t); resp.Status != test.want || !resp.DeadlineExceeded {
+				t.Errorf("answer %+v, want status %v", resp, test.want)
+			}
+			if r.Counters.Overdue != 1 || len(workers.openAttempts) != 0 {
+				t.Errorf("%d overdue, attempts open: %v", r.Counters.Overdue, workers.openAttempts)
+			}
+		})
+	}
+}
+
+// findTimer returns a timer of the kind that is set.
+func findTimer(t *testing.T, r *Router, kind timerKind) timer {
+	t.Helper()
+	for _, timer := range r.timers.heap {
+		if timer.kind == kind {
+			return timer
+		}
+	}
+	t.Fatalf("no timer of kind %v is set: %+v", kind, r.timers.heap)
+	return timer{}
+}
+
+// Guards the timer's order, which the policy's decisions depend on.
+func TestTimersFireByDueTimeThenInOrderOfScheduling(t *testing.T) {
+	var q timerQueue
+	for token, due := range []time.Duration{3, 1, 2, 1, 3, 1} {
+		q.schedule(due, timer{kind: policyTimer, token: uint64(token)})
+	}
+	for _, want := range []uint64{1, 3, 5, 2} {
+		if got, ok := q.popDue(2); !ok || got.token != want {
+			t.Fatalf("got timer %+v, %v, want token %d", got, ok, want)
+		}
+	}
+	if got, ok := q.popDue(2); ok {
+		t.Errorf("timer %+v fired early", got)
+	}
+	if due, ok := q.nextDue(); !ok || due != 3 {
+		t.Errorf("next timer due at %d, %v, want 3", due, ok)
+	}
+}
+
+// Guards the time that is kept for an answer's way back to the client.
+func TestAnswerBudget(t *testing.T) {
+	for wait, want := range map[time.Duration]time.Duration{
+		0:               0,
+		100 * ms:        90 * ms,
+		400 * ms:        360 * ms,
+		2 * time.Second: 1960 * ms,
+	} {
+		t.Run(wait.String(), func(t *testing.T) {
+			if got := AnswerBudget(wait); got != want {
+				t.Errorf("got %v, want %v", got, want)
+			}
+		})
+	}
+}
+
+// Guards the way from a deadline that passes to the answer: the policy ends the request before the router does.
+func TestPolicyEndsRequestBeforeDeadline(t *testing.T) {
+	r, _ := newTestRouter(t, 1)
+	addReadyWorkers(r, 1)
+	_, responder := submit(r, notIdempotentClass)
+	for now := testStart; now < testStart+4*time.Second && len(responder.responses) == 0; {
+		now = r.Process(now)
+	}
+	resp := responder.only(t)
+	if resp.Status != Failed || !resp.DeadlineExceeded || !resp.MayHaveRun || r.Counters.Overdue != 0 {
+		t.Errorf("answer %+v, %d overdue", resp, r.Counters.Overdue)
+	}
+	if r.Counters.GivenUp[policy.DeadlineExceeded] != 1 {
+		t.Errorf("given up: %v", r.Counters.GivenUp)
+	}
+}
--- /dev/null
+++ b/internal/router/harness_test.go
@@ -0,0 +1,146 @@
+package router
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"functionrouter/policy"
+)
+
+const (
+	ms = time.Millisecond
+	// testStart is the time at which the tests begin.
+	testStart = time.Hour
+
+	idempotentClass    = 0
+	notIdempotentClass = 1
+)
+
+var testClasses = []policy.Class{
+	idempotentClass: {LatencyObjective: 400 * ms, Deadline: 2 * time.Second, Idempotency: policy.Idempotent,
+		DedupScope: policy.DedupFleet, PriorityWeight: 3},
+	notIdempotentClass: {LatencyObjective: 1200 * ms, Deadline: 3 * time.Second, Idempotency: policy.NotIdempotent,
+		DedupScope: policy.DedupFleet, PriorityWeight: 5},
+}
+
+// fakeWorkerPool keeps what was sent, for a test to end it.
+type fakeWorkerPool struct {
+	router       *Router
+	openAttempts map[AttemptID]policy.WorkerID
+	queued       map[AttemptID]bool // attempts of which nothing has been sent
+	sent         map[policy.RequestID][]AttemptID
+	loadOrders   map[uint64]bool // by tag
+	probes       map[uint64]bool // by tag
+}
+
+func newFakeWorkerPool(r *Router) *fakeWorkerPool {
+	w := &fakeWorkerPool{
+		router:       r,
+		openAttempts: map[AttemptID]policy.WorkerID{},
+		queued:       map[AttemptID]bool{},
+		sent:         map[policy.RequestID][]AttemptID{},
+		loadOrders:   map[uint64]bool{},
+		probes:       map[uint64]bool{},
+	}
+	r.SetWorkerPool(w)
+	return w
+}
+
+// StartAttempt panics if the budget is none or exceeds the request's deadline.
+func (w *fakeWorkerPool) StartAttempt(worker policy.WorkerID, id AttemptID, req *Request, budget time.Duration) {
+	if budget <= 0 || w.router.now+budget > req.Deadline {
+		panic(fmt.Sprintf("budget %v at %v, deadline %v", budget, w.router.now, req.Deadline))
+	}
+	w.openAttempts[id] = worker
+	w.sent[id.Request] = append(w.sent[id.Request], id)
+}
+
+func (w *fakeWorkerPool) WithdrawQueued(id AttemptID) bool {
+	if !w.queued[id] {
+		return false
+	}
+	delete(w.queued, id)
+	delete(w.openAttempts, id)
+	return true
+}
+
+func (w *fakeWorkerPool) CancelAttempt(_ policy.WorkerID, id AttemptID) { delete(w.openAttempts, id) }
+
+func (w *fakeWorkerPool) LoadInstance(_ policy.WorkerID, _ policy.FunctionID, _ int, tag uint64) {
+	w.loadOrders[tag] = true
+}
+
+func (w *fakeWorkerPool) Probe(_ policy.WorkerID, tag uint64) { w.probes[tag] = true }
+
+func (w *fakeWorkerPool) AbandonControl(_ policy.WorkerID, tag uint64) {
+	delete(w.loadOrders, tag)
+	delete(w.probes, tag)
+}
+
+func (w *fakeWorkerPool) UnloadInstance(policy.WorkerID, policy.FunctionID) {}
+func (w *fakeWorkerPool) CloseIdleConnections(policy.WorkerID)              {}
+
+// recordingResponder keeps the answers that it is given.
+type recordingResponder struct{ responses []Response }
+
+func (r *recordingResponder) Respond(resp Response) { r.responses = append(r.responses, resp) }
+
+// only returns the answer, and ends the test if there is none or more than one.
+func (r *recordingResponder) only(t testing.TB) Response {
+	t.Helper()
+	if len(r.responses) != 1 {
+		t.Fatalf("got %d answers, want one: %+v", len(r.responses), r.responses)
+	}
+	return r.responses[0]
+}
+
+// newTestRouter returns a router with both test classes and every ability that the policy has use of.
+func newTestRouter(t interface{ Fatal(...any) }, seed uint64) (*Router, *fakeWorkerPool) {
+	p, err := policy.New(policy.Config{
+		RouterCount:             1,
+		Tick:                    4 * ms,
+		MaxAttempts:             3,
+		AllowCancel:             true,
+		AllowProbes:             true,
+		AllowLoadOrders:         true,
+		MissWhenNotLoaded:       true,
+		InstanceStatusInAnswers: true,
+		AllowHedging:            true,
+		AllowRetryAfter:         true,
+		MaxRetryAfter:           time.Second,
+		OverQuotaWeight:         1,
+		InstanceKeepAlive:       10 * time.Second,
+		LoadOrderTimeout:        10 * time.Second,
+		LoadOrderWindow:         10 * time.Second,
+		LoadOrderAllowance:      4,
+		LoadOrdersPerRequest:    0.3,
+		DrainGrace:              time.Second,
+		LoadReportFields:        []string{"inflight"},
+		InlineLoadReports:       true,
+		Classes:                 testClasses,
+	}, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := New(p, Limits{MaxOpenRequests: 50, MaxBodyBytes: 1 << 16, MaxAttempts: 3, LoadOrderTimeout: 10 * time.Second,
+		ProbeTimeout: 250 * ms})
+	return r, newFakeWorkerPool(r)
+}
+
+// addReadyWorkers gives the router a list of count workers that are ready, numbered from 1.
+func addReadyWorkers(r *Router, count int) {
+	update := policy.EndpointUpdate{Kind: policy.FullUpdate}
+	for n := range count {
+		update.Endpoints = append(update.Endpoints, policy.Endpoint{Worker: policy.WorkerID(n + 1), State: policy.Ready})
+	}
+	r.UpdateEndpoints(update)
+}
+
+// submit submits a request of the class at testStart that must be answered within the class's deadline.
+func submit(r *Router, class int) (policy.RequestID, *recordingResponder) {
+	responder := &recordingResponder{}
+	id := r.Submit(testStart, Request{Responder: responder, Class: class, Function: 7,
+		Deadline: testStart + testClasses[class].Deadline})
+	return id, responder
+}
--- /dev/null
+++ b/internal/router/ids.go
@@ -0,0 +1,31 @@
+package router
+
+// hexIDLength is the number of digits of an id on the wire: a 64-bit number.
+const hexIDLength = 16
+
+// ParseHexID reads an id or a function key: 16 hexadecimal digits in lower case. It returns false for any other
+// spelling of the same number, because workers compare ids as text, and load orders name functions in this form.
+func ParseHexID(s string) (id uint64, ok bool) {
+	if len(s) != hexIDLength {
+		return 0, false
+	}
+	for _, c := range []byte(s) {
+		digit, ok := hexDigit(c)
+		if !ok {
+			return 0, false
+		}
+		id = id<<4 | uint64(digit)
+	}
+	return id, true
+}
+
+func hexDigit(c byte) (value byte, ok bool) {
+	switch {
+	case c >= '0' && c <= '9':
+		return c - '0', true
+	case c >= 'a' && c <= 'f':
+		return c - 'a' + 10, true
+	default:
+		return 0, false
+	}
+}
--- /dev/null
+++ b/internal/router/lifecycle.go
@@ -0,0 +1,108 @@
+package router
+
+import (
+	"time"
+
+	"functionrouter/policy"
+)
+
+// Submit takes a request. It returns the request's id, or 0 if it was answered at once. The answer may come before
+// Submit returns.
+func (r *Router) Submit(now time.Duration, req Request) policy.RequestID {
+	r.SetNow(now)
+	if r.Draining || r.requests.open >= r.limits.MaxOpenRequests ||
+		r.requests.bodyBytes+len(req.Body) > r.limits.MaxBodyBytes {
+		// This bounds the memory, and lets a shutdown end although clients go on sending.
+		r.Reject(now, req)
+		return 0
+	}
+	r.Counters.Received[req.Frontend]++
+	if r.requests.hasClientID(req.ID) {
+		// Workers know a request by its id: with two of one id they would answer one request's body to the
+		// other. Which of the two the client means is unknown, so the later one fails.
+		r.Counters.Failed[req.Frontend]++
+		r.respondAtOnce(req, Response{Status: Failed})
+		return 0
+	}
+	req.ReceivedAt = r.now
+	id := r.requests.add(req)
+	r.events.add(policy.RequestArrived{
+		Request:     id,
+		Class:       req.Class,
+		Tenant:      req.Tenant,
+		Function:    req.Function,
+		Concurrency: req.Concurrency,
+		MemoryMB:    req.MemoryMB,
+		LoadTime:    req.LoadTime,
+		TimeLeft:    max(req.Deadline-r.now, 0),
+	})
+	r.timers.schedule(req.Deadline, timer{kind: requestDeadline, attempt: AttemptID{Request: id}})
+	return id
+}
+
+// Reject refuses a request for want of room. The policy does not learn of it.
+func (r *Router) Reject(now time.Duration, req Request) {
+	r.SetNow(now)
+	r.Counters.Received[req.Frontend]++
+	r.Counters.Rejected[req.Frontend]++
+	r.respondAtOnce(req, Response{Status: Refused, RetryAfter: r.limits.RetryAfter})
+}
+
+// respondAtOnce answers a request that does not enter the table.
+func (r *Router) respondAtOnce(req Request, resp Response) {
+	req.ReceivedAt = r.now
+	r.reportEnd(&req, resp.Status.outcome())
+	req.Responder.Respond(resp)
+}
+
+// Cancel ends a request whose client no longer waits for the answer. It does nothing if the request has ended.
+func (r *Router) Cancel(now time.Duration, id policy.RequestID) {
+	r.SetNow(now)
+	p := r.requests.findOpen(id)
+	if p == nil {
+		return
+	}
+	r.Counters.ClientCancelled[p.Frontend]++
+	r.close(id, p, RequestAbandoned)
+	r.events.add(policy.ClientCancelled{Request: id})
+}
+
+// giveUp answers a request that the policy gave up, if it is still open.
+func (r *Router) giveUp(id policy.RequestID, reason policy.GiveUpReason, resp Response) {
+	p := r.requests.findOpen(id)
+	if p == nil {
+		return
+	}
+	r.Counters.GivenUp[reason]++
+	r.respondUnserved(id, p, resp)
+}
+
+// respondUnserved answers a request that no worker served, and closes it.
+func (r *Router) respondUnserved(id policy.RequestID, p *pendingRequest, resp Response) {
+	resp.MayHaveRun = p.mayHaveRun || p.openAttempts > 0
+	resp.DeadlineExceeded = r.now >= p.Deadline-deadlineTolerance
+	r.respond(id, p, resp)
+}
+
+// respond gives an open request its final answer and closes it.
+func (r *Router) respond(id policy.RequestID, p *pendingRequest, resp Response) {
+	r.Counters.countResponse(p.Frontend, resp.Status)
+	p.Responder.Respond(resp)
+	r.close(id, p, resp.Status.outcome())
+}
+
+// close marks a request as ended. Attempts that are still on their way to a worker go on until they end or are
+// cancelled; those of which nothing has been sent are withdrawn.
+func (r *Router) close(id policy.RequestID, p *pendingRequest, outcome RequestOutcome) {
+	p.closed = true
+	r.withdrawQueuedAttempts(id, p)
+	r.reportEnd(&p.Request, outcome)
+	r.requests.releaseBody(p)
+	r.requests.removeIfDone(id, p)
+}
+
+func (r *Router) reportEnd(req *Request, outcome RequestOutcome) {
+	if r.OnRequestEnd != nil {
+		r.OnRequestEnd(r.now, req, outcome)
+	}
+}
--- /dev/null
+++ b/internal/router/lifecycle_test.go
@@ -0,0 +1,119 @@
+package router
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"functionrouter/policy"
+)
+
+// Guards the graceful shutdown: clients that go on sending get a refusal each, and don't hold it up.
+func TestDrainingRouterRefusesNewRequests(t *testing.T) {
+	r, workers := newTestRouter(t, 1)
+	addReadyWorkers(r, 1)
+	r.Draining = true
+	_, responder := submit(r, notIdempotentClass)
+	r.Process(testStart)
+	if resp := responder.only(t); resp.Status != Refused || resp.MayHaveRun {
+		t.Errorf("answer %+v", resp)
+	}
+	if r.OpenRequests() != 0 || len(workers.openAttempts) != 0 {
+		t.Errorf("%d requests and %d attempts open", r.OpenRequests(), len(workers.openAttempts))
+	}
+}
+
+// Guards against two open requests of one id, by whatever frontends and connections they arrive: the later one
+// fails and reaches no worker, and the id is free again once the first has ended.
+func TestIDOfOpenRequestIsNotTakenTwice(t *testing.T) {
+	r, workers := newTestRouter(t, 1)
+	addReadyWorkers(r, 1)
+	submitSameID := func(f Frontend, body string) (policy.RequestID, *recordingResponder) {
+		responder := &recordingResponder{}
+		return r.Submit(testStart, Request{Frontend: f, Responder: responder, ID: "00000000000000aa", Function: 7,
+			Body: []byte(body), Deadline: testStart + 2*time.Second}), responder
+	}
+	first, responder := submitSameID(Thrift, "one")
+	r.Process(testStart)
+	for _, f := range []Frontend{Thrift, Webhook} {
+		t.Run(f.String(), func(t *testing.T) {
+			id, other := submitSameID(f, "other")
+			r.Process(testStart)
+			if resp := other.only(t); id != 0 || resp.Status != Failed || r.OpenRequests() != 1 {
+				t.Fatalf("request %d has answer %+v, %d open", id, resp, r.OpenRequests())
+			}
+		})
+	}
+	r.AttemptEnded(workers.sent[first][0], policy.Served, policy.InstanceWarm, []byte("done"), nil)
+	r.Process(testStart + ms)
+	if resp := responder.only(t); string(resp.Body) != "done" || len(workers.sent) != 1 {
+		t.Fatalf("answer %+v, %d requests sent", resp, len(workers.sent))
+	}
+	if kept := len(r.requests.clientIDs) + len(r.requests.byID); kept != 0 {
+		t.Fatalf("%d entries kept of requests that have ended", kept)
+	}
+	if id, _ := submitSameID(Thrift, "again"); id == 0 {
+		t.Error("the id of a request that has ended is still taken")
+	}
+}
+
+// Guards tenants' quotas: the policy learns whose request it is. Of a tenant without a quota, one request that will
+// be late is admitted and the next ones are refused, while those of another tenant and of none go on.
+func TestPolicyLearnsTheTenant(t *testing.T) {
+	for tenant, want := range map[int]int{0: 1, 1: 5, UnknownTenant: 5} {
+		t.Run(fmt.Sprint(tenant), func(t *testing.T) {
+			p, err := policy.New(policy.Config{RouterCount: 1, Tick: 4 * ms, OverQuotaWeight: 0.1,
+				Tenants: []policy.Tenant{{}, {QuotaPerSecond: 1000}},
+				Classes: []policy.Class{{LatencyObjective: 400 * ms, Deadline: 9 * time.Second, PriorityWeight: 1}}}, 1)
+			if err != nil {
+				t.Fatal(err)
+			}
+			r := New(p, Limits{MaxOpenRequests: 50, MaxBodyBytes: 1 << 16})
+			workers := newFakeWorkerPool(r)
+			addReadyWorkers(r, 1)
+			for n := range 5 {
+				r.Submit(testStart, Request{Responder: &recordingResponder{}, ID: fmt.Sprint(n), Tenant: tenant,
+					Function: policy.FunctionID(n), LoadTime: time.Second, Deadline: testStart + 9*time.Second})
+			}
+			r.Process(testStart)
+			if len(workers.openAttempts) != want {
+				t.Errorf("%d requests of 5 were sent, want %d", len(workers.openAttempts), want)
+			}
+		})
+	}
+}
+
+// Guards what the notices and the flow records are made from: each end is reported once, with its outcome.
+func TestRequestEndIsReportedOnce(t *testing.T) {
+	serve := func(r *Router, w *fakeWorkerPool, id policy.RequestID) {
+		r.AttemptEnded(w.sent[id][0], policy.Served, policy.InstanceWarm, nil, nil)
+	}
+	reset := func(r *Router, w *fakeWorkerPool, id policy.RequestID) {
+		r.AttemptEnded(w.sent[id][0], policy.ConnectionReset, policy.InstanceUnknown, nil, nil)
+	}
+	cancel := func(r *Router, _ *fakeWorkerPool, id policy.RequestID) { r.Cancel(testStart, id) }
+	refuse := func(r *Router, _ *fakeWorkerPool, id policy.RequestID) { r.execute(policy.RefuseRequest{Request: id}) }
+	for _, test := range []struct {
+		want RequestOutcome
+		end  func(*Router, *fakeWorkerPool, policy.RequestID)
+	}{
+		{RequestServed, serve},
+		{RequestRefused, refuse},
+		{RequestFailed, reset},
+		{RequestAbandoned, cancel},
+	} {
+		t.Run(test.want.String(), func(t *testing.T) {
+			r, workers := newTestRouter(t, 1)
+			var got []RequestOutcome
+			r.OnRequestEnd = func(_ time.Duration, _ *Request, o RequestOutcome) { got = append(got, o) }
+			addReadyWorkers(r, 1)
+			id, _ := submit(r, notIdempotentClass)
+			r.Process(testStart)
+			test.end(r, workers, id)
+			r.Process(testStart + ms)
+			if len(got) != 1 || got[0] != test.want {
+				t.Errorf("reported %v, want once %v", got, test.want)
+			}
+		})
+	}
+}
--- a/internal/router/names_test.go
+++ b/internal/router/names_test.go
@@ -23,6 +23,14 @@
 		{RequestFailed, "failed"},
 		{RequestAbandoned, "abandoned"},
 		{RequestOutcome(9), "RequestOutcome(9)"},
+		{policyTimer, "policy timer"},
+		{attemptTimeout, "attempt timeout"},
+		{controlTimeout, "control timeout"},
+		{requestDeadline, "request deadline"},
+		{timerKind(9), "timerKind(9)"},
+		{loadOrder, "load order"},
+		{healthProbe, "health probe"},
+		{controlKind(9), "controlKind(9)"},
 	} {
 		t.Run(fmt.Sprintf("%T/%s", test.value, test.want), func(t *testing.T) {
 			if got := test.value.String(); got != test.want {
--- /dev/null
+++ b/internal/router/request.go
@@ -0,0 +1,65 @@
+package router
+
+import (
+	"fmt"
+	"net/netip"
+	"time"
+
+	"functionrouter/policy"
+)
+
+// Frontend names the listener protocol that a request arrived by.
+type Frontend uint8
+
+// The frontends.
+const (
+	Thrift Frontend = iota
+	Webhook
+	frontendCount
+)
+
+// String returns the frontend's name.
+func (f Frontend) String() string {
+	switch f {
+	case Thrift:
+		return "thrift"
+	case Webhook:
+		return "webhook"
+	}
+	return fmt.Sprintf("Frontend(%d)", uint8(f))
+}
+
+// UnknownTenant is the Tenant of a request that names none that the settings know.
+const UnknownTenant = -1
+
+// Request is a call as a frontend read it.
+type Request struct {
+	Frontend        Frontend
+	Responder       Responder
+	ID              string // the client's text, unique among the open requests
+	ClientReference string // the client's own name for the request where that is not the ID, else ""
+	Class           int    // index in the settings
+	Tenant          int    // index in the settings, or UnknownTenant
+	FunctionKey     string // the client's text for the function
+	Function        policy.FunctionID
+	MemoryMB        float64       // memory of one instance of the function
+	Concurrency     float64       // requests that one instance runs at a time
+	LoadTime        time.Duration // usual time to load an instance; 0: not given
+	Body            []byte
+	Deadline        time.Duration // time by which the final answer must have left, see AnswerBudget
+
+	ClientAddr netip.AddrPort // for flow records only
+	ReceivedAt time.Duration  // set by Submit and Reject
+}
+
+// The largest figures that a request may give. No worker can hold a function beyond them, and they would distort the
+// policy's estimates.
+const (
+	MaxMemoryMB    = 1 << 20 // MiB
+	MaxConcurrency = 1024    // requests
+	MaxLoadMs      = 600_000 // milliseconds
+	MaxWaitMs      = 600_000 // milliseconds
+)
+
+// InRange reports whether v is a number from 0 to limit; NaN is not.
+func InRange(v, limit float64) bool { return v >= 0 && v <= limit }
--- /dev/null
+++ b/internal/router/table.go
@@ -0,0 +1,74 @@
+package router
+
+import "functionrouter/policy"
+
+// pendingRequest is a request that is not answered yet, or whose attempts have not all ended.
+type pendingRequest struct {
+	Request      // without Body and Responder once it is closed
+	attempts     []attempt
+	openAttempts int  // attempts that have not ended
+	mayHaveRun   bool // an attempt ended without proof that it never ran
+	closed       bool // answered, or cancelled by the client
+}
+
+// requestTable holds the pending requests.
+type requestTable struct {
+	byID      map[policy.RequestID]*pendingRequest
+	clientIDs map[string]struct{} // the Request.ID of each
+	lastID    policy.RequestID
+	open      int // requests that are not closed
+	bodyBytes int // bytes of their bodies
+}
+
+func newRequestTable() requestTable {
+	return requestTable{byID: map[policy.RequestID]*pendingRequest{}, clientIDs: map[string]struct{}{}}
+}
+
+// add stores req as open under a new id.
+func (t *requestTable) add(req Request) policy.RequestID {
+	id := t.nextID()
+	t.byID[id] = &pendingRequest{Request: req}
+	t.clientIDs[req.ID] = struct{}{}
+	t.open++
+	t.bodyBytes += len(req.Body)
+	return id
+}
+
+// nextID returns an id that is not 0, which stands for no request, and not in use after a wrap-around.
+func (t *requestTable) nextID() policy.RequestID {
+	t.lastID++
+	for t.lastID == 0 || t.byID[t.lastID] != nil {
+		t.lastID++
+	}
+	return t.lastID
+}
+
+// findOpen returns the request if it is still owed an answer, else nil.
+func (t *requestTable) findOpen(id policy.RequestID) *pendingRequest {
+	if p := t.byID[id]; p != nil && !p.closed {
+		return p
+	}
+	return nil
+}
+
+// hasClientID reports whether a pending request has this Request.ID.
+func (t *requestTable) hasClientID(id string) bool {
+	_, ok := t.clientIDs[id]
+	return ok
+}
+
+// releaseBody takes a request that was closed out of the counts and drops what only an open one needs.
+func (t *requestTable) releaseBody(p *pendingRequest) {
+	t.open--
+	t.bodyBytes -= len(p.Body)
+	p.Body = nil
+	p.Responder = nil
+}
+
+// removeIfDone forgets a request that is closed and whose attempts have all ended.
+func (t *requestTable) removeIfDone(id policy.RequestID, p *pendingRequest) {
+	if p.closed && p.openAttempts == 0 && t.byID[id] == p {
+		delete(t.byID, id)
+		delete(t.clientIDs, p.ID)
+	}
+}
--- /dev/null
+++ b/internal/router/timers.go
@@ -0,0 +1,121 @@
+package router
+
+import (
+	"container/heap"
+	"fmt"
+	"time"
+
+	"functionrouter/policy"
+)
+
+// timerKind says what happens when a timer fires.
+type timerKind uint8
+
+const (
+	policyTimer     timerKind = iota // the policy set it with policy.SetTimer
+	attemptTimeout                   // the time of an attempt is over
+	controlTimeout                   // the time of a load order or a probe is over
+	requestDeadline                  // the time of a request is over
+)
+
+// String returns the kind's name.
+func (k timerKind) String() string {
+	switch k {
+	case policyTimer:
+		return "policy timer"
+	case attemptTimeout:
+		return "attempt timeout"
+	case controlTimeout:
+		return "control timeout"
+	case requestDeadline:
+		return "request deadline"
+	}
+	return fmt.Sprintf("timerKind(%d)", uint8(k))
+}
+
+// timer is a point in time at which something happens. Timers are never removed early: a timer whose subject has
+// ended meanwhile does nothing.
+type timer struct {
+	due     time.Duration
+	seq     uint64 // order of scheduling
+	kind    timerKind
+	token   uint64    // policyTimer: the policy's token; controlTimeout: the tag
+	attempt AttemptID // attemptTimeout: the attempt; requestDeadline: its Request alone
+}
+
+// fireDueTimers fires the timers that are due, those included that firing one sets.
+func (r *Router) fireDueTimers() {
+	for {
+		t, ok := r.timers.popDue(r.now)
+		if !ok {
+			return
+		}
+		r.fire(t)
+	}
+}
+
+func (r *Router) fire(t timer) {
+	switch t.kind {
+	case policyTimer:
+		r.events.add(policy.TimerFired{Token: t.token})
+	case attemptTimeout:
+		r.cancelAttempt(t.attempt, policy.TimedOut)
+	case controlTimeout:
+		r.timeOutControl(t.token)
+	case requestDeadline:
+		r.enforceDeadline(t.attempt.Request)
+	}
+}
+
+// timerQueue holds the timers that are set. Timers due at the same time fire in the order of their scheduling.
+type timerQueue struct {
+	heap    timerHeap
+	lastSeq uint64
+}
+
+// schedule sets t to fire at due.
+func (q *timerQueue) schedule(due time.Duration, t timer) {
+	q.lastSeq++
+	t.due = due
+	t.seq = q.lastSeq
+	heap.Push(&q.heap, t)
+}
+
+// popDue takes out the first timer if it is due at now.
+func (q *timerQueue) popDue(now time.Duration) (t timer, ok bool) {
+	if due, ok := q.nextDue(); !ok || due > now {
+		return timer{}, false
+	}
+	return heap.Pop(&q.heap).(timer), true
+}
+
+// nextDue returns when the first timer is due; false: none is set.
+func (q *timerQueue) nextDue() (time.Duration, bool) {
+	if len(q.heap) == 0 {
+		return 0, false
+	}
+	return q.heap[0].due, true
+}
+
+// timerHeap implements heap.Interface, ordered by due time and then by sequence.
+type timerHeap []timer
+
+func (h timerHeap) Len() int { return len(h) }
+
+func (h timerHeap) Less(i, j int) bool {
+	if h[i].due != h[j].due {
+		return h[i].due < h[j].due
+	}
+	return h[i].seq < h[j].seq
+}
+
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
+
+func (h *timerHeap) Pop() any {
+	last := len(*h) - 1
+	t := (*h)[last]
+	*h = (*h)[:last]
+	return t
+}
--- /dev/null
+++ b/internal/router/workerpool.go
@@ -0,0 +1,36 @@
+package router
+
+import (
+	"time"
+
+	"functionrouter/policy"
+)
+
+// AttemptID names an attempt of a request; a request's attempts are numbered from 0.
+type AttemptID struct {
+	Request policy.RequestID
+	Number  int
+}
+
+// WorkerPool carries messages to workers. Each StartAttempt, LoadInstance and Probe is answered by one call of the
+// Router's AttemptEnded, LoadOrderEnded or ProbeEnded, before it returns or later, unless it is cancelled or
+// abandoned first.
+type WorkerPool interface {
+	// StartAttempt sends a request to a worker, which has budget to answer it. It may read req until it returns.
+	StartAttempt(worker policy.WorkerID, attempt AttemptID, req *Request, budget time.Duration)
+	// WithdrawQueued takes back an attempt of which nothing has been sent. It returns false, and does nothing, if
+	// the attempt has ended or any of it may have been sent.
+	WithdrawQueued(attempt AttemptID) bool
+	// CancelAttempt gives an attempt up; its end is not reported any more.
+	CancelAttempt(worker policy.WorkerID, attempt AttemptID)
+	// LoadInstance orders a worker to keep count instances of a function loaded. The tag names the order.
+	LoadInstance(worker policy.WorkerID, function policy.FunctionID, count int, tag uint64)
+	// Probe checks a worker's health. The tag names the probe.
+	Probe(worker policy.WorkerID, tag uint64)
+	// AbandonControl stops waiting for the answer to a load order or a probe.
+	AbandonControl(worker policy.WorkerID, tag uint64)
+	// UnloadInstance tells a worker to drop the idle instances of a function. It is not answered.
+	UnloadInstance(worker policy.WorkerID, function policy.FunctionID)
+	// CloseIdleConnections closes the connections to a worker that carry nothing.
+	CloseIdleConnections(worker policy.WorkerID)
+}
