--- /dev/null
+++ b/internal/backend/call.go
@@ -0,0 +1,94 @@
+package backend
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"time"
+
+	"functionrouter/internal/router"
+	"functionrouter/policy"
+)
+
+// callKind tells what a call asks of the worker.
+type callKind uint8
+
+const (
+	attemptCall callKind = iota
+	loadOrderCall
+	probeCall       // the policy's check of a worker
+	healthCheckCall // a connection's own check of itself, whose end is reported to nobody
+)
+
+// String names the kind for logs and test failures.
+func (k callKind) String() string {
+	switch k {
+	case attemptCall:
+		return "attempt"
+	case loadOrderCall:
+		return "load order"
+	case probeCall:
+		return "probe"
+	case healthCheckCall:
+		return "health check"
+	}
+	return "callKind(" + strconv.Itoa(int(k)) + ")"
+}
+
+// call is a command that has an answer and has not ended.
+type call struct {
+	kind    callKind
+	attempt router.AttemptID // of an attempt
+	tag     uint64           // of a load order or a probe: the caller's name for it
+	token   string           // the id on the wire
+
+	// What is to be written; nil once it is.
+	header []byte
+	body   []byte
+
+	connection *connection
+	written    bool
+	sentAt     time.Duration // when it was written
+	resends    int           // how often it was sent again because its connection ended
+}
+
+func newAttemptCall(a router.AttemptID, r *router.Request, class string, budget time.Duration) *call {
+	fields := fmt.Sprintf("queue=%s,path=%s,budget=%d", class, r.FunctionKey, max(budget.Milliseconds(), 1))
+	return &call{
+		kind:    attemptCall,
+		attempt: a,
+		token:   r.ID,
+		header:  encodeHeader(len(r.Body), commandRun, r.ID, fields),
+		body:    r.Body,
+	}
+}
+
+func newLoadOrderCall(tag uint64, f policy.FunctionID, count int) *call {
+	token := loadOrderToken(tag)
+	fields := fmt.Sprintf("path=%s,count=%d", formatFunctionID(f), count)
+	return &call{kind: loadOrderCall, tag: tag, token: token, header: encodeCommand(commandLoad, token, fields)}
+}
+
+func newProbeCall(tag uint64) *call {
+	token := probeToken(tag)
+	return &call{kind: probeCall, tag: tag, token: token, header: encodeCommand(commandProbe, token)}
+}
+
+// newHealthCheckCall returns the health check with this number.
+func newHealthCheckCall(number uint64) *call {
+	token := "n" + strconv.FormatUint(number, 10)
+	return &call{kind: healthCheckCall, token: token, header: encodeCommand(commandPing, token)}
+}
+
+// The tokens of the kinds differ in their first letter. An attempt's is 16 hex digits, which are longer.
+func loadOrderToken(tag uint64) string { return "h" + strconv.FormatUint(tag, 10) }
+func probeToken(tag uint64) string     { return "p" + strconv.FormatUint(tag, 10) }
+
+func formatFunctionID(f policy.FunctionID) string { return fmt.Sprintf("%016x", uint64(f)) }
+
+// inTokenOrder returns calls in a fixed order: equal runs must hand the policy equal events.
+func inTokenOrder(calls map[string]*call) []*call {
+	return slices.SortedFunc(maps.Values(calls), func(a, b *call) int { return cmp.Compare(a.token, b.token) })
+}
--- /dev/null
+++ b/internal/backend/commands.go
@@ -0,0 +1,118 @@
+package backend
+
+import (
+	"time"
+
+	"functionrouter/internal/router"
+	"functionrouter/policy"
+)
+
+// StartAttempt sends an attempt of r to a worker, which may spend budget on it. It ends as Unreachable if the
+// worker is not ready or no connection can carry it.
+func (p *Pool) StartAttempt(id policy.WorkerID, a router.AttemptID, r *router.Request, budget time.Duration) {
+	w := p.workers[id]
+	if w != nil && w.acceptsNew() {
+		k := newAttemptCall(a, r, p.cfg.Classes[r.Class], budget)
+		if c := p.selectConnection(w, k); c != nil {
+			p.attempts[a] = k
+			c.send(k)
+			return
+		}
+	}
+	p.results.AttemptEnded(a, policy.Unreachable, policy.InstanceUnknown, nil, nil)
+}
+
+// WithdrawQueued takes back an attempt that waits for a dial. It returns false if the attempt has been
+// written or has ended.
+func (p *Pool) WithdrawQueued(a router.AttemptID) bool {
+	k := p.attempts[a]
+	if k == nil || k.written {
+		return false
+	}
+	delete(p.attempts, a)
+	k.connection.dequeue(k)
+	return true
+}
+
+// CancelAttempt gives an attempt up; no result follows. Its connection does not carry its id again: an answer that is
+// on its way must not end another attempt of the same request. The worker is told where the settings
+// allow it.
+func (p *Pool) CancelAttempt(_ policy.WorkerID, a router.AttemptID) {
+	k := p.attempts[a]
+	if k == nil || p.WithdrawQueued(a) {
+		return
+	}
+	delete(p.attempts, a)
+	k.connection.release(k)
+	if p.cfg.AllowCancel {
+		k.connection.transport.Write(encodeCommand(commandCancel, k.token))
+	}
+}
+
+// LoadInstance orders a worker to have count instances of a function loaded; a count of 0 only asks for the
+// number of loaded ones.
+func (p *Pool) LoadInstance(id policy.WorkerID, f policy.FunctionID, count int, tag uint64) {
+	p.sendControl(id, newLoadOrderCall(tag, f, count), count > 0)
+}
+
+// Probe asks a worker for a sign of health and for its load report.
+func (p *Pool) Probe(id policy.WorkerID, tag uint64) {
+	p.sendControl(id, newProbeCall(tag), false)
+}
+
+// sendControl sends a load order or a probe. One that needs a ready worker ends as Unreachable at any other.
+func (p *Pool) sendControl(id policy.WorkerID, k *call, needsReady bool) {
+	w := p.workers[id]
+	if w != nil && (w.acceptsNew() || !needsReady) {
+		if c := p.selectConnection(w, k); c != nil {
+			c.send(k)
+			return
+		}
+	}
+	p.endUnanswered(k, policy.Unreachable)
+}
+
+// AbandonControl drops the load order and the probe with this tag; no result follows.
+func (p *Pool) AbandonControl(id policy.WorkerID, tag uint64) {
+	w := p.workers[id]
+	if w == nil {
+		return
+	}
+	for _, c := range w.connections {
+		for _, token := range []string{loadOrderToken(tag), probeToken(tag)} {
+			if k := c.pending[token]; k != nil {
+				c.dequeue(k)
+				c.release(k)
+			}
+		}
+	}
+}
+
+// UnloadInstance orders a worker to unload the idle instances of a function; it has no answer. Where no
+// connection is open it does nothing: idle instances expire by themselves, which makes them not worth a dial.
+func (p *Pool) UnloadInstance(id policy.WorkerID, f policy.FunctionID) {
+	w := p.workers[id]
+	if w == nil {
+		return
+	}
+	for _, c := range w.connections {
+		if c.state != connecting {
+			c.transport.Write(encodeCommand(commandUnload, formatFunctionID(f)))
+			return
+		}
+	}
+}
+
+// endUnanswered reports a result that came without an answer.
+func (p *Pool) endUnanswered(k *call, o policy.Outcome) {
+	switch k.kind {
+	case attemptCall:
+		delete(p.attempts, k.attempt)
+		p.results.AttemptEnded(k.attempt, o, policy.InstanceUnknown, nil, nil)
+	case loadOrderCall:
+		p.results.LoadOrderEnded(k.tag, o, 0)
+	case probeCall:
+		p.results.ProbeEnded(k.tag, o, nil)
+	case healthCheckCall: // nobody outside this package knows of it
+	}
+}
--- /dev/null
+++ b/internal/backend/connection.go
@@ -0,0 +1,227 @@
+package backend
+
+import (
+	"errors"
+	"log/slog"
+	"net"
+	"syscall"
+	"time"
+
+	"functionrouter/policy"
+)
+
+const (
+	// maxProbeResends is how often a probe is sent again after its connection broke.
+	maxProbeResends = 2
+
+	// maxDialRetries is how often a call that waits for a dial gets another one after a reset.
+	maxDialRetries = 2
+)
+
+// connectionState is where a connection stands between its dial and its close.
+type connectionState uint8
+
+const (
+	connecting connectionState = iota // calls wait in its queue
+	ready
+	draining // it takes no new calls and closes once the pending ones have ended
+	closed   // closed by the pool: what the worker still sends is ignored
+)
+
+// String names the state for logs and test failures.
+func (s connectionState) String() string {
+	return [...]string{"connecting", "ready", "draining", "closed"}[s]
+}
+
+// connection is one connection to a worker. It is the eventloop.DialHandler of its transport.
+type connection struct {
+	pool      *Pool
+	worker    *worker
+	transport Transport // nil until Config.Dial has returned
+	state     connectionState
+
+	pending   map[string]*call // calls without an answer, by token
+	attempts  int              // attempts among them
+	queued    []*call          // those of them that wait for the dial, in the order of their sending
+	recentIDs recentIDs        // of attempts that were written and have ended
+
+	dialedAt   time.Duration
+	lastUsedAt time.Duration // when a call was last written or answered
+
+	partial partialAnswer
+	health  connectionHealth
+}
+
+func (c *connection) idle() bool { return len(c.pending) == 0 }
+
+// takesCalls reports whether new calls may go over c, now or once its dial has come up.
+func (c *connection) takesCalls() bool { return c.state == connecting || c.state == ready }
+
+// send writes k, or queues it until the dial has come up.
+func (c *connection) send(k *call) {
+	k.connection = c
+	c.pending[k.token] = k
+	if k.kind == attemptCall {
+		c.attempts++
+	}
+	if c.state == connecting {
+		c.queued = append(c.queued, k)
+		return
+	}
+	c.write(k)
+}
+
+func (c *connection) write(k *call) {
+	k.written = true
+	k.sentAt = c.pool.now
+	c.lastUsedAt = c.pool.now
+	if k.kind == attemptCall {
+		c.transport.Write(k.header, k.body, lineEnd)
+	} else {
+		c.transport.Write(k.header)
+	}
+	k.header = nil
+	k.body = nil
+}
+
+// release removes k from the pending calls, if it still is one. The id of an attempt that was written is not
+// used on this connection again.
+func (c *connection) release(k *call) {
+	if c.pending[k.token] != k {
+		return
+	}
+	delete(c.pending, k.token)
+	if k.kind == attemptCall {
+		c.attempts--
+		if k.written {
+			c.recentIDs.add(k.token)
+		}
+	}
+}
+
+// dequeue releases k if it waits for the dial.
+func (c *connection) dequeue(k *call) {
+	for i, q := range c.queued {
+		if q == k {
+			c.queued = append(c.queued[:i], c.queued[i+1:]...)
+			c.release(k)
+			return
+		}
+	}
+}
+
+// failQueued ends the calls that wait for the dial, except probes. A dial that nothing waits for any more
+// is cancelled.
+func (c *connection) failQueued() {
+	var kept []*call
+	for _, k := range c.queued {
+		if k.kind == probeCall {
+			kept = append(kept, k)
+			continue
+		}
+		c.release(k)
+		outcome := policy.Unreachable
+		if k.kind == loadOrderCall {
+			outcome = policy.WorkerOverloaded // the answer of a draining worker
+		}
+		c.pool.endUnanswered(k, outcome)
+	}
+	c.queued = kept
+	if c.state == connecting && len(kept) == 0 {
+		c.retire()
+	}
+}
+
+// close ends the connection, and OnClose follows. No new call may go over it: it would count as written.
+func (c *connection) close() {
+	c.state = closed
+	c.transport.Close()
+}
+
+// closeWithError closes a connection that is of no further use.
+func (c *connection) closeWithError(err error) {
+	slog.Warn("worker connection closed", "address", c.worker.address, "error", err)
+	c.close()
+}
+
+// retire drains c: it takes no new calls and closes once the pending ones have ended. A dial is cancelled.
+func (c *connection) retire() {
+	switch {
+	case c.state == connecting:
+		c.close()
+		c.terminate(policy.Unreachable, false)
+	case c.idle():
+		c.close()
+	case c.state == ready:
+		c.state = draining
+	}
+}
+
+// OnOpen handles the end of the dial. A refusal or a timeout proves that nothing ran. A reset comes from a
+// process that runs, so that it would be wrong to call its worker unreachable: the queued calls get another dial.
+func (c *connection) OnOpen(err error) {
+	if err != nil {
+		slog.Warn("worker dial failed", "address", c.worker.address, "error", err)
+		reset := errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed)
+		c.terminate(policy.Unreachable, reset)
+		return
+	}
+	if c.state == connecting {
+		c.state = ready
+	}
+	queued := c.queued
+	c.queued = nil
+	for _, k := range queued {
+		c.write(k)
+	}
+}
+
+// OnClose handles the end of an open connection: the attempts that were pending on it may have run.
+func (c *connection) OnClose(err error) {
+	if len(c.pending) > 0 {
+		c.pool.losses.record(c.pool.now, c.worker.address, len(c.pending), err)
+	}
+	c.terminate(policy.ConnectionReset, false)
+}
+
+// terminate removes c from its worker and ends the pending calls with outcome o, except those that are sent
+// again over another connection. Calls are written as soon as the dial has come up, so that those of a failed dial
+// were never sent, and those of an open connection were. With redial the former are sent again.
+func (c *connection) terminate(o policy.Outcome, redial bool) {
+	c.worker.remove(c)
+	pending := inTokenOrder(c.pending)
+	clear(c.pending)
+	c.queued = nil
+	for _, k := range pending {
+		switch {
+		case k.kind == probeCall && o == policy.ConnectionReset && k.resends < maxProbeResends:
+			c.resendProbe(k)
+		case redial && c.resendUnsent(k):
+		default:
+			c.pool.endUnanswered(k, o)
+		}
+	}
+}
+
+// resendProbe sends a probe over another connection. A broken connection says nothing of its worker, which
+// others may well be using. A worker that died refuses a new one, and a healthy one answers on it.
+func (c *connection) resendProbe(k *call) {
+	again := newProbeCall(k.tag)
+	again.resends = k.resends + 1
+	c.pool.sendControl(c.worker.id, again, false)
+}
+
+// resendUnsent sends a call that has not been written over another connection, if the worker takes calls, the
+// call's retries are not spent and there is such a connection.
+func (c *connection) resendUnsent(k *call) bool {
+	if !c.worker.acceptsNew() || k.resends >= maxDialRetries {
+		return false
+	}
+	k.resends++
+	other := c.pool.selectConnection(c.worker, k)
+	if other == nil {
+		return false
+	}
+	other.send(k)
+	return true
+}
--- a/internal/backend/resp_test.go
+++ b/internal/backend/resp_test.go
@@ -265,12 +265,12 @@
 	if len(s.ended[second]) != 1 || s.body[second] != "done" || len(ran(*lines, id)) != 2 {
 		t.Errorf("second attempt ended %v with %q", s.ended[second], s.body[second])
 	}
-	for now := time.Duration(0); now <= 3*rememberFor; now += SweepInterval {
+	for now := time.Duration(0); now <= 3*recentIDLifetime; now += SweepInterval {
 		p.Sweep(now)
 	}
-	for _, c := range p.workers[1].conns {
-		if len(c.ended.now)+len(c.ended.before)+len(c.open) != 0 {
-			t.Errorf("a connection still remembers %d ids", len(c.ended.now)+len(c.ended.before))
+	for _, c := range p.workers[1].connections {
+		if len(c.recentIDs.current)+len(c.recentIDs.previous)+len(c.pending) != 0 {
+			t.Errorf("a connection still remembers %d ids", len(c.recentIDs.current)+len(c.recentIDs.previous))
 		}
 	}
 }
@@ -282,7 +282,7 @@
 	stays := router.AttemptID{Request: 9999}
 	p.StartAttempt(1, stays, request("00000000000000ff"), time.Second)
 	(*lines)[0].h.OnOpen(nil)
-	for i := range rememberMost + 10 {
+	for i := range maxRecentIDs + 10 {
 		a := router.AttemptID{Request: policy.RequestID(i)}
 		p.StartAttempt(1, a, request(fmt.Sprintf("%016x", 1<<20+i)), time.Second)
 		p.CancelAttempt(1, a)
@@ -290,7 +290,7 @@
 	if (*lines)[0].HasClosed || len(s.ended[stays]) != 0 || len(*lines) != 2 {
 		t.Errorf("closed %v, ended %v, %d connections", (*lines)[0].HasClosed, s.ended[stays], len(*lines))
 	}
-	if n := len(p.workers[1].conns[0].ended.now); n != rememberMost {
+	if n := len(p.workers[1].connections[0].recentIDs.current); n != maxRecentIDs {
 		t.Errorf("%d ids are remembered", n)
 	}
 }
@@ -312,7 +312,7 @@
 				p.Sweep(now)
 			}
 		}
-		pass(quietAfter + SweepInterval)
+		pass(healthCheckAfter + SweepInterval)
 		if got := (*lines)[0].Wrote.String(); strings.Count(got, "NOOP") != 1 {
 			t.Fatalf("not asked for a sign of life: %q", got)
 		}
@@ -328,7 +328,7 @@
 		if (*lines)[0].HasClosed {
 			t.Fatal("closed before its time for a sign of life was up")
 		}
-		pass(deadAfter + SweepInterval)
+		pass(healthCheckTimeout + SweepInterval)
 		if (*lines)[0].HasClosed != well {
 			t.Errorf("worker well: %v, silent connection closed: %v", well, (*lines)[0].HasClosed)
 		}
@@ -339,7 +339,7 @@
 	p, _, lines := newPool() // a sign of life makes it good again
 	p.StartAttempt(1, router.AttemptID{Request: 1}, request("00000000000000a1"), time.Second)
 	(*lines)[0].h.OnOpen(nil)
-	p.Sweep(quietAfter + SweepInterval)
+	p.Sweep(healthCheckAfter + SweepInterval)
 	(*lines)[0].h.OnData([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
 	if p.StartAttempt(1, router.AttemptID{Request: 2}, request("00000000000000b2"), time.Second); len(*lines) != 1 || (*lines)[0].HasClosed {
 		t.Error("a connection that answered was left")
@@ -355,7 +355,7 @@
 	l := (*lines)[0]
 	l.h.OnOpen(nil)
 	whole := reply("00000000000000a1", "HIT", strings.Repeat("x", 1000))
-	for i := range int(stuckAfter/SweepInterval) + 2 {
+	for i := range int(partialAnswerTimeout/SweepInterval) + 2 {
 		p.Sweep(time.Hour + time.Duration(i)*SweepInterval)
 		if !l.HasClosed {
 			l.h.OnData(whole[i*3 : i*3+3])
@@ -364,7 +364,7 @@
 	if !l.HasClosed {
 		t.Fatal("the rest of an answer is still waited for")
 	}
-	l.h.OnData(whole[3*(int(stuckAfter/SweepInterval)+2):]) // too late: nothing that follows counts
+	l.h.OnData(whole[3*(int(partialAnswerTimeout/SweepInterval)+2):]) // too late: nothing that follows counts
 	if len(s.ended[a]) != 0 {
 		t.Errorf("ended %v by what came after the close", s.ended[a])
 	}
@@ -380,7 +380,7 @@
 	a := router.AttemptID{Request: 1}
 	p.StartAttempt(1, a, request("00000000000000a1"), time.Second)
 	(*lines)[0].h.OnOpen(nil)
-	whole := reply("00000000000000a1", "HIT", strings.Repeat("x", maxBulk-64))
+	whole := reply("00000000000000a1", "HIT", strings.Repeat("x", maxBulkSize-64))
 	allocs := testing.AllocsPerRun(1, func() {
 		for i := range whole {
 			(*lines)[0].h.OnData(whole[i : i+1])
@@ -401,7 +401,7 @@
 	}{
 		"well":   {1, func(l *line) { l.h.OnOpen(nil); l.h.OnData([]byte("*2\r\n$2\r\np7\r\n$4\r\nPONG\r\n")) }, policy.Served},
 		"died":   {1, func(l *line) { l.h.OnOpen(errors.New("refused")) }, policy.Unreachable},
-		"breaks": {probeTries, func(l *line) { l.h.OnOpen(nil); l.h.OnClose(errors.New("reset")) }, policy.ConnectionReset},
+		"breaks": {maxProbeResends, func(l *line) { l.h.OnOpen(nil); l.h.OnClose(errors.New("reset")) }, policy.ConnectionReset},
 	} {
 		p, s, lines := newPool()
 		p.Probe(1, 7)
@@ -482,20 +482,20 @@
 		p.StartAttempt(1, router.AttemptID{Request: policy.RequestID(n)}, request(fmt.Sprintf("%016x", n)), time.Second)
 		(*lines)[len(*lines)-1].h.OnOpen(nil)
 	}
-	if want := calls / fewCalls; len(*lines) != want {
+	if want := calls / attemptsBeforeDial; len(*lines) != want {
 		t.Fatalf("%d connections, want %d", len(*lines), want)
 	}
-	if (*lines)[0].h.OnClose(nil); len(s.ended) != fewCalls {
+	if (*lines)[0].h.OnClose(nil); len(s.ended) != attemptsBeforeDial {
 		t.Errorf("%d of %d calls ended with one connection", len(s.ended), calls)
 	}
 	for n := calls; n < 100; n++ { // at the limit all take their share
 		p.StartAttempt(1, router.AttemptID{Request: policy.RequestID(n)}, request(fmt.Sprintf("%016x", n)), time.Second)
 		(*lines)[len(*lines)-1].h.OnOpen(nil)
 	}
-	conns := p.workers[1].conns
+	conns := p.workers[1].connections
 	for _, c := range conns {
-		if c.runs < 9 || c.runs > 10 {
-			t.Errorf("%d calls on one of %d connections", c.runs, len(conns))
+		if c.attempts < 9 || c.attempts > 10 {
+			t.Errorf("%d calls on one of %d connections", c.attempts, len(conns))
 		}
 	}
 }
@@ -531,8 +531,8 @@
 			}
 		}
 	}
-	if len(p.workers)+len(p.calls) != 0 {
-		t.Errorf("%d workers and %d calls stay", len(p.workers), len(p.calls))
+	if len(p.workers)+len(p.attempts) != 0 {
+		t.Errorf("%d workers and %d calls stay", len(p.workers), len(p.attempts))
 	}
 }
 
--- /dev/null
+++ b/internal/backend/selection.go
@@ -0,0 +1,105 @@
+package backend
+
+const (
+	// maxConnectionsPerWorker bounds the connections to one worker.
+	maxConnectionsPerWorker = 10
+
+	// attemptsBeforeDial is how many attempts a connection holds before another is opened although it could
+	// take more: a connection that breaks ends all of its calls.
+	attemptsBeforeDial = 4
+)
+
+// preference orders the connections that may carry a call: the highest is chosen.
+type preference uint8
+
+const (
+	notEligible  preference = iota
+	unresponsive            // a health check is unanswered
+	beingDialed
+	responsive
+)
+
+// selectConnection returns the connection for k, or nil if there is none and none may be opened. It
+// chooses the most preferred connection with the fewest attempts. Where that one is unresponsive or has
+// attemptsBeforeDial attempts, it opens a new one, as long as the limits allow.
+func (p *Pool) selectConnection(w *worker, k *call) *connection {
+	best, rank := p.bestConnection(w, k)
+	if rank > unresponsive && best.attempts < attemptsBeforeDial {
+		return best
+	}
+	if len(w.connections) >= maxConnectionsPerWorker || w.address == "" || !p.reserveConnection() {
+		return best
+	}
+	return p.dial(w)
+}
+
+func (p *Pool) bestConnection(w *worker, k *call) (*connection, preference) {
+	var best *connection
+	rank := notEligible
+	for _, c := range w.connections {
+		r := p.preferenceFor(c, k)
+		if r > rank || r == rank && r > notEligible && c.attempts < best.attempts {
+			best = c
+			rank = r
+		}
+	}
+	return best, rank
+}
+
+// preferenceFor rates c for k. A connection never carries two calls with the same id, not even one after the other
+// (see recentIDs), and no more attempts at once than a worker accepts.
+func (p *Pool) preferenceFor(c *connection, k *call) preference {
+	if !c.takesCalls() || c.transport == nil || c.pending[k.token] != nil {
+		return notEligible
+	}
+	if k.kind == attemptCall &&
+		(c.attempts >= p.cfg.MaxStreamsPerConnection || c.recentIDs.contains(k.token) || c.recentIDs.full()) {
+		return notEligible
+	}
+	switch {
+	case c.health.checkSentAt > 0:
+		return unresponsive
+	case c.state == connecting:
+		return beingDialed
+	default:
+		return responsive
+	}
+}
+
+// reserveConnection reports whether one more connection may be opened. At the limit on all connections, the
+// one that has been idle for longest is closed in its favour, so that workers that appear late get connections.
+func (p *Pool) reserveConnection() bool {
+	total := 0
+	var longestIdle *connection
+	for _, w := range p.workers {
+		total += len(w.connections)
+		for _, c := range w.connections {
+			if c.state == ready && c.idle() && (longestIdle == nil || c.lastUsedAt < longestIdle.lastUsedAt) {
+				longestIdle = c
+			}
+		}
+	}
+	if total < p.cfg.MaxConnections {
+		return true
+	}
+	if longestIdle == nil {
+		return false
+	}
+	longestIdle.close()
+	return true
+}
+
+// dial opens a connection to w. Dial may report its failure before it returns; until the transport is set
+// the connection is not eligible.
+func (p *Pool) dial(w *worker) *connection {
+	c := &connection{
+		pool:       p,
+		worker:     w,
+		pending:    map[string]*call{},
+		dialedAt:   p.now,
+		lastUsedAt: p.now,
+	}
+	w.connections = append(w.connections, c)
+	c.transport = p.cfg.Dial(w.address, p.cfg.DialTimeout, c)
+	return c
+}
--- /dev/null
+++ b/internal/backend/worker.go
@@ -0,0 +1,42 @@
+package backend
+
+import (
+	"slices"
+	"time"
+
+	"functionrouter/policy"
+)
+
+// worker is one endpoint and the connections to it.
+type worker struct {
+	id          policy.WorkerID
+	address     string
+	state       policy.WorkerState
+	connections []*connection
+}
+
+// acceptsNew reports whether the worker may be sent attempts and orders to load.
+func (w *worker) acceptsNew() bool { return w.state == policy.Ready }
+
+func (w *worker) remove(c *connection) {
+	if i := slices.Index(w.connections, c); i >= 0 {
+		w.connections = append(w.connections[:i], w.connections[i+1:]...)
+	}
+}
+
+// retireOutdated retires the connections to another address than addr, and those of before started. A worker
+// that restarted elsewhere may have left its old address to another worker. A machine that vanished and came back
+// answers whatever still arrives on a connection of before with a reset.
+func (w *worker) retireOutdated(addr string, started time.Duration) {
+	moved := addr != "" && addr != w.address
+	for _, c := range slices.Clone(w.connections) {
+		if moved || c.dialedAt < started {
+			c.retire()
+		}
+	}
+}
+
+// answeredCallSentAfter reports whether the worker has answered a call that was sent after t, on any connection.
+func (w *worker) answeredCallSentAfter(t time.Duration) bool {
+	return slices.ContainsFunc(w.connections, func(c *connection) bool { return c.health.lastAnsweredSentAt > t })
+}
