--- /dev/null
+++ b/internal/backend/codec_test.go
@@ -0,0 +1,150 @@
+package backend
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"functionrouter/policy"
+)
+
+func TestAnswerIsReadHoweverItIsSplit(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		p := newTestPool()
+		a := attemptID(1)
+		transport := p.startOpen(a, "0123456789abcdef")
+		want := "*4\r\n$3\r\nRUN\r\n$16\r\n0123456789abcdef\r\n" +
+			"$49\r\nqueue=dim-level,path=00000000000000aa,budget=1000\r\n$5\r\nhello\r\n"
+		if got := transport.written.String(); got != want {
+			t.Fatalf("wrote %q", got)
+		}
+		body := rapid.StringN(0, 200, 400).Draw(t, "body")
+		text := fmt.Sprintf("*4\r\n$16\r\n0123456789abcdef\r\n$3\r\nHIT\r\n"+
+			"$29\r\ndetail=hot,use=inflight:7;x:1\r\n$%d\r\n%s\r\n", len(body), body)
+		for len(text) > 0 {
+			n := rapid.IntRange(1, len(text)).Draw(t, "n")
+			transport.handler.OnData([]byte(text[:n]))
+			text = text[n:]
+		}
+		if ended := p.results.attempts[a]; !slices.Equal(ended, []policy.Outcome{policy.Served}) {
+			t.Fatalf("ended %v", ended)
+		}
+		if got := p.results.bodies[a]; got != body || transport.closed {
+			t.Fatalf("ended with %q, closed %v", got, transport.closed)
+		}
+	})
+}
+
+func TestArbitraryBytesAtMostCloseTheirConnection(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		p := newTestPool()
+		p.Probe(workerID, 1)
+		transport := p.last()
+		transport.handler.OnOpen(nil)
+		pieces := rapid.SampledFrom([]string{
+			"*", "4", "\r\n", "$", "2", "99999999999", "p1", "PONG", "-", "HIT", "\x00", "*2\r\n",
+		})
+		transport.handler.OnData([]byte(strings.Join(rapid.SliceOfN(pieces, 0, 30).Draw(t, "bits"), "")))
+	})
+	p := newTestPool()
+	p.Probe(workerID, 1)
+	transport := p.last()
+	transport.handler.OnOpen(nil)
+	transport.handler.OnData([]byte("*4\r\n$16449\r\n"))
+	if !transport.closed {
+		t.Error("a bulk string over the limit was waited for")
+	}
+}
+
+func TestDecodeArrayRejectsMalformedArrays(t *testing.T) {
+	for name, text := range map[string]string{
+		"another type":            "+OK\r\n",
+		"a word of another type":  "*1\r\n:5\r\n",
+		"no number":               "*\r\n",
+		"not a number":            "*x\r\n",
+		"negative number":         "*-1\r\n",
+		"line feed alone":         "*12\n",
+		"length line without end": "*00000000000",
+		"too many words":          "*9\r\n",
+		"bulk string too long":    fmt.Sprintf("*1\r\n$%d\r\n", maxBulkSize+1),
+		"no line end":             "*1\r\n$1\r\nxyz",
+		"array too long": fmt.Sprintf("*2\r\n$%d\r\n%s\r\n$%d\r\n",
+			maxBulkSize, strings.Repeat("x", maxBulkSize), maxBulkSize),
+	} {
+		t.Run(name, func(t *testing.T) {
+			words, size, err := decodeArray([]byte(text), nil)
+			if !errors.Is(err, errMalformedAnswer) || words != nil || size != 0 {
+				t.Errorf("got %d words, size %d, error %v", len(words), size, err)
+			}
+		})
+	}
+}
+
+func TestEncodedCommandIsDecodedAgain(t *testing.T) {
+	text := encodeCommand("HOLD", "h1", "")
+	for n := range text {
+		if words, size, err := decodeArray(text[:n], nil); words != nil || size != 0 || err != nil {
+			t.Fatalf("%d bytes: %d words, size %d, error %v", n, len(words), size, err)
+		}
+	}
+	words, size, err := decodeArray(append(text, '*'), nil)
+	if err != nil || size != len(text) {
+		t.Fatalf("size %d of %d, error %v", size, len(text), err)
+	}
+	if got := fmt.Sprintf("%q", words); got != `["HOLD" "h1" ""]` {
+		t.Errorf("got %s", got)
+	}
+}
+
+// Guards against copying the beginning of an answer anew for each of its bytes.
+func TestPartialAnswerIsNotCopiedForEachByte(t *testing.T) {
+	p := newTestPool()
+	a := attemptID(1)
+	transport := p.startOpen(a, hexID(0xa1))
+	whole := encodeAnswer(hexID(0xa1), "HIT", strings.Repeat("x", maxBulkSize-64))
+	allocs := testing.AllocsPerRun(1, func() {
+		for i := range whole {
+			transport.handler.OnData(whole[i : i+1])
+		}
+	})
+	if ended := p.results.attempts[a]; len(ended) != 1 || allocs > 60 {
+		t.Errorf("ended %v after %v allocations for %d bytes", ended, allocs, len(whole))
+	}
+}
+
+// Guards against an answer that stops short on an open connection: no more bytes, or a few now and then
+// that never make it whole.
+func TestStalledAnswerClosesItsConnection(t *testing.T) {
+	logged := captureLog(t)
+	p := newTestPool()
+	a := attemptID(1)
+	transport := p.startOpen(a, hexID(0xa1))
+	whole := encodeAnswer(hexID(0xa1), "HIT", strings.Repeat("x", 1000))
+	rest := whole
+	for i := range int(partialAnswerTimeout/SweepInterval) + 2 {
+		p.Sweep(time.Hour + time.Duration(i)*SweepInterval)
+		if !transport.closed {
+			transport.handler.OnData(rest[:3])
+			rest = rest[3:]
+		}
+	}
+	if !transport.closed {
+		t.Fatal("the rest of an answer is still waited for")
+	}
+	if err := logged.lastError("worker connection closed"); !errors.Is(err, errStalledAnswer) {
+		t.Errorf("logged %v", err)
+	}
+	transport.handler.OnData(rest) // too late: nothing that follows counts
+	if ended := p.results.attempts[a]; len(ended) != 0 {
+		t.Errorf("ended %v by what came after the close", ended)
+	}
+	p.start(attemptID(2), hexID(0xb2))
+	if len(p.transports) != 2 {
+		t.Error("an attempt went to a connection that the pool had closed")
+	}
+}
--- /dev/null
+++ b/internal/backend/dial_test.go
@@ -0,0 +1,66 @@
+package backend
+
+import (
+	"net"
+	"os"
+	"syscall"
+	"testing"
+
+	"functionrouter/policy"
+)
+
+// Guards the drain rule for load orders: one that waits for a dial is not sent once its worker drains.
+func TestQueuedLoadOrderIsNotSentToADrainingWorker(t *testing.T) {
+	p := newTestPool()
+	p.LoadInstance(workerID, 5, 1, 9)
+	p.UpdateEndpoint(workerID, workerAddress, policy.Draining, 0)
+	p.transports[0].handler.OnOpen(nil)
+	ended := p.results.controls[9]
+	if got := p.transports[0].written.String(); got != "" || len(ended) != 1 || ended[0] != policy.WorkerOverloaded {
+		t.Errorf("wrote %q, ended %v", got, ended)
+	}
+}
+
+// Guards healthy workers against connections that are reset when new: what waits for such a dial
+// gets another, a few times. One that is refused, or a worker that drains meanwhile, gets none.
+func TestResetDialIsTriedAgain(t *testing.T) {
+	dialError := func(err error) error {
+		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
+	}
+	reset := dialError(syscall.ECONNRESET)
+	for _, test := range []struct {
+		name  string
+		dials []error // how they end
+		state policy.WorkerState
+		count int  // dials that are made
+		ends  bool // the attempt ends as Unreachable
+	}{
+		{"reset once", []error{reset, nil}, policy.Ready, 2, false},
+		{"closed at once", []error{net.ErrClosed, nil}, policy.Ready, 2, false},
+		{"reset again and again", []error{reset, reset, reset}, policy.Ready, 3, true},
+		{"refused", []error{dialError(syscall.ECONNREFUSED)}, policy.Ready, 1, true},
+		{"reset and draining", []error{reset}, policy.Draining, 1, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p := newTestPool()
+			a := attemptID(1)
+			p.start(a, hexID(0xa1))
+			p.UpdateEndpoint(workerID, "", test.state, 0)
+			for n, err := range test.dials {
+				if n < len(p.transports) {
+					p.transports[n].handler.OnOpen(err)
+				}
+			}
+			ended := p.results.attempts[a]
+			if len(p.transports) != test.count || (len(ended) == 1) != test.ends {
+				t.Errorf("%d dials, ended %v", len(p.transports), ended)
+			}
+			if test.ends && ended[0] != policy.Unreachable {
+				t.Errorf("ended %v", ended)
+			}
+			if on := p.carriers(hexID(0xa1)); (len(on) == 1) == test.ends {
+				t.Errorf("written to %d connections", len(on))
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/backend/endings_test.go
@@ -0,0 +1,170 @@
+package backend
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"functionrouter/internal/router"
+	"functionrouter/policy"
+)
+
+// Guards against a duplicate of an answer: of a "not loaded", say, which would have the next attempt of the
+// same request count as one that never ran, and the request be sent once more.
+func TestDuplicateAnswerEndsNoLaterAttempt(t *testing.T) {
+	p := newTestPool()
+	const id = "0123456789abcdef"
+	first, second := router.AttemptID{Request: 1}, router.AttemptID{Request: 1, Number: 1}
+	transport := p.startOpen(first, id)
+	transport.handler.OnData(encodeAnswer(id, "NONE", ""))
+	p.start(second, id)
+	transport.handler.OnData(encodeAnswer(id, "NONE", ""))
+	transport.handler.OnData(encodeAnswer("unknown", "HIT", "ahead"))
+	if ended := p.results.attempts[second]; len(ended) != 0 || transport.closed || len(p.transports) != 2 {
+		t.Fatalf("second attempt ended %v on %d connections", ended, len(p.transports))
+	}
+	p.transports[1].handler.OnOpen(nil)
+	p.transports[1].handler.OnData(encodeAnswer(id, "HIT", "done"))
+	ended, body := p.results.attempts[second], p.results.bodies[second]
+	if len(ended) != 1 || body != "done" || len(p.carriers(id)) != 2 {
+		t.Errorf("second attempt ended %v with %q", ended, body)
+	}
+	for now := time.Duration(0); now <= 3*recentIDLifetime; now += SweepInterval {
+		p.Sweep(now)
+	}
+	for _, c := range p.workers[workerID].connections {
+		if c.recentIDs.len()+len(c.pending) != 0 {
+			t.Errorf("a connection still remembers %d ids", c.recentIDs.len())
+		}
+	}
+}
+
+// Guards healthy workers against connections that break under a probe: it goes over another one, so
+// that only a worker that refuses, or breaks them all, counts as having failed it.
+func TestProbeOutlivesItsConnection(t *testing.T) {
+	const tag = 7
+	for _, test := range []struct {
+		name   string
+		resets int
+		last   func(transport *fakeTransport)
+		want   policy.Outcome
+	}{
+		{"healthy worker", 1, func(transport *fakeTransport) {
+			transport.handler.OnOpen(nil)
+			transport.handler.OnData([]byte("*2\r\n$2\r\np7\r\n$4\r\nPONG\r\n"))
+		}, policy.Served},
+		{"dead worker", 1, func(transport *fakeTransport) {
+			transport.handler.OnOpen(errors.New("refused"))
+		}, policy.Unreachable},
+		{"worker that breaks all connections", maxProbeResends, func(transport *fakeTransport) {
+			transport.handler.OnOpen(nil)
+			transport.handler.OnClose(errors.New("reset"))
+		}, policy.ConnectionReset},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p := newTestPool()
+			p.Probe(workerID, tag)
+			for i := range test.resets {
+				p.transports[i].handler.OnOpen(nil)
+				p.transports[i].handler.OnClose(errors.New("reset"))
+				if ended := p.results.controls[tag]; len(ended) != 0 || len(p.transports) != i+2 {
+					t.Fatalf("ended %v on %d connections", ended, len(p.transports))
+				}
+			}
+			test.last(p.transports[test.resets])
+			ended := p.results.controls[tag]
+			if len(ended) != 1 || ended[0] != test.want || len(p.transports) != test.resets+1 {
+				t.Errorf("ended %v on %d connections", ended, len(p.transports))
+			}
+		})
+	}
+}
+
+// Guards against leaks over long runs: generations of workers come and go, some at an address that was another's,
+// and nothing about those that are gone stays.
+func TestNothingIsKeptOfGoneWorkers(t *testing.T) {
+	p := newTestPool()
+	now := time.Duration(0)
+	for generation := range 200 {
+		w := policy.WorkerID(generation + 2)
+		runGeneration(p, w, generation)
+		for range 3 {
+			now += SweepInterval
+			p.Sweep(now)
+			p.deliverCloses()
+		}
+	}
+	if len(p.workers)+len(p.attempts) != 0 {
+		t.Errorf("%d workers and %d attempts stay", len(p.workers), len(p.attempts))
+	}
+}
+
+// runGeneration has w replace all workers, take an attempt and a load order, and go.
+func runGeneration(p *testPool, w policy.WorkerID, number int) {
+	p.RetainEndpoints(map[policy.WorkerID]bool{w: true})
+	p.UpdateEndpoint(w, workerAddress, policy.Ready, 0)
+	a := attemptID(number)
+	p.StartAttempt(w, a, testRequest(hexID(number)), time.Second)
+	p.LoadInstance(w, 7, 1, uint64(number))
+	transport := p.last()
+	transport.handler.OnOpen(nil)
+	if number%2 == 0 {
+		transport.handler.OnData(encodeAnswer(hexID(number), "HIT", ""))
+	} else {
+		p.CancelAttempt(w, a)
+	}
+	p.AbandonControl(w, uint64(number))
+	p.RetainEndpoints(nil)
+}
+
+// deliverCloses has the handlers of closed transports hear of it, once each.
+func (p *testPool) deliverCloses() {
+	for _, transport := range p.transports {
+		if transport.closed && transport.handler != nil {
+			transport.handler.OnClose(nil)
+			transport.handler = nil
+		}
+	}
+}
+
+// Guards workers against cancels that the settings do not allow. An attempt that has yet to be sent is withdrawn
+// without a message.
+func TestCancelIsSentOnlyWhereAllowed(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		allowed bool
+	}{
+		{"allowed", true},
+		{"not allowed", false},
+	} {
+		t.Run(test.name, func(t *testing.T) { testCancel(t, test.allowed) })
+	}
+}
+
+func testCancel(t *testing.T, allowed bool) {
+	t.Helper()
+	p := newTestPool()
+	p.cfg.AllowCancel = allowed
+	sent, queued := attemptID(1), attemptID(2)
+	transport := p.startOpen(sent, hexID(0xa1))
+	if p.WithdrawQueued(sent) {
+		t.Error("an attempt that was written was withdrawn")
+	}
+	p.CancelAttempt(workerID, sent)
+	if got := transport.wrote("STOP\r\n"); got != allowed {
+		t.Errorf("a cancel was sent: %v", got)
+	}
+	p.UpdateEndpoint(workerID, "127.0.0.1:2", policy.Ready, 0) // the next attempt waits for a dial
+	p.start(queued, hexID(0xa2))
+	second := p.transports[1]
+	if !p.WithdrawQueued(queued) {
+		t.Error("an attempt that waits was not withdrawn")
+	}
+	if p.WithdrawQueued(queued) {
+		t.Error("an attempt was withdrawn twice")
+	}
+	second.handler.OnOpen(nil)
+	if second.written.Len() > 0 || len(p.results.attempts) > 0 {
+		t.Errorf("wrote %q, ended %v", second.written.String(), p.results.attempts)
+	}
+}
--- /dev/null
+++ b/internal/backend/harness_test.go
@@ -0,0 +1,134 @@
+package backend
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"time"
+
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/router"
+	"functionrouter/policy"
+)
+
+const (
+	workerID      = policy.WorkerID(1) // the worker that a testPool knows
+	workerAddress = "127.0.0.1:1"
+)
+
+// fakeTransport keeps what is written to it; the test calls its handler.
+type fakeTransport struct {
+	handler eventloop.DialHandler
+	written bytes.Buffer
+	closed  bool
+}
+
+func (f *fakeTransport) Write(bufs ...[]byte) {
+	for _, b := range bufs {
+		f.written.Write(b)
+	}
+}
+
+func (f *fakeTransport) Close() { f.closed = true }
+
+// wrote reports whether text was written.
+func (f *fakeTransport) wrote(text string) bool { return strings.Contains(f.written.String(), text) }
+
+// attemptsWritten counts the attempts with this id that were written.
+func (f *fakeTransport) attemptsWritten(id string) int {
+	return strings.Count(f.written.String(), "RUN\r\n$16\r\n"+id)
+}
+
+// resultRecorder keeps how attempts, load orders and probes ended.
+type resultRecorder struct {
+	attempts map[router.AttemptID][]policy.Outcome
+	bodies   map[router.AttemptID]string
+	controls map[uint64][]policy.Outcome // load orders and probes, by tag
+}
+
+func (r *resultRecorder) AttemptEnded(a router.AttemptID, o policy.Outcome, _ policy.InstanceStatus,
+	body []byte, _ []float64) {
+	r.attempts[a] = append(r.attempts[a], o)
+	r.bodies[a] = string(body)
+}
+
+func (r *resultRecorder) LoadOrderEnded(tag uint64, o policy.Outcome, _ int) {
+	r.controls[tag] = append(r.controls[tag], o)
+}
+
+func (r *resultRecorder) ProbeEnded(tag uint64, o policy.Outcome, _ []float64) {
+	r.controls[tag] = append(r.controls[tag], o)
+}
+
+// testPool is a Pool with one ready worker whose transports are fakes, in the order of their dials.
+type testPool struct {
+	*Pool
+	results    *resultRecorder
+	transports []*fakeTransport
+}
+
+func newTestPool() *testPool {
+	p := &testPool{results: &resultRecorder{
+		attempts: map[router.AttemptID][]policy.Outcome{},
+		bodies:   map[router.AttemptID]string{},
+		controls: map[uint64][]policy.Outcome{},
+	}}
+	p.Pool = New(Config{
+		Classes:                 []string{"dim-level"},
+		LoadReportFields:        []string{"inflight"},
+		DialTimeout:             time.Second,
+		IdleTimeout:             30 * time.Second,
+		MaxStreamsPerConnection: 2,
+		MaxConnections:          100,
+		AllowCancel:             true,
+		Dial: func(_ string, _ time.Duration, h eventloop.DialHandler) Transport {
+			p.transports = append(p.transports, &fakeTransport{handler: h})
+			return p.last()
+		},
+	}, p.results)
+	p.UpdateEndpoint(workerID, workerAddress, policy.Ready, 0)
+	return p
+}
+
+// last returns the transport that was dialed last.
+func (p *testPool) last() *fakeTransport { return p.transports[len(p.transports)-1] }
+
+// start sends the attempt a under this id to the worker, with a budget of a second.
+func (p *testPool) start(a router.AttemptID, id string) {
+	p.StartAttempt(workerID, a, testRequest(id), time.Second)
+}
+
+// startOpen is start, and then the end of the first dial.
+func (p *testPool) startOpen(a router.AttemptID, id string) *fakeTransport {
+	p.start(a, id)
+	p.transports[0].handler.OnOpen(nil)
+	return p.transports[0]
+}
+
+// carriers returns the indices of the transports that an attempt with this id was written to.
+func (p *testPool) carriers(id string) (indices []int) {
+	for i, transport := range p.transports {
+		if transport.attemptsWritten(id) > 0 {
+			indices = append(indices, i)
+		}
+	}
+	return indices
+}
+
+func testRequest(id string) *router.Request {
+	return &router.Request{ID: id, FunctionKey: "00000000000000aa", Body: []byte("hello")}
+}
+
+// attemptID returns the first attempt of the request with this number.
+func attemptID(request int) router.AttemptID {
+	return router.AttemptID{Request: policy.RequestID(request)}
+}
+
+// hexID returns n in the form of a request's id.
+func hexID(n int) string { return fmt.Sprintf("%016x", n) }
+
+// encodeAnswer returns an answer without fields.
+func encodeAnswer(id, word, body string) []byte {
+	return fmt.Appendf(nil, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$%d\r\n%s\r\n",
+		len(id), id, len(word), word, len(body), body)
+}
--- a/internal/backend/recent_ids.go
+++ b/internal/backend/recent_ids.go
@@ -3,8 +3,11 @@
 import "time"
 
 const (
-	recentIDLifetime = 8 * time.Second // an id is kept for at least so long, and at most twice that: longer than any call lasts
-	maxRecentIDs     = 2048            // on one connection; one that holds as many takes no new attempts
+	// recentIDLifetime is how long an id is remembered at least, longer than any call lasts; it is at most twice that.
+	recentIDLifetime = 8 * time.Second
+
+	// maxRecentIDs bounds the ids of one connection. One that holds as many takes no new attempts.
+	maxRecentIDs = 2048
 )
 
 // recentIDs remembers the ids of the attempts that ended on a connection, so that the connection carries none
