--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"compress/gzip"
 	"encoding/binary"
-	"errors"
 	"flag"
 	"io"
 	"os"
@@ -15,59 +14,29 @@
 // update rewrites the golden files from what the program answers now.
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// goldenScenarios play the decision module in closed loop: each world reacts to the actions that it is
-// answered with. Together they bring every event of the wire and every action that the module emits.
-var goldenScenarios = []scenario{
-	{
-		name: "load-on-miss", seed: 11, instances: 2, workers: 8, functions: 40, batches: 3000, arrivalsPerSecond: 90,
-		settings: `{"peersTotal": 2, "granularityMs": 2, "membershipMode": "automatic",
-			"report": {"fields": ["queue", "x0", "x1"], "how": "inline"},
-			"classes": [
-				{"deadlineMs": 4000, "goalTimeMs": 600, "semantics": "safe", "group": "all", "worth": 1, "lateWorth": 0.3},
-				{"deadlineMs": 5000, "goalTimeMs": 1500, "semantics": "safe", "group": "all", "worth": 2, "lateWorth": 0.3},
-				{"deadlineMs": 5000, "goalTimeMs": 300, "semantics": "unsafe", "group": "all", "worth": 5, "lateWorth": 0.3}],
-			"limits": {"retryAfter": true, "maxAttempts": 6, "maxRetryAfterMs": 2000},
-			"rules": {"coldFrom": 0.17, "coldMs": 15000, "drainGraceMs": 2000, "fallMs": 1500, "fallMultiple": 3},
-			"specifics": {"ifCold": "load", "lingerIdleMs": 11000, "loadWaitMs": 10000}}`,
-	},
-	{
-		name: "orders-and-gossip", seed: 12, instances: 3, workers: 10, functions: 60, batches: 3000, arrivalsPerSecond: 60,
-		missWhenCold: true, lists: true,
-		settings: `{"peersTotal": 3, "granularityMs": 2, "membershipMode": "subscribe",
-			"report": {"fields": ["inflight", "queue"], "how": "on_probe"},
-			"classes": [
-				{"deadlineMs": 3000, "goalTimeMs": 400, "semantics": "keyed", "group": "zone", "windowMs": 2500, "worth": 1},
-				{"deadlineMs": 3000, "goalTimeMs": 800, "semantics": "keyed", "group": "all", "windowMs": 900, "worth": 3},
-				{"deadlineMs": 2500, "goalTimeMs": 300, "semantics": "unsafe", "group": "cell", "worth": 4, "streamed": true}],
-			"limits": {"cancel": true, "mayProbe": true, "peers": true, "maxAttempts": 4},
-			"rules": {"askWithinMs": 800, "coldFrom": 0.25, "coldMs": 8000, "drainGraceMs": 500, "fallMs": 2000, "fallMultiple": 2},
-			"specifics": {"ifCold": "miss", "placementCalls": true, "warmNotes": true, "notesPeersInHand": true,
-				"lingerIdleMs": 9000, "loadWaitMs": 6000, "loadsWithinMs": 5000, "loadFree": 4, "loadPart": 0.3}}`,
-	},
-	{
-		name: "tenants-in-overload", seed: 13, instances: 1, workers: 4, functions: 25, batches: 3000, arrivalsPerSecond: 160,
-		workHints: true,
-		settings: `{"peersTotal": 40, "granularityMs": 4, "membershipMode": "automatic", "countedBy": "work", "overShareWorth": 0.2,
-			"accounts": [{"allowancePerS": 1200}, {"allowancePerS": 300}],
-			"report": {"fields": ["queue"], "how": "inline"},
-			"classes": [
-				{"deadlineMs": 2000, "goalTimeMs": 300, "semantics": "safe", "worth": 1, "lateWorth": 0.2},
-				{"deadlineMs": 3000, "goalTimeMs": 500, "semantics": "keyed", "group": "cell", "windowMs": 1500, "worth": 6}],
-			"limits": {"cancel": true, "mayProbe": true, "retryAfter": true, "maxAttempts": 3, "maxRetryAfterMs": 700},
-			"rules": {"coldFrom": 0.4, "coldMs": 6000, "fallMs": 1000, "fallMultiple": 2.5},
-			"specifics": {"ifCold": "load", "warmNotes": true, "lingerIdleMs": 5000}}`,
-	},
+// emittedActions are the actions of the wire that the module emits at all.
+var emittedActions = []byte{
+	actionSetTimer,
+	actionFailRequest,
+	actionSendAttempt,
+	actionSendGossip,
+	actionSubscribe,
+	actionLoadInstance,
+	actionProbeWorker,
+	actionCancelAttempt,
+	actionRefuseRequest,
 }
 
 // TestActionsMatchTheGoldenFiles guards the module's decisions: the same events must be answered with the
 // same actions, byte for byte. A change that is meant to decide otherwise rewrites the files with -update.
 func TestActionsMatchTheGoldenFiles(t *testing.T) {
-	met := map[byte]int{}
+	seen := map[byte]int{}
 	for _, s := range goldenScenarios {
 		t.Run(s.name, func(t *testing.T) {
-			replies, codes := play(t, s)
-			for code, n := range codes {
-				met[code] += n
+			world := newWorld(s)
+			replies := play(t, world)
+			for code, n := range world.seen {
+				seen[code] += n
 			}
 			path := filepath.Join("testdata", "golden", s.name+".actions.gz")
 			if *update {
@@ -77,54 +46,67 @@
 			compareReplies(t, replies, readGolden(t, path))
 		})
 	}
-	for code := byte(eventFirst); code <= eventLoaded; code++ {
-		if met[code] == 0 {
+	for code := byte(eventResponseStarted); code <= eventLoadOrderEnded; code++ {
+		if seen[code] == 0 {
 			t.Errorf("no scenario brings events of code %d", code)
 		}
 	}
-	for _, code := range []byte{actionTimer, actionFail, actionSend, actionGossip, actionSubscribe, actionLoad, actionProbe,
-		actionCancel, actionRefuse} { // the other actions of the wire are never emitted by this module
-		if met[code] == 0 {
+	for _, code := range emittedActions {
+		if seen[code] == 0 {
 			t.Errorf("no scenario draws actions of code %d", code)
 		}
 	}
 }
 
-// play runs the program against a scenario's world. It returns all replies, and how often each event and
-// action code was seen.
-func play(t *testing.T, s scenario) (replies []byte, codes map[byte]int) {
+// play runs the program against a world and returns all of its replies.
+func play(t *testing.T, w *world) (replies []byte) {
 	t.Helper()
 	events, toProgram := io.Pipe()
 	fromProgram, actions := io.Pipe()
 	ended := make(chan error, 1)
 	go func() {
 		err := run(events, actions)
-		actions.CloseWithError(io.EOF)
+		actions.CloseWithError(err) // nil means io.EOF to the reader
+		events.CloseWithError(err)
 		ended <- err
 	}()
-	world := newWorld(s)
-	for seq := range uint32(s.batches) {
-		if _, err := toProgram.Write(world.nextBatch(seq)); err != nil {
+	t.Cleanup(func() { // ends the program where the test fails early; closing a pipe can't fail
+		_ = toProgram.Close()
+		_ = fromProgram.Close()
+	})
+	for seq := range uint32(w.batches) {
+		if _, err := toProgram.Write(w.nextBatch(seq)); err != nil {
 			t.Fatalf("batch %d: %v", seq, err)
 		}
-		head := make([]byte, 8)
-		if _, err := io.ReadFull(fromProgram, head); err != nil {
-			t.Fatalf("batch %d: %v, %v", seq, err, errors.Join(<-ended))
-		}
-		body := make([]byte, binary.BigEndian.Uint32(head[4:]))
-		if _, err := io.ReadFull(fromProgram, body); err != nil {
+		reply, err := readReply(fromProgram)
+		if err != nil {
 			t.Fatalf("batch %d: %v", seq, err)
 		}
-		replies = append(append(replies, head...), body...)
-		if err := world.takeReply(body); err != nil {
+		replies = append(replies, reply...)
+		if err := w.applyReply(reply[replyHeaderLength:]); err != nil {
 			t.Fatalf("batch %d: %v", seq, err)
 		}
 	}
-	toProgram.Close()
+	if err := toProgram.Close(); err != nil {
+		t.Fatal(err)
+	}
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	return replies, world.codes
+	return replies
+}
+
+// readReply reads a reply with its header.
+func readReply(r io.Reader) ([]byte, error) {
+	reply := make([]byte, replyHeaderLength)
+	if _, err := io.ReadFull(r, reply); err != nil {
+		return nil, err
+	}
+	records := make([]byte, binary.BigEndian.Uint32(reply[4:]))
+	if _, err := io.ReadFull(r, records); err != nil {
+		return nil, err
+	}
+	return append(reply, records...), nil
 }
 
 // compareReplies reports the first reply that differs.
@@ -133,25 +115,29 @@
 	if bytes.Equal(got, want) {
 		return
 	}
-	for len(got) >= 8 && len(want) >= 8 {
-		g := got[:min(len(got), 8+int(binary.BigEndian.Uint32(got[4:])))]
-		w := want[:min(len(want), 8+int(binary.BigEndian.Uint32(want[4:])))]
-		if !bytes.Equal(g, w) {
-			t.Fatalf("the reply to batch %d differs:\ngot  %x\nwant %x", binary.BigEndian.Uint32(w), g, w)
+	for len(got) >= replyHeaderLength && len(want) >= replyHeaderLength {
+		gotReply := got[:min(len(got), replyLength(got))]
+		wantReply := want[:min(len(want), replyLength(want))]
+		if !bytes.Equal(gotReply, wantReply) {
+			seq := binary.BigEndian.Uint32(wantReply)
+			t.Fatalf("the reply to batch %d differs:\ngot  %x\nwant %x", seq, gotReply, wantReply)
 		}
-		got, want = got[len(g):], want[len(w):]
+		got = got[len(gotReply):]
+		want = want[len(wantReply):]
 	}
 	t.Fatalf("%d bytes of replies left, want %d", len(got), len(want))
 }
 
+// replyLength returns the length of the reply that b begins with.
+func replyLength(b []byte) int { return replyHeaderLength + int(binary.BigEndian.Uint32(b[4:])) }
+
 func readGolden(t *testing.T, path string) []byte {
 	t.Helper()
-	f, err := os.Open(path)
+	packed, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	z, err := gzip.NewReader(f)
+	z, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,8 +6,17 @@
 	"testing"
 )
 
+func fromHex(t *testing.T, digits string) []byte {
+	t.Helper()
+	b, err := hex.DecodeString(digits)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
 func TestEmptyBatchGetsAnEmptyReply(t *testing.T) {
-	in, _ := hex.DecodeString("00000001" + "00000000" + "00000000" + "40c06e2000000000")
+	in := fromHex(t, "00000001"+"00000000"+"00000000"+"40c06e2000000000")
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil || !bytes.Equal(out.Bytes(), in[:8]) {
 		t.Errorf("got %x, %v", out.Bytes(), err)
@@ -15,18 +24,22 @@
 }
 
 func TestMalformedFrameEndsWithoutAReply(t *testing.T) {
-	for _, text := range []string{
-		"0000000100000000", // cut short
-		"000000010000000100000001" + "40c06e2000000000" + "63",                                      // unknown record
-		"000000010000001100000001" + "40c06e2000000000" + "09000300000000000000090000000" + "27b7d", // settings with no classes
+	for _, test := range []struct {
+		name   string
+		digits string
+	}{
+		{"header cut short", "0000000100000000"},
+		{"unknown record", "00000001" + "00000001" + "00000001" + "40c06e2000000000" + "63"},
+		{
+			"settings without classes", "00000001" + "00000011" + "00000001" + "40c06e2000000000" +
+				"09" + "0003" + "0000000000000009" + "00000002" + "7b7d",
+		},
 	} {
-		in, err := hex.DecodeString(text)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var out bytes.Buffer
-		if err := run(bytes.NewReader(in), &out); err == nil || out.Len() > 0 {
-			t.Errorf("%s: %v, wrote %x", text, err, out.Bytes())
-		}
+		t.Run(test.name, func(t *testing.T) {
+			var out bytes.Buffer
+			if err := run(bytes.NewReader(fromHex(t, test.digits)), &out); err == nil || out.Len() > 0 {
+				t.Errorf("got %v, wrote %x", err, out.Bytes())
+			}
+		})
 	}
 }
--- /dev/null
+++ b/cmd/simadapter/world_requests_test.go
@@ -0,0 +1,204 @@
+package main
+
+import (
+	"encoding/binary"
+	"fmt"
+)
+
+// noAttempt is the number of the open attempt where there is none.
+const noAttempt = -1
+
+// simRequest is a request that has arrived at an instance.
+type simRequest struct {
+	class    int
+	function uint64
+	attempts int
+	open     int        // number of the attempt that is in flight, or noAttempt
+	worker   *simWorker // of the open attempt
+	closed   bool
+}
+
+// arrive lets a request arrive at an instance.
+func (w *world) arrive(instance int) {
+	w.lastID++
+	id := w.lastID
+	class := w.rng.IntN(2 + w.instanceCount%2)
+	if w.workHints {
+		class = w.rng.IntN(2)
+	}
+	r := &simRequest{class: class, function: w.drawFunction(id), open: noAttempt}
+	timeLeft := 200 + float64(w.rng.IntN(2800))
+	flags := byte(w.rng.IntN(2) * flagRetry)
+	tenant := uint16(w.rng.IntN(2))
+	work := 40 + float64(w.rng.IntN(200))
+	if w.workHints {
+		flags |= flagWorkHint
+	}
+	requests := w.instances[instance].requests
+	w.schedule(0, instance, eventRequestArrived, func() []byte {
+		requests[id] = r
+		b := binary.BigEndian.AppendUint32(nil, id)
+		b = binary.BigEndian.AppendUint16(b, tenant)
+		b = appendFloat32(b, 400+float32(r.function%7)*100) // load time
+		b = append(b, flags)
+		b = binary.BigEndian.AppendUint64(b, r.function)
+		b = appendFloat32(b, float32(1+r.function%4)) // concurrency of an instance
+		b = appendFloat32(b, 512)                     // its memory
+		b = binary.BigEndian.AppendUint16(b, uint16(class))
+		b = appendFloat(b, work)
+		return appendFloat(b, timeLeft)
+	})
+	if w.rng.IntN(30) == 0 {
+		w.abandon(instance, id, r)
+	}
+}
+
+// drawFunction draws the function of a request. A few functions get most requests, and some requests are for a
+// function of their own.
+func (w *world) drawFunction(id uint32) uint64 {
+	rank := w.rng.Float64() * w.rng.Float64()
+	function := uint64(0x7c55d20000) + uint64(rank*float64(w.functionCount))
+	if w.rng.IntN(40) == 0 {
+		function = 0x1100000000 + uint64(id)
+	}
+	return function
+}
+
+// abandon lets the client of a request leave early.
+func (w *world) abandon(instance int, id uint32, r *simRequest) {
+	requests := w.instances[instance].requests
+	w.schedule(float64(w.rng.IntN(400)), instance, eventClientCancelled, func() []byte {
+		if requests[id] == nil || r.closed {
+			return nil
+		}
+		r.closed = true
+		return binary.BigEndian.AppendUint32(nil, id)
+	})
+}
+
+// close ends a request with the instance's final answer.
+func (w *world) close(instance int, id uint32) {
+	if r := w.instances[instance].requests[id]; r != nil {
+		r.closed = true
+	}
+}
+
+// send begins an attempt and draws how it will end.
+func (w *world) send(instance int, id uint32, workerID uint64) error {
+	r := w.instances[instance].requests[id]
+	if r == nil {
+		return fmt.Errorf("request %d is unknown at instance %d", id, instance)
+	}
+	worker := w.worker(workerID)
+	number := r.attempts
+	r.attempts++
+	r.open = number
+	r.worker = worker
+	worker.running++
+	end := w.drawOutcome(worker, r)
+	sent := w.now
+	streamed := r.class == 2 && w.missWhenNotLoaded
+	if streamed && end.outcome == outcomeServed {
+		w.schedule(end.after/2, instance, eventResponseStarted, func() []byte {
+			if r.open != number {
+				return nil
+			}
+			b := binary.BigEndian.AppendUint32(nil, id)
+			b = binary.BigEndian.AppendUint16(b, uint16(number))
+			b = appendWorker(b, workerID)
+			return appendFloat(b, w.now-sent)
+		})
+	}
+	w.schedule(end.after, instance, eventAttemptEnded, func() []byte {
+		if r.open != number {
+			return nil
+		}
+		r.open = noAttempt
+		worker.running--
+		if end.outcome == outcomeServed {
+			r.closed = true
+		}
+		end.duration = w.now - sent
+		return encodeAttemptEnded(id, workerID, number, r.closed, end, worker)
+	})
+	return nil
+}
+
+// attemptEnd is how an attempt ends. Times are milliseconds.
+type attemptEnd struct {
+	outcome  byte
+	status   byte // of the function's instance
+	after    float64
+	duration float64
+}
+
+// drawOutcome draws how an attempt ends: a fault, or by what the worker has loaded.
+func (w *world) drawOutcome(worker *simWorker, r *simRequest) attemptEnd {
+	runTime := 20 + 90*w.rng.ExpFloat64() + 12*float64(worker.running)
+	switch draw := w.rng.IntN(100); {
+	case worker.state == workerGone || draw < 1:
+		return attemptEnd{outcome: outcomeUnreachable, after: 2}
+	case draw < 3:
+		status := []byte{statusUnknown, statusLoadFailed}[w.rng.IntN(2)]
+		return attemptEnd{outcome: outcomeErrored, status: status, after: runTime / 2}
+	case draw < 5:
+		return attemptEnd{outcome: outcomeReset, after: runTime / 3}
+	case draw < 6:
+		return attemptEnd{outcome: outcomeTimedOut, after: 900}
+	case draw < 7:
+		return attemptEnd{outcome: outcomeNotSent, after: 1}
+	case worker.running > 14:
+		return attemptEnd{outcome: outcomeOverloaded, after: 1}
+	}
+	ready, known := worker.loaded[r.function]
+	switch {
+	case known && ready <= w.now:
+		return attemptEnd{outcome: outcomeServed, status: statusWarm, after: runTime}
+	case known:
+		return attemptEnd{outcome: outcomeServed, status: statusLoadAwaited, after: runTime + ready - w.now}
+	case w.missWhenNotLoaded:
+		return attemptEnd{outcome: outcomeNotLoaded, after: 1}
+	}
+	loadTime := 300 + 900*w.rng.Float64()
+	worker.loaded[r.function] = w.now + loadTime
+	return attemptEnd{outcome: outcomeServed, status: statusLoadStarted, after: runTime + loadTime}
+}
+
+// cancel ends an attempt that is in flight; in one of three cases the worker ignores it.
+func (w *world) cancel(instance int, id uint32, number int) {
+	r := w.instances[instance].requests[id]
+	if r == nil || r.open != number || w.rng.IntN(3) == 0 {
+		return
+	}
+	w.schedule(1, instance, eventAttemptEnded, func() []byte {
+		if r.open != number {
+			return nil
+		}
+		r.open = noAttempt
+		worker := w.workers[0]
+		end := attemptEnd{outcome: outcomeCancelled, duration: 50}
+		return encodeAttemptEnded(id, worker.id, number, r.closed, end, worker)
+	})
+}
+
+// encodeAttemptEnded returns the fields of the event; some outcomes carry the worker's load report.
+func encodeAttemptEnded(id uint32, workerID uint64, number int, closed bool, end attemptEnd, worker *simWorker) []byte {
+	concurrency := byte(worker.running % 5)
+	b := binary.BigEndian.AppendUint32(nil, id)
+	b = appendWorker(b, workerID)
+	b = append(b, end.status|concurrency<<3, boolByte(closed), end.outcome)
+	b = binary.BigEndian.AppendUint16(b, uint16(number))
+	b = appendFloat(b, end.duration)
+	if end.outcome != outcomeServed && end.outcome != outcomeOverloaded {
+		return append(b, 0)
+	}
+	return appendLoadReport(b, worker)
+}
+
+// appendLoadReport appends a load report of three values, whatever the settings name.
+func appendLoadReport(b []byte, worker *simWorker) []byte {
+	b = append(b, 3)
+	b = appendFloat32(b, float32(max(worker.running-4, 0)))
+	b = appendFloat32(b, float32(worker.running))
+	return appendFloat32(b, float32(len(worker.loaded)))
+}
