--- a/cmd/functionrouter/counters.go
+++ b/cmd/functionrouter/counters.go
@@ -43,7 +43,7 @@
 func logGiveUpCounters(c *router.Counters) {
 	var attributes []any
 	for reason, count := range c.GivenUp {
-		attributes = append(attributes, giveUpReasonNames[reason], count)
+		attributes = append(attributes, policy.GiveUpReason(reason).String(), count)
 	}
 	slog.Info("give-up counters", attributes...)
 }
@@ -64,15 +64,8 @@
 func withOutcomes(attributes []any, counts *outcomeCounts) []any {
 	for outcome, count := range counts {
 		if count > 0 {
-			attributes = append(attributes, outcomeNames[outcome], count)
+			attributes = append(attributes, policy.Outcome(outcome).String(), count)
 		}
 	}
 	return attributes
 }
-
-// The names of the policy's outcomes and reasons in the log.
-var (
-	outcomeNames = [...]string{"served", "errored", "worker_overloaded", "timed_out", "unreachable", "connection_reset",
-		"cancelled", "not_sent", "function_not_loaded"}
-	giveUpReasonNames = [...]string{"deadline_exceeded", "no_worker_available", "predicted_too_late", "load_shed"}
-)
