--- /dev/null
+++ b/cmd/functionrouter/cancel_test.go
@@ -0,0 +1,59 @@
+package main
+
+import "testing"
+
+// cancellations are the ways in which a client cancels its last request.
+var cancellations = []struct {
+	name   string
+	cancel func(c *testClient)
+}{
+	{"closes", func(c *testClient) { c.close() }},
+	{"interrupts", func(c *testClient) { c.sendInterrupt(c.lastSequence) }},
+}
+
+// No attempt begins for a client that has cancelled, also where the settings do not allow cancels of attempts: an
+// attempt that waits for a dial is withdrawn.
+func TestCancelWhileDialing(t *testing.T) {
+	for _, test := range cancellations {
+		t.Run(test.name, func(t *testing.T) {
+			worker := startFullWorker(t)
+			h := startHarness(t, longDialTimeout, listedWorker{name: "s-1", addr: worker.addr})
+			c, other := h.connect(), h.connect()
+			c.sendCall("safe", "00000000000000a1", "cancelled")
+			other.checkHealth()
+			test.cancel(c)
+			other.checkHealth()
+			other.sendCall("safe", "00000000000000a2", "not cancelled")
+			other.checkHealth()
+			worker.startAccepting()
+			r := worker.nextRequest()
+			if r.body != "not cancelled" {
+				t.Fatalf("the worker was sent %q", r.body)
+			}
+			r.respond("HIT", "done")
+			other.expectStatus("served")
+			worker.expectNoRequest()
+		})
+	}
+}
+
+// A request that its client cancelled while it was in flight is not retried when the attempt fails.
+func TestCancelBeforeRetry(t *testing.T) {
+	for _, test := range cancellations {
+		t.Run(test.name, func(t *testing.T) {
+			first, second := startFakeWorker(t), startFakeWorker(t)
+			h := startHarness(t, manyAttempts,
+				listedWorker{name: "s-1", addr: first.addr}, listedWorker{name: "s-2", addr: second.addr})
+			c, other := h.connect(), h.connect()
+			c.sendCall("safe", "00000000000000a1", "one")
+			r := first.nextRequestOfEither(second)
+			test.cancel(c)
+			other.checkHealth()
+			r.respond("FAULT", "")
+			r.respond("NONE", "")
+			other.checkHealth() // both have been read
+			first.expectNoRequest()
+			second.expectNoRequest()
+		})
+	}
+}
--- /dev/null
+++ b/cmd/functionrouter/connections_test.go
@@ -0,0 +1,85 @@
+package main
+
+import (
+	"io"
+	"testing"
+	"time"
+)
+
+// A worker that closes its connection under a request may have run it: an idempotent request goes to another worker, any
+// other fails at once.
+func TestWorkerClosesDuringRequest(t *testing.T) {
+	for _, test := range []struct {
+		class, want string
+		retried     bool
+	}{
+		{class: "safe", want: "served", retried: true},
+		{class: "unsafe", want: "failed", retried: false},
+	} {
+		t.Run(test.class, func(t *testing.T) {
+			first, second := startFakeWorker(t), startFakeWorker(t)
+			h := startHarness(t, manyAttempts,
+				listedWorker{name: "s-1", addr: first.addr}, listedWorker{name: "s-2", addr: second.addr})
+			c := h.connect()
+			c.sendCall(test.class, "00000000000000a1", "one")
+			if err := first.nextRequestOfEither(second).conn.Close(); err != nil {
+				t.Fatal(err)
+			}
+			if test.retried {
+				first.nextRequestOfEither(second).respond("HIT", "done")
+			}
+			c.expectStatus(test.want)
+			first.expectNoRequest()
+			second.expectNoRequest()
+		})
+	}
+}
+
+// A second response, in one piece with the first and behind it, reaches nobody: neither the client that has its answer
+// nor the one whose request is next on that connection.
+func TestDuplicateResponseIsDropped(t *testing.T) {
+	worker := startFakeWorker(t)
+	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
+	c := h.connect()
+	expectServedWith := func(want string) {
+		t.Helper()
+		if body := c.expectStatus("served"); body != want {
+			t.Errorf("the request was served with %q, want %q", body, want)
+		}
+	}
+	c.sendCall("unsafe", "00000000000000a1", "one")
+	one := worker.nextRequest()
+	if _, err := io.WriteString(one.conn, one.reply("HIT", "first")+one.reply("HIT", "second")); err != nil {
+		t.Fatal(err)
+	}
+	expectServedWith("first")
+	c.sendCall("unsafe", "00000000000000a2", "two")
+	two := worker.nextRequest()
+	one.respond("HIT", "third")
+	two.respond("HIT", "of two")
+	expectServedWith("of two")
+	// The ID of a request that has ended may be used again; a late response to the first must not end the second.
+	c.sendCall("unsafe", "00000000000000a1", "again")
+	again := worker.nextRequest()
+	one.respond("HIT", "fourth")
+	c.checkHealth() // an answer would come before those to the health checks
+	again.respond("HIT", "of the last")
+	expectServedWith("of the last")
+}
+
+// A connection on which half a request has come is not closed to make room for others: an idle client's is, also one
+// from which the router heard later.
+func TestPartialRequestIsNotEvicted(t *testing.T) {
+	worker := startFakeWorker(t)
+	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
+	half := h.connect()
+	half.checkHealth()
+	frame := half.callFrame("safe", "00000000000000a1", "in two pieces", 5*time.Second)
+	half.sendBytes(frame[:len(frame)/2])
+	for range 1024 / clientDescriptorDivisor { // as many as may be accepted
+		h.connect().checkHealth()
+	}
+	half.sendBytes(frame[len(frame)/2:])
+	worker.nextRequest().respond("HIT", "done")
+	half.expectStatus("served")
+}
--- /dev/null
+++ b/cmd/functionrouter/dial_test.go
@@ -0,0 +1,87 @@
+package main
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Members of the settings, for startHarness.
+const (
+	// longDialTimeout makes a dial to a full worker last until the worker accepts: the kernel sends the connect anew
+	// after a second.
+	longDialTimeout = `"limits":{"dialTimeoutMs":15000},`
+
+	manyAttempts = `"limits":{"maxAttempts":6},`
+)
+
+// A dial that completes after its worker began to drain, or was removed, carries nothing; the request that waited for
+// it goes to another worker at once.
+func TestDialCompletesAfterDrain(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		after func(addr string) []listedWorker
+	}{
+		{"draining", func(addr string) []listedWorker { return []listedWorker{{name: "s-1", addr: addr, draining: true}} }},
+		{"gone", func(string) []listedWorker { return nil }},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			worker, other := startFullWorker(t), startFakeWorker(t)
+			h := startHarness(t, longDialTimeout, listedWorker{name: "s-1", addr: worker.addr})
+			c := h.connect()
+			c.sendCall("unsafe", "00000000000000a1", "one")
+			c.checkHealth()
+			h.updateEndpoints(2, append([]listedWorker{{name: "s-2", addr: other.addr}}, test.after(worker.addr)...)...)
+			other.nextRequest().respond("HIT", "done")
+			c.expectStatus("served")
+			worker.startAccepting() // the dial completes
+			select {
+			case <-worker.closed:
+			case <-time.After(testTimeout):
+				t.Error("a connection that completed too late for its worker is kept")
+			}
+			worker.expectNoRequest()
+		})
+	}
+}
+
+// A dial that completes after its timeout carries nothing: its request went elsewhere at the timeout.
+func TestDialCompletesAfterTimeout(t *testing.T) {
+	worker, other := startFullWorker(t), startFakeWorker(t)
+	h := startHarness(t, `"limits":{"dialTimeoutMs":300},`, listedWorker{name: "s-1", addr: worker.addr})
+	c := h.connect()
+	c.sendCall("unsafe", "00000000000000a1", "one")
+	c.checkHealth()
+	h.updateEndpoints(2, listedWorker{name: "s-1", addr: worker.addr}, listedWorker{name: "s-2", addr: other.addr})
+	other.nextRequest().respond("HIT", "done")
+	c.expectStatus("served")
+	worker.startAccepting() // the kernel's half of the dial has been closed meanwhile
+	c.sendCall("unsafe", "00000000000000a2", "two")
+	r := worker.nextRequestOfEither(other) // over a dial of its own, or the other's
+	if r.body != "two" {
+		t.Errorf("a worker was sent %q", r.body)
+	}
+	r.respond("HIT", "done")
+	c.response()
+	worker.expectNoRequest()
+}
+
+// A list in which all but one of many workers drain costs a request that waits for a dial one attempt, not one for each
+// of them.
+func TestManyWorkersDrainAtOnce(t *testing.T) {
+	var initial, drained []listedWorker
+	for i := range 12 {
+		w := listedWorker{name: fmt.Sprintf("s-%02d", i), addr: startFullWorker(t).addr}
+		initial = append(initial, w)
+		w.draining = true
+		drained = append(drained, w)
+	}
+	last := startFakeWorker(t)
+	h := startHarness(t, `"limits":{"dialTimeoutMs":15000,"maxAttempts":2},`, initial...)
+	c := h.connect()
+	c.sendCall("unsafe", "00000000000000a1", "one")
+	c.checkHealth()
+	h.updateEndpoints(2, append(drained, listedWorker{name: "s-99", addr: last.addr})...)
+	last.nextRequest().respond("HIT", "done")
+	c.expectStatus("served")
+}
--- /dev/null
+++ b/cmd/functionrouter/fake_directory_test.go
@@ -0,0 +1,133 @@
+package main
+
+import (
+	"encoding/binary"
+	"fmt"
+	"net"
+	"net/netip"
+	"slices"
+	"testing"
+	"time"
+)
+
+// The codes of DNS (RFC 1035, RFC 2782) that the tests use.
+const (
+	dnsResponseFlag = 0x80 // in byte 2 of the header
+
+	dnsAnswerCount     = 6 // offsets of the sections' counts in the header
+	dnsAuthorityCount  = 8
+	dnsAdditionalCount = 10
+
+	dnsTypeA   = 1
+	dnsTypeSOA = 6
+	dnsTypeTXT = 16
+	dnsTypeSRV = 33
+)
+
+// dnsQuestionName refers to the name in the question, which follows the header of 12 bytes.
+var dnsQuestionName = []byte{0xc0, 12}
+
+// fakeDirectory is a directory that answers when the test says so.
+type fakeDirectory struct {
+	net.PacketConn
+	t *testing.T
+}
+
+// directoryQuery is a query as the directory received it.
+type directoryQuery struct {
+	packet []byte
+	from   net.Addr
+}
+
+func newFakeDirectory(t *testing.T) *fakeDirectory {
+	t.Helper()
+	return newFakeDirectoryAt(t, "127.0.0.1:0")
+}
+
+func newFakeDirectoryAt(t *testing.T, addr string) *fakeDirectory {
+	t.Helper()
+	conn, err := net.ListenPacket("udp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // some tests have closed it
+	return &fakeDirectory{conn, t}
+}
+
+func (d *fakeDirectory) addr() string { return d.LocalAddr().String() }
+
+// close ends the directory: its port refuses from now on.
+func (d *fakeDirectory) close() {
+	d.t.Helper()
+	if err := d.Close(); err != nil {
+		d.t.Fatal(err)
+	}
+}
+
+// nextQuery waits for a query. The router takes an answer to any of its last 32.
+func (d *fakeDirectory) nextQuery() directoryQuery {
+	d.t.Helper()
+	packet := make([]byte, 512)
+	size, from, err := d.ReadFrom(packet)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	return directoryQuery{packet[:size], from}
+}
+
+// answer sends a whole list with its serial number.
+func (d *fakeDirectory) answer(q directoryQuery, serial uint32, list ...listedWorker) {
+	d.t.Helper()
+	m := dnsMessage{slices.Clone(q.packet)}
+	m.bytes[2] |= dnsResponseFlag
+	for _, w := range list {
+		m.addRecord(dnsAnswerCount, dnsQuestionName, dnsTypeSRV, w.srvData())
+	}
+	soa := binary.BigEndian.AppendUint32([]byte{0, 0}, serial) // between two empty names and four intervals
+	m.addRecord(dnsAuthorityCount, dnsQuestionName, dnsTypeSOA, append(soa, make([]byte, 16)...))
+	for _, w := range list {
+		ip := w.addrPort().Addr().As4()
+		m.addRecord(dnsAdditionalCount, w.hostName(), dnsTypeA, ip[:])
+		text := append(dnsLabel("kind=std"), dnsLabel(fmt.Sprintf("started=%d", w.startedUnixMs))...)
+		m.addRecord(dnsAdditionalCount, w.hostName(), dnsTypeTXT, text)
+	}
+	if _, err := d.WriteTo(m.bytes, q.from); err != nil {
+		d.t.Fatal(err)
+	}
+}
+
+func (w listedWorker) addrPort() netip.AddrPort { return netip.MustParseAddrPort(w.addr) }
+
+// hostName is the worker's name in DNS, in the zone aarhus.
+func (w listedWorker) hostName() []byte {
+	return slices.Concat(dnsLabel(w.name), dnsLabel("aarhus"), dnsLabel("hosts"), []byte{0})
+}
+
+// srvData is the worker's SRV record, of weight 10; its priority tells whether the worker drains.
+func (w listedWorker) srvData() []byte {
+	priority := byte(0)
+	if w.draining {
+		priority = 1
+	}
+	data := binary.BigEndian.AppendUint16([]byte{0, priority, 0, 10}, w.addrPort().Port())
+	return append(data, w.hostName()...)
+}
+
+// dnsLabel is a string behind a byte with its length.
+func dnsLabel(s string) []byte { return append([]byte{byte(len(s))}, s...) }
+
+// dnsMessage is a DNS message that grows by records.
+type dnsMessage struct{ bytes []byte }
+
+// addRecord appends a record of class IN without a time to live, to the section whose count is at countOffset.
+func (m *dnsMessage) addRecord(countOffset int, name []byte, recordType byte, data []byte) {
+	count := binary.BigEndian.Uint16(m.bytes[countOffset:])
+	binary.BigEndian.PutUint16(m.bytes[countOffset:], count+1)
+	m.bytes = append(m.bytes, name...)
+	m.bytes = append(m.bytes, 0, recordType, 0, 1, 0, 0, 0, 0)
+	m.bytes = binary.BigEndian.AppendUint16(m.bytes, uint16(len(data)))
+	m.bytes = append(m.bytes, data...)
+}
--- /dev/null
+++ b/cmd/functionrouter/harness_test.go
@@ -0,0 +1,210 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// testTimeout bounds each wait of a test; none of them is expected to last.
+const testTimeout = 20 * time.Second
+
+// harness is a router on real sockets, with a directory, workers and clients under the test's control.
+type harness struct {
+	t             *testing.T
+	configPath    string
+	configText    string
+	listen        string
+	directory     *fakeDirectory
+	log           *logCapture
+	reloadResults chan error // of each SIGHUP
+	exited        chan struct{}
+	exitError     error // set when exited is closed
+}
+
+// listedWorker is a worker as the directory lists it.
+type listedWorker struct {
+	name, addr    string
+	draining      bool
+	startedUnixMs int64
+}
+
+// startHarness runs a router whose configuration lists initial. Its settings have two classes, safe (idempotent) and
+// unsafe (not idempotent); extraSettings, JSON members that end in a comma, go beside them.
+func startHarness(t *testing.T, extraSettings string, initial ...listedWorker) *harness {
+	t.Helper()
+	h, cfg := newHarness(t, newFakeDirectory(t), 1024, extraSettings, initial...)
+	ignoreSIGTERM(t)
+	previous := slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(h.log, nil)))
+	t.Cleanup(func() { slog.SetDefault(previous) })
+	go func() {
+		h.exitError = serve(cfg, h.reread)
+		close(h.exited)
+	}()
+	t.Cleanup(h.stop)
+	h.connect().checkHealth()
+	return h
+}
+
+// ignoreSIGTERM keeps a SIGTERM that arrives as the router ends from ending the tests too.
+func ignoreSIGTERM(t *testing.T) {
+	t.Helper()
+	ignored := make(chan os.Signal, 1)
+	signal.Notify(ignored, syscall.SIGTERM)
+	t.Cleanup(func() { signal.Stop(ignored) })
+}
+
+// newHarness writes the configuration of a router that listens at a free address. It starts no router.
+func newHarness(t *testing.T, directory *fakeDirectory, sockets int, extraSettings string, initial ...listedWorker) (*harness, *config) {
+	t.Helper()
+	h := &harness{
+		t:             t,
+		configPath:    filepath.Join(t.TempDir(), "config.json"),
+		listen:        freeAddress(t),
+		directory:     directory,
+		log:           newLogCapture(),
+		reloadResults: make(chan error, 1),
+		exited:        make(chan struct{}),
+	}
+	h.configText = configJSON(t, h.listen, directory.addr(), sockets, extraSettings, initial...)
+	cfg, err := writeAndReadConfig(h.configPath, h.configText)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return h, cfg
+}
+
+// freeAddress returns an address of this machine at which nothing listens.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return listener.Addr().String()
+}
+
+// configJSON returns the text of a configuration file.
+func configJSON(t *testing.T, listen, directory string, sockets int, extraSettings string, initial ...listedWorker) string {
+	t.Helper()
+	members := []map[string]any{}
+	for _, w := range initial {
+		phase := "Ready"
+		if w.draining {
+			phase = "Terminating"
+		}
+		members = append(members, map[string]any{
+			"id": w.name, "host_port": w.addr, "phase": phase, "size": 1, "up_since_ms": w.startedUnixMs,
+		})
+	}
+	known, err := json.Marshal(members)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprintf(`{"name":"n3","listen":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
+ "names":%q,"known":{"offset":1,"batch":[{"offset":1,"topology":{"complete":true,"members":%s}}]},
+ "settings":{%s"classes":[{"name":"safe","deadlineMs":6000,"goalTimeMs":3000,"semantics":"safe","group":"all"},
+ {"name":"unsafe","deadlineMs":6000,"goalTimeMs":3000,"semantics":"unsafe","group":"all"}]}}`,
+		listen, sockets, directory, known, extraSettings)
+}
+
+// reread reads the configuration on SIGHUP, and tells reload what came of it.
+func (h *harness) reread() (*config, error) {
+	cfg, err := readConfig(func(name string) string { return map[string]string{configVariable: h.configPath}[name] })
+	h.reloadResults <- err
+	return cfg, err
+}
+
+// reload makes the router read text as its configuration, and returns the error of that.
+func (h *harness) reload(text string) error {
+	h.t.Helper()
+	if err := os.WriteFile(h.configPath, []byte(text), 0o600); err != nil {
+		h.t.Fatal(err)
+	}
+	h.signal(syscall.SIGHUP)
+	return <-h.reloadResults
+}
+
+// signal sends a signal to the router, which runs in this process.
+func (h *harness) signal(s syscall.Signal) {
+	h.t.Helper()
+	if err := syscall.Kill(syscall.Getpid(), s); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+// beginShutdown sends SIGTERM and waits until the router reports that it is not ready.
+func (h *harness) beginShutdown(c *testClient) {
+	h.t.Helper()
+	h.signal(syscall.SIGTERM)
+	for c.checkHealth() {
+	}
+}
+
+// stop ends the router, if it still runs.
+func (h *harness) stop() {
+	select {
+	case <-h.exited:
+		return
+	default:
+	}
+	h.signal(syscall.SIGTERM)
+	h.waitForExit()
+}
+
+// waitForExit waits until the router has ended, which must be without an error.
+func (h *harness) waitForExit() {
+	h.t.Helper()
+	select {
+	case <-h.exited:
+		if h.exitError != nil {
+			h.t.Error(h.exitError)
+		}
+	case <-time.After(testTimeout):
+		h.t.Error("the router doesn't end")
+	}
+}
+
+// connect returns a new connection to the router, once that listens.
+func (h *harness) connect() *testClient {
+	h.t.Helper()
+	for deadline := time.Now().Add(testTimeout); ; {
+		conn, err := net.Dial("tcp", h.listen)
+		if err == nil {
+			return newTestClient(h.t, conn)
+		}
+		select {
+		case <-h.exited:
+			h.t.Fatalf("the router has ended: %v", h.exitError)
+		default:
+		}
+		if time.Now().After(deadline) {
+			h.t.Fatal(err)
+		}
+	}
+}
+
+// updateEndpoints answers a query of the router's, and returns once the router has taken the list over.
+func (h *harness) updateEndpoints(serial uint32, list ...listedWorker) {
+	h.t.Helper()
+	from := h.log.end()
+	h.directory.answer(h.directory.nextQuery(), serial, list...)
+	for _, w := range list {
+		h.log.waitFor(h.t, from, endpointLogged(w.name))
+	}
+	h.connect().checkHealth()
+}
+
+// endpointLogged is the text that the router logs once it has an endpoint from a list.
+func endpointLogged(worker string) string { return `msg="endpoint updated" worker=` + worker + " " }
--- /dev/null
+++ b/cmd/functionrouter/limits_test.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// With small limits too, what may be held for peers stays within the memory and the descriptors.
+func TestLimitsScaleWithResources(t *testing.T) {
+	for _, memory := range []int{32, 48, 64, 192, 2048} {
+		for _, sockets := range []int{64, 256, 1024} {
+			t.Run(fmt.Sprintf("%d MB, %d descriptors", memory, sockets), func(t *testing.T) {
+				var c config
+				c.Limits = processLimits{MemoryMB: memory, Sockets: sockets}
+				c.transport.Limits.MaxOpen = 20000
+				checkMemoryBounds(t, &c)
+				checkDescriptorBounds(t, &c)
+			})
+		}
+	}
+}
+
+// checkMemoryBounds checks that half of the memory is enough for what is held for peers, with 2 KiB for an open request
+// beside its body, and that the router can do some work with it.
+func checkMemoryBounds(t *testing.T, c *config) {
+	t.Helper()
+	bodies, open := c.scaleToMemory(maxBodyBytes), c.maxOpenRequests()
+	held := bodies + c.scaleToMemory(maxQueuedBytes) + c.scaleToMemory(maxUnreadBytes) +
+		c.scaleToMemory(maxWebhookResultBytes) + open*2048
+	if held > c.Limits.MemoryMB<<20/2 || bodies < 1<<20 || open < 1000 {
+		t.Errorf("%d bytes may be held, %d of them bodies; %d requests may be open", held, bodies, open)
+	}
+}
+
+// checkDescriptorBounds checks the shares of clients, workers and the process itself.
+func checkDescriptorBounds(t *testing.T, c *config) {
+	t.Helper()
+	clients, workers := c.maxClientConnections(), c.maxWorkerConnections()
+	if own := c.Limits.Sockets - clients - workers; clients*3 > c.Limits.Sockets || own < 16 || workers < 20 {
+		t.Errorf("%d descriptors for clients, %d for workers, %d for the rest", clients, workers, own)
+	}
+}
+
+func TestRejectionRetryAfter(t *testing.T) {
+	var c config
+	if got := c.rejectionRetryAfter(); got != 0 {
+		t.Errorf("Retry-After %v where the settings allow none", got)
+	}
+	c.policy.AllowRetryAfter = true
+	c.policy.MaxRetryAfter = 300 * time.Millisecond
+	if got := c.rejectionRetryAfter(); got != c.policy.MaxRetryAfter {
+		t.Errorf("Retry-After %v, want %v", got, c.policy.MaxRetryAfter)
+	}
+}
+
+// A shutdown must end before the platform kills the process, whose patience depends on the deadlines.
+func TestFlushTimeoutEndsBeforeKill(t *testing.T) {
+	for _, test := range []struct {
+		deadlineMs string
+		want       time.Duration
+	}{
+		{"3000", 3500 * time.Millisecond},
+		{"9000", 3500 * time.Millisecond},
+		{"1800", 2300 * time.Millisecond},
+	} {
+		t.Run(test.deadlineMs+" ms", func(t *testing.T) {
+			c, err := readChanged(t, `"deadlineMs":3000`, `"deadlineMs":`+test.deadlineMs)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := c.flushTimeout(); got != test.want {
+				t.Errorf("flush timeout %v, want %v", got, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/cmd/functionrouter/log_capture_test.go
@@ -0,0 +1,52 @@
+package main
+
+import (
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// logCapture keeps the router's log, so that a test can wait for a line.
+type logCapture struct {
+	mu      sync.Mutex
+	text    strings.Builder
+	written chan struct{} // closed at the next line
+}
+
+func newLogCapture() *logCapture { return &logCapture{written: make(chan struct{})} }
+
+// Write takes a line of the log.
+func (l *logCapture) Write(line []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	close(l.written)
+	l.written = make(chan struct{})
+	return l.text.Write(line)
+}
+
+// end is the position at which the log ends now.
+func (l *logCapture) end() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Len()
+}
+
+// waitFor returns once the log contains text behind the position from.
+func (l *logCapture) waitFor(t *testing.T, from int, text string) {
+	t.Helper()
+	for timeout := time.After(testTimeout); ; {
+		l.mu.Lock()
+		found := strings.Contains(l.text.String()[from:], text)
+		written := l.written
+		l.mu.Unlock()
+		if found {
+			return
+		}
+		select {
+		case <-written:
+		case <-timeout:
+			t.Fatalf("the log lacks %q", text)
+		}
+	}
+}
--- a/cmd/functionrouter/process_test.go
+++ b/cmd/functionrouter/process_test.go
@@ -15,16 +15,12 @@
 	"testing"
 )
 
-// asRouter has the test's program be the router itself, with so many descriptors.
-const asRouter = "FUNCTIONROUTER_TEST_AS_ROUTER"
+// descriptorsVariable makes the test program be the router itself, with that many file descriptors.
+const descriptorsVariable = "FUNCTIONROUTER_TEST_AS_ROUTER"
 
 func TestMain(m *testing.M) {
-	if most := os.Getenv(asRouter); most != "" {
-		n, err := strconv.ParseUint(most, 10, 64)
-		if err == nil {
-			err = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n})
-		}
-		if err != nil {
+	if count := os.Getenv(descriptorsVariable); count != "" {
+		if err := limitDescriptors(count); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(2)
 		}
@@ -35,152 +31,159 @@
 	os.Exit(m.Run())
 }
 
-// startProcess runs the router as a process of its own, with no more descriptors than it is told. The
-// rig's log and signals do not reach it.
-func startProcess(t *testing.T, sockets int, n *names, list ...entry) (*rig, *os.Process) {
-	t.Helper()
-	return startProcessWith(t, sockets, sockets, n, list...)
+// limitDescriptors sets the process's limit on file descriptors.
+func limitDescriptors(count string) error {
+	n, err := strconv.ParseUint(count, 10, 64)
+	if err != nil {
+		return err
+	}
+	return syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n})
 }
 
-// startProcessWith runs it with files descriptors, whatever it is told.
-func startProcessWith(t *testing.T, sockets, files int, n *names, list ...entry) (*rig, *os.Process) {
-	t.Helper()
-	r, _ := newRig(t, n, sockets, "", list...)
-	return r, r.restart(files)
+// routerCommand is the command that runs the router as a process of its own.
+func routerCommand(configPath string, descriptors int) *exec.Cmd {
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), configVariable+"="+configPath, fmt.Sprintf("%s=%d", descriptorsVariable, descriptors))
+	return cmd
 }
 
-// restart starts the process again, from nothing but its configuration.
-func (r *rig) restart(files int) *os.Process {
-	r.t.Helper()
-	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+r.path, fmt.Sprintf("%s=%d", asRouter, files))
+// startProcess starts the router as a process of its own, from nothing but its configuration. The harness's log and
+// signals do not reach it.
+func (h *harness) startProcess(descriptors int) *os.Process {
+	h.t.Helper()
+	cmd := routerCommand(h.configPath, descriptors)
 	if err := cmd.Start(); err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(func() {
-		cmd.Process.Kill()
-		cmd.Wait()
+	h.t.Cleanup(func() {
+		_ = cmd.Process.Kill() // a test may have killed it
+		_ = cmd.Wait()         // reports that it was killed
 	})
-	r.dial().check()
+	h.connect().checkHealth()
 	return cmd.Process
 }
 
-// Idle clients fill what there is for clients, and go on coming, while the directory is away: what is kept
-// back is enough to ask it once it is there, to dial the worker that it tells of, and to take a call.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
+// Idle clients take all the descriptors that clients may have, and go on coming, while the directory is away. Those in
+// reserve are enough to query the directory once it is there, to dial the worker that it lists, and to take a request.
+func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	const sockets = 128
-	n := listenNames(t)
-	addr := n.addr()
-	n.Close() // its port refuses, and each query takes a new socket
-	old, w := listenRunner(t), listenRunner(t).accept()
-	old.stop()
-	r, process := startProcess(t, sockets, n, entry{id: "s-1", addr: old.addr})
+	directory := newFakeDirectory(t)
+	addr := directory.addr()
+	directory.close() // each query takes a new socket, since the port refuses
+	gone := startFakeWorker(t)
+	gone.stop()
+	worker := startFakeWorker(t)
+	h, _ := newHarness(t, directory, sockets, "", listedWorker{name: "s-1", addr: gone.addr})
+	process := h.startProcess(sockets)
 	for range 3 * sockets {
-		r.dial()
+		h.connect()
 	}
 	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", process.Pid))
 	if err != nil || len(files) < sockets/3 {
 		t.Fatalf("the clients fill %d descriptors only, %v", len(files), err)
 	}
-	r.names = listenNamesAt(t, addr)
-	r.names.answer(r.names.query(), 2, entry{id: "s-2", addr: w.addr})
-	w.answerAll()
-	for verdict := ""; verdict != "served"; { // refused until the list has been read
-		c := r.dial()
-		c.call("safe", "00000000000000a1", "one")
-		verdict, _ = c.answer()
+	h.directory = newFakeDirectoryAt(t, addr)
+	h.directory.answer(h.directory.nextQuery(), 2, listedWorker{name: "s-2", addr: worker.addr})
+	worker.serveAll()
+	for status := ""; status != "served"; { // refused until the list has been read
+		c := h.connect()
+		c.sendCall("safe", "00000000000000a1", "one")
+		status, _ = c.response()
 	}
 }
 
-// A process that has fewer descriptors than it was told runs out of them: accepts, dials and queries fail, it
-// goes on all the same, answers those that it has, and serves again once there are descriptors.
-func TestDescriptorsRunOut(t *testing.T) {
-	const sockets = 1024
-	n := listenNames(t)
-	w := listenRunner(t).accept()
-	r, _ := startProcessWith(t, sockets, 48, n, entry{id: "s-1", addr: w.addr})
-	c := r.dial()
-	c.check()
-	var idle []*client
-	ends := make(chan struct{}, 1000)
-	for len(ends) == 0 { // until one is closed at once, since there was no descriptor to take it over
-		i := r.dial()
+// A process that may open fewer descriptors than its configuration says runs out of them: accepts, dials and queries
+// fail. It answers the requests that it has all the same, and serves again once there are descriptors.
+func TestDescriptorExhaustion(t *testing.T) {
+	const configured, available = 1024, 48
+	worker := startFakeWorker(t)
+	h, _ := newHarness(t, newFakeDirectory(t), configured, "", listedWorker{name: "s-1", addr: worker.addr})
+	h.startProcess(available)
+	c := h.connect()
+	c.checkHealth()
+	var idle []*testClient
+	closed := make(chan struct{}, 1000)
+	for len(closed) == 0 { // until one is closed at once, since there was no descriptor for it
+		i := h.connect()
 		idle = append(idle, i)
 		go func() {
-			i.Read(make([]byte, 1))
-			ends <- struct{}{}
+			_, _ = i.Read(make([]byte, 1)) // returns when the connection has ended, whatever the error
+			closed <- struct{}{}
 		}()
 	}
-	c.call("safe", "00000000000000a1", "one") // there is none left for its dial
-	if verdict, _ := c.answer(); verdict != "refused" {
-		t.Errorf("a call without a descriptor was %s", verdict)
-	}
+	c.sendCall("safe", "00000000000000a1", "one") // there is no descriptor for its dial
+	c.expectStatus("refused")
 	for _, i := range idle {
-		i.Close()
+		i.close()
 	}
-	w.answerAll()
-	for verdict, n := "", 0; verdict != "served"; n++ {
-		c.call("safe", fmt.Sprintf("%016x", 0xb0+n), "two")
-		verdict, _ = c.answer()
+	worker.serveAll()
+	for status, n := "", 0; status != "served"; n++ {
+		c.sendCall("safe", fmt.Sprintf("%016x", 0xb0+n), "two")
+		status, _ = c.response()
 	}
 }
 
-// An unusable configuration, and an address that is taken, end the program with a plain message.
-func TestUnusableStartEndsPlainly(t *testing.T) {
+// A configuration that can't be used, and an address that is taken, end the program with a plain message.
+func TestStartupErrors(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	good := configText(t, taken.Addr().String(), "127.0.0.1:9", 256, "")
-	for name, text := range map[string]string{
-		"half a file":         good[:len(good)/2],
-		"no classes":          strings.Replace(good, `"classes"`, `"klasses"`, 1),
-		"impossible deadline": strings.Replace(good, `"deadlineMs":6000`, `"deadlineMs":-1`, 1),
-		"a taken address":     good,
-	} {
-		path := filepath.Join(t.TempDir(), "config.json")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), "EDGE_CONFIG="+path, asRouter+"=256")
-		out, err := cmd.CombinedOutput()
-		var exit *exec.ExitError
-		if !errors.As(err, &exit) || exit.ExitCode() <= 0 {
-			t.Errorf("%s: ended with %v", name, err)
-		}
-		if !strings.Contains(string(out), "functionrouter: ") || strings.Contains(string(out), "goroutine") {
-			t.Errorf("%s: %s", name, out)
+	t.Cleanup(func() {
+		if err := taken.Close(); err != nil {
+			t.Error(err)
 		}
+	})
+	good := configJSON(t, taken.Addr().String(), "127.0.0.1:9", 256, "")
+	for _, test := range []struct{ name, text string }{
+		{"half a file", good[:len(good)/2]},
+		{"no classes", strings.Replace(good, `"classes"`, `"klasses"`, 1)},
+		{"impossible deadline", strings.Replace(good, `"deadlineMs":6000`, `"deadlineMs":-1`, 1)},
+		{"address taken", good},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "config.json")
+			if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			output, err := routerCommand(path, 256).CombinedOutput()
+			var exit *exec.ExitError
+			if !errors.As(err, &exit) || exit.ExitCode() <= 0 {
+				t.Errorf("ended with %v", err)
+			}
+			if !strings.Contains(string(output), "functionrouter: ") || strings.Contains(string(output), "goroutine") {
+				t.Errorf("wrote %s", output)
+			}
+		})
 	}
 }
 
-// A process is killed just after it accepted a connection and with a call out, and starts again from its old
-// list: its clients hear of the end at once, and the new process serves by the list that it is told.
-func TestKilledProcessStartsAgain(t *testing.T) {
-	first, second := listenRunner(t).accept(), listenRunner(t).accept()
-	r, process := startProcess(t, 256, listenNames(t), entry{id: "s-1", addr: first.addr})
-	c := r.dial()
-	c.call("unsafe", "00000000000000a1", "one")
-	a := first.next()
-	fresh := r.dial()
+// A process is killed just after it accepted a connection and with a request in flight, and starts again with its old
+// list: the clients of the old one see their connections end at once, and the new one follows the directory's list.
+func TestRestartAfterKill(t *testing.T) {
+	first, second := startFakeWorker(t), startFakeWorker(t)
+	h, _ := newHarness(t, newFakeDirectory(t), 256, "", listedWorker{name: "s-1", addr: first.addr})
+	process := h.startProcess(256)
+	c := h.connect()
+	c.sendCall("unsafe", "00000000000000a1", "one")
+	inFlight := first.nextRequest()
+	fresh := h.connect()
 	if err := process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []*client{c, fresh} {
-		if _, _, err := c.read(); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
+	for _, c := range []*testClient{c, fresh} {
+		if _, _, err := c.tryResponse(); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("a connection to a process that was killed: %v", err)
 		}
 	}
 	first.stop()
-	r.restart(256)
-	a.answer("HIT", "to nobody")
-	second.answerAll()
-	for verdict := ""; verdict != "served"; { // the first queries are the old process's
-		r.names.answer(r.names.query(), 5, entry{id: "s-2", addr: second.addr})
-		again := r.dial()
-		again.call("unsafe", "00000000000000a2", "two")
-		verdict, _ = again.answer()
+	h.startProcess(256)
+	inFlight.respond("HIT", "to nobody")
+	second.serveAll()
+	for status := ""; status != "served"; { // the first queries are the old process's
+		h.directory.answer(h.directory.nextQuery(), 5, listedWorker{name: "s-2", addr: second.addr})
+		again := h.connect()
+		again.sendCall("unsafe", "00000000000000a2", "two")
+		status, _ = again.response()
 	}
 }
