--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -77,31 +77,31 @@
 	}
 	c.health.lastAnswerAt = c.pool.now
 	c.health.checkSentAt = 0
-	k := c.pending[string(a.id)]
-	if k == nil {
+	call := c.pending[string(a.id)]
+	if call == nil {
 		return nil // a duplicate, or the answer to a cancelled attempt
 	}
-	outcome, err := a.outcomeFor(k)
+	outcome, err := a.outcomeFor(call)
 	if err != nil {
 		return err
 	}
-	c.release(k)
+	c.release(call)
 	c.lastUsedAt = c.pool.now
-	c.health.lastAnsweredSentAt = max(c.health.lastAnsweredSentAt, k.sentAt)
-	c.pool.endAnswered(k, outcome, a)
+	c.health.lastAnsweredSentAt = max(c.health.lastAnsweredSentAt, call.sentAt)
+	c.pool.endAnswered(call, outcome, a)
 	return nil
 }
 
 // endAnswered reports the result of an answered call.
-func (p *Pool) endAnswered(k *call, o policy.Outcome, a answer) {
-	switch k.kind {
+func (p *Pool) endAnswered(call *pendingCall, outcome policy.Outcome, a answer) {
+	switch call.kind {
 	case attemptCall:
-		delete(p.attempts, k.attempt)
-		p.results.AttemptEnded(k.attempt, o, a.instanceStatus(), bytes.Clone(a.body), p.loadReport(a))
+		delete(p.attempts, call.attempt)
+		p.results.AttemptEnded(call.attempt, outcome, a.instanceStatus(), bytes.Clone(a.body), p.loadReport(a))
 	case loadOrderCall:
-		p.results.LoadOrderEnded(k.tag, o, a.instanceCount())
+		p.results.LoadOrderEnded(call.tag, outcome, a.instanceCount())
 	case probeCall:
-		p.results.ProbeEnded(k.tag, o, p.loadReport(a))
+		p.results.ProbeEnded(call.tag, outcome, p.loadReport(a))
 	case healthCheckCall: // that it was answered is all there is to know
 	}
 }
@@ -120,18 +120,18 @@
 	return a, nil
 }
 
-// outcomeFor maps the answer's word. It fails with errMalformedAnswer if k can't have that answer.
-func (a answer) outcomeFor(k *call) (policy.Outcome, error) {
+// outcomeFor maps the answer's word. It fails with errMalformedAnswer if call can't have that answer.
+func (a answer) outcomeFor(call *pendingCall) (policy.Outcome, error) {
 	outcome, known := answerOutcomes[string(a.word)]
 	if !known {
 		return 0, malformed("unknown word")
 	}
 	healthWord := string(a.word) == answerHealthy || string(a.word) == answerUnhealthy
-	asksHealth := k.kind == probeCall || k.kind == healthCheckCall
+	asksHealth := call.kind == probeCall || call.kind == healthCheckCall
 	if healthWord != asksHealth {
-		return 0, malformed(fmt.Sprintf("%s in answer to %s", a.word, k.kind))
+		return 0, malformed(fmt.Sprintf("%s in answer to %s", a.word, call.kind))
 	}
-	if !k.written {
+	if !call.written {
 		return 0, malformed("answer before the call was sent")
 	}
 	return outcome, nil
--- a/internal/backend/call.go
+++ b/internal/backend/call.go
@@ -37,8 +37,8 @@
 	return "callKind(" + strconv.Itoa(int(k)) + ")"
 }
 
-// call is a command that has an answer and has not ended.
-type call struct {
+// pendingCall is a command that has an answer and has not ended.
+type pendingCall struct {
 	kind    callKind
 	attempt router.AttemptID // of an attempt
 	tag     uint64           // of a load order or a probe: the caller's name for it
@@ -54,9 +54,9 @@
 	resends    int           // how often it was sent again because its connection ended
 }
 
-func newAttemptCall(a router.AttemptID, r *router.Request, class string, budget time.Duration) *call {
+func newAttemptCall(a router.AttemptID, r *router.Request, class string, budget time.Duration) *pendingCall {
 	fields := fmt.Sprintf("queue=%s,path=%s,budget=%d", class, r.FunctionKey, max(budget.Milliseconds(), 1))
-	return &call{
+	return &pendingCall{
 		kind:    attemptCall,
 		attempt: a,
 		token:   r.ID,
@@ -65,21 +65,21 @@
 	}
 }
 
-func newLoadOrderCall(tag uint64, f policy.FunctionID, count int) *call {
+func newLoadOrderCall(tag uint64, f policy.FunctionID, count int) *pendingCall {
 	token := loadOrderToken(tag)
 	fields := fmt.Sprintf("path=%s,count=%d", formatFunctionID(f), count)
-	return &call{kind: loadOrderCall, tag: tag, token: token, header: encodeCommand(commandLoad, token, fields)}
+	return &pendingCall{kind: loadOrderCall, tag: tag, token: token, header: encodeCommand(commandLoad, token, fields)}
 }
 
-func newProbeCall(tag uint64) *call {
+func newProbeCall(tag uint64) *pendingCall {
 	token := probeToken(tag)
-	return &call{kind: probeCall, tag: tag, token: token, header: encodeCommand(commandProbe, token)}
+	return &pendingCall{kind: probeCall, tag: tag, token: token, header: encodeCommand(commandProbe, token)}
 }
 
 // newHealthCheckCall returns the health check with this number.
-func newHealthCheckCall(number uint64) *call {
+func newHealthCheckCall(number uint64) *pendingCall {
 	token := "n" + strconv.FormatUint(number, 10)
-	return &call{kind: healthCheckCall, token: token, header: encodeCommand(commandPing, token)}
+	return &pendingCall{kind: healthCheckCall, token: token, header: encodeCommand(commandPing, token)}
 }
 
 // The tokens of the kinds differ in their first letter. An attempt's is 16 hex digits, which are longer.
@@ -89,6 +89,6 @@
 func formatFunctionID(f policy.FunctionID) string { return fmt.Sprintf("%016x", uint64(f)) }
 
 // inTokenOrder returns calls in a fixed order: equal runs must hand the policy equal events.
-func inTokenOrder(calls map[string]*call) []*call {
-	return slices.SortedFunc(maps.Values(calls), func(a, b *call) int { return cmp.Compare(a.token, b.token) })
+func inTokenOrder(calls map[string]*pendingCall) []*pendingCall {
+	return slices.SortedFunc(maps.Values(calls), func(a, b *pendingCall) int { return cmp.Compare(a.token, b.token) })
 }
--- a/internal/backend/commands.go
+++ b/internal/backend/commands.go
@@ -12,10 +12,10 @@
 func (p *Pool) StartAttempt(id policy.WorkerID, a router.AttemptID, r *router.Request, budget time.Duration) {
 	w := p.workers[id]
 	if w != nil && w.acceptsNew() {
-		k := newAttemptCall(a, r, p.cfg.Classes[r.Class], budget)
-		if c := p.selectConnection(w, k); c != nil {
-			p.attempts[a] = k
-			c.send(k)
+		call := newAttemptCall(a, r, p.cfg.Classes[r.Class], budget)
+		if c := p.selectConnection(w, call); c != nil {
+			p.attempts[a] = call
+			c.send(call)
 			return
 		}
 	}
@@ -25,12 +25,12 @@
 // WithdrawQueued takes back an attempt that waits for a dial. It returns false if the attempt has been
 // written or has ended.
 func (p *Pool) WithdrawQueued(a router.AttemptID) bool {
-	k := p.attempts[a]
-	if k == nil || k.written {
+	call := p.attempts[a]
+	if call == nil || call.written {
 		return false
 	}
 	delete(p.attempts, a)
-	k.connection.dequeue(k)
+	call.connection.dequeue(call)
 	return true
 }
 
@@ -38,14 +38,14 @@
 // on its way must not end another attempt of the same request. The worker is told where the settings
 // allow it.
 func (p *Pool) CancelAttempt(_ policy.WorkerID, a router.AttemptID) {
-	k := p.attempts[a]
-	if k == nil || p.WithdrawQueued(a) {
+	call := p.attempts[a]
+	if call == nil || p.WithdrawQueued(a) {
 		return
 	}
 	delete(p.attempts, a)
-	k.connection.release(k)
+	call.connection.release(call)
 	if p.cfg.AllowCancel {
-		k.connection.transport.Write(encodeCommand(commandCancel, k.token))
+		call.connection.transport.Write(encodeCommand(commandCancel, call.token))
 	}
 }
 
@@ -61,15 +61,15 @@
 }
 
 // sendControl sends a load order or a probe. One that needs a ready worker ends as Unreachable at any other.
-func (p *Pool) sendControl(id policy.WorkerID, k *call, needsReady bool) {
+func (p *Pool) sendControl(id policy.WorkerID, call *pendingCall, needsReady bool) {
 	w := p.workers[id]
 	if w != nil && (w.acceptsNew() || !needsReady) {
-		if c := p.selectConnection(w, k); c != nil {
-			c.send(k)
+		if c := p.selectConnection(w, call); c != nil {
+			c.send(call)
 			return
 		}
 	}
-	p.endUnanswered(k, policy.Unreachable)
+	p.endUnanswered(call, policy.Unreachable)
 }
 
 // AbandonControl drops the load order and the probe with this tag; no result follows.
@@ -80,9 +80,9 @@
 	}
 	for _, c := range w.connections {
 		for _, token := range []string{loadOrderToken(tag), probeToken(tag)} {
-			if k := c.pending[token]; k != nil {
-				c.dequeue(k)
-				c.release(k)
+			if call := c.pending[token]; call != nil {
+				c.dequeue(call)
+				c.release(call)
 			}
 		}
 	}
@@ -104,15 +104,15 @@
 }
 
 // endUnanswered reports a result that came without an answer.
-func (p *Pool) endUnanswered(k *call, o policy.Outcome) {
-	switch k.kind {
+func (p *Pool) endUnanswered(call *pendingCall, outcome policy.Outcome) {
+	switch call.kind {
 	case attemptCall:
-		delete(p.attempts, k.attempt)
-		p.results.AttemptEnded(k.attempt, o, policy.InstanceUnknown, nil, nil)
+		delete(p.attempts, call.attempt)
+		p.results.AttemptEnded(call.attempt, outcome, policy.InstanceUnknown, nil, nil)
 	case loadOrderCall:
-		p.results.LoadOrderEnded(k.tag, o, 0)
+		p.results.LoadOrderEnded(call.tag, outcome, 0)
 	case probeCall:
-		p.results.ProbeEnded(k.tag, o, nil)
+		p.results.ProbeEnded(call.tag, outcome, nil)
 	case healthCheckCall: // nobody outside this package knows of it
 	}
 }
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -40,10 +40,10 @@
 	transport Transport // nil until Config.Dial has returned
 	state     connectionState
 
-	pending   map[string]*call // calls without an answer, by token
-	attempts  int              // attempts among them
-	queued    []*call          // those of them that wait for the dial, in the order of their sending
-	recentIDs recentIDs        // of attempts that were written and have ended
+	pending   map[string]*pendingCall // calls without an answer, by token
+	attempts  int                     // attempts among them
+	queued    []*pendingCall          // those of them that wait for the dial, in the order of their sending
+	recentIDs recentIDs               // of attempts that were written and have ended
 
 	dialedAt   time.Duration
 	lastUsedAt time.Duration // when a call was last written or answered
@@ -57,54 +57,54 @@
 // takesCalls reports whether new calls may go over c, now or once its dial has come up.
 func (c *connection) takesCalls() bool { return c.state == connecting || c.state == ready }
 
-// send writes k, or queues it until the dial has come up.
-func (c *connection) send(k *call) {
-	k.connection = c
-	c.pending[k.token] = k
-	if k.kind == attemptCall {
+// send writes call, or queues it until the dial has come up.
+func (c *connection) send(call *pendingCall) {
+	call.connection = c
+	c.pending[call.token] = call
+	if call.kind == attemptCall {
 		c.attempts++
 	}
 	if c.state == connecting {
-		c.queued = append(c.queued, k)
+		c.queued = append(c.queued, call)
 		return
 	}
-	c.write(k)
+	c.write(call)
 }
 
-func (c *connection) write(k *call) {
-	k.written = true
-	k.sentAt = c.pool.now
+func (c *connection) write(call *pendingCall) {
+	call.written = true
+	call.sentAt = c.pool.now
 	c.lastUsedAt = c.pool.now
-	if k.kind == attemptCall {
-		c.transport.Write(k.header, k.body, lineEnd)
+	if call.kind == attemptCall {
+		c.transport.Write(call.header, call.body, lineEnd)
 	} else {
-		c.transport.Write(k.header)
+		c.transport.Write(call.header)
 	}
-	k.header = nil
-	k.body = nil
+	call.header = nil
+	call.body = nil
 }
 
-// release removes k from the pending calls, if it still is one. The id of an attempt that was written is not
+// release removes call from the pending calls, if it still is one. The id of an attempt that was written is not
 // used on this connection again.
-func (c *connection) release(k *call) {
-	if c.pending[k.token] != k {
+func (c *connection) release(call *pendingCall) {
+	if c.pending[call.token] != call {
 		return
 	}
-	delete(c.pending, k.token)
-	if k.kind == attemptCall {
+	delete(c.pending, call.token)
+	if call.kind == attemptCall {
 		c.attempts--
-		if k.written {
-			c.recentIDs.add(k.token)
+		if call.written {
+			c.recentIDs.add(call.token)
 		}
 	}
 }
 
-// dequeue releases k if it waits for the dial.
-func (c *connection) dequeue(k *call) {
+// dequeue releases call if it waits for the dial.
+func (c *connection) dequeue(call *pendingCall) {
 	for i, q := range c.queued {
-		if q == k {
+		if q == call {
 			c.queued = append(c.queued[:i], c.queued[i+1:]...)
-			c.release(k)
+			c.release(call)
 			return
 		}
 	}
@@ -113,18 +113,18 @@
 // failQueued ends the calls that wait for the dial, except probes. A dial that nothing waits for any more
 // is cancelled.
 func (c *connection) failQueued() {
-	var kept []*call
-	for _, k := range c.queued {
-		if k.kind == probeCall {
-			kept = append(kept, k)
+	var kept []*pendingCall
+	for _, call := range c.queued {
+		if call.kind == probeCall {
+			kept = append(kept, call)
 			continue
 		}
-		c.release(k)
+		c.release(call)
 		outcome := policy.Unreachable
-		if k.kind == loadOrderCall {
+		if call.kind == loadOrderCall {
 			outcome = policy.WorkerOverloaded // the answer of a draining worker
 		}
-		c.pool.endUnanswered(k, outcome)
+		c.pool.endUnanswered(call, outcome)
 	}
 	c.queued = kept
 	if c.state == connecting && len(kept) == 0 {
@@ -171,8 +171,8 @@
 	}
 	queued := c.queued
 	c.queued = nil
-	for _, k := range queued {
-		c.write(k)
+	for _, call := range queued {
+		c.write(call)
 	}
 }
 
@@ -184,44 +184,44 @@
 	c.terminate(policy.ConnectionReset, false)
 }
 
-// terminate removes c from its worker and ends the pending calls with outcome o, except those that are sent
+// terminate removes c from its worker and ends the pending calls with this outcome, except those that are sent
 // again over another connection. Calls are written as soon as the dial has come up, so that those of a failed dial
 // were never sent, and those of an open connection were. With redial the former are sent again.
-func (c *connection) terminate(o policy.Outcome, redial bool) {
+func (c *connection) terminate(outcome policy.Outcome, redial bool) {
 	c.worker.remove(c)
 	pending := inTokenOrder(c.pending)
 	clear(c.pending)
 	c.queued = nil
-	for _, k := range pending {
+	for _, call := range pending {
 		switch {
-		case k.kind == probeCall && o == policy.ConnectionReset && k.resends < maxProbeResends:
-			c.resendProbe(k)
-		case redial && c.resendUnsent(k):
+		case call.kind == probeCall && outcome == policy.ConnectionReset && call.resends < maxProbeResends:
+			c.resendProbe(call)
+		case redial && c.resendUnsent(call):
 		default:
-			c.pool.endUnanswered(k, o)
+			c.pool.endUnanswered(call, outcome)
 		}
 	}
 }
 
 // resendProbe sends a probe over another connection. A broken connection says nothing of its worker, which
 // others may well be using. A worker that died refuses a new one, and a healthy one answers on it.
-func (c *connection) resendProbe(k *call) {
-	again := newProbeCall(k.tag)
-	again.resends = k.resends + 1
+func (c *connection) resendProbe(call *pendingCall) {
+	again := newProbeCall(call.tag)
+	again.resends = call.resends + 1
 	c.pool.sendControl(c.worker.id, again, false)
 }
 
 // resendUnsent sends a call that has not been written over another connection, if the worker takes calls, the
 // call's retries are not spent and there is such a connection.
-func (c *connection) resendUnsent(k *call) bool {
-	if !c.worker.acceptsNew() || k.resends >= maxDialRetries {
+func (c *connection) resendUnsent(call *pendingCall) bool {
+	if !c.worker.acceptsNew() || call.resends >= maxDialRetries {
 		return false
 	}
-	k.resends++
-	other := c.pool.selectConnection(c.worker, k)
+	call.resends++
+	other := c.pool.selectConnection(c.worker, call)
 	if other == nil {
 		return false
 	}
-	other.send(k)
+	other.send(call)
 	return true
 }
--- a/internal/backend/health.go
+++ b/internal/backend/health.go
@@ -58,9 +58,9 @@
 // oldestAttemptSentAt returns when the oldest attempt in flight was written, 0 if there is none.
 func (c *connection) oldestAttemptSentAt() time.Duration {
 	oldest := time.Duration(0)
-	for _, k := range c.pending {
-		if k.kind == attemptCall && k.written && (oldest == 0 || k.sentAt < oldest) {
-			oldest = k.sentAt
+	for _, call := range c.pending {
+		if call.kind == attemptCall && call.written && (oldest == 0 || call.sentAt < oldest) {
+			oldest = call.sentAt
 		}
 	}
 	return oldest
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -27,9 +27,9 @@
 // ResultHandler receives the result of each attempt, load order and probe; a router.Router is one. The body
 // is the handler's to keep. A nil report means that the worker sent no complete load report.
 type ResultHandler interface {
-	AttemptEnded(a router.AttemptID, o policy.Outcome, n policy.InstanceStatus, body []byte, report []float64)
-	LoadOrderEnded(tag uint64, o policy.Outcome, count int)
-	ProbeEnded(tag uint64, o policy.Outcome, report []float64)
+	AttemptEnded(a router.AttemptID, outcome policy.Outcome, status policy.InstanceStatus, body []byte, report []float64)
+	LoadOrderEnded(tag uint64, outcome policy.Outcome, count int)
+	ProbeEnded(tag uint64, outcome policy.Outcome, report []float64)
 }
 
 // Transport is a byte stream to a worker; an eventloop.Conn is one.
@@ -58,8 +58,8 @@
 	results      ResultHandler
 	now          time.Duration
 	workers      map[policy.WorkerID]*worker
-	attempts     map[router.AttemptID]*call // attempts that have not ended
-	healthChecks uint64                     // health checks sent so far; numbers their tokens
+	attempts     map[router.AttemptID]*pendingCall // attempts that have not ended
+	healthChecks uint64                            // health checks sent so far; numbers their tokens
 	losses       lossLog
 }
 
@@ -69,7 +69,7 @@
 		cfg:      cfg,
 		results:  results,
 		workers:  map[policy.WorkerID]*worker{},
-		attempts: map[router.AttemptID]*call{},
+		attempts: map[router.AttemptID]*pendingCall{},
 		losses:   newLossLog(),
 	}
 }
--- a/internal/backend/selection.go
+++ b/internal/backend/selection.go
@@ -19,11 +19,11 @@
 	responsive
 )
 
-// selectConnection returns the connection for k, or nil if there is none and none may be opened. It
+// selectConnection returns the connection for call, or nil if there is none and none may be opened. It
 // chooses the most preferred connection with the fewest attempts. Where that one is unresponsive or has
 // attemptsBeforeDial attempts, it opens a new one, as long as the limits allow.
-func (p *Pool) selectConnection(w *worker, k *call) *connection {
-	best, rank := p.bestConnection(w, k)
+func (p *Pool) selectConnection(w *worker, call *pendingCall) *connection {
+	best, rank := p.bestConnection(w, call)
 	if rank > unresponsive && best.attempts < attemptsBeforeDial {
 		return best
 	}
@@ -33,11 +33,11 @@
 	return p.dial(w)
 }
 
-func (p *Pool) bestConnection(w *worker, k *call) (*connection, preference) {
+func (p *Pool) bestConnection(w *worker, call *pendingCall) (*connection, preference) {
 	var best *connection
 	rank := notEligible
 	for _, c := range w.connections {
-		r := p.preferenceFor(c, k)
+		r := p.preferenceFor(c, call)
 		if r > rank || r == rank && r > notEligible && c.attempts < best.attempts {
 			best = c
 			rank = r
@@ -46,14 +46,14 @@
 	return best, rank
 }
 
-// preferenceFor rates c for k. A connection never carries two calls with the same id, not even one after the other
-// (see recentIDs), and no more attempts at once than a worker accepts.
-func (p *Pool) preferenceFor(c *connection, k *call) preference {
-	if !c.takesCalls() || c.transport == nil || c.pending[k.token] != nil {
+// preferenceFor rates c for call. A connection carries no two calls with the same id at once, no attempt whose id it
+// remembers (see recentIDs), and no more attempts at once than a worker accepts.
+func (p *Pool) preferenceFor(c *connection, call *pendingCall) preference {
+	if !c.takesCalls() || c.transport == nil || c.pending[call.token] != nil {
 		return notEligible
 	}
-	if k.kind == attemptCall &&
-		(c.attempts >= p.cfg.MaxStreamsPerConnection || c.recentIDs.contains(k.token) || c.recentIDs.full()) {
+	if call.kind == attemptCall &&
+		(c.attempts >= p.cfg.MaxStreamsPerConnection || c.recentIDs.contains(call.token) || c.recentIDs.full()) {
 		return notEligible
 	}
 	switch {
@@ -95,7 +95,7 @@
 	c := &connection{
 		pool:       p,
 		worker:     w,
-		pending:    map[string]*call{},
+		pending:    map[string]*pendingCall{},
 		dialedAt:   p.now,
 		lastUsedAt: p.now,
 	}
