--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -3,11 +3,13 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"functionrouter/policy"
 )
 
-// Guards rule 2: a request that must not run twice and whose attempt may have run fails, and is not sent again.
+// Guards against a request that must not run twice running twice: once an attempt may have run, it fails and is not
+// sent again.
 func TestNotIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	for _, outcome := range []policy.Outcome{policy.ConnectionReset, policy.Errored, policy.TimedOut} {
 		t.Run(fmt.Sprint(outcome), func(t *testing.T) {
@@ -61,3 +63,77 @@
 	}
 	r.Process(testStart + ms)
 }
+
+// Guards the count of open attempts: a second report of an attempt changes nothing.
+func TestSecondReportOfAnAttemptIsIgnored(t *testing.T) {
+	r, workers := newTestRouter(t, 1)
+	addReadyWorkers(r, 1)
+	id, responder := submit(r, notIdempotentClass)
+	r.Process(testStart)
+	for _, outcome := range []policy.Outcome{policy.Errored, policy.Served, policy.Errored} {
+		r.AttemptEnded(workers.sent[id][0], outcome, policy.InstanceUnknown, nil, nil)
+	}
+	if got := r.Counters.AttemptOutcomes; got[policy.Errored] != 1 || got[policy.Served] != 0 || len(r.events.pending) != 1 {
+		t.Errorf("outcomes %v, events %v", got, r.events.pending)
+	}
+	if p := r.requests.byID[id]; p.openAttempts != 0 || len(responder.responses) != 0 {
+		t.Errorf("%d attempts open, answers %+v", p.openAttempts, responder.responses)
+	}
+}
+
+// Guards what is sent: no attempt leaves for a request that has ended, is out of time or out of attempts. The
+// events that follow are not given to the policy, which has not ordered these attempts.
+func TestAttemptThatMustNotLeaveEndsAsNotSent(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		prepare func(r *Router, id policy.RequestID)
+	}{
+		{"client cancelled", func(r *Router, id policy.RequestID) { r.Cancel(testStart, id) }},
+		{"out of time", func(r *Router, _ policy.RequestID) { r.SetNow(testStart + 3*time.Second) }},
+		{"out of attempts", func(r *Router, id policy.RequestID) {
+			for range r.limits.MaxAttempts - 1 {
+				r.execute(policy.SendAttempt{Request: id, Worker: 1})
+			}
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			r, workers := newTestRouter(t, 1)
+			id, _ := submit(r, notIdempotentClass)
+			r.execute(policy.SendAttempt{Request: id, Worker: 1}) // keeps the request pending
+			test.prepare(r, id)
+			before := len(workers.sent[id])
+			r.execute(policy.SendAttempt{Request: id, Worker: 1})
+			if len(workers.sent[id]) != before || r.Counters.AttemptOutcomes[policy.NotSent] != 1 {
+				t.Errorf("%d attempts sent, want %d; outcomes %v", len(workers.sent[id]), before, r.Counters.AttemptOutcomes)
+			}
+		})
+	}
+}
+
+// Guards the time of an attempt: the router cancels it once its timeout is over, and not before.
+func TestAttemptTimesOut(t *testing.T) {
+	r, workers := newTestRouter(t, 1)
+	id, _ := submit(r, notIdempotentClass)
+	r.execute(policy.SendAttempt{Request: id, Worker: 1, Timeout: 100 * ms})
+	for _, test := range []struct {
+		after    time.Duration
+		timedOut uint64
+	}{{99 * ms, 0}, {100 * ms, 1}} {
+		r.SetNow(testStart + test.after)
+		r.fireDueTimers()
+		if got := r.Counters.AttemptOutcomes[policy.TimedOut]; got != test.timedOut || len(workers.openAttempts) != 1-int(got) {
+			t.Errorf("after %v: %d timed out, want %d; %d open", test.after, got, test.timedOut, len(workers.openAttempts))
+		}
+	}
+}
+
+// Guards the answer's truth: while an attempt is open, the request may have run.
+func TestAnswerDuringAnAttemptSaysThatItMayHaveRun(t *testing.T) {
+	r, _ := newTestRouter(t, 1)
+	id, responder := submit(r, idempotentClass)
+	r.execute(policy.SendAttempt{Request: id, Worker: 1})
+	r.execute(policy.RefuseRequest{Request: id, RetryAfter: 20 * ms})
+	if resp := responder.only(t); resp.Status != Refused || !resp.MayHaveRun || resp.DeadlineExceeded || resp.RetryAfter != 20*ms {
+		t.Errorf("answer %+v", resp)
+	}
+}
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -97,7 +97,7 @@
 	p.closed = true
 	r.withdrawQueuedAttempts(id, p)
 	r.reportEnd(&p.Request, outcome)
-	r.requests.releaseBody(p)
+	r.requests.release(p)
 	r.requests.removeIfDone(id, p)
 }
 
--- a/internal/router/lifecycle_test.go
+++ b/internal/router/lifecycle_test.go
@@ -117,3 +117,39 @@
 		})
 	}
 }
+
+// Guards the memory: beyond either limit a request is rejected, with advice, until another has ended.
+func TestLimitsBoundOpenRequests(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		limits   Limits
+		bodySize int
+	}{
+		{"open requests", Limits{MaxOpenRequests: 2, MaxBodyBytes: 1000}, 10},
+		{"body bytes", Limits{MaxOpenRequests: 10, MaxBodyBytes: 250}, 100},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			r, _ := newTestRouter(t, 1)
+			r.limits = test.limits
+			r.limits.RetryAfter = 50 * ms
+			submitNext := func() (policy.RequestID, *recordingResponder) {
+				responder := &recordingResponder{}
+				return r.Submit(testStart, Request{Responder: responder, ID: fmt.Sprint(r.Counters.Received[Thrift]),
+					Body: make([]byte, test.bodySize), Deadline: testStart + time.Second}), responder
+			}
+			first, _ := submitNext()
+			second, _ := submitNext()
+			rejected, responder := submitNext()
+			if first == 0 || second == 0 || rejected != 0 {
+				t.Fatalf("requests got the ids %d, %d and %d, want the third one rejected", first, second, rejected)
+			}
+			if resp := responder.only(t); resp.Status != Refused || resp.RetryAfter != 50*ms || r.Counters.Rejected[Thrift] != 1 {
+				t.Errorf("answer %+v, counters %+v", resp, r.Counters)
+			}
+			r.Cancel(testStart, first)
+			if id, _ := submitNext(); id == 0 {
+				t.Error("a request was rejected although another has ended")
+			}
+		})
+	}
+}
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -57,8 +57,8 @@
 	return ok
 }
 
-// releaseBody takes a request that was closed out of the counts and drops what only an open one needs.
-func (t *requestTable) releaseBody(p *pendingRequest) {
+// release takes a request that was closed out of the counts and drops what only an open one needs.
+func (t *requestTable) release(p *pendingRequest) {
 	t.open--
 	t.bodyBytes -= len(p.Body)
 	p.Body = nil
