--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -140,7 +140,7 @@
 
 // closeWithError closes a connection that is of no further use.
 func (c *connection) closeWithError(err error) {
-	slog.Warn("worker connection closed", "address", c.worker.address, "error", err)
+	slog.Warn("worker connection closed", "address", c.worker.address, "state", c.state.String(), "error", err)
 	c.close()
 }
 
