--- a/cmd/functionrouter/config.go
+++ b/cmd/functionrouter/config.go
@@ -15,25 +15,26 @@
 	"functionrouter/policy"
 )
 
-// The environment variables of the platform. The name and the address go before those in the file.
+// The environment variables that the platform sets. The name and the address override those in the file.
 const (
 	configVariable = "EDGE_CONFIG" // path of the configuration file
 	nameVariable   = "EDGE_NAME"
 	listenVariable = "EDGE_LISTEN"
 )
 
-// Defaults of settings that are absent, or not above zero.
+// Defaults of settings that are absent or not above zero. The platform always gives them; those of the transport are
+// of the size that the platform gives, those of the process are its largest limits on scored days.
 const (
 	defaultDialTimeoutMs        = 250
 	defaultKeepaliveMs          = 30_000
 	defaultMaxOpenRequests      = 20_000
 	defaultStreamsPerConnection = 32
-	defaultMemoryMB             = 192  // the limits of the days that count
-	defaultSockets              = 1024 // likewise
+	defaultMemoryMB             = 192
+	defaultSockets              = 1024
 )
 
-// The least limits with which the program is of use: below, the Go runtime and the descriptors of its own would
-// leave next to nothing.
+// The least limits that are accepted: the shares in limits.go are tested down to these. Below them the Go runtime and
+// the descriptors of the process itself would leave next to nothing.
 const (
 	minMemoryMB = 32
 	minSockets  = 64
@@ -47,9 +48,9 @@
 
 // ConfigError reports a configuration that can't be used.
 type ConfigError struct {
-	Path  string // of the file; empty where none is named
-	Field string // the key or the environment variable that is at fault; empty for the file as a whole
-	Err   error
+	Path  string // of the file; empty if none is named
+	Field string // the key or the environment variable that is at fault; empty if Err names it or the whole file is
+	Err   error  // the cause
 }
 
 func (e *ConfigError) Error() string {
@@ -63,18 +64,18 @@
 	return text + ": " + e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, for errors.Is and errors.As.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 // config is what the platform tells a function router. Its keys are the platform's.
 type config struct {
-	Name     string                     `json:"name"`
-	Listen   string                     `json:"listen"`
-	Seed     string                     `json:"seed"` // 16 hex digits
-	Limits   processLimits              `json:"limits"`
-	Names    string                     `json:"names"` // address of the directory
-	Known    discovery.InitialEndpoints `json:"known"`
-	Settings json.RawMessage            `json:"settings"`
+	Name             string                     `json:"name"`
+	Listen           string                     `json:"listen"`
+	Seed             string                     `json:"seed"` // 16 hex digits
+	Limits           processLimits              `json:"limits"`
+	DirectoryAddress string                     `json:"names"`
+	InitialEndpoints discovery.InitialEndpoints `json:"known"`
+	Settings         json.RawMessage            `json:"settings"`
 
 	seed      uint64            // parsed from Seed
 	policy    policy.Config     // the part of Settings that decisions depend on
@@ -91,7 +92,7 @@
 type transportSettings struct {
 	FailureDomains []string        `json:"failureDomains"` // the zones
 	Classes        []namedSetting  `json:"classes"`
-	Accounts       []namedSetting  `json:"accounts"` // the tenants
+	Tenants        []namedSetting  `json:"accounts"` // the tenants
 	Limits         transportLimits `json:"limits"`
 }
 
@@ -102,10 +103,10 @@
 
 // transportLimits bounds the connections.
 type transportLimits struct {
-	DialTimeoutMs  float64 `json:"dialTimeoutMs"`
-	KeepaliveMs    float64 `json:"keepaliveMs"` // idle connections to workers are closed after this
-	MaxOpen        int     `json:"maxOpen"`     // open requests
-	StreamsPerConn int     `json:"streamsPerConn"`
+	DialTimeoutMs        float64 `json:"dialTimeoutMs"`
+	KeepaliveMs          float64 `json:"keepaliveMs"` // idle connections to workers are closed after this
+	MaxOpenRequests      int     `json:"maxOpen"`
+	StreamsPerConnection int     `json:"streamsPerConn"`
 }
 
 // readConfig reads and checks the file that EDGE_CONFIG names. Its errors are of type *ConfigError.
@@ -125,7 +126,7 @@
 	return c, nil
 }
 
-// parseConfig parses the text of a file. Of an error it tells the field.
+// parseConfig parses and checks the text of a file. With an error it returns the field that is at fault.
 func parseConfig(text []byte, getenv func(string) string) (c *config, field string, err error) {
 	c = &config{}
 	if err := json.Unmarshal(text, c); err != nil {
@@ -140,7 +141,7 @@
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
 		return nil, "listen", err
 	}
-	if _, err := netip.ParseAddrPort(c.Names); err != nil {
+	if _, err := netip.ParseAddrPort(c.DirectoryAddress); err != nil {
 		return nil, "names", err
 	}
 	if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
@@ -172,13 +173,13 @@
 	}
 	setDefault(&t.Limits.DialTimeoutMs, defaultDialTimeoutMs)
 	setDefault(&t.Limits.KeepaliveMs, defaultKeepaliveMs)
-	setDefault(&t.Limits.MaxOpen, defaultMaxOpenRequests)
-	setDefault(&t.Limits.StreamsPerConn, defaultStreamsPerConnection)
+	setDefault(&t.Limits.MaxOpenRequests, defaultMaxOpenRequests)
+	setDefault(&t.Limits.StreamsPerConnection, defaultStreamsPerConnection)
 	return nil
 }
 
-// needsRestart names what fresh changes and a reload does not take over. The seed and the initial endpoints count
-// at a start alone.
+// needsRestart names the keys that fresh changes and that a reload does not apply. The seed and the initial endpoints
+// are left out: they matter only when the process starts.
 func (c *config) needsRestart(fresh *config) (changed []string) {
 	if c.Name != fresh.Name {
 		changed = append(changed, "name")
@@ -199,7 +200,7 @@
 func (t *transportSettings) classNames() []string { return settingNames(t.Classes) }
 
 // tenantNames returns the names of the tenants, in the settings' order.
-func (t *transportSettings) tenantNames() []string { return settingNames(t.Accounts) }
+func (t *transportSettings) tenantNames() []string { return settingNames(t.Tenants) }
 
 func settingNames(settings []namedSetting) (names []string) {
 	for _, s := range settings {
@@ -215,4 +216,5 @@
 	}
 }
 
+// milliseconds converts a setting that is given in milliseconds.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/cmd/functionrouter/config_test.go
+++ b/cmd/functionrouter/config_test.go
@@ -39,8 +39,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n4" || c.seed != 0x8c1f30d27a5be964 || c.Known.Offset != 3 ||
-		c.transport.Classes[0].Name != "repair-order" || c.transport.Limits.StreamsPerConn != 32 {
+	if c.Name != "n4" || c.seed != 0x8c1f30d27a5be964 || c.InitialEndpoints.Offset != 3 ||
+		c.transport.Classes[0].Name != "repair-order" || c.transport.Limits.StreamsPerConnection != 32 {
 		t.Errorf("read %+v", c)
 	}
 }
--- /dev/null
+++ b/cmd/functionrouter/counters_test.go
@@ -0,0 +1,51 @@
+package main
+
+import (
+	"strings"
+	"testing"
+
+	"functionrouter/internal/router"
+	"functionrouter/policy"
+)
+
+// Operators read these lines and scripts search them: the messages and the keys stay.
+func TestCounterMessages(t *testing.T) {
+	var c router.Counters
+	c.Received[router.Webhook] = 9
+	c.Served[router.Webhook] = 4
+	c.Refused[router.Webhook] = 2
+	c.Failed[router.Webhook] = 1
+	c.ClientCancelled[router.Webhook] = 1
+	c.Rejected[router.Webhook] = 1
+	c.AttemptsSent = 7
+	c.AttemptOutcomes[policy.Served] = 5
+	c.AttemptOutcomes[policy.FunctionNotLoaded] = 2
+	c.Overdue = 3
+	c.GivenUp[policy.LoadShed] = 2
+	c.LoadOrders = 6
+	c.LoadOrderOutcomes[policy.TimedOut] = 6
+	c.Unloads = 8
+	c.Probes = 10
+	for _, test := range []struct {
+		name string
+		log  func(*router.Counters)
+		want string
+	}{
+		{"requests", func(c *router.Counters) { logRequestCounters(c, router.Webhook) },
+			`msg="request counters" frontend=webhook received=9 served=4 refused=2 failed=1 client_cancelled=1 rejected=1`},
+		{"attempts", logAttemptCounters, `msg="attempt counters" sent=7 served=5 function_not_loaded=2 overdue_requests=3`},
+		{"give-ups", logGiveUpCounters,
+			`msg="give-up counters" deadline_exceeded=0 no_worker_available=0 predicted_too_late=0 load_shed=2`},
+		{"load orders", logLoadOrderCounters, `msg="load order counters" sent=6 timed_out=6 unloads_sent=8`},
+		{"health checks", logHealthCheckCounters, `msg="health check counters" sent=10`},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			log := newLogCapture()
+			log.install(t)
+			test.log(&c)
+			if got := log.text.String(); !strings.HasSuffix(got, "level=INFO "+test.want+"\n") {
+				t.Errorf("logged %s, want %s", got, test.want)
+			}
+		})
+	}
+}
--- a/cmd/functionrouter/harness_test.go
+++ b/cmd/functionrouter/harness_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"log/slog"
 	"net"
 	"os"
 	"os/signal"
@@ -42,9 +41,7 @@
 	t.Helper()
 	h, cfg := newHarness(t, newFakeDirectory(t), 1024, extraSettings, initial...)
 	ignoreSIGTERM(t)
-	previous := slog.Default()
-	slog.SetDefault(slog.New(slog.NewTextHandler(h.log, nil)))
-	t.Cleanup(func() { slog.SetDefault(previous) })
+	h.log.install(t)
 	go func() {
 		h.exitError = serve(cfg, h.reread)
 		close(h.exited)
--- a/cmd/functionrouter/limits.go
+++ b/cmd/functionrouter/limits.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// fullMemoryMB is the memory for which the bounds below are right: the limit of the days that count. With less
-// memory they shrink in proportion; with more they stay.
+// fullMemoryMB is the memory for which the bounds below are chosen, the platform's limit on scored days, in MiB. With
+// less memory they shrink in proportion; with more they stay.
 const fullMemoryMB = 192
 
-// Bounds on what is held for peers, in bytes, at fullMemoryMB. They come to 80 MiB of those 192; Go's runtime, the
-// connections' buffers and the open requests take the rest.
+// Bounds on what is held for peers, in bytes, at fullMemoryMB. They add up to 80 MiB of the 192, and with less memory
+// keep that part of it.
 const (
 	maxQueuedBytes        = 8 << 20  // read from sockets and waiting for the event loop
 	maxUnreadBytes        = 32 << 20 // written for peers that do not read
@@ -18,23 +18,23 @@
 // openRequestsPerMB bounds the open requests by the memory. At 2 KiB each, bodies aside, they take a sixteenth of it.
 const openRequestsPerMB = 32
 
-// Go's runtime collects garbage more eagerly beyond six tenths of the memory limit: the rest is for the kernel's
-// socket buffers and for bursts between two collections.
+// The Go runtime's soft limit is six tenths of the memory. It has to stay well below the limit at which the platform
+// kills the process: the runtime does not count memory outside of Go, and a collection may come late.
 const (
 	goMemoryNumerator   = 6
 	goMemoryDenominator = 10
 )
 
 const (
-	// clientDescriptorDivisor gives clients a third of the descriptors, and the workers most of the others: one
-	// client may have requests at several workers.
+	// clientDescriptorDivisor gives the clients a third of the descriptors. The workers have what that and the reserve
+	// leave.
 	clientDescriptorDivisor = 3
 
 	// reservedDescriptors are kept for what is neither a client nor a worker: pollers, listeners, the directory,
 	// notices, files, and an accepted connection that is yet to be rejected.
 	reservedDescriptors = 32
 
-	// reservedDescriptorDivisor limits the reserve to a quarter where there are few descriptors.
+	// reservedDescriptorDivisor limits the reserve to a quarter of the descriptors if there are few.
 	reservedDescriptorDivisor = 4
 )
 
@@ -42,11 +42,11 @@
 	// probeTimeout is how long a worker may take to answer a health check.
 	probeTimeout = 250 * time.Millisecond
 
-	// maxRejectionRetryAfter is the longest Retry-After that a rejected client is told.
+	// maxRejectionRetryAfter bounds the Retry-After of a rejected request; the settings may bound it further.
 	maxRejectionRetryAfter = time.Second
 
-	// The platform kills a router the longest deadline after SIGTERM, or 3 s if that is less, and 0.7 s more at the
-	// earliest. Of the latter, 0.2 s are left for a machine that stalls.
+	// The platform kills a router 0.7 s after the longest deadline, counted from SIGTERM; of the deadline it counts
+	// 3 s at most. flushMargin leaves 0.2 s of the 0.7 s for a machine that stalls.
 	maxFlushDeadline = 3 * time.Second
 	flushMargin      = 500 * time.Millisecond
 )
@@ -72,11 +72,11 @@
 
 // maxOpenRequests is how many requests may be open at once.
 func (c *config) maxOpenRequests() int {
-	return min(c.transport.Limits.MaxOpen, c.Limits.MemoryMB*openRequestsPerMB)
+	return min(c.transport.Limits.MaxOpenRequests, c.Limits.MemoryMB*openRequestsPerMB)
 }
 
 // flushTimeout is how long after SIGTERM slow clients may take to read their answers or to send the rest of a request,
-// and notices to be delivered.
+// and notices may take to be delivered.
 func (c *config) flushTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.policy.Classes {
@@ -85,7 +85,7 @@
 	return min(longest, maxFlushDeadline) + flushMargin
 }
 
-// rejectionRetryAfter is the Retry-After for clients that are rejected since the router is full; 0 where the settings
+// rejectionRetryAfter is the Retry-After of requests that are rejected because the router is full; 0 if the settings
 // allow none.
 func (c *config) rejectionRetryAfter() time.Duration {
 	if !c.policy.AllowRetryAfter {
--- a/cmd/functionrouter/limits_test.go
+++ b/cmd/functionrouter/limits_test.go
@@ -13,7 +13,7 @@
 			t.Run(fmt.Sprintf("%d MB, %d descriptors", memory, sockets), func(t *testing.T) {
 				var c config
 				c.Limits = processLimits{MemoryMB: memory, Sockets: sockets}
-				c.transport.Limits.MaxOpen = 20000
+				c.transport.Limits.MaxOpenRequests = 20000
 				checkMemoryBounds(t, &c)
 				checkDescriptorBounds(t, &c)
 			})
--- a/cmd/functionrouter/log_capture_test.go
+++ b/cmd/functionrouter/log_capture_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"log/slog"
 	"strings"
 	"sync"
 	"testing"
@@ -16,6 +17,14 @@
 
 func newLogCapture() *logCapture { return &logCapture{written: make(chan struct{})} }
 
+// install makes l the log for the rest of the test.
+func (l *logCapture) install(t *testing.T) {
+	t.Helper()
+	previous := slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(l, nil)))
+	t.Cleanup(func() { slog.SetDefault(previous) })
+}
+
 // Write takes a line of the log.
 func (l *logCapture) Write(line []byte) (int, error) {
 	l.mu.Lock()
--- a/cmd/functionrouter/main.go
+++ b/cmd/functionrouter/main.go
@@ -1,8 +1,8 @@
 // Command functionrouter is the function router: the decision module of package policy on real sockets.
 //
-// It takes its configuration from the environment (see readConfig), serves until SIGTERM or SIGINT, takes over a
-// moved directory on SIGHUP and logs its counters on SIGUSR1. It writes its log to standard error and exits with
-// status 1 where it can't start.
+// It reads the configuration file that the environment names (see readConfig) and serves until SIGTERM or SIGINT, which
+// begin a graceful shutdown. SIGHUP makes it read the file again and apply a new directory address; SIGUSR1 makes it log
+// its counters. The log goes to standard error. The exit status is 1 if the program can't start.
 package main
 
 import (
--- a/cmd/functionrouter/server.go
+++ b/cmd/functionrouter/server.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxProcs is the number of operating system threads that run Go code at once. There is one core; the
-	// further ones are there so that a poller asleep in the kernel does not hold up the event loop.
+	// maxProcs is GOMAXPROCS. There is one core; the further threads let the event loop run while a poller sleeps in
+	// the kernel.
 	maxProcs = 4
 
 	// The intervals of the housekeeping that is not the pool's own.
@@ -24,8 +24,8 @@
 	countersLogInterval    = 5 * time.Second
 )
 
-// server is the function router with all its parts, joined on one event loop. Apart from what serve sets up
-// before the loop runs, all of it belongs to the loop's goroutine.
+// server is the function router with all its parts, joined on one event loop. Once the loop runs, all of it belongs to
+// the loop's goroutine; others reach it through loop.Post.
 type server struct {
 	cfg        *config
 	loop       *eventloop.Loop
@@ -45,7 +45,8 @@
 	lastCountersLog    time.Duration
 }
 
-// serve runs the function router until a signal ends it. On SIGHUP it takes over what reread returns.
+// serve runs the function router until a signal ends it. On SIGHUP it applies what reread returns. Its errors are those
+// of the start.
 func serve(cfg *config, reread func() (*config, error)) error {
 	signals := watchSignals()
 	defer signals.close()
@@ -79,8 +80,8 @@
 	s.router = router.New(module, cfg.routerLimits())
 	s.pool = backend.New(s.poolConfig(), s.router)
 	s.router.SetWorkerPool(s.pool)
-	s.discovery = discovery.New(cfg.Names, s.dialDirectory, s.updateEndpoints)
-	if err := s.discovery.LoadInitial(cfg.Known); err != nil {
+	s.discovery = discovery.New(cfg.DirectoryAddress, s.dialDirectory, s.updateEndpoints)
+	if err := s.discovery.LoadInitial(cfg.InitialEndpoints); err != nil {
 		return nil, err
 	}
 	if s.extensions, err = newExtensions(cfg, s.loop, s.router); err != nil {
@@ -121,7 +122,7 @@
 		LoadReportFields:        s.cfg.policy.LoadReportFields,
 		DialTimeout:             milliseconds(limits.DialTimeoutMs),
 		IdleTimeout:             milliseconds(limits.KeepaliveMs),
-		MaxStreamsPerConnection: limits.StreamsPerConn,
+		MaxStreamsPerConnection: limits.StreamsPerConnection,
 		MaxConnections:          s.cfg.maxWorkerConnections(),
 		AllowCancel:             s.cfg.policy.AllowCancel,
 		Dial: func(addr string, timeout time.Duration, h eventloop.DialHandler) backend.Transport {
--- a/cmd/functionrouter/signals.go
+++ b/cmd/functionrouter/signals.go
@@ -7,17 +7,18 @@
 	"syscall"
 )
 
-// signalWatcher receives the process's signals and has the event loop act on them. Its goroutines end after close.
+// signalWatcher receives the process's signals and passes them on to the event loop. It owns two goroutines, which end
+// after close.
 type signalWatcher struct {
 	// Two channels, so that SIGHUPs in a row can't crowd out a SIGTERM.
 	signals chan os.Signal
-	// hangups holds one SIGHUP: one that comes while a file is being read has it read once more; further ones add
-	// nothing.
+	// hangups holds one SIGHUP: the first that comes while the file is being read makes it be read once more, further
+	// ones add nothing.
 	hangups chan os.Signal
 	closed  chan struct{}
 }
 
-// watchSignals begins to receive signals. They are kept until forward is called.
+// watchSignals begins to receive signals. It keeps them until forward is called.
 func watchSignals() *signalWatcher {
 	w := &signalWatcher{
 		signals: make(chan os.Signal, 4),
