--- /dev/null
+++ b/internal/frontend/webhook/attempt.go
@@ -0,0 +1,115 @@
+package webhook
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// maxReplyBytes of a reply are looked through for its status line.
+const maxReplyBytes = 8 << 10
+
+// Why an attempt ended without a status.
+var (
+	errReplyTimeout   = errors.New("no answer in time")
+	errMalformedReply = errors.New("malformed answer")
+	errNoReply        = errors.New("closed without an answer")
+)
+
+// attempt is one attempt to deliver a notice, on a connection of its own.
+type attempt struct {
+	sender    *Sender
+	notice    *notice
+	transport Transport
+	deadline  time.Duration // on the loop's clock
+	reply     []byte
+	ended     bool
+}
+
+// OnOpen sends the notice, signed with the time of this attempt.
+func (a *attempt) OnOpen(err error) {
+	if err != nil {
+		a.end(0, err)
+		return
+	}
+	if a.ended {
+		return
+	}
+	a.transport.Write(a.requestHead(), a.notice.body)
+}
+
+// requestHead returns the head of the HTTP request that carries the notice.
+func (a *attempt) requestHead() []byte {
+	s, n := a.sender, a.notice
+	timestamp := strconv.FormatInt(s.wallClock().Unix(), 10)
+	return fmt.Appendf(nil, "POST %s %s\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n"+
+		"%s: %s\r\n%s: %s\r\n%s: %s\r\nConnection: close\r\n\r\n",
+		s.url.RequestURI(), protocolVersion, s.url.Host, len(n.body),
+		idField, n.id, timestampField, timestamp, signatureField, sign(s.secret, n.id, timestamp, n.body))
+}
+
+// OnData reads the reply's status line; nothing else of it matters.
+func (a *attempt) OnData(b []byte) {
+	if a.ended {
+		return
+	}
+	a.reply = append(a.reply, b...)
+	line, _, complete := bytes.Cut(a.reply[:min(len(a.reply), maxReplyBytes)], []byte("\r\n"))
+	if !complete {
+		if len(a.reply) >= maxReplyBytes {
+			a.end(0, errMalformedReply)
+		}
+		return
+	}
+	status := parseStatusLine(line)
+	if status >= http.StatusContinue && status < http.StatusOK {
+		a.skipInterimReply()
+		return
+	}
+	a.end(status, nil)
+}
+
+// skipInterimReply drops an interim reply's head once it is complete; the reply that counts follows it (RFC 9110,
+// section 15.2).
+func (a *attempt) skipInterimReply() {
+	_, rest, complete := bytes.Cut(a.reply, []byte("\r\n\r\n"))
+	if !complete {
+		return
+	}
+	a.reply = nil
+	a.OnData(rest)
+}
+
+// parseStatusLine returns the status code, 0 where the line is malformed.
+func parseStatusLine(line []byte) int {
+	words := bytes.SplitN(line, []byte{' '}, 3)
+	if len(words) < 2 || !bytes.HasPrefix(words[0], []byte("HTTP/1.")) || len(words[1]) != 3 {
+		return 0
+	}
+	status, err := strconv.Atoi(string(words[1]))
+	if err != nil {
+		return 0
+	}
+	return status
+}
+
+// OnClose ends an attempt that had no reply.
+func (a *attempt) OnClose(err error) {
+	if err == nil {
+		err = errNoReply
+	}
+	a.end(0, err)
+}
+
+// end closes the connection and reports the attempt's status, 0 with an error where there is none, once.
+func (a *attempt) end(status int, err error) {
+	if a.ended {
+		return
+	}
+	a.ended = true
+	a.transport.Close()
+	a.sender.attemptEnded(a.notice, status, err)
+}
--- a/internal/frontend/webhook/config.go
+++ b/internal/frontend/webhook/config.go
@@ -13,31 +13,42 @@
 
 // Config is the webhook file.
 type Config struct {
-	Receiver struct {
-		Enabled   bool          `toml:"enabled"`
-		Listen    string        `toml:"listen"`
-		Path      string        `toml:"path"`
-		Keys      []KeyConfig   `toml:"keys"`
-		Tolerance time.Duration `toml:"tolerance"`
-		// DedupeFor is how long the outcome of a call other than a repair-order is remembered.
-		DedupeFor time.Duration `toml:"dedupe_for"`
-		Ledger    struct {
-			Path      string        `toml:"path"`
-			MaxBytes  int64         `toml:"max_bytes"`
-			Retention time.Duration `toml:"retention"`
-		} `toml:"ledger"`
-	} `toml:"receiver"`
-	Sender struct {
-		Enabled bool   `toml:"enabled"`
-		URL     string `toml:"url"`
-		// Connect is the address to connect to, where it is not the URL's host.
-		Connect  string        `toml:"connect"`
-		Key      string        `toml:"key"`
-		Queue    int           `toml:"queue"`
-		Attempts int           `toml:"attempts"`
-		Backoff  time.Duration `toml:"backoff"`
-		Timeout  time.Duration `toml:"timeout"`
-	} `toml:"sender"`
+	Receiver ReceiverConfig `toml:"receiver"`
+	Sender   SenderConfig   `toml:"sender"`
+}
+
+// ReceiverConfig turns the Receiver on. Its fields are checked only where it is enabled.
+type ReceiverConfig struct {
+	Enabled bool        `toml:"enabled"`
+	Listen  string      `toml:"listen"` // IP:PORT
+	Path    string      `toml:"path"`   // of the requests' target
+	Keys    []KeyConfig `toml:"keys"`
+	// Tolerance is how far a delivery's timestamp may be from now, either way.
+	Tolerance time.Duration `toml:"tolerance"`
+	// DedupeFor is how long the outcome of a call other than a repair-order is remembered.
+	DedupeFor time.Duration `toml:"dedupe_for"`
+	Ledger    LedgerConfig  `toml:"ledger"`
+}
+
+// LedgerConfig is where the orders' ledger is. Without a path orders are not taken.
+type LedgerConfig struct {
+	Path     string `toml:"path"`
+	MaxBytes int64  `toml:"max_bytes"`
+	// Retention is how long an order is kept, counted from its event.
+	Retention time.Duration `toml:"retention"`
+}
+
+// SenderConfig turns the Sender on. Its fields are checked only where it is enabled.
+type SenderConfig struct {
+	Enabled bool   `toml:"enabled"`
+	URL     string `toml:"url"`
+	// Connect is the address to connect to, where it is not the URL's host.
+	Connect  string        `toml:"connect"`
+	Key      string        `toml:"key"`      // file
+	Queue    int           `toml:"queue"`    // notices that are open at once
+	Attempts int           `toml:"attempts"` // per notice
+	Backoff  time.Duration `toml:"backoff"`  // behind the first attempt; it grows from there
+	Timeout  time.Duration `toml:"timeout"`  // of an attempt
 }
 
 // KeyConfig names a key file and, where the key is being retired, until when it is active.
@@ -46,7 +57,36 @@
 	Until time.Time `toml:"until"`
 }
 
-// ReadConfig reads and checks a webhook file.
+// Bounds of the settings.
+const (
+	minTolerance          = time.Second
+	minLedgerBytes        = 1 << 17
+	minRetentionTolerance = 4 // tolerances
+	minDedupeTolerance    = 2 // tolerances
+	maxSenderQueue        = 1 << 16
+	maxSenderAttempts     = 20
+)
+
+// Why a webhook file is not taken.
+var (
+	errUnknownSetting = errors.New("unknown setting")
+	errMissing        = errors.New("is missing")
+	errNotAPath       = errors.New("is no path")
+	errNotPlainHTTP   = errors.New("must be http://HOST/PATH; TLS is a local proxy's work")
+	errOutOfRange     = errors.New("out of range")
+)
+
+// settingError names the setting that is wrong.
+type settingError struct {
+	setting string // as in the file
+	reason  error
+}
+
+func (e *settingError) Error() string { return e.setting + ": " + e.reason.Error() }
+
+func (e *settingError) Unwrap() error { return e.reason }
+
+// ReadConfig reads and checks a webhook file. Its errors name the file, and where there is one the setting.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -55,18 +95,26 @@
 	return parseConfig(path, string(text))
 }
 
+func defaultConfig() *Config {
+	return &Config{
+		Receiver: ReceiverConfig{
+			Path:      "/hooks",
+			Tolerance: 5 * time.Minute,
+			DedupeFor: 15 * time.Minute,
+			Ledger:    LedgerConfig{MaxBytes: 64 << 20, Retention: 72 * time.Hour},
+		},
+		Sender: SenderConfig{Queue: 256, Attempts: 6, Backoff: time.Second, Timeout: 10 * time.Second},
+	}
+}
+
 func parseConfig(path, text string) (*Config, error) {
-	c := &Config{}
-	r, s := &c.Receiver, &c.Sender
-	r.Path, r.Tolerance, r.DedupeFor = "/hooks", 5*time.Minute, 15*time.Minute
-	r.Ledger.MaxBytes, r.Ledger.Retention = 64<<20, 72*time.Hour
-	s.Queue, s.Attempts, s.Backoff, s.Timeout = 256, 6, time.Second, 10*time.Second
-	meta, err := toml.Decode(text, c)
+	c := defaultConfig()
+	metadata, err := toml.Decode(text, c)
 	if err != nil {
 		return nil, fmt.Errorf("webhook file %s: %w", path, err)
 	}
-	if odd := meta.Undecoded(); len(odd) > 0 {
-		return nil, fmt.Errorf("webhook file %s: unknown setting %s", path, odd[0])
+	if unknown := metadata.Undecoded(); len(unknown) > 0 {
+		return nil, fmt.Errorf("webhook file %s: %w", path, &settingError{unknown[0].String(), errUnknownSetting})
 	}
 	if err := c.check(); err != nil {
 		return nil, fmt.Errorf("webhook file %s: %w", path, err)
@@ -75,33 +123,56 @@
 }
 
 func (c *Config) check() error {
-	if r := &c.Receiver; r.Enabled {
-		if _, err := netip.ParseAddrPort(r.Listen); err != nil {
-			return fmt.Errorf("receiver.listen: %w", err)
-		}
-		switch {
-		case len(r.Path) == 0 || r.Path[0] != '/' || !isTarget([]byte(r.Path)):
-			return errors.New("receiver.path is no path")
-		case len(r.Keys) == 0:
-			return errors.New("receiver.keys is empty")
-		case r.Tolerance < time.Second || r.DedupeFor < 2*r.Tolerance:
-			return errors.New("receiver.tolerance must be a second or more, and dedupe_for twice as long or more")
-		case r.Ledger.Path != "" && (r.Ledger.Retention < 4*r.Tolerance || r.Ledger.MaxBytes < 1<<17):
-			return errors.New("receiver.ledger: retention of at least 4 tolerances and 131072 bytes are needed")
+	if c.Receiver.Enabled {
+		if err := c.Receiver.check(); err != nil {
+			return err
 		}
 	}
-	if s := &c.Sender; s.Enabled {
-		u, err := url.Parse(s.URL)
-		switch {
-		case err != nil:
-			return fmt.Errorf("sender.url: %w", err)
-		case u.Scheme != "http" || u.Host == "" || u.User != nil:
-			return errors.New("sender.url must be http://HOST/PATH; TLS is a local proxy's work")
-		case s.Key == "":
-			return errors.New("sender.key is missing")
-		case s.Queue < 1 || s.Queue > 1<<16 || s.Attempts < 1 || s.Attempts > 20 || s.Backoff <= 0 || s.Timeout <= 0:
-			return errors.New("sender: queue, attempts, backoff or timeout is out of range")
-		}
+	if c.Sender.Enabled {
+		return c.Sender.check()
+	}
+	return nil
+}
+
+func (r *ReceiverConfig) check() error {
+	if _, err := netip.ParseAddrPort(r.Listen); err != nil {
+		return &settingError{"receiver.listen", err}
+	}
+	switch {
+	case r.Path == "" || r.Path[0] != '/' || !isRequestTarget([]byte(r.Path)):
+		return &settingError{"receiver.path", errNotAPath}
+	case len(r.Keys) == 0:
+		return &settingError{"receiver.keys", errMissing}
+	case r.Tolerance < minTolerance:
+		return &settingError{"receiver.tolerance", fmt.Errorf("%w: at least %v", errOutOfRange, minTolerance)}
+	case r.DedupeFor < minDedupeTolerance*r.Tolerance:
+		return &settingError{"receiver.dedupe_for", fmt.Errorf("%w: at least %d tolerances", errOutOfRange, minDedupeTolerance)}
+	case r.Ledger.Path != "" && r.Ledger.Retention < minRetentionTolerance*r.Tolerance:
+		return &settingError{"receiver.ledger.retention", fmt.Errorf("%w: at least %d tolerances", errOutOfRange, minRetentionTolerance)}
+	case r.Ledger.Path != "" && r.Ledger.MaxBytes < minLedgerBytes:
+		return &settingError{"receiver.ledger.max_bytes", fmt.Errorf("%w: at least %d", errOutOfRange, minLedgerBytes)}
+	}
+	return nil
+}
+
+func (s *SenderConfig) check() error {
+	target, err := url.Parse(s.URL)
+	if err != nil {
+		return &settingError{"sender.url", err}
+	}
+	switch {
+	case target.Scheme != "http" || target.Host == "" || target.User != nil:
+		return &settingError{"sender.url", errNotPlainHTTP}
+	case s.Key == "":
+		return &settingError{"sender.key", errMissing}
+	case s.Queue < 1 || s.Queue > maxSenderQueue:
+		return &settingError{"sender.queue", errOutOfRange}
+	case s.Attempts < 1 || s.Attempts > maxSenderAttempts:
+		return &settingError{"sender.attempts", errOutOfRange}
+	case s.Backoff <= 0:
+		return &settingError{"sender.backoff", errOutOfRange}
+	case s.Timeout <= 0:
+		return &settingError{"sender.timeout", errOutOfRange}
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/frontend/webhook/connection_test.go
@@ -0,0 +1,110 @@
+package webhook
+
+import (
+	"bytes"
+	"net/http"
+	"net/netip"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"functionrouter/internal/router"
+)
+
+// expectedStatus returns the status that a first delivery gets, and whether its outcome is kept for redeliveries.
+func expectedStatus(a router.Response) (status int, kept bool) {
+	kept = a.Status != router.Refused || a.MayHaveRun
+	switch {
+	case a.Status == router.Served:
+		status = http.StatusOK
+	case a.DeadlineExceeded:
+		status = http.StatusGatewayTimeout
+	case !kept:
+		status = http.StatusServiceUnavailable
+	default:
+		status = http.StatusBadGateway
+	}
+	return status, kept
+}
+
+// The model of a connection: deliveries reach the router however they are split, and each is answered once and in
+// turn, with the status that the outcome maps to; a webhook-id runs once unless it was refused unrun.
+func TestConnection(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		requests, transport := &fakeRouter{}, &fakeTransport{}
+		receiver, _ := newTestReceiver(t, requests, "")
+		c := receiver.serve(transport, netip.AddrPort{})
+		var want []int
+		replayed := map[string]int{} // status by webhook-id
+		t.Repeat(map[string]func(*rapid.T){
+			"deliver": func(t *rapid.T) {
+				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
+				for b := signedDelivery(activeSecret, id, noon, callPayload("dim-level", id, noon)); len(b) > 0; {
+					n := rapid.IntRange(1, len(b)).Draw(t, "n")
+					c.OnData(bytes.Clone(b[:n]))
+					b = b[n:]
+				}
+				if status, ok := replayed[id]; ok {
+					want = append(want, status)
+					if c.HasOpenRequests() {
+						t.Fatal("a redelivery ran again")
+					}
+					return
+				}
+				if !c.HasOpenRequests() || string(requests.requests[len(requests.requests)-1].Body) != id {
+					t.Fatal("the call did not reach the router")
+				}
+				answer := router.Response{
+					Status:           router.Status(rapid.IntRange(0, 2).Draw(t, "status")),
+					MayHaveRun:       rapid.Bool().Draw(t, "may have run"),
+					DeadlineExceeded: rapid.Bool().Draw(t, "deadline exceeded"),
+				}
+				status, kept := expectedStatus(answer)
+				if kept {
+					replayed[id] = status
+				}
+				want = append(want, status)
+				requests.requests[len(requests.requests)-1].Responder.Respond(answer)
+			},
+			"": func(t *rapid.T) {
+				if got := transport.statuses(t); !slices.Equal(got, want) || c.HasOpenRequests() || transport.closed {
+					t.Fatalf("statuses %v, want %v; open requests %v, closed %v", got, want, c.HasOpenRequests(), transport.closed)
+				}
+			},
+		})
+	})
+}
+
+// A client that sends on behind a request that can't be read is cut off in the end, and so is one that sends on
+// without waiting for a response.
+func TestConnectionBoundsWhatItReads(t *testing.T) {
+	t.Run("behind a malformed request", func(t *testing.T) {
+		receiver, _ := newTestReceiver(t, &fakeRouter{}, "")
+		transport := &fakeTransport{}
+		c := receiver.serve(transport, netip.AddrPort{})
+		c.OnData([]byte("\n"))
+		c.OnData(make([]byte, maxDiscardedBytes))
+		if transport.closed {
+			t.Error("closed within the bound")
+		}
+		c.OnData([]byte("x"))
+		if got := transport.statuses(t); !transport.closed || !slices.Equal(got, []int{http.StatusBadRequest}) {
+			t.Errorf("closed %v, statuses %v", transport.closed, got)
+		}
+	})
+	t.Run("while a response is owed", func(t *testing.T) {
+		receiver, _ := newTestReceiver(t, &fakeRouter{}, "")
+		transport := &fakeTransport{}
+		c := receiver.serve(transport, netip.AddrPort{})
+		c.OnData(signedDelivery(activeSecret, "m", noon, callPayload("dim-level", "x", noon)))
+		c.OnData(make([]byte, maxHeadBytes+maxBodyBytes))
+		if transport.closed {
+			t.Error("closed within the bound")
+		}
+		c.OnData([]byte("x"))
+		if got := transport.statuses(t); !transport.closed || len(got) > 0 {
+			t.Errorf("closed %v, statuses %v", transport.closed, got)
+		}
+	})
+}
--- /dev/null
+++ b/internal/frontend/webhook/endtoend_test.go
@@ -0,0 +1,127 @@
+package webhook
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// sentDelivery is a delivery with the status that it must get.
+type sentDelivery struct {
+	request []byte
+	order   string // the body of its call
+	want    int
+}
+
+// hostileDeliveries returns deliveries of so many orders: sent again as they were, signed anew for a later attempt,
+// tampered with, and signed with a retired key.
+func hostileDeliveries(rng *rand.Rand, orders int) (all []sentDelivery) {
+	for i := range orders {
+		order, id := fmt.Sprintf("order-%d", i), fmt.Sprintf("msg_%d", i)
+		body := callPayload("repair-order", order, noon)
+		first := signedDelivery(activeSecret, id, noon, body)
+		want := http.StatusOK
+		if isLostOrder(order) {
+			want = http.StatusBadGateway
+		}
+		all = append(all, sentDelivery{first, order, want})
+		for range 1 + rng.IntN(3) {
+			signedAt := noon.Add(time.Duration(rng.IntN(100)) * time.Second)
+			all = append(all, sentDelivery{signedDelivery(activeSecret, id, signedAt, body), order, want})
+		}
+		tampered := bytes.Replace(first, []byte("webhook-id: msg_"), []byte("webhook-id: msg_x"), 1)
+		all = append(all,
+			sentDelivery{tampered, order, http.StatusUnauthorized},
+			sentDelivery{signedDelivery(retiredSecret, id+"r", noon, body), order, http.StatusUnauthorized})
+	}
+	return all
+}
+
+// deliverAll sends the deliveries on four connections at once and checks their answers.
+func (s *testServer) deliverAll(t *testing.T, all []sentDelivery) {
+	t.Helper()
+	const concurrency = 4
+	var group sync.WaitGroup
+	for first := range concurrency {
+		group.Go(func() {
+			for i := first; i < len(all); i += concurrency {
+				sent := all[i]
+				status, body, err := s.deliver(sent.request)
+				if err != nil || status != sent.want || status == http.StatusOK && body != "done "+sent.order {
+					t.Errorf("%s: %d %q, want %d; error %v", sent.order, status, body, sent.want, err)
+				}
+			}
+		})
+	}
+	group.Wait()
+}
+
+// The operators' test: a server at hooks.example.org replays, reorders and tampers with signed orders, and with the
+// notices that it gets of them, also over a restart; no order runs twice, and each has one notice.
+func TestOrdersRunOnceWhateverTheSenderDoes(t *testing.T) {
+	const orders = 30
+	ledgerPath := filepath.Join(t.TempDir(), "ledger")
+	runs := map[string]int{}
+	rng := rand.New(rand.NewPCG(1, 2))
+	all := hostileDeliveries(rng, orders)
+	notices := startNoticeReceiver(t)
+
+	play := func(t *testing.T, whileRunning func()) {
+		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+		server := startServer(t, ledgerPath, notices.address, runs)
+		server.deliverAll(t, all)
+		whileRunning()
+		server.stop(t)
+		for i := range orders {
+			if n := runs[fmt.Sprintf("order-%d", i)]; n != 1 {
+				t.Errorf("order %d ran %d times", i, n)
+			}
+		}
+	}
+	t.Run("first start", func(t *testing.T) {
+		play(t, func() {
+			for range orders {
+				<-notices.taken
+			}
+			notices.mu.Lock()
+			defer notices.mu.Unlock()
+			for _, notice := range notices.deliveries { // properly signed, but no call
+				all = append(all, sentDelivery{notice, "notice", http.StatusBadRequest})
+			}
+		})
+	})
+	t.Run("restart", func(t *testing.T) { play(t, func() {}) })
+	notices.checkNotices(t, orders)
+}
+
+// A payload signed with a retired key gets one final answer, a refusal, and nothing after it.
+func TestRetiredKeyGetsOneFinalAnswer(t *testing.T) {
+	runs := map[string]int{}
+	server := startServer(t, filepath.Join(t.TempDir(), "ledger"), "", runs)
+	c, err := server.dialServer()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = c.Close() }() // the server has closed it, as the test has read
+	request := signedDelivery(retiredSecret, "m", noon, callPayload("repair-order", "x", noon))
+	if _, err := c.Write(bytes.Replace(request, []byte("Host:"), []byte("Connection: close\r\nHost:"), 1)); err != nil {
+		t.Fatal(err)
+	}
+	text, err := io.ReadAll(c)
+	if err != nil && !errors.Is(err, net.ErrClosed) {
+		t.Fatal(err)
+	}
+	server.stop(t)
+	if n := strings.Count(string(text), "HTTP/1.1 "); n != 1 || !strings.HasPrefix(string(text), "HTTP/1.1 401 ") || runs["x"] != 0 {
+		t.Errorf("%d answers, %d runs: %q", n, runs["x"], text)
+	}
+}
--- /dev/null
+++ b/internal/frontend/webhook/harness_test.go
@@ -0,0 +1,164 @@
+package webhook
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/base64"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"strconv"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"functionrouter/internal/router"
+	"functionrouter/policy"
+)
+
+var (
+	noon          = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+	activeSecret  = bytes.Repeat([]byte("active"), 5)
+	retiredSecret = bytes.Repeat([]byte("retire"), 5)
+	testKeys      = []signingKey{{secret: activeSecret}, {secret: retiredSecret, retiredAt: noon}}
+	testClasses   = []Class{
+		{Name: "dim-level", Longest: 2 * time.Second},
+		{Name: "repair-order", Once: true, Longest: 3 * time.Second},
+	}
+)
+
+const (
+	testFunctionKey   = "7f3a9c21e0b4d655"
+	testReplayBytes   = 16 << 20
+	testLedgerBytes   = 1 << 20
+	testSocketTimeout = 20 * time.Second
+)
+
+// noonClock is the wall clock of all tests.
+func noonClock() time.Time { return noon }
+
+// fakeTransport keeps what is written to a connection.
+type fakeTransport struct {
+	written bytes.Buffer
+	closed  bool
+}
+
+func (t *fakeTransport) Write(bufs ...[]byte) {
+	for _, b := range bufs {
+		t.written.Write(b)
+	}
+}
+
+func (t *fakeTransport) Close() { t.closed = true }
+
+func (t *fakeTransport) CloseAfterFlush() { t.Close() }
+
+// statuses returns the status codes of the responses written so far.
+func (t *fakeTransport) statuses(tb rapid.TB) (codes []int) {
+	tb.Helper()
+	for in := bufio.NewReader(bytes.NewReader(t.written.Bytes())); ; {
+		if _, err := in.Peek(1); errors.Is(err, io.EOF) {
+			return codes
+		}
+		r, err := http.ReadResponse(in, nil)
+		if err != nil {
+			tb.Fatalf("%v in %q", err, t.written.String())
+		}
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			tb.Fatalf("%v in %q", err, t.written.String())
+		}
+		codes = append(codes, r.StatusCode)
+	}
+}
+
+// fakeRouter keeps the requests that it is handed.
+type fakeRouter struct{ requests []router.Request }
+
+func (f *fakeRouter) Submit(_ time.Duration, r router.Request) policy.RequestID {
+	f.requests = append(f.requests, r)
+	return policy.RequestID(len(f.requests))
+}
+
+// testConfig returns the defaults with a ledger at this path; an empty one means none.
+func testConfig(tb rapid.TB, ledgerPath string) *Config {
+	tb.Helper()
+	c, err := parseConfig("test", `receiver.path = "/hooks"`)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	c.Receiver.Ledger.Path = ledgerPath
+	return c
+}
+
+// newTestReceiver returns a receiver; what it has run on the loop comes through the channel.
+func newTestReceiver(tb rapid.TB, requests RequestRouter, ledgerPath string) (*Receiver, chan func()) {
+	tb.Helper()
+	loopCalls := make(chan func(), 100)
+	r, err := NewReceiver(testConfig(tb, ledgerPath), requests, testClasses, testReplayBytes, func() time.Duration { return time.Hour },
+		noonClock, func(f func()) { loopCalls <- f })
+	if err != nil {
+		tb.Fatal(err)
+	}
+	r.keys = testKeys
+	return r, loopCalls
+}
+
+// closeReceiver closes a receiver whose ledger is sound.
+func closeReceiver(tb rapid.TB, r *Receiver) {
+	tb.Helper()
+	if err := r.Close(); err != nil {
+		tb.Errorf("close: %v", err)
+	}
+}
+
+// deliver sends bytes on a connection of their own.
+func deliver(r *Receiver, b []byte) *fakeTransport {
+	transport := &fakeTransport{}
+	r.serve(transport, netip.AddrPort{}).OnData(b)
+	return transport
+}
+
+// callPayload returns the JSON of a call.
+func callPayload(class, body string, eventTime time.Time) []byte {
+	p := payload{Type: callType, Timestamp: eventTime, Data: callData{Class: class, Key: testFunctionKey, Body: []byte(body)}}
+	text, err := json.Marshal(p)
+	if err != nil {
+		panic(err) // of strings, numbers and bytes: it can't fail
+	}
+	return text
+}
+
+// signedDelivery returns an HTTP request that delivers a payload, signed at this time.
+func signedDelivery(secret []byte, id string, signedAt time.Time, body []byte) []byte {
+	timestamp := strconv.FormatInt(signedAt.Unix(), 10)
+	head := fmt.Sprintf("POST /hooks HTTP/1.1\r\nHost: hooks.example.org\r\nContent-Length: %d\r\nwebhook-id: %s\r\n"+
+		"webhook-timestamp: %s\r\nwebhook-signature: v1a,other %s\r\n\r\n", len(body), id, timestamp, sign(secret, id, timestamp, body))
+	return append([]byte(head), body...)
+}
+
+// orderDelivery returns a delivery of an order that is of noon, as all that the tests send but for the expired ones.
+func orderDelivery(id, body string) []byte {
+	return signedDelivery(activeSecret, id, noon, callPayload("repair-order", body, noon))
+}
+
+// writeKeyFile returns the path of a key file.
+func writeKeyFile(t *testing.T, secret []byte) string {
+	t.Helper()
+	return writeFile(t, secretPrefix+base64.StdEncoding.EncodeToString(secret))
+}
+
+// writeFile returns the path of a file with this text.
+func writeFile(t *testing.T, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
--- a/internal/frontend/webhook/http.go
+++ b/internal/frontend/webhook/http.go
@@ -2,111 +2,190 @@
 
 import (
 	"bytes"
+	"errors"
+	"fmt"
+	"net/http"
 	"strconv"
+	"time"
 )
 
 const (
-	maxHead    = 8 << 10  // request line and header lines
-	maxHeaders = 64       // of them
-	maxCall    = 16 << 10 // a call's body, once decoded
-	maxBody    = 24 << 10 // a request's body: a call's body in base64 and the fields round it
+	maxHeadBytes    = 8 << 10  // request line and header lines
+	maxHeaderFields = 64       // of a request
+	maxCallBytes    = 16 << 10 // a call's body, once decoded
+	maxBodyBytes    = 24 << 10 // a request's body: a call's body in base64 and the fields round it
+	protocolVersion = "HTTP/1.1"
 )
 
-// request is an HTTP request whose head has been read. Its parts point into the bytes read.
-type request struct {
-	method, target []byte
-	headers        []header
-	length         int  // of the body
-	last           bool // the client asked for the connection to be closed
-	waits          bool // the client waits for 100 Continue
+// Why a request can't be read. Where its body would end is then unknown, so that the connection can't be used any
+// further.
+var (
+	errMalformedRequestLine = errors.New("malformed request line")
+	errMalformedField       = errors.New("malformed header field")
+	errBareLineFeed         = errors.New("line end is not CRLF")
+	errMissingHost          = errors.New("not exactly one Host")
+	errTransferEncoding     = errors.New("transfer codings are not supported")
+	errContentLength        = errors.New("missing, repeated or malformed Content-Length")
+	errHeadTooLarge         = errors.New("request head is too large")
+	errBodyTooLarge         = errors.New("request body is too large")
+)
+
+// Why a request that could be read is no delivery.
+var (
+	errUnknownPath      = errors.New("unknown path")
+	errMethodNotAllowed = errors.New("method is not POST")
+)
+
+// statusOf returns the status code (RFC 9110, section 15) that answers a request rejected with err.
+func statusOf(err error) int {
+	switch {
+	case errors.Is(err, errMalformedSignature), errors.Is(err, errStaleTimestamp), errors.Is(err, errNoMatchingKey):
+		return http.StatusUnauthorized
+	case errors.Is(err, errUnknownPath):
+		return http.StatusNotFound
+	case errors.Is(err, errMethodNotAllowed):
+		return http.StatusMethodNotAllowed
+	case errors.Is(err, errBodyTooLarge):
+		return http.StatusRequestEntityTooLarge
+	case errors.Is(err, errHeadTooLarge):
+		return http.StatusRequestHeaderFieldsTooLarge
+	case errors.Is(err, errOverloaded), errors.Is(err, errNoLedger):
+		return http.StatusServiceUnavailable
+	default:
+		return http.StatusBadRequest
+	}
+}
+
+// requestHead is an HTTP/1.1 request whose head has been read (RFC 9112). Its parts point into the bytes read.
+type requestHead struct {
+	method, target  []byte
+	fields          []headerField
+	contentLength   int
+	closeRequested  bool // the client asked for the connection to be closed
+	expectsContinue bool // the client waits for 100 Continue before it sends the body
 }
 
-type header struct{ name, value []byte }
+type headerField struct{ name, value []byte }
 
-// get returns the value of a header, and how many there are of that name.
-func (r *request) get(name string) (value []byte, n int) {
-	for _, h := range r.headers {
-		if len(h.name) == len(name) && bytes.EqualFold(h.name, []byte(name)) {
-			value = h.value
-			n++
+// field returns the value of the last header field of that name, and how many there are.
+func (h *requestHead) field(name string) (value []byte, count int) {
+	for _, f := range h.fields {
+		if len(f.name) == len(name) && bytes.EqualFold(f.name, []byte(name)) {
+			value = f.value
+			count++
 		}
 	}
-	return value, n
+	return value, count
 }
 
-// parseHead reads the head at the front of b, in place. It returns how long the head is, 0 while
-// it is not whole, and a status other than 0 for a request that is refused as it stands: where its
-// body would end is then unknown, so the connection can't be used any further.
-func parseHead(b []byte) (r request, size, status int) {
-	end := bytes.Index(b[:min(len(b), maxHead)], []byte("\r\n\r\n"))
+// parseRequestHead reads the head at the front of b, in place. It returns the head's size in bytes, 0 while it is
+// incomplete.
+func parseRequestHead(b []byte) (head requestHead, size int, err error) {
+	end := bytes.Index(b[:min(len(b), maxHeadBytes)], []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(b) >= maxHead {
-			return r, 0, 431
-		}
-		// A line end that is not CRLF would have us wait for an end that others have seen.
-		if i := bytes.IndexByte(b, '\n'); i == 0 || i > 0 && b[i-1] != '\r' {
-			return r, 0, 400
-		}
-		return r, 0, 0
+		return head, 0, checkIncompleteHead(b)
+	}
+	line, fields, _ := bytes.Cut(b[:end+len("\r\n")], []byte("\r\n"))
+	if err := head.parseRequestLine(line); err != nil {
+		return head, 0, err
+	}
+	if err := head.parseFields(fields); err != nil {
+		return head, 0, err
+	}
+	if err := head.checkFraming(); err != nil {
+		return head, 0, err
+	}
+	connection, _ := head.field("Connection")
+	head.closeRequested = bytes.EqualFold(connection, []byte("close"))
+	expect, _ := head.field("Expect")
+	head.expectsContinue = bytes.EqualFold(expect, []byte("100-continue"))
+	return head, end + len("\r\n\r\n"), nil
+}
+
+// checkIncompleteHead rejects what can't become a head any more.
+func checkIncompleteHead(b []byte) error {
+	if len(b) >= maxHeadBytes {
+		return errHeadTooLarge
 	}
-	line, rest, _ := bytes.Cut(b[:end+2], []byte("\r\n"))
+	// Some take a bare line feed for a line end: waiting for CRLF would make two requests out of what they saw as one.
+	if i := bytes.IndexByte(b, '\n'); i == 0 || i > 0 && b[i-1] != '\r' {
+		return errBareLineFeed
+	}
+	return nil
+}
+
+// parseRequestLine reads METHOD SP TARGET SP VERSION (RFC 9112, section 3).
+func (h *requestHead) parseRequestLine(line []byte) error {
 	words := bytes.Split(line, []byte{' '})
-	if len(words) != 3 || string(words[2]) != "HTTP/1.1" || !isToken(words[0]) || !isTarget(words[1]) {
-		return r, 0, 400
+	if len(words) != 3 || string(words[2]) != protocolVersion || !isToken(words[0]) || !isRequestTarget(words[1]) {
+		return errMalformedRequestLine
 	}
-	r.method, r.target = words[0], words[1]
-	for len(rest) > 0 {
-		line, rest, _ = bytes.Cut(rest, []byte("\r\n"))
-		name, value, ok := bytes.Cut(line, []byte{':'})
+	h.method = words[0]
+	h.target = words[1]
+	return nil
+}
+
+// parseFields reads the header lines, each with its line end (RFC 9112, section 5). Neither folded lines nor space
+// before the colon are let in, as the RFC demands: servers differ in how they read them.
+func (h *requestHead) parseFields(lines []byte) error {
+	var line []byte
+	for len(lines) > 0 {
+		line, lines, _ = bytes.Cut(lines, []byte("\r\n"))
+		name, value, found := bytes.Cut(line, []byte{':'})
 		value = bytes.Trim(value, " \t")
-		if !ok || !isToken(name) || !isText(value) { // no folded lines, no space before the colon
-			return r, 0, 400
+		if !found || !isToken(name) || !isFieldValue(value) {
+			return errMalformedField
 		}
-		if len(r.headers) == maxHeaders {
-			return r, 0, 431
+		if len(h.fields) == maxHeaderFields {
+			return fmt.Errorf("%w: more than %d fields", errHeadTooLarge, maxHeaderFields)
 		}
-		r.headers = append(r.headers, header{name, value})
+		h.fields = append(h.fields, headerField{name, value})
 	}
-	if _, n := r.get("Host"); n != 1 {
-		return r, 0, 400
+	return nil
+}
+
+// checkFraming finds the body's length. Two lengths, or a length and chunks, are how one request is passed off as
+// two (request smuggling; RFC 9112, section 11.2): it never guesses.
+func (h *requestHead) checkFraming() error {
+	if _, count := h.field("Host"); count != 1 {
+		return errMissingHost
 	}
-	// Two lengths, or a length and chunks, are how one request is passed off as two: never guess.
-	if _, n := r.get("Transfer-Encoding"); n > 0 {
-		return r, 0, 400
+	if _, count := h.field("Transfer-Encoding"); count > 0 {
+		return errTransferEncoding
 	}
-	length, n := r.get("Content-Length")
-	if n > 1 || n == 0 && string(r.method) == "POST" {
-		return r, 0, 400
+	text, count := h.field("Content-Length")
+	if count > 1 || count == 0 && string(h.method) == http.MethodPost {
+		return errContentLength
 	}
-	if n == 1 {
-		if status := r.setLength(length); status != 0 {
-			return r, 0, status
-		}
+	if count == 0 {
+		return nil
 	}
-	connection, _ := r.get("Connection")
-	r.last = bytes.EqualFold(connection, []byte("close"))
-	expect, _ := r.get("Expect")
-	r.waits = bytes.EqualFold(expect, []byte("100-continue"))
-	return r, end + 4, 0
+	length, err := parseContentLength(text)
+	if err != nil {
+		return err
+	}
+	h.contentLength = length
+	return nil
 }
 
-func (r *request) setLength(text []byte) (status int) {
-	for _, d := range text {
-		if d < '0' || d > '9' { // no sign, no list
-			return 400
+// parseContentLength takes digits only: no sign and no list.
+func parseContentLength(text []byte) (int, error) {
+	if len(text) == 0 {
+		return 0, errContentLength
+	}
+	for _, digit := range text {
+		if digit < '0' || digit > '9' {
+			return 0, errContentLength
 		}
 	}
-	n, err := strconv.Atoi(string(text))
-	switch {
-	case len(text) == 0:
-		return 400
-	case err != nil || n > maxBody:
-		return 413
+	length, err := strconv.Atoi(string(text))
+	if err != nil || length > maxBodyBytes { // digits alone fail only where the number is too large for an int
+		return 0, errBodyTooLarge
 	}
-	r.length = n
-	return 0
+	return length, nil
 }
 
+// isToken reports whether b is a token (RFC 9110, section 5.6.2).
 func isToken(b []byte) bool {
 	for _, c := range b {
 		switch {
@@ -119,7 +198,8 @@
 	return len(b) > 0
 }
 
-func isTarget(b []byte) bool {
+// isRequestTarget reports whether b may stand as a request's target: visible ASCII, and not empty.
+func isRequestTarget(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
 			return false
@@ -128,7 +208,9 @@
 	return len(b) > 0
 }
 
-func isText(b []byte) bool {
+// isFieldValue reports whether b may stand as a header field's value (RFC 9110, section 5.5): no control characters
+// but tabs.
+func isFieldValue(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
 			return false
@@ -137,23 +219,40 @@
 	return true
 }
 
-var reasons = map[int]string{
-	200: "OK", 400: "Bad Request", 401: "Unauthorized", 404: "Not Found", 405: "Method Not Allowed",
-	413: "Content Too Large", 431: "Request Header Fields Too Large", 502: "Bad Gateway",
-	503: "Service Unavailable", 504: "Gateway Timeout",
+// reasonPhrase returns the status's name as RFC 9110 has it; net/http still has an older one for 413.
+func reasonPhrase(status int) string {
+	if status == http.StatusRequestEntityTooLarge {
+		return "Content Too Large"
+	}
+	return http.StatusText(status)
+}
+
+// continueResponse tells a client that waits for it to send its request's body (RFC 9110, section 15.2.1).
+const continueResponse = protocolVersion + " 100 Continue\r\n\r\n"
+
+// responseHead is what the head of a response is made of.
+type responseHead struct {
+	status        int
+	contentLength int
+	closes        bool          // the connection is closed behind it
+	retryAfter    time.Duration // of 503: sent in whole seconds, rounded up, at least one
 }
 
-// response returns the head of an answer; its body is written behind it.
-func response(status, length int, last bool, extra string) []byte {
-	b := append(make([]byte, 0, 192), "HTTP/1.1 "...)
-	b = append(strconv.AppendInt(b, int64(status), 10), ' ')
-	b = append(append(b, reasons[status]...), "\r\nContent-Length: "...)
-	b = append(strconv.AppendInt(b, int64(length), 10), "\r\n"...)
-	if length > 0 {
+// encode returns the head's bytes.
+func (h responseHead) encode() []byte {
+	b := make([]byte, 0, 192)
+	b = fmt.Appendf(b, "%s %d %s\r\nContent-Length: %d\r\n", protocolVersion, h.status, reasonPhrase(h.status), h.contentLength)
+	if h.contentLength > 0 {
 		b = append(b, "Content-Type: application/octet-stream\r\n"...)
 	}
-	if last {
+	if h.closes {
 		b = append(b, "Connection: close\r\n"...)
 	}
-	return append(append(b, extra...), "\r\n"...)
+	switch h.status {
+	case http.StatusServiceUnavailable:
+		b = fmt.Appendf(b, "Retry-After: %d\r\n", max(1, (h.retryAfter+time.Second-1)/time.Second))
+	case http.StatusMethodNotAllowed:
+		b = append(b, "Allow: POST\r\n"...)
+	}
+	return append(b, "\r\n"...)
 }
--- /dev/null
+++ b/internal/frontend/webhook/noticereceiver_test.go
@@ -0,0 +1,86 @@
+package webhook
+
+import (
+	"encoding/json"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+)
+
+// noticeReceiver is the server at hooks.example.org: it takes signed notices, each at the second attempt only, and
+// keeps what it was sent.
+type noticeReceiver struct {
+	address string
+	taken   chan struct{} // one for each notice taken
+
+	mu         sync.Mutex
+	attempts   map[string]int    // by the notice's webhook-id
+	orders     map[string]string // the webhook-id of the order that a notice is of, by the notice's
+	deliveries [][]byte          // the notices taken, as deliveries to the receiver under test
+}
+
+func startNoticeReceiver(t *testing.T) *noticeReceiver {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	n := &noticeReceiver{
+		address:  listener.Addr().String(),
+		taken:    make(chan struct{}, 1000),
+		attempts: map[string]int{},
+		orders:   map[string]string{},
+	}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { n.serve(t, w, r) })}
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(listener) }()
+	t.Cleanup(func() {
+		if err := server.Close(); err != nil {
+			t.Error(err)
+		}
+		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
+			t.Error(err)
+		}
+	})
+	return n
+}
+
+func (n *noticeReceiver) serve(t *testing.T, w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	id := r.Header.Get(idField)
+	var p noticePayload
+	if err != nil || json.Unmarshal(body, &p) != nil || r.Host != "hooks.example.org" ||
+		r.Header.Get(signatureField) != sign(activeSecret, id, r.Header.Get(timestampField), body) {
+		t.Errorf("a notice that is not as it should be: %v %s", r.Header, body)
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.attempts[id]++
+	if n.attempts[id] == 1 {
+		w.WriteHeader(http.StatusInternalServerError)
+		return
+	}
+	n.orders[id] = p.Data.WebhookID
+	n.deliveries = append(n.deliveries, signedDelivery(activeSecret, id, noon, body))
+	n.taken <- struct{}{}
+}
+
+// checkNotices checks that each of so many orders had one notice, taken at its second attempt.
+func (n *noticeReceiver) checkNotices(t *testing.T, orders int) {
+	t.Helper()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	notices := map[string]int{} // by the order's webhook-id
+	for id, order := range n.orders {
+		notices[order]++
+		if n.attempts[id] != 2 || notices[order] != 1 {
+			t.Errorf("notice %s of %s: %d attempts, %d notices", id, order, n.attempts[id], notices[order])
+		}
+	}
+	if len(notices) != orders {
+		t.Errorf("notices of %d orders", len(notices))
+	}
+}
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -1,16 +1,14 @@
 package webhook
 
 import (
-	"bytes"
 	crand "crypto/rand"
 	"encoding/base64"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"log"
+	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"net/url"
-	"strconv"
 	"time"
 
 	"functionrouter/internal/eventloop"
@@ -18,211 +16,190 @@
 )
 
 const (
-	sendersAtOnce = 4
-	maxReply      = 8 << 10 // of a receiver's answer that is read
-	backoffMost   = 10 * time.Minute
+	maxConcurrentAttempts = 4
+	maxBackoff            = 10 * time.Minute
+	maxBackoffDoublings   = 20        // the exponent's bound
+	idleInterval          = time.Hour // until Process is called again where nothing waits
+	defaultPort           = ":80"
 )
 
-// Sender sends a signed notice of what became of each order. It is never in a request's way: what
-// its queue has no room for is dropped and counted.
+// Sender sends a signed notice of what became of each order. It is never in a request's way: what its queue has no
+// room for is dropped and counted. It belongs to the event loop's goroutine.
 type Sender struct {
-	cfg    *Config
-	url    *url.URL
-	addr   string
-	secret []byte
-	dial   func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
-	wall   func() time.Time
-	now    time.Duration
-	queue  []*notice // waiting for their time
-	out    int
-	flying []*delivery
-	Sent   SenderCounters
+	settings  *SenderConfig
+	url       *url.URL
+	address   string // to connect to
+	secret    []byte
+	dial      func(address string, timeout time.Duration, h eventloop.DialHandler) Transport
+	wallClock func() time.Time
+	now       time.Duration // the latest time that a caller passed
+	queue     []*notice     // waiting for their first or next attempt
+	attempts  []*attempt    // in flight, and those that ended since the last Process
+	inFlight  int           // attempts that have not ended
+
+	// Sent may be read on the loop's goroutine.
+	Sent SenderCounters
 }
 
 // SenderCounters tells what became of notices.
-type SenderCounters struct{ Queued, Dropped, Delivered, Retried, GivenUp uint64 }
+type SenderCounters struct {
+	Queued    uint64
+	Dropped   uint64 // not queued: the queue was full
+	Delivered uint64 // taken by their receiver
+	Retried   uint64 // attempts that failed and were followed by another
+	GivenUp   uint64 // notices whose last attempt failed
+}
 
+// notice is a message to be delivered.
 type notice struct {
-	id    string // the same in each delivery
-	body  []byte
-	tries int
-	due   time.Duration
+	id        string // its webhook-id, the same in each attempt
+	body      []byte
+	attempts  int           // that have ended
+	notBefore time.Duration // of its next attempt
+}
+
+// noticePayload is the JSON of a notice.
+type noticePayload struct {
+	Type      string     `json:"type"`
+	Timestamp time.Time  `json:"timestamp"` // of the order's end
+	Data      noticeData `json:"data"`
+}
+
+type noticeData struct {
+	ID        string `json:"id"`                   // of the request
+	WebhookID string `json:"webhook_id,omitempty"` // of the delivery that the order came by
+	Key       string `json:"key"`                  // the function's
 }
 
-// NewSender reads the key.
-func NewSender(cfg *Config, wall func() time.Time, dial func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport) (*Sender, error) {
-	u, err := url.Parse(cfg.Sender.URL)
+// NewSender reads the key. dial opens a connection and reports to h on the loop's goroutine, after it has returned.
+func NewSender(cfg *Config, wallClock func() time.Time,
+	dial func(address string, timeout time.Duration, h eventloop.DialHandler) Transport) (*Sender, error) {
+	settings := &cfg.Sender
+	target, err := url.Parse(settings.URL)
 	if err != nil {
 		return nil, fmt.Errorf("sender.url: %w", err)
 	}
-	s := &Sender{cfg: cfg, url: u, addr: cfg.Sender.Connect, dial: dial, wall: wall}
-	if s.addr == "" {
-		if s.addr = u.Host; u.Port() == "" {
-			s.addr += ":80"
+	address := settings.Connect
+	if address == "" {
+		address = target.Host
+		if target.Port() == "" {
+			address += defaultPort
 		}
 	}
-	if s.secret, err = readKey(cfg.Sender.Key); err != nil {
+	secret, err := readSecret(settings.Key)
+	if err != nil {
 		return nil, err
 	}
-	return s, nil
+	return &Sender{settings: settings, url: target, address: address, secret: secret, dial: dial, wallClock: wallClock}, nil
 }
 
 // Notify queues a notice of an order's outcome, whose name becomes part of the notice's type.
 func (s *Sender) Notify(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	s.now = max(s.now, now)
-	if len(s.queue)+s.out >= s.cfg.Sender.Queue {
+	if s.OpenNotices() >= s.settings.Queue {
 		s.Sent.Dropped++
 		return
 	}
-	type data struct {
-		ID  string `json:"id"`
-		Ref string `json:"webhook_id,omitempty"` // of the delivery that the order came by
-		Key string `json:"key"`
-	}
-	body, err := json.Marshal(struct {
-		Type      string    `json:"type"`
-		Timestamp time.Time `json:"timestamp"`
-		Data      data      `json:"data"`
-	}{"repair-order." + outcome.String(), s.wall().UTC(), data{r.ID, r.ClientReference, r.FunctionKey}})
+	body, err := json.Marshal(noticePayload{
+		Type:      "repair-order." + outcome.String(),
+		Timestamp: s.wallClock().UTC(),
+		Data:      noticeData{ID: r.ID, WebhookID: r.ClientReference, Key: r.FunctionKey},
+	})
 	if err != nil {
 		s.Sent.Dropped++
 		return
 	}
-	var id [16]byte
-	crand.Read(id[:]) // never fails
 	s.Sent.Queued++
-	s.queue = append(s.queue, &notice{id: "msg_" + base64.RawURLEncoding.EncodeToString(id[:]), body: body, due: s.now})
+	s.queue = append(s.queue, &notice{id: newMessageID(), body: body, notBefore: s.now})
+}
+
+// newMessageID returns a webhook-id.
+func newMessageID() string {
+	var b [16]byte
+	crand.Read(b[:]) // it never fails: see crypto/rand
+	return "msg_" + base64.RawURLEncoding.EncodeToString(b[:])
 }
 
-// OpenNotices is how many notices have not come to their end.
-func (s *Sender) OpenNotices() int { return len(s.queue) + s.out }
+// OpenNotices returns how many notices have been neither delivered nor given up.
+func (s *Sender) OpenNotices() int { return len(s.queue) + s.inFlight }
 
-// Process sends what is due, and returns when it is to be called again.
+// Process starts the attempts that are due and ends those that take too long. It returns when it must be called
+// again at the latest.
 func (s *Sender) Process(now time.Duration) time.Duration {
 	s.now = max(s.now, now)
-	next := now + time.Hour
-	keep := s.queue[:0]
+	nextStart := s.startAttempts(now)
+	nextTimeout := s.expireAttempts(now)
+	return min(now+idleInterval, nextStart, nextTimeout)
+}
+
+// startAttempts sends the notices that are due, as many at once as are allowed. It returns when the next is due.
+func (s *Sender) startAttempts(now time.Duration) (next time.Duration) {
+	next = now + idleInterval
+	waiting := s.queue[:0]
 	for _, n := range s.queue {
-		if n.due <= now && s.out < sendersAtOnce {
-			s.out++
-			d := &delivery{sender: s, n: n}
-			d.line = s.dial(s.addr, s.cfg.Sender.Timeout, d)
-			d.until = now + s.cfg.Sender.Timeout
-			s.flying = append(s.flying, d)
+		if n.notBefore <= now && s.inFlight < maxConcurrentAttempts {
+			s.startAttempt(now, n)
 			continue
 		}
-		if s.out < sendersAtOnce {
-			next = min(next, n.due)
-		}
-		keep = append(keep, n)
-	}
-	clear(s.queue[len(keep):])
-	s.queue = keep
-	flying := s.flying[:0]
-	for _, d := range s.flying {
-		if !d.done && d.until <= now {
-			d.finish(0, errors.New("no answer in time"))
-		}
-		if !d.done {
-			next = min(next, d.until)
-			flying = append(flying, d)
+		if s.inFlight < maxConcurrentAttempts {
+			next = min(next, n.notBefore)
 		}
+		waiting = append(waiting, n)
 	}
-	clear(s.flying[len(flying):])
-	s.flying = flying
+	clear(s.queue[len(waiting):])
+	s.queue = waiting
 	return next
 }
 
-// delivery is one try to deliver a notice, on a connection of its own.
-type delivery struct {
-	sender *Sender
-	n      *notice
-	line   Transport
-	until  time.Duration
-	reply  []byte
-	done   bool
+func (s *Sender) startAttempt(now time.Duration, n *notice) {
+	s.inFlight++
+	a := &attempt{sender: s, notice: n, deadline: now + s.settings.Timeout}
+	a.transport = s.dial(s.address, s.settings.Timeout, a)
+	s.attempts = append(s.attempts, a)
 }
 
-// Opened sends the notice, signed with the time of this try.
-func (d *delivery) OnOpen(err error) {
-	if err != nil {
-		d.finish(0, err)
-		return
-	}
-	if d.done {
-		return
-	}
-	s, n := d.sender, d.n
-	stamp := strconv.FormatInt(s.wall().Unix(), 10)
-	head := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n"+
-		"webhook-id: %s\r\nwebhook-timestamp: %s\r\nwebhook-signature: %s\r\nConnection: close\r\n\r\n",
-		s.url.RequestURI(), s.url.Host, len(n.body), n.id, stamp, sign(s.secret, n.id, stamp, n.body))
-	d.line.Write(head, n.body)
-}
-
-// Data reads the status line; nothing else of the answer matters.
-func (d *delivery) OnData(b []byte) {
-	if d.done {
-		return
-	}
-	d.reply = append(d.reply, b...)
-	line, _, whole := bytes.Cut(d.reply[:min(len(d.reply), maxReply)], []byte("\r\n"))
-	if !whole {
-		if len(d.reply) >= maxReply {
-			d.finish(0, errors.New("malformed answer"))
+// expireAttempts ends the attempts whose time is over, and forgets those that have ended. It returns the next
+// deadline.
+func (s *Sender) expireAttempts(now time.Duration) (next time.Duration) {
+	next = now + idleInterval
+	running := s.attempts[:0]
+	for _, a := range s.attempts {
+		if !a.ended && a.deadline <= now {
+			a.end(0, errReplyTimeout)
 		}
-		return
-	}
-	words := bytes.SplitN(line, []byte{' '}, 3)
-	status := 0
-	if len(words) >= 2 && bytes.HasPrefix(words[0], []byte("HTTP/1.")) && len(words[1]) == 3 {
-		status, _ = strconv.Atoi(string(words[1]))
-	}
-	if status >= 100 && status < 200 { // an interim answer; the one that counts follows
-		if end := bytes.Index(d.reply, []byte("\r\n\r\n")); end >= 0 {
-			rest := d.reply[end+4:]
-			d.reply = nil
-			d.OnData(rest)
+		if !a.ended {
+			next = min(next, a.deadline)
+			running = append(running, a)
 		}
-		return
-	}
-	d.finish(status, nil)
-}
-
-// Closed without an answer is a try that failed.
-func (d *delivery) OnClose(err error) {
-	if err == nil {
-		err = errors.New("closed without an answer")
 	}
-	d.finish(0, err)
+	clear(s.attempts[len(running):])
+	s.attempts = running
+	return next
 }
 
-// finish ends the try. What was not taken comes again, later each time, until its tries are used
-// up; 410 says that it is never to come again.
-func (d *delivery) finish(status int, err error) {
-	if d.done {
-		return
-	}
-	d.done = true
-	d.line.Close()
-	s, n := d.sender, d.n
-	s.out--
-	if n.tries++; status >= 200 && status < 300 {
+// attemptEnded settles a notice's attempt. What was not taken comes again, later each time, until its attempts are
+// used up; 410 (Gone) says that it must never come again.
+func (s *Sender) attemptEnded(n *notice, status int, err error) {
+	s.inFlight--
+	n.attempts++
+	if status >= http.StatusOK && status < http.StatusMultipleChoices {
 		s.Sent.Delivered++
 		return
 	}
-	log.Printf("event=notice_not_delivered id=%s try=%d status=%d err=%q", n.id, n.tries, status, fmt.Sprint(err))
-	if n.tries >= s.cfg.Sender.Attempts || status == 410 {
+	slog.Warn("webhook notice attempt failed", "webhook_id", n.id, "attempt", n.attempts, "status", status, "error", err)
+	if n.attempts >= s.settings.Attempts || status == http.StatusGone {
 		s.Sent.GivenUp++
 		return
 	}
 	s.Sent.Retried++
-	wait := min(s.cfg.Sender.Backoff<<(2*min(n.tries-1, 10)), backoffMost)
-	n.due = s.now + wait/2 + jitter(wait/2)
+	n.notBefore = s.now + retryDelay(s.settings.Backoff, n.attempts)
 	s.queue = append(s.queue, n)
 }
 
-// jitter returns a time below most, so that notices that failed together come apart.
-func jitter(most time.Duration) time.Duration {
-	return rand.N(most + 1)
+// retryDelay returns the pause behind so many failed attempts. It grows fourfold with each, up to maxBackoff; half
+// of it is random, so that notices that failed together don't come again together.
+func retryDelay(initial time.Duration, failed int) time.Duration {
+	doublings := min(2*(failed-1), maxBackoffDoublings)
+	delay := min(initial<<doublings, maxBackoff)
+	return delay/2 + rand.N(delay/2+1)
 }
--- /dev/null
+++ b/internal/frontend/webhook/signature.go
@@ -0,0 +1,168 @@
+package webhook
+
+import (
+	"bytes"
+	"crypto/hmac"
+	"crypto/sha256"
+	"encoding/base64"
+	"errors"
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Limits of the Standard Webhooks specification (https://www.standardwebhooks.com), and of what this program reads.
+const (
+	secretPrefix     = "whsec_"
+	minSecretBytes   = 24 // as the specification has it
+	maxSecretBytes   = 64
+	signatureVersion = "v1," // HMAC-SHA256 with a shared secret
+	maxSignatures    = 16    // in one header field
+	maxIDBytes       = 128   // of a webhook-id
+	maxUnixSeconds   = 1 << 40
+)
+
+// The header fields that the specification names.
+const (
+	idField        = "webhook-id"
+	timestampField = "webhook-timestamp"
+	signatureField = "webhook-signature"
+)
+
+// Why a delivery is not let in.
+var (
+	errMalformedSignature = errors.New("unsigned or malformed signature headers")
+	errStaleTimestamp     = errors.New("timestamp is out of tolerance")
+	errNoMatchingKey      = errors.New("no active key made this signature")
+)
+
+// Why a key file can't be used.
+var (
+	errKeyPrefix = errors.New("does not begin with " + secretPrefix)
+	errKeyBase64 = errors.New("not base64")
+	errKeyLength = fmt.Errorf("not %d to %d bytes", minSecretBytes, maxSecretBytes)
+)
+
+// signingKey verifies deliveries until it is retired.
+type signingKey struct {
+	secret    []byte
+	retiredAt time.Time // zero: never
+}
+
+func (k *signingKey) isActive(now time.Time) bool {
+	return k.retiredAt.IsZero() || now.Before(k.retiredAt)
+}
+
+// readSecret reads a key file: whsec_ and the secret in base64. Its errors never show parts of the secret.
+func readSecret(path string) ([]byte, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("key: %w", err)
+	}
+	encoded, found := strings.CutPrefix(strings.TrimSpace(string(text)), secretPrefix)
+	if !found {
+		return nil, fmt.Errorf("key %s: %w", path, errKeyPrefix)
+	}
+	secret, err := base64.StdEncoding.DecodeString(encoded)
+	if err != nil {
+		return nil, fmt.Errorf("key %s: %w", path, errKeyBase64) // err would show parts of the secret
+	}
+	if len(secret) < minSecretBytes || len(secret) > maxSecretBytes {
+		return nil, fmt.Errorf("key %s: %d bytes: %w", path, len(secret), errKeyLength)
+	}
+	return secret, nil
+}
+
+// authenticationCode is the HMAC-SHA256 of id.timestamp.body.
+func authenticationCode(secret []byte, id, timestamp string, body []byte) []byte {
+	h := hmac.New(sha256.New, secret)
+	h.Write([]byte(id + "." + timestamp + "."))
+	h.Write(body)
+	return h.Sum(nil)
+}
+
+// sign returns the value of webhook-signature.
+func sign(secret []byte, id, timestamp string, body []byte) string {
+	return signatureVersion + base64.StdEncoding.EncodeToString(authenticationCode(secret, id, timestamp, body))
+}
+
+// signedHeaders are a delivery's signature headers.
+type signedHeaders struct {
+	id         string
+	timestamp  string    // as it came: it is part of what is signed
+	sentAt     time.Time // the timestamp's time
+	signatures [][]byte
+}
+
+// parseSignedHeaders reads the three header fields, each of which must be there once.
+func parseSignedHeaders(head *requestHead) (*signedHeaders, error) {
+	id, ids := head.field(idField)
+	timestamp, timestamps := head.field(timestampField)
+	list, lists := head.field(signatureField)
+	if ids != 1 || timestamps != 1 || lists != 1 {
+		return nil, errMalformedSignature
+	}
+	// A dot in an id would let one signed text be read as two different deliveries.
+	if len(id) == 0 || len(id) > maxIDBytes || bytes.IndexByte(id, '.') >= 0 {
+		return nil, errMalformedSignature
+	}
+	sentAt, err := parseTimestamp(string(timestamp))
+	if err != nil {
+		return nil, err
+	}
+	signatures := bytes.Fields(list)
+	if len(signatures) > maxSignatures {
+		return nil, errMalformedSignature
+	}
+	return &signedHeaders{id: string(id), timestamp: string(timestamp), sentAt: sentAt, signatures: signatures}, nil
+}
+
+// parseTimestamp reads whole seconds since 1970 in their one spelling: neither sign nor leading zeros.
+func parseTimestamp(text string) (time.Time, error) {
+	seconds, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || seconds < 0 || seconds > maxUnixSeconds || strconv.FormatInt(seconds, 10) != text {
+		return time.Time{}, errMalformedSignature
+	}
+	return time.Unix(seconds, 0), nil
+}
+
+// isSignedWith reports whether one of the signatures was made with an active key. Each signature is compared with
+// each key's, whatever was found before, so that the time taken tells nothing of them.
+func (s *signedHeaders) isSignedWith(keys []signingKey, now time.Time, body []byte) bool {
+	matches := false
+	for i := range keys {
+		if !keys[i].isActive(now) {
+			continue
+		}
+		want := authenticationCode(keys[i].secret, s.id, s.timestamp, body)
+		for _, signature := range s.signatures {
+			encoded, found := bytes.CutPrefix(signature, []byte(signatureVersion))
+			if !found {
+				continue // of another version
+			}
+			got, err := base64.StdEncoding.DecodeString(string(encoded))
+			if err == nil && hmac.Equal(got, want) {
+				matches = true
+			}
+		}
+	}
+	return matches
+}
+
+// verifySignature returns a delivery's webhook-id where an active key signed it within tolerance of now. Its error is
+// errMalformedSignature, errNoMatchingKey or errStaleTimestamp.
+func verifySignature(head *requestHead, body []byte, keys []signingKey, now time.Time, tolerance time.Duration) (id string, err error) {
+	headers, err := parseSignedHeaders(head)
+	if err != nil {
+		return "", err
+	}
+	if !headers.isSignedWith(keys, now, body) {
+		return "", errNoMatchingKey
+	}
+	if age := now.Sub(headers.sentAt); age > tolerance || age < -tolerance {
+		return "", errStaleTimestamp
+	}
+	return headers.id, nil
+}
--- /dev/null
+++ b/internal/frontend/webhook/testserver_test.go
@@ -0,0 +1,178 @@
+package webhook
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"functionrouter/internal/eventloop"
+	"functionrouter/internal/router"
+	"functionrouter/policy"
+)
+
+// testServer is the whole path but for the workers: sockets, receiver, sender, router and policy.
+type testServer struct {
+	*fakeWorkers
+	loop     *eventloop.Loop
+	receiver *Receiver
+	sender   *Sender
+	address  string
+	loopDone chan struct{}
+	stopOnce sync.Once
+}
+
+// fakeWorkers end each attempt at once and count them by body. The loop's goroutine calls them.
+type fakeWorkers struct {
+	router *router.Router
+	mu     sync.Mutex
+	runs   map[string]int
+}
+
+func (w *fakeWorkers) StartAttempt(_ policy.WorkerID, a router.AttemptID, r *router.Request, _ time.Duration) {
+	body := string(r.Body)
+	w.mu.Lock()
+	w.runs[body]++
+	w.mu.Unlock()
+	outcome := policy.Served
+	if isLostOrder(body) {
+		outcome = policy.ConnectionReset // it may have run
+	}
+	w.router.AttemptEnded(a, outcome, policy.InstanceWarm, []byte("done "+body), nil)
+}
+
+func (w *fakeWorkers) WithdrawQueued(router.AttemptID) bool { return false }
+
+func (w *fakeWorkers) CancelAttempt(policy.WorkerID, router.AttemptID) {}
+
+func (w *fakeWorkers) LoadInstance(_ policy.WorkerID, _ policy.FunctionID, _ int, tag uint64) {
+	w.router.LoadOrderEnded(tag, policy.Served, 1)
+}
+
+func (w *fakeWorkers) Probe(_ policy.WorkerID, tag uint64) {
+	w.router.ProbeEnded(tag, policy.Served, nil)
+}
+
+func (w *fakeWorkers) AbandonControl(policy.WorkerID, uint64) {}
+
+func (w *fakeWorkers) UnloadInstance(policy.WorkerID, policy.FunctionID) {}
+
+func (w *fakeWorkers) CloseIdleConnections(policy.WorkerID) {}
+
+// isLostOrder reports whether the fake workers lose the connection over this order.
+func isLostOrder(body string) bool { return strings.HasSuffix(body, "7") }
+
+// newTestRouter returns a router over two fake workers.
+func newTestRouter(t *testing.T, runs map[string]int) *fakeWorkers {
+	t.Helper()
+	decisions, err := policy.New(policy.Config{
+		RouterCount:       1,
+		Tick:              4 * time.Millisecond,
+		MaxAttempts:       3,
+		AllowCancel:       true,
+		AllowProbes:       true,
+		OverQuotaWeight:   1,
+		InstanceKeepAlive: 10 * time.Second,
+		AllowRetryAfter:   true,
+		MaxRetryAfter:     time.Second,
+		Classes: []policy.Class{
+			{LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3},
+			{LatencyObjective: 1200 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: policy.NotIdempotent, PriorityWeight: 5},
+		},
+	}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	limits := router.Limits{MaxOpenRequests: 100, MaxBodyBytes: 1 << 20, MaxAttempts: 3, ProbeTimeout: time.Second}
+	workers := &fakeWorkers{router: router.New(decisions, limits), runs: runs}
+	workers.router.SetWorkerPool(workers)
+	workers.router.UpdateEndpoints(policy.EndpointUpdate{Kind: policy.FullUpdate, Endpoints: []policy.Endpoint{
+		{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
+	return workers
+}
+
+// startServer starts a server whose notices go to noticeAddress, nowhere where that is empty. runs counts the
+// workers' runs by body; it may be read when the server has stopped.
+func startServer(t *testing.T, ledgerPath, noticeAddress string, runs map[string]int) *testServer {
+	t.Helper()
+	s := &testServer{
+		fakeWorkers: newTestRouter(t, runs),
+		loop:        eventloop.New(eventloop.Config{MaxAcceptedConnections: 50, MaxFileDescriptors: 1024}),
+		loopDone:    make(chan struct{}),
+	}
+	var err error
+	s.receiver, err = NewReceiver(testConfig(t, ledgerPath), s.router, testClasses, testReplayBytes, s.loop.Now, noonClock, s.loop.Post)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.receiver.keys = testKeys
+	cfg := testConfig(t, "")
+	cfg.Sender.URL = "http://hooks.example.org/notices"
+	cfg.Sender.Connect = noticeAddress
+	cfg.Sender.Backoff = time.Millisecond
+	cfg.Sender.Key = writeKeyFile(t, activeSecret)
+	s.sender, err = NewSender(cfg, noonClock, func(address string, timeout time.Duration, h eventloop.DialHandler) Transport {
+		return s.loop.Dial(address, timeout, h)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if noticeAddress != "" {
+		s.router.OnRequestEnd = s.sender.Notify
+	}
+	s.loop.Listen("127.0.0.1:0", s.receiver.Accept)
+	if err := s.loop.Start(); err != nil {
+		t.Fatal(err)
+	}
+	s.address = s.loop.Addrs()[0]
+	go s.run()
+	t.Cleanup(func() { s.stop(t) })
+	return s
+}
+
+// run is the loop's goroutine, which stop ends.
+func (s *testServer) run() {
+	defer close(s.loopDone)
+	s.loop.Run(s.router.SetNow, func(now time.Duration) time.Duration { return min(s.router.Process(now), s.sender.Process(now)) })
+}
+
+// stop ends the loop's goroutine and the ledger's. It is called at the end of the test at the latest.
+func (s *testServer) stop(t *testing.T) {
+	t.Helper()
+	s.stopOnce.Do(func() {
+		s.loop.Post(s.loop.Stop)
+		<-s.loopDone
+		closeReceiver(t, s.receiver)
+	})
+}
+
+// dialServer opens a connection to the receiver.
+func (s *testServer) dialServer() (net.Conn, error) {
+	c, err := net.Dial("tcp", s.address)
+	if err != nil {
+		return nil, err
+	}
+	return c, c.SetDeadline(time.Now().Add(testSocketTimeout))
+}
+
+// deliver sends one delivery on a connection of its own and returns the one answer.
+func (s *testServer) deliver(b []byte) (status int, body string, err error) {
+	c, err := s.dialServer()
+	if err != nil {
+		return 0, "", err
+	}
+	defer func() { _ = c.Close() }() // the answer has been read, or the error is another
+	if _, err := c.Write(b); err != nil {
+		return 0, "", err
+	}
+	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		return 0, "", err
+	}
+	text, err := io.ReadAll(r.Body)
+	return r.StatusCode, string(text), err
+}
