--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -12,7 +12,7 @@
 	f.Add([]byte{0, 1, 2, 3, 1, 1, 1, 1, 2, 0, 0, 0, 3, 9, 9, 9})
 	f.Add([]byte{0, 255, 0, 0, 1, 0, 2, 1, 2, 0, 8, 0, 4, 1, 1, 0, 5, 3, 0, 0, 7, 1, 0, 0, 6, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		cfg := config()
+		cfg := testConfig()
 		cfg.MissWhenNotLoaded, cfg.AllowLoadOrders, cfg.AllowGossip, cfg.RouterCount = true, true, true, 3
 		cfg.LoadOrderWindow, cfg.LoadOrdersPerRequest, cfg.RequiresSubscription = time.Second, 0.5, len(data)%2 == 0
 		p, err := New(cfg, 3)
@@ -45,15 +45,15 @@
 			case 5:
 				ev = TimerFired{Token: uint64(b%16)<<uint(c%40) + uint64(a)}
 			case 6:
-				ev = TimerFired{Token: beatToken}
+				ev = TimerFired{Token: housekeepingToken}
 			case 7:
 				ev = GossipReceived{From: int(a), Data: data}
 			case 8:
 				ev = ClientCancelled{Request: id}
 			}
 			before := map[RequestID]bool{}
-			for id, r := range p.reqs {
-				before[id] = !r.done
+			for id, r := range p.requests {
+				before[id] = !r.finished
 			}
 			over := map[RequestID]bool{}
 			for _, act := range p.Handle(now, ev, nil) {
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -8,19 +8,19 @@
 // Messages must cost the same a call whether few or many dispatchers carry the traffic; no probe goes out unasked for.
 func TestExtrasCostTheSameACallAtAnySize(t *testing.T) {
 	perCall := func(peers, calls int) (probes, receivers float64) {
-		cfg := config()
+		cfg := testConfig()
 		cfg.RouterCount, cfg.AllowGossip = peers, true
-		b := newBed(t, cfg, 40)
+		b := newHarness(t, cfg, 40)
 		gap := 20 * time.Second / time.Duration(calls)
 		for n := range calls {
-			b.serve(FunctionID(n%30), 10*ms, InstanceWarm)
-			for left := gap - 10*ms; left > 0; left -= beat {
-				b.now += min(left, beat)
-				for _, a := range b.do(TimerFired{Token: beatToken}) {
+			b.serveRequest(FunctionID(n%30), 10*ms, InstanceWarm)
+			for left := gap - 10*ms; left > 0; left -= housekeepingInterval {
+				b.now += min(left, housekeepingInterval)
+				for _, a := range b.handle(TimerFired{Token: housekeepingToken}) {
 					switch a := a.(type) {
 					case ProbeWorker:
 						probes++
-						b.do(ProbeEnded{Worker: a.Worker})
+						b.handle(ProbeEnded{Worker: a.Worker})
 					case SendGossip:
 						receivers += float64(peers - 1)
 					}
@@ -41,13 +41,13 @@
 
 // A dispatcher that restarts knows only a list: the others tell it where instances stand.
 func TestToldInstancesAreUsed(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.AllowGossip, cfg.RouterCount = true, 2
-	a, b := newBed(t, cfg, 8), newBed(t, cfg, 8)
+	a, b := newHarness(t, cfg, 8), newHarness(t, cfg, 8)
 	for f := FunctionID(1); f <= 12; f++ {
-		w := a.serve(f, 1100*ms, LoadStarted)
-		a.now += beat
-		news, ok := first[SendGossip](a.do(TimerFired{Token: beatToken}))
+		w := a.serveRequest(f, 1100*ms, LoadStarted)
+		a.now += housekeepingInterval
+		news, ok := firstAction[SendGossip](a.handle(TimerFired{Token: housekeepingToken}))
 		if !ok || len(news.Data) > 256 {
 			t.Fatalf("told %v %d", ok, len(news.Data))
 		}
@@ -56,10 +56,10 @@
 		}
 		w = w%8 + 1 // not where b would look by itself
 		news.Data[7] = byte(w)
-		b.do(GossipReceived{Data: news.Data})
-		if got := b.serve(f, 80*ms, InstanceWarm); got != w {
+		b.handle(GossipReceived{Data: news.Data})
+		if got := b.serveRequest(f, 80*ms, InstanceWarm); got != w {
 			t.Errorf("function %d stands at %d, sent to %d", f, w, got)
 		}
 	}
-	b.do(GossipReceived{Data: []byte("short and odd, not a whole number of entries")})
+	b.handle(GossipReceived{Data: []byte("short and odd, not a whole number of entries")})
 }
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -7,15 +7,15 @@
 )
 
 func TestSticksToTheWarmWorker(t *testing.T) {
-	b := newBed(t, config(), 6)
-	w := b.serve(7, 1100*ms, LoadStarted)
+	b := newHarness(t, testConfig(), 6)
+	w := b.serveRequest(7, 1100*ms, LoadStarted)
 	for range 20 {
-		if got := b.serve(7, 80*ms, InstanceWarm); got != w {
+		if got := b.serveRequest(7, 80*ms, InstanceWarm); got != w {
 			t.Fatalf("warm at %d, sent to %d", w, got)
 		}
 	}
 	b.now += 11 * time.Second // longer than the told keep-alive
-	if i := b.p.workers[w].copies[7]; i != nil && b.now < i.warmUntil {
+	if i := b.policy.workers[w].instances[7]; i != nil && b.now < i.warmUntil {
 		t.Error("belief outlives the keep-alive")
 	}
 }
@@ -24,22 +24,22 @@
 // copy, where one is known, before the first worker begins a further copy by itself. Lanes that were seen
 // to serve together count, until a miss shows that the copies have gone.
 func TestCallsGoWhereALaneIsFree(t *testing.T) {
-	send := func(b *bed) (RequestID, WorkerID) {
-		b.id++
-		s, ok := first[SendAttempt](b.do(RequestArrived{Request: b.id, Function: 7, Concurrency: 1, LoadTime: time.Second, TimeLeft: 4 * time.Second}))
+	send := func(b *harness) (RequestID, WorkerID) {
+		b.lastRequest++
+		s, ok := firstAction[SendAttempt](b.handle(RequestArrived{Request: b.lastRequest, Function: 7, Concurrency: 1, LoadTime: time.Second, TimeLeft: 4 * time.Second}))
 		if !ok {
 			b.t.Fatal("not sent")
 		}
-		return b.id, s.Worker
+		return b.lastRequest, s.Worker
 	}
-	served := func(b *bed, id RequestID, w WorkerID, note InstanceStatus) {
+	served := func(b *harness, id RequestID, w WorkerID, note InstanceStatus) {
 		b.now += 80 * ms
-		b.do(AttemptEnded{Request: id, Worker: w, Outcome: Served, InstanceStatus: note, RequestClosed: true, Duration: 80 * ms})
+		b.handle(AttemptEnded{Request: id, Worker: w, Outcome: Served, InstanceStatus: note, RequestClosed: true, Duration: 80 * ms})
 	}
-	b := newBed(t, config(), 2)
+	b := newHarness(t, testConfig(), 2)
 	for _, w := range []WorkerID{1, 2} { // both hold a copy; queueing at 2 looks a little worse
-		b.p.workers[w].instance(7).warmUntil = b.now + 10*time.Second
-		b.p.workers[w].delay.see(b.now, float64(w-1)*float64(20*ms))
+		b.policy.workers[w].instance(7).warmUntil = b.now + 10*time.Second
+		b.policy.workers[w].excessDelay.observe(b.now, float64(w-1)*float64(20*ms))
 	}
 	one, at1 := send(b)
 	two, at2 := send(b)
@@ -48,8 +48,8 @@
 	}
 	served(b, one, at1, InstanceWarm)
 	served(b, two, at2, InstanceWarm)
-	b.p.workers[1].instance(7).lanes = 2 // two were served at a time
-	b.p.workers[2].delay.see(b.now, float64(100*ms))
+	b.policy.workers[1].instance(7).observedConcurrency = 2 // two were served at a time
+	b.policy.workers[2].excessDelay.observe(b.now, float64(100*ms))
 	if _, at1 = send(b); at1 != 1 {
 		t.Fatalf("sent to %d", at1)
 	}
@@ -57,8 +57,8 @@
 	if at2 != 1 {
 		t.Fatalf("sent to %d though a second lane was seen", at2)
 	}
-	b.do(AttemptEnded{Request: id, Worker: 1, Outcome: FunctionNotLoaded})
-	if n := b.p.workers[1].instance(7).lanes; n != 0 {
+	b.handle(AttemptEnded{Request: id, Worker: 1, Outcome: FunctionNotLoaded})
+	if n := b.policy.workers[1].instance(7).observedConcurrency; n != 0 {
 		t.Errorf("%d lanes are believed in after a miss", n)
 	}
 }
@@ -66,14 +66,14 @@
 // Guards against a load at worker after worker: calls that come while the first home loads wait there.
 func TestCallsWaitForTheLoadAtTheFirstHome(t *testing.T) {
 	for peers := 1; peers <= 4; peers++ {
-		cfg := config()
+		cfg := testConfig()
 		cfg.RouterCount = peers
-		b := newBed(t, cfg, 6)
-		b.p.rate = 6 * float64(rateSpan) // all are at work, so one function deserves one home
+		b := newHarness(t, cfg, 6)
+		b.policy.servedWork = 6 * float64(rateMemory) // all are at work, so one function deserves one home
 		at := map[WorkerID]int{}
 		for range 4 { // as many as a copy serves at a time
 			_, acts := b.arrive(0, 7)
-			s, ok := first[SendAttempt](acts)
+			s, ok := firstAction[SendAttempt](acts)
 			if !ok {
 				t.Fatalf("%d dispatchers: not sent: %v", peers, acts)
 			}
@@ -88,26 +88,26 @@
 
 // A hot function needs many workers, and no dispatcher sees more than a call of it now and then.
 func TestHotFunctionSpreadsAndRareOneStays(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.RouterCount = 50
 	hot, rare := map[WorkerID]bool{}, map[WorkerID]bool{}
 	for n := range uint64(50) {
-		b := newBed(t, cfg, 20)
-		b.p.self, b.p.rng = n, rand.New(rand.NewPCG(n, 2))
+		b := newHarness(t, cfg, 20)
+		b.policy.identity, b.policy.rng = n, rand.New(rand.NewPCG(n, 2))
 		for k := range 30 {
 			f := FunctionID(1000 + k)
 			if k%3 == 0 {
 				f = 7 // a third of all work: a third of the fleet
 			}
 			b.now += 300 * ms
-			w := b.serve(f, 30*ms, InstanceWarm)
-			b.p.workers[w].copies[f].warmUntil = b.now // as a dispatcher that has just lost sight of it
+			w := b.serveRequest(f, 30*ms, InstanceWarm)
+			b.policy.workers[w].instances[f].warmUntil = b.now // as a dispatcher that has just lost sight of it
 			if k > 15 && f == 7 {
 				hot[w] = true
 			}
 		}
 		b.now += time.Minute
-		rare[b.serve(9, 30*ms, InstanceWarm)] = true
+		rare[b.serveRequest(9, 30*ms, InstanceWarm)] = true
 	}
 	if len(hot) < 4 || len(hot) > 14 {
 		t.Errorf("a third of all work went to %d of 20 workers", len(hot))
@@ -120,12 +120,12 @@
 // A function's first home answers full at once while the others have room: many dispatchers, each blind to the
 // others, move their sum of sends off it within seconds and come back after.
 func TestCallsMoveOffAFullHomeAndBack(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.RouterCount, cfg.InstanceStatusInAnswers = 60, false
-	var beds []*bed
+	var beds []*harness
 	for n := range uint64(60) {
-		b := newBed(t, cfg, 20)
-		b.p.self, b.p.rng = n, rand.New(rand.NewPCG(n, 9))
+		b := newHarness(t, cfg, 20)
+		b.policy.identity, b.policy.rng = n, rand.New(rand.NewPCG(n, 9))
 		beds = append(beds, b)
 	}
 	home, count := WorkerID(0), map[WorkerID]int{}
@@ -135,13 +135,13 @@
 			for k := range 24 {
 				f := FunctionID(7)
 				if k > 0 {
-					f = FunctionID(1000 + k + int(b.p.self)*24)
+					f = FunctionID(1000 + k + int(b.policy.identity)*24)
 				}
 				b.now += 500 * ms // 12 s a round: the function comes too seldom to know its copy as warm
-				b.do(TimerFired{Token: beatToken})
+				b.handle(TimerFired{Token: housekeepingToken})
 				id, acts := b.arrive(0, f)
 				for try := 0; try < 3; try++ {
-					s, ok := first[SendAttempt](acts)
+					s, ok := firstAction[SendAttempt](acts)
 					if !ok {
 						break
 					}
@@ -154,11 +154,11 @@
 					}
 					if f == 7 && full && s.Worker == home {
 						b.now += 5 * ms
-						acts = b.do(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: WorkerOverloaded, Duration: 5 * ms})
+						acts = b.handle(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: WorkerOverloaded, Duration: 5 * ms})
 						continue
 					}
 					b.now += 60 * ms
-					b.do(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Served, RequestClosed: true, Duration: 60 * ms})
+					b.handle(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Served, RequestClosed: true, Duration: 60 * ms})
 					break
 				}
 			}
@@ -168,7 +168,7 @@
 	for range 5 {
 		round(false)
 	}
-	for w := range beds[0].p.fleet {
+	for w := range beds[0].policy.fleet {
 		if count[WorkerID(w+1)] > count[home] {
 			home = WorkerID(w + 1)
 		}
@@ -193,25 +193,25 @@
 
 // A worker that turns a call away has begun no load for it: the next call must not count on one.
 func TestFullAnswerBeganNoLoad(t *testing.T) {
-	b := newBed(t, config(), 3)
+	b := newHarness(t, testConfig(), 3)
 	id, acts := b.arrive(0, 7)
-	s, _ := first[SendAttempt](acts)
-	b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: WorkerOverloaded, Duration: ms})
-	if w := b.p.workers[s.Worker]; !b.p.cold(w, b.p.reqs[id]) {
-		t.Errorf("a load is thought under way: %v left", b.p.loadLeft(w, b.p.reqs[id]))
+	s, _ := firstAction[SendAttempt](acts)
+	b.handle(AttemptEnded{Request: id, Worker: s.Worker, Outcome: WorkerOverloaded, Duration: ms})
+	if w := b.policy.workers[s.Worker]; !b.policy.needsLoad(w, b.policy.requests[id]) {
+		t.Errorf("a load is thought under way: %v left", b.policy.remainingLoadTime(w, b.policy.requests[id]))
 	}
 }
 
 // Little time left is no reason to refuse what most likely stands loaded at its home.
 func TestShortOfTimeIsSentToALikelyWarmHome(t *testing.T) {
 	for left, want := range map[time.Duration]bool{20 * ms: false, 300 * ms: true} { // no run ends in 20 ms
-		cfg := config()
+		cfg := testConfig()
 		cfg.RouterCount = 40
-		b := newBed(t, cfg, 5)
-		b.serve(7, 100*ms, InstanceWarm)
-		b.p.lastTrial = b.now
-		acts := b.do(RequestArrived{Request: 99, Function: 8, LoadTime: time.Second, TimeLeft: left})
-		if has[SendAttempt](acts) != want {
+		b := newHarness(t, cfg, 5)
+		b.serveRequest(7, 100*ms, InstanceWarm)
+		b.policy.lastTrial = b.now
+		acts := b.handle(RequestArrived{Request: 99, Function: 8, LoadTime: time.Second, TimeLeft: left})
+		if hasAction[SendAttempt](acts) != want {
 			t.Errorf("%v left: %v", left, acts)
 		}
 	}
--- a/policy/random_world_test.go
+++ b/policy/random_world_test.go
@@ -7,68 +7,68 @@
 )
 
 // checker follows the actions of a random world and reports broken rules. It shares no code with the module.
-type checker struct {
-	t     *testing.T
-	cfg   Config
-	reqs  map[RequestID]*seen
-	state map[WorkerID]WorkerState
-	order []time.Duration
-	took  []time.Duration
+type ruleChecker struct {
+	t            *testing.T
+	cfg          Config
+	requests     map[RequestID]*observedRequest
+	workerStates map[WorkerID]WorkerState
+	loadOrders   []time.Duration
+	arrivals     []time.Duration
 }
 
-type seen struct {
-	class    int
-	deadline time.Duration
-	sent     []WorkerID
-	open     map[int]bool
-	mayRan   time.Duration // when the first attempt that may have run was sent
-	ran      bool
-	sentAt   []time.Duration
-	final    bool
+type observedRequest struct {
+	class        int
+	deadline     time.Duration
+	workers      []WorkerID
+	open         map[int]bool
+	mayHaveRunAt time.Duration // when the first attempt that may have run was sent
+	mayHaveRun   bool
+	sentAt       []time.Duration
+	answered     bool
 }
 
-func (c *checker) look(now time.Duration, acts []Action) {
+func (c *ruleChecker) check(now time.Duration, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case SendAttempt:
-			r := c.reqs[a.Request]
+			r := c.requests[a.Request]
 			class := c.cfg.Classes[r.class]
-			risky := r.ran || len(r.open) > 0
+			risky := r.mayHaveRun || len(r.open) > 0
 			switch {
-			case r.final:
+			case r.answered:
 				c.t.Fatalf("%v: send after the final answer of %d", now, a.Request)
-			case c.state[a.Worker] != Ready:
-				c.t.Fatalf("%v: send to worker %d in state %d", now, a.Worker, c.state[a.Worker])
+			case c.workerStates[a.Worker] != Ready:
+				c.t.Fatalf("%v: send to worker %d in state %d", now, a.Worker, c.workerStates[a.Worker])
 			case risky && class.Idempotency == NotIdempotent, len(r.open) > 0 && !c.cfg.AllowHedging:
 				c.t.Fatalf("%v: repeat of %d", now, a.Request)
-			case r.ran && class.Idempotency == IdempotentWithKey && now > r.mayRan+class.DedupWindow:
+			case r.mayHaveRun && class.Idempotency == IdempotentWithKey && now > r.mayHaveRunAt+class.DedupWindow:
 				c.t.Fatalf("%v: keyed repeat outside the window", now)
-			case len(r.sent) >= c.cfg.MaxAttempts:
+			case len(r.workers) >= c.cfg.MaxAttempts:
 				c.t.Fatalf("%v: too many attempts", now)
 			}
-			r.open[len(r.sent)] = true
-			r.sent, r.sentAt = append(r.sent, a.Worker), append(r.sentAt, now)
+			r.open[len(r.workers)] = true
+			r.workers, r.sentAt = append(r.workers, a.Worker), append(r.sentAt, now)
 		case RefuseRequest:
-			r := c.reqs[a.Request]
-			if class := c.cfg.Classes[r.class]; (r.ran || len(r.open) > 0) && (class.Idempotency == NotIdempotent ||
+			r := c.requests[a.Request]
+			if class := c.cfg.Classes[r.class]; (r.mayHaveRun || len(r.open) > 0) && (class.Idempotency == NotIdempotent ||
 				class.Idempotency == IdempotentWithKey && class.DedupScope != DedupFleet) {
 				c.t.Fatalf("%v: refusal of %d, which may have run", now, a.Request)
 			}
-			c.end(now, r)
+			c.checkFinalAnswer(now, r)
 		case FailRequest:
-			c.end(now, c.reqs[a.Request])
+			c.checkFinalAnswer(now, c.requests[a.Request])
 		case LoadInstance:
-			if c.state[a.Worker] != Ready {
-				c.t.Fatalf("%v: order to worker %d in state %d", now, a.Worker, c.state[a.Worker])
+			if c.workerStates[a.Worker] != Ready {
+				c.t.Fatalf("%v: order to worker %d in state %d", now, a.Worker, c.workerStates[a.Worker])
 			}
-			c.order = append(c.order, now)
+			c.loadOrders = append(c.loadOrders, now)
 			n, m := 0, 0
-			for _, at := range c.order {
+			for _, at := range c.loadOrders {
 				if at >= now-c.cfg.LoadOrderWindow {
 					n++
 				}
 			}
-			for _, at := range c.took {
+			for _, at := range c.arrivals {
 				if at > now-c.cfg.LoadOrderWindow {
 					m++
 				}
@@ -80,11 +80,11 @@
 	}
 }
 
-func (c *checker) end(now time.Duration, r *seen) {
-	if r.final || now > r.deadline+8*ms {
+func (c *ruleChecker) checkFinalAnswer(now time.Duration, r *observedRequest) {
+	if r.answered || now > r.deadline+8*ms {
 		c.t.Fatalf("%v: second or late final answer", now)
 	}
-	r.final = true
+	r.answered = true
 }
 
 func TestRulesHoldInRandomWorlds(t *testing.T) {
@@ -96,7 +96,7 @@
 // randomWorld plays legal but hostile events, in which workers drain, vanish, restart and answer anything.
 func randomWorld(t *testing.T, seed uint64, steps int) {
 	rng := rand.New(rand.NewPCG(seed, 9))
-	cfg := config()
+	cfg := testConfig()
 	cfg.MissWhenNotLoaded, cfg.AllowLoadOrders = seed%2 == 0, seed%3 != 0
 	cfg.AllowHedging, cfg.AllowGossip = seed%5 == 0, seed%4 == 0
 	cfg.LoadOrderWindow, cfg.LoadOrderAllowance, cfg.LoadOrdersPerRequest = 10*time.Second, 3, 0.2
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &checker{t: t, cfg: cfg, reqs: map[RequestID]*seen{}, state: map[WorkerID]WorkerState{}}
+	c := &ruleChecker{t: t, cfg: cfg, requests: map[RequestID]*observedRequest{}, workerStates: map[WorkerID]WorkerState{}}
 	now, next := time.Hour, RequestID(0)
 	type timer struct {
 		at    time.Duration
@@ -114,7 +114,7 @@
 	var loads []LoadInstance
 	handle := func(ev Event) {
 		acts := p.Handle(now, ev, nil)
-		c.look(now, acts)
+		c.check(now, acts)
 		for _, a := range acts {
 			switch a := a.(type) {
 			case SetTimer:
@@ -134,7 +134,7 @@
 			if rng.IntN(6) == 0 {
 				e.State = Gone
 			}
-			c.state[w] = e.State
+			c.workerStates[w] = e.State
 			l.Endpoints = append(l.Endpoints, e)
 		}
 		handle(l)
@@ -155,14 +155,14 @@
 		case k < 8:
 			next++
 			left := time.Duration(rng.IntN(3000)) * ms
-			c.took = append(c.took, now)
-			c.reqs[next] = &seen{class: rng.IntN(3), deadline: now + left, open: map[int]bool{}}
-			handle(RequestArrived{Request: next, Class: c.reqs[next].class, Function: FunctionID(rng.IntN(12)), Concurrency: 2,
+			c.arrivals = append(c.arrivals, now)
+			c.requests[next] = &observedRequest{class: rng.IntN(3), deadline: now + left, open: map[int]bool{}}
+			handle(RequestArrived{Request: next, Class: c.requests[next].class, Function: FunctionID(rng.IntN(12)), Concurrency: 2,
 				LoadTime: 800 * ms, TimeLeft: left})
 		case k == 9 && next > 0:
-			if r := c.reqs[1+RequestID(rng.IntN(int(next)))]; !r.final {
-				r.final = true
-				for id, o := range c.reqs {
+			if r := c.requests[1+RequestID(rng.IntN(int(next)))]; !r.answered {
+				r.answered = true
+				for id, o := range c.requests {
 					if o == r {
 						handle(ClientCancelled{Request: id})
 					}
@@ -177,7 +177,7 @@
 		default:
 			id := RequestID(0)
 			for try := range int(next) {
-				if r := c.reqs[next-RequestID(try)]; len(r.open) > 0 && rng.IntN(3) == 0 {
+				if r := c.requests[next-RequestID(try)]; len(r.open) > 0 && rng.IntN(3) == 0 {
 					id = next - RequestID(try)
 					break
 				}
@@ -185,19 +185,19 @@
 			if id == 0 {
 				continue
 			}
-			r := c.reqs[id]
-			for n := range len(r.sent) {
+			r := c.requests[id]
+			for n := range len(r.workers) {
 				if !r.open[n] {
 					continue
 				}
 				o := []Outcome{Served, Served, Errored, WorkerOverloaded, TimedOut, Unreachable, ConnectionReset, Cancelled, NotSent, FunctionNotLoaded}[rng.IntN(10)]
 				delete(r.open, n)
-				if !o.NeverRan() && !r.ran {
-					r.ran, r.mayRan = true, r.sentAt[n]
+				if !o.NeverRan() && !r.mayHaveRun {
+					r.mayHaveRun, r.mayHaveRunAt = true, r.sentAt[n]
 				}
-				closed := r.final || o == Served
-				r.final = closed
-				handle(AttemptEnded{Request: id, Attempt: n, Worker: r.sent[n], Outcome: o, RequestClosed: closed, Duration: now - r.sentAt[n]})
+				closed := r.answered || o == Served
+				r.answered = closed
+				handle(AttemptEnded{Request: id, Attempt: n, Worker: r.workers[n], Outcome: o, RequestClosed: closed, Duration: now - r.sentAt[n]})
 				break
 			}
 		}
@@ -206,18 +206,18 @@
 	for _, tm := range timers {
 		now = max(now, tm.at)
 	}
-	for _, r := range c.reqs {
+	for _, r := range c.requests {
 		r.deadline = now
 	}
 	for _, tm := range timers {
 		handle(TimerFired{Token: tm.token})
 	}
-	for id, r := range c.reqs {
-		if !r.final {
+	for id, r := range c.requests {
+		if !r.answered {
 			t.Fatalf("seed %d: request %d got no final answer", seed, id)
 		}
 	}
-	if len(p.held) > len(c.reqs) {
-		t.Fatalf("seed %d: books grow: %d held", seed, len(p.held))
+	if len(p.waitingRequests) > len(c.requests) {
+		t.Fatalf("seed %d: books grow: %d held", seed, len(p.waitingRequests))
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -8,23 +8,23 @@
 
 // In overload work turned away as full must not count as what a worker can take.
 func TestColdWorkerGetsNoMoreThanItsBudget(t *testing.T) {
-	b := newBed(t, config(), 5)
+	b := newHarness(t, testConfig(), 5)
 	for range 200 { // 10 a second over 5 workers
-		b.serve(FunctionID(b.now%50), 100*ms, InstanceWarm)
+		b.serveRequest(FunctionID(b.now%50), 100*ms, InstanceWarm)
 		if b.now%time.Second < 100*ms {
-			b.do(TimerFired{Token: beatToken})
+			b.handle(TimerFired{Token: housekeepingToken})
 		}
 	}
-	b.do(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Ready, StartedAt: b.now}}})
+	b.handle(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Ready, StartedAt: b.now}}})
 	sent := 0
 	for f := FunctionID(1000); f < 1400; f++ {
 		id, acts := b.arrive(0, f)
-		s, ok := first[SendAttempt](acts)
+		s, ok := firstAction[SendAttempt](acts)
 		for n := 0; ok; n++ {
 			if s.Worker == 1 {
 				sent++
 			}
-			s, ok = first[SendAttempt](b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Errored}))
+			s, ok = firstAction[SendAttempt](b.handle(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Errored}))
 		}
 	}
 	// A share of 0.2 at a multiple of 2 allows 0.4 of the mean: 2.4 of 6 in the 3 s window.
@@ -36,26 +36,26 @@
 // Of many dispatchers, blind to each other, each may send a worker that just started only part of a call.
 func TestManyDispatchersTogetherSpareAColdWorker(t *testing.T) {
 	const peers, workers, each = 100, 10, 30 // calls of each dispatcher in 10 s
-	cfg := config()
+	cfg := testConfig()
 	cfg.RouterCount = peers
 	sent := 0
 	for n := range peers {
-		b := newBed(t, cfg, workers)
-		b.p.rng = rand.New(rand.NewPCG(uint64(n), 1))
+		b := newHarness(t, cfg, workers)
+		b.policy.rng = rand.New(rand.NewPCG(uint64(n), 1))
 		for k := range each {
-			b.serve(FunctionID(k), 300*ms, InstanceWarm)
+			b.serveRequest(FunctionID(k), 300*ms, InstanceWarm)
 			b.now += 33 * ms
 		}
-		b.do(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Ready, StartedAt: b.now}}})
+		b.handle(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Ready, StartedAt: b.now}}})
 		for f := FunctionID(1000); f < 1009; f++ { // 3 s of calls for functions that stand nowhere
 			b.now += 333 * ms
 			id, acts := b.arrive(0, f)
-			s, ok := first[SendAttempt](acts)
+			s, ok := firstAction[SendAttempt](acts)
 			for try := 0; ok; try++ {
 				if s.Worker == 1 {
 					sent++
 				}
-				s, ok = first[SendAttempt](b.do(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Errored}))
+				s, ok = firstAction[SendAttempt](b.handle(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Errored}))
 			}
 		}
 	}
