--- a/policy/api.go
+++ b/policy/api.go
@@ -5,13 +5,36 @@
 // It reads no clock, starts no goroutine and does no I/O, so the same seed and events always give the same
 // actions.
 //
+// # How it decides
+//
 // Scoring follows the mask-aware scheduler of InstGenIE ("InstGenIE: Generative Image Editing Made Efficient
-// with Mask-aware Caching and Scheduling"): a request goes to the worker with the lowest predicted latency.
-// The term for the cold start, the estimators that work without a view of other routers' requests, placement
-// by rendezvous hashing, slow start, outlier ejection and load shedding are additions to it.
+// with Mask-aware Caching and Scheduling"): a request goes to the worker with the lowest predicted latency. The
+// rest is an addition to it, for many routers that do not see each other's requests:
+//
+//   - Prediction. The score is the sum of the queueing delay at the worker, the request's run time, the time of a
+//     load if the worker lacks the function, and the wait for nothing if it leaves requests unserved. The delay
+//     is a line, fitted online, over our requests in flight there, plus a constant for what others queue there.
+//   - Placement. A function that must be loaded goes to its first worker by rendezvous hashing (highest random
+//     weight; Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998), which ranks
+//     workers alike at all routers. It is spread over as many workers, its replicas, as its share of our work
+//     asks for, or more while they are saturated; each router keeps to one replica, and others keep the rest
+//     warm. As many requests of others make it likely that it is loaded there, the load counts for less.
+//   - Load orders and backoff. Where workers do not load by themselves, one order per missing instance is sent
+//     within a budget. While loads fail, at whatever worker, they begin one at a time and ever more slowly, to
+//     guard the store that functions are loaded from; requests that need a load wait.
+//   - Slow start. What workers serve is within their capacity, so each router keeps its sends to a worker that
+//     has just started below a multiple of what one worker serves it on average: the sum over all routers holds
+//     however uneven the traffic is. A part of a request is rounded at random, once per start of the worker, so
+//     that many routers that send little still send their sum.
+//   - Outlier ejection. A worker that cannot be reached, or is silent for too long and fails a health check, is
+//     ejected for a growing time; its attempts are cancelled where the request may be sent elsewhere.
+//   - Load shedding. A standing delay that even the fastest answers show serves nobody, so a growing part of the
+//     requests is shed: first those beyond their tenant's quota or late at best, then those of least value for
+//     their work. The measure is the shortest objective among the request's class and those of more value.
+//   - Gossip. Routers tell each other which instances are loaded, at a cost per request that does not grow with
+//     their number.
 //
-// All times are offsets on the router's monotonic clock; all durations that an event reports are clamped to
-// a plausible range before use.
+// All times are offsets on the router's monotonic clock. Estimates are in nanoseconds and of type float64.
 package policy
 
 import (
@@ -97,7 +120,7 @@
 	MaxRetryAfter   time.Duration
 	OverQuotaWeight float64 // factor on the value of a request beyond its tenant's quota; 1 if unused
 
-	ImplicitListAge   time.Duration // a list that was not asked for counts as known after this
+	ImplicitListAge   time.Duration // without a subscription, a list this old counts as known
 	SlowStartCapacity float64       // least share of its capacity that a worker has at its start, 0 to 1
 	SlowStartDuration time.Duration // time after which a worker has its full capacity
 	OverloadMultiple  float64       // a warming worker fails if sent more than this multiple of its capacity
@@ -115,7 +138,7 @@
 	LoadOrdersPerRequest    float64       // further ones per request that arrived within the window
 }
 
-// ConfigError reports a setting that a Policy cannot work with.
+// ConfigError reports a setting that a Policy cannot work with; of several such settings any one.
 type ConfigError struct {
 	Field  string // path of the field in Config, such as "Classes[1].Deadline"
 	Reason string // what is wrong with its value
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -74,4 +74,4 @@
 
 func hasAction[A Action](acts []Action) bool { _, ok := firstAction[A](acts); return ok }
 
-func firstClass(b *harness) *classState { return &b.policy.classes[0] }
+func firstClass(b *harness) *class { return &b.policy.classes[0] }
--- a/policy/loads_test.go
+++ b/policy/loads_test.go
@@ -60,7 +60,7 @@
 	cfg.RouterCount = 40
 	b := newHarness(t, cfg, 5)
 	b.serveRequest(7, 100*ms, InstanceWarm)
-	b.policy.failedLoads, b.policy.loadsPausedUntil = 1, b.now+time.Second
+	b.policy.loadBackoff.failures, b.policy.loadBackoff.until = 1, b.now+time.Second
 	id, acts := b.arrive(0, 8)
 	s, ok := firstAction[SendAttempt](acts)
 	if !ok {
@@ -94,7 +94,7 @@
 	}
 	b.now += 2 * time.Second
 	b.handle(TimerFired{Token: housekeepingToken})
-	b.policy.waitingRequests = nil
+	b.policy.waiting = nil
 	b.now += 2 * time.Second
 	b.serveRequest(500, time.Second, LoadStarted)
 	b.serveRequest(501, time.Second, LoadStarted) // one success opens the gate
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -21,12 +21,12 @@
 		}
 		b.now += 10 * ms
 		probes := b.handle(AttemptEnded{Request: others, Worker: w, Outcome: ConnectionReset, Duration: 10 * ms})
-		n := b.policy.workers[w].failureRates[0].count
+		n := b.policy.workers[w].unserved[0].count
 		acts = b.handle(AttemptEnded{Request: id, Worker: w, Outcome: ConnectionReset, Duration: 10 * ms})
 		if s, ok := firstAction[SendAttempt](acts); !ok || s.Worker != w || !hasAction[ProbeWorker](probes) || hasAction[ProbeWorker](acts) {
 			t.Fatalf("after a reset: %v, %v", probes, acts)
 		}
-		if b.policy.workers[w].failureRates[0].count != n {
+		if b.policy.workers[w].unserved[0].count != n {
 			t.Error("one broken connection counts as two failures")
 		}
 		acts = b.handle(AttemptEnded{Request: id, Attempt: 1, Worker: w, Outcome: again})
@@ -53,11 +53,11 @@
 	}
 	b.now += 10 * ms
 	w := b.policy.workers[at]
-	before := w.failureRates[2].count
+	before := w.unserved[2].count
 	for _, id := range ids[1:] {
 		b.handle(AttemptEnded{Request: id, Worker: at, Outcome: ConnectionReset, Duration: 10 * ms})
 	}
-	if n := w.failureRates[2].count; n > before+1 {
+	if n := w.unserved[2].count; n > before+1 {
 		t.Errorf("one broken connection counts as %.1f failures", n-before)
 	}
 	if b.policy.isEjected(w) {
@@ -174,7 +174,7 @@
 		}
 	}
 	for _, w := range b.policy.fleet {
-		if share := w.failureRates[0].value(b.now); share > 0 {
+		if share := w.unserved[0].value(b.now); share > 0 {
 			t.Errorf("%.0f%% of calls are thought to go unserved at worker %d", 100*share, w.Worker)
 		}
 	}
@@ -183,7 +183,7 @@
 		t.Errorf("the warm worker %d is left for %d", at, s.Worker)
 	}
 	b.handle(AttemptEnded{Request: id, Worker: at, Outcome: Errored, Duration: ms})
-	if b.policy.workers[at].failureRates[0].value(b.now) == 0 {
+	if b.policy.workers[at].unserved[0].value(b.now) == 0 {
 		t.Error("an error to a call of a function that was served counts for nothing")
 	}
 }
@@ -235,7 +235,7 @@
 	}
 	b.now += ms
 	b.handle(ProbeEnded{Worker: 999}) // the clock goes on
-	b.policy.probeWorker(b.policy.workers[w])
+	b.policy.probe(b.policy.workers[w])
 	b.now += time.Second
 	b.handle(ProbeEnded{Worker: w, Outcome: TimedOut})
 	if !b.policy.isEjected(b.policy.workers[w]) {
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -48,7 +48,7 @@
 	}
 	served(b, one, at1, InstanceWarm)
 	served(b, two, at2, InstanceWarm)
-	b.policy.workers[1].instance(7).observedConcurrency = 2 // two were served at a time
+	b.policy.workers[1].instance(7).concurrency = 2 // two were served at a time
 	b.policy.workers[2].excessDelay.observe(b.now, float64(100*ms))
 	if _, at1 = send(b); at1 != 1 {
 		t.Fatalf("sent to %d", at1)
@@ -58,7 +58,7 @@
 		t.Fatalf("sent to %d though a second lane was seen", at2)
 	}
 	b.handle(AttemptEnded{Request: id, Worker: 1, Outcome: FunctionNotLoaded})
-	if n := b.policy.workers[1].instance(7).observedConcurrency; n != 0 {
+	if n := b.policy.workers[1].instance(7).concurrency; n != 0 {
 		t.Errorf("%d lanes are believed in after a miss", n)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -85,7 +85,7 @@
 	})
 	t.Run("gate shut for longer than the client waits", func(t *testing.T) {
 		b := newHarness(t, testConfig(), 3)
-		b.policy.loadsPausedUntil = b.now + 1500*ms
+		b.policy.loadBackoff.until = b.now + 1500*ms
 		b.handle(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Worker: 9, State: Ready}}})
 		b.policy.cfg.RouterCount = 1
 		if acts := b.handle(RequestArrived{Request: 77, Function: 3, LoadTime: time.Second, TimeLeft: 1400 * ms}); !final(acts) {
@@ -123,7 +123,7 @@
 		b.serveRequest(7, 100*ms, InstanceWarm)
 	}
 	for _, w := range b.policy.fleet {
-		if v := w.queueSlope.numerator + firstClass(b).runTime + b.policy.loadRatio + b.policy.standingDelay; math.IsNaN(v) || math.IsInf(v, 0) {
+		if v := w.queueSlope.numerator + firstClass(b).runTime.mean + b.policy.loadRatio + b.policy.standingDelay; math.IsNaN(v) || math.IsInf(v, 0) {
 			t.Errorf("worker %d: an estimate is %v", w.Worker, v)
 		}
 	}
--- a/policy/random_world_test.go
+++ b/policy/random_world_test.go
@@ -217,7 +217,7 @@
 			t.Fatalf("seed %d: request %d got no final answer", seed, id)
 		}
 	}
-	if len(p.waitingRequests) > len(c.requests) {
-		t.Fatalf("seed %d: books grow: %d held", seed, len(p.waitingRequests))
+	if len(p.waiting) > len(c.requests) {
+		t.Fatalf("seed %d: books grow: %d held", seed, len(p.waiting))
 	}
 }
