--- a/cmd/functionrouter/config.go
+++ b/cmd/functionrouter/config.go
@@ -92,7 +92,7 @@
 type transportSettings struct {
 	FailureDomains []string        `json:"failureDomains"` // the zones
 	Classes        []namedSetting  `json:"classes"`
-	Tenants        []namedSetting  `json:"accounts"` // the tenants
+	Tenants        []namedSetting  `json:"accounts"`
 	Limits         transportLimits `json:"limits"`
 }
 
--- a/cmd/functionrouter/extensions.go
+++ b/cmd/functionrouter/extensions.go
@@ -16,6 +16,9 @@
 // extensions are the optional parts beside the platform's frontend; each is nil where it is off, as all are on the
 // platform.
 type extensions struct {
+	cfg  *config
+	loop *eventloop.Loop
+
 	receiver *webhook.Receiver // signed webhooks that carry requests
 	sender   *webhook.Sender   // signed notices of how requests ended
 	exporter *ipfix.Exporter   // flow records
@@ -23,31 +26,34 @@
 	frontendAddrs [2]netip.AddrPort // where each router.Frontend listens, for the flow records
 }
 
-// newExtensions reads the files and joins the parts that they turn on to the loop and the router.
-func newExtensions(cfg *config, loop *eventloop.Loop, core *router.Router) (*extensions, error) {
-	x := &extensions{}
+// newExtensions reads the files and joins the parts that they turn on to the loop. The webhook frontend sends its
+// requests to requestRouter.
+func newExtensions(cfg *config, loop *eventloop.Loop, requestRouter webhook.RequestRouter) (*extensions, error) {
+	x := &extensions{cfg: cfg, loop: loop}
 	x.frontendAddrs[router.Thrift] = netip.MustParseAddrPort(cfg.Listen) // readConfig checked it
 	if path := extensionFile(webhookVariable, webhookFile); path != "" {
-		if err := x.addWebhooks(path, cfg, loop, core); err != nil {
+		if err := x.addWebhooks(path, requestRouter); err != nil {
 			return nil, err
 		}
 	}
 	if path := extensionFile(flowExportVariable, flowExportFile); path != "" {
-		if err := x.addFlowExport(path, loop); err != nil {
+		if err := x.addFlowExport(path); err != nil {
 			return nil, err
 		}
 	}
-	core.OnRequestEnd = func(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
-		if x.sender != nil {
-			x.notify(now, r, outcome, cfg.policy.Classes[r.Class])
-		}
-		if x.exporter != nil {
-			x.exportFlow(now, r, cfg.transport.Classes[r.Class].Name)
-		}
-	}
 	return x, nil
 }
 
+// requestEnded is the router's OnRequestEnd: it queues a notice and a flow record.
+func (x *extensions) requestEnded(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
+	if x.sender != nil {
+		x.notify(now, r, outcome)
+	}
+	if x.exporter != nil {
+		x.exportFlow(now, r)
+	}
+}
+
 // extensionFile returns the file to read: the one that the variable names, or the default if it exists, or none.
 func extensionFile(variable, defaultFile string) string {
 	if path := os.Getenv(variable); path != "" {
--- a/cmd/functionrouter/flow_export.go
+++ b/cmd/functionrouter/flow_export.go
@@ -17,7 +17,7 @@
 )
 
 // addFlowExport turns on the export if the file at path enables it.
-func (x *extensions) addFlowExport(path string, loop *eventloop.Loop) error {
+func (x *extensions) addFlowExport(path string) error {
 	file, err := ipfix.ReadConfig(path)
 	if err != nil {
 		return err
@@ -26,14 +26,14 @@
 		return nil
 	}
 	x.exporter = ipfix.New(file, time.Now, func(h eventloop.DialHandler) ipfix.Transport {
-		return loop.DialUDP(file.Collector, h)
+		return x.loop.DialUDP(file.Collector, h)
 	})
 	slog.Info("flow export enabled", "collector", file.Collector)
 	return nil
 }
 
 // exportFlow adds a record of a request that has just ended.
-func (x *extensions) exportFlow(now time.Duration, r *router.Request, class string) {
+func (x *extensions) exportFlow(now time.Duration, r *router.Request) {
 	end := time.Now()
 	x.exporter.Add(ipfix.Flow{
 		Client: r.ClientAddr,
@@ -41,7 +41,7 @@
 		Start:  end.Add(r.ReceivedAt - now),
 		End:    end,
 		Octets: uint64(len(r.Body)),
-		Class:  class,
+		Class:  x.cfg.transport.Classes[r.Class].Name,
 	})
 }
 
--- a/cmd/functionrouter/server.go
+++ b/cmd/functionrouter/server.go
@@ -71,13 +71,13 @@
 
 // newServer builds the parts and joins them; nothing listens yet.
 func newServer(cfg *config) (*server, error) {
-	module, err := policy.New(cfg.policy, cfg.seed)
+	decisions, err := policy.New(cfg.policy, cfg.seed)
 	if err != nil {
 		return nil, err
 	}
 	s := &server{cfg: cfg, shutdown: shutdown{flushTimeout: cfg.flushTimeout()}}
 	s.loop = eventloop.New(cfg.loopConfig())
-	s.router = router.New(module, cfg.routerLimits())
+	s.router = router.New(decisions, cfg.routerLimits())
 	s.pool = backend.New(s.poolConfig(), s.router)
 	s.router.SetWorkerPool(s.pool)
 	s.discovery = discovery.New(cfg.DirectoryAddress, s.dialDirectory, s.updateEndpoints)
@@ -87,6 +87,7 @@
 	if s.extensions, err = newExtensions(cfg, s.loop, s.router); err != nil {
 		return nil, err
 	}
+	s.router.OnRequestEnd = s.extensions.requestEnded
 	frontend := thrift.New(s.router, cfg.transport.classNames(), cfg.transport.tenantNames(), s.loop.Now, s.ready)
 	s.loop.Listen(cfg.Listen, frontend.Accept)
 	return s, nil
--- a/cmd/functionrouter/webhooks.go
+++ b/cmd/functionrouter/webhooks.go
@@ -19,19 +19,19 @@
 )
 
 // addWebhooks turns on the parts that the file at path enables.
-func (x *extensions) addWebhooks(path string, cfg *config, loop *eventloop.Loop, core *router.Router) error {
+func (x *extensions) addWebhooks(path string, requestRouter webhook.RequestRouter) error {
 	file, err := webhook.ReadConfig(path)
 	if err != nil {
 		return err
 	}
 	if file.Receiver.Enabled {
-		if err := x.addReceiver(file, cfg, loop, core); err != nil {
+		if err := x.addReceiver(file, requestRouter); err != nil {
 			return err
 		}
 	}
 	if file.Sender.Enabled {
 		dial := func(addr string, timeout time.Duration, h eventloop.DialHandler) webhook.Transport {
-			return loop.Dial(addr, timeout, h)
+			return x.loop.Dial(addr, timeout, h)
 		}
 		if x.sender, err = webhook.NewSender(file, time.Now, dial); err != nil {
 			return err
@@ -41,31 +41,31 @@
 }
 
 // addReceiver turns on the webhook frontend.
-func (x *extensions) addReceiver(file *webhook.Config, cfg *config, loop *eventloop.Loop, core *router.Router) error {
+func (x *extensions) addReceiver(file *webhook.Config, requestRouter webhook.RequestRouter) error {
 	var classes []webhook.Class
-	for i, class := range cfg.policy.Classes {
+	for i, class := range x.cfg.policy.Classes {
 		classes = append(classes, webhook.Class{
-			Name:    cfg.transport.Classes[i].Name,
+			Name:    x.cfg.transport.Classes[i].Name,
 			Once:    class.Idempotency != policy.Idempotent,
 			Longest: class.Deadline,
 		})
 	}
-	receiver, err := webhook.NewReceiver(file, core, classes, cfg.scaleToMemory(maxWebhookResultBytes),
-		loop.Now, time.Now, loop.Post)
+	receiver, err := webhook.NewReceiver(file, requestRouter, classes, x.cfg.scaleToMemory(maxWebhookResultBytes),
+		x.loop.Now, time.Now, x.loop.Post)
 	if err != nil {
 		return err
 	}
 	x.receiver = receiver
 	x.frontendAddrs[router.Webhook] = netip.MustParseAddrPort(file.Receiver.Listen) // webhook.ReadConfig checked it
-	loop.Listen(file.Receiver.Listen, receiver.Accept)
+	x.loop.Listen(file.Receiver.Listen, receiver.Accept)
 	slog.Info("webhook frontend enabled", "listen", file.Receiver.Listen, "path", file.Receiver.Path,
 		"ledger", file.Receiver.Ledger.Path)
 	return nil
 }
 
 // notify queues a notice of how a request ended, if it is one that must not run twice.
-func (x *extensions) notify(now time.Duration, r *router.Request, outcome router.RequestOutcome, class policy.Class) {
-	if class.Idempotency == policy.NotIdempotent {
+func (x *extensions) notify(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
+	if x.cfg.policy.Classes[r.Class].Idempotency == policy.NotIdempotent {
 		x.sender.Notify(now, r, outcome)
 	}
 }
