--- a/internal/frontend/webhook/connection.go
+++ b/internal/frontend/webhook/connection.go
@@ -5,10 +5,12 @@
 	"time"
 )
 
-// maxDiscardedBytes are read and dropped behind a request that could not be read, before the connection is closed.
+// maxDiscardedBytes is how much is read and dropped after a request that could not be parsed, before the connection is
+// closed.
 const maxDiscardedBytes = 256 << 10
 
-// connection is a client's connection. It has one request at a time; what follows it waits in buffered.
+// connection is a client's connection. It handles one request at a time; pipelined ones wait in buffered. It belongs to
+// the event loop's goroutine.
 type connection struct {
 	receiver  *Receiver
 	transport Transport
@@ -35,7 +37,7 @@
 func (c *connection) HasOpenRequests() bool { return c.awaitingResponse }
 
 // MessageProgress returns how many requests have come with their bodies, and whether the beginning of another has;
-// what a client sends behind the last response is no more than that.
+// what a client sends after the last response counts as no more than a beginning.
 func (c *connection) MessageProgress() (whole int, begun bool) {
 	return c.requestsReceived, c.finished || c.head != nil || len(c.buffered) > 0
 }
@@ -59,7 +61,7 @@
 	c.handleBuffered()
 }
 
-// OnClose forgets the client. Its call goes on: its sender comes again for the outcome.
+// OnClose ends the connection. A pending call goes on: the sender of the delivery gets its outcome with a redelivery.
 func (c *connection) OnClose(error) { c.finish() }
 
 // finish has no further request read.
@@ -115,12 +117,12 @@
 	return head, body
 }
 
-// reject answers the request in hand with the status that err stands for.
+// reject answers the current request with the status that err maps to.
 func (c *connection) reject(err error) {
 	c.respond(response{status: statusOf(err), retryAfter: defaultRetryAfter})
 }
 
-// respond writes the one response to the request in hand.
+// respond writes the one response to the current request.
 func (c *connection) respond(r response) {
 	requestComplete := c.awaitingResponse
 	c.awaitingResponse = false
@@ -136,6 +138,6 @@
 	if requestComplete {
 		c.transport.CloseAfterFlush()
 	}
-	// Else closing on what is still being sent would reset the connection, and the response with it (RFC 9112,
-	// section 9.6): the client closes, or maxDiscardedBytes or the idle limit does.
+	// Otherwise the client may still be sending: closing now would reset the connection before the client has read
+	// the response (RFC 9112, section 9.6). The client closes it, or else maxDiscardedBytes or the idle limit does.
 }
--- a/internal/frontend/webhook/deduplication.go
+++ b/internal/frontend/webhook/deduplication.go
@@ -29,7 +29,8 @@
 	outcome     response
 }
 
-// payloadDigest tells whether a redelivery has the same payload. The ledger stores it: it must not change.
+// payloadDigest returns a digest that tells a redelivery from another payload under the same webhook-id. The ledger
+// stores it, so its form must not change.
 func payloadDigest(payload []byte) string {
 	digest := sha256.Sum256(payload)
 	return hex.EncodeToString(digest[:digestBytes])
@@ -45,7 +46,7 @@
 	return e
 }
 
-// respondToWaiting answers all that wait for the delivery.
+// respondToWaiting answers all connections that wait for the delivery.
 func (d *delivery) respondToWaiting(r response) {
 	waiting := d.waiting
 	d.waiting = nil
@@ -76,7 +77,7 @@
 
 func (d *deduplicator) add(added *delivery) { d.deliveries[added.id] = added }
 
-// remove forgets a delivery: its id may come again, and would run.
+// remove forgets a delivery. A later one with its webhook-id runs as a first one.
 func (d *deduplicator) remove(removed *delivery) {
 	delete(d.deliveries, removed.id)
 	d.bodyBytes -= len(removed.outcome.body)
@@ -91,7 +92,7 @@
 }
 
 // restore adds an order from the ledger. One that was in flight when the program ended may have run, and nothing is
-// known of how it ended: it is failed, and never run again.
+// known of how it ended: redeliveries are answered with 502, and it never runs again.
 func (d *deduplicator) restore(e ledgerEntry) {
 	outcome := response{status: e.Status, body: e.Body}
 	if e.State == orderBegun {
@@ -122,8 +123,8 @@
 	delivery *delivery
 }
 
-// Respond answers all that wait for the delivery. An answer after which the call may have run is kept for
-// redeliveries; where it is proven that the call never ran, the webhook-id may come again.
+// Respond answers all connections that wait for the delivery. An answer after which the call may have run is kept for
+// redeliveries; where it is proven that the call never ran, the next delivery of the webhook-id runs it.
 func (r *responder) Respond(a router.Response) {
 	if a.Status == router.Refused && !a.MayHaveRun {
 		r.release(a)
@@ -160,7 +161,7 @@
 	case a.DeadlineExceeded:
 		return response{status: http.StatusGatewayTimeout}
 	default:
-		// Also a refusal of what may have run: coming again with this id brings nothing else.
+		// Also a refusal of a call that may have run: a redelivery must not run it again.
 		return response{status: http.StatusBadGateway}
 	}
 }
--- a/internal/frontend/webhook/http.go
+++ b/internal/frontend/webhook/http.go
@@ -92,7 +92,10 @@
 	if err := head.parseFields(fields); err != nil {
 		return head, 0, err
 	}
-	if err := head.checkFraming(); err != nil {
+	if _, count := head.field("Host"); count != 1 {
+		return head, 0, errMissingHost
+	}
+	if err := head.parseFraming(); err != nil {
 		return head, 0, err
 	}
 	connection, _ := head.field("Connection")
@@ -102,12 +105,13 @@
 	return head, end + len("\r\n\r\n"), nil
 }
 
-// checkIncompleteHead rejects what can't become a head any more.
+// checkIncompleteHead rejects bytes that no further ones can complete to a valid head.
 func checkIncompleteHead(b []byte) error {
 	if len(b) >= maxHeadBytes {
 		return errHeadTooLarge
 	}
-	// Some take a bare line feed for a line end: waiting for CRLF would make two requests out of what they saw as one.
+	// An intermediary may have taken a bare line feed for a line end (RFC 9112, section 2.2, allows it). Waiting for CRLF
+	// would then read beyond the request that it saw.
 	if i := bytes.IndexByte(b, '\n'); i == 0 || i > 0 && b[i-1] != '\r' {
 		return errBareLineFeed
 	}
@@ -125,8 +129,8 @@
 	return nil
 }
 
-// parseFields reads the header lines, each with its line end (RFC 9112, section 5). Neither folded lines nor space
-// before the colon are let in, as the RFC demands: servers differ in how they read them.
+// parseFields reads the header lines, each with its line end (RFC 9112, section 5). It rejects folded lines and
+// space before the colon, which servers are known to read in different ways.
 func (h *requestHead) parseFields(lines []byte) error {
 	var line []byte
 	for len(lines) > 0 {
@@ -144,12 +148,9 @@
 	return nil
 }
 
-// checkFraming finds the body's length. Two lengths, or a length and chunks, are how one request is passed off as
-// two (request smuggling; RFC 9112, section 11.2): it never guesses.
-func (h *requestHead) checkFraming() error {
-	if _, count := h.field("Host"); count != 1 {
-		return errMissingHost
-	}
+// parseFraming finds the body's length. It rejects two lengths, and any transfer coding, rather than choose between
+// them: on such a choice rests request smuggling (RFC 9112, sections 6.3 and 11.2).
+func (h *requestHead) parseFraming() error {
 	if _, count := h.field("Transfer-Encoding"); count > 0 {
 		return errTransferEncoding
 	}
--- a/internal/frontend/webhook/ledger.go
+++ b/internal/frontend/webhook/ledger.go
@@ -90,8 +90,8 @@
 	return lockFile, nil
 }
 
-// recordStart enters an order that is about to run. onDurable is called once, when the entry is on the disk or can't
-// be: on the writer's goroutine, or at once on the caller's where the queue is full.
+// recordStart records that an order is about to run. onDurable is called once, when the entry is on the disk or has
+// failed: on the writer's goroutine, or at once on the caller's where the queue is full.
 func (l *ledger) recordStart(e ledgerEntry, onDurable func(error)) {
 	e.State = orderBegun
 	select {
@@ -101,8 +101,8 @@
 	}
 }
 
-// recordEnd enters how an order ended, without waiting for the disk. Should the entry be lost, the order counts as
-// one that may have run, and is never run again.
+// recordEnd records how an order ended, without waiting for the disk. If the entry is lost, the order counts as one that
+// may have run, and never runs again.
 func (l *ledger) recordEnd(e ledgerEntry) {
 	select {
 	case l.pending <- pendingWrite{entry: e}:
@@ -111,8 +111,8 @@
 	}
 }
 
-// writeEntries is the writer: it writes what has been entered, with one sync for all entries that wait together,
-// until close closes the queue.
+// writeEntries is the writer's goroutine. It writes the queued entries, with one sync for all that wait at the same time
+// (group commit), and returns when close has closed the queue.
 func (l *ledger) writeEntries() {
 	defer close(l.writerDone)
 	var batch []pendingWrite
@@ -138,8 +138,7 @@
 	}
 }
 
-// writeBatch appends the entries, syncs the file where one of them waits for that, and then reports to each that
-// waits how its entry fared.
+// writeBatch appends the entries, syncs the file where one of them must be durable, and then calls each onDurable.
 func (l *ledger) writeBatch(batch []pendingWrite) {
 	errs := make([]error, len(batch))
 	mustSync := false
@@ -184,8 +183,8 @@
 	return nil
 }
 
-// makeRoom returns errLedgerFull where there is no room for so many bytes, even after a compaction. While the ledger
-// stays full, orders don't compact it each, since that writes the whole file.
+// makeRoom returns errLedgerFull where there is no room for so many bytes, even after a compaction. A compaction
+// rewrites the whole file, so a ledger that stays full is compacted once in compactionInterval at most.
 func (l *ledger) makeRoom(needed int64) error {
 	if l.size+needed <= l.maxBytes {
 		return nil
@@ -203,8 +202,8 @@
 	return nil
 }
 
-// close has the writer write what was entered, waits for its end, and releases the ledger to others. Nothing may be
-// entered after it.
+// close waits until the writer has written all recorded entries and has ended, and releases the ledger's lock. Nothing
+// may be recorded after it.
 func (l *ledger) close() error {
 	close(l.pending)
 	<-l.writerDone
--- a/internal/frontend/webhook/ledger_test.go
+++ b/internal/frontend/webhook/ledger_test.go
@@ -175,6 +175,39 @@
 	})
 }
 
+// Where the disk doesn't keep up, the loop's goroutine never waits for it: orders are rejected, and the ends of orders
+// are dropped.
+func TestLedgerQueueIsBounded(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "ledger")
+	l, _, err := openLedger(path, testLedgerBytes, time.Hour, noonClock)
+	if err != nil {
+		t.Fatal(err)
+	}
+	writerStopped, writerMayGoOn := make(chan struct{}), make(chan struct{})
+	l.recordStart(ledgerEntry{ID: "first", EventTime: noon}, func(error) {
+		close(writerStopped)
+		<-writerMayGoOn
+	})
+	<-writerStopped
+	for i := range ledgerQueueLength {
+		l.recordEnd(ledgerEntry{ID: strconv.Itoa(i), EventTime: noon, State: orderEnded})
+	}
+	l.recordEnd(ledgerEntry{ID: "dropped", EventTime: noon, State: orderEnded})
+	var rejection error
+	l.recordStart(ledgerEntry{ID: "rejected", EventTime: noon}, func(err error) { rejection = err })
+	if !errors.Is(rejection, errLedgerFull) {
+		t.Errorf("with a full queue: %v", rejection)
+	}
+	close(writerMayGoOn)
+	if err := l.close(); err != nil {
+		t.Fatal(err)
+	}
+	entries, err := readLastEntries(path)
+	if err != nil || len(entries) != 1+ledgerQueueLength {
+		t.Errorf("%d entries, error %v", len(entries), err)
+	}
+}
+
 // Damage leaves it open which orders ran: such a ledger must not be used.
 func TestDamagedLedgerIsNotOpened(t *testing.T) {
 	sound := string(encodeEntry(ledgerEntry{ID: "m", EventTime: noon, State: orderBegun}))
--- a/internal/frontend/webhook/receiver.go
+++ b/internal/frontend/webhook/receiver.go
@@ -58,7 +58,7 @@
 	Longest time.Duration // that a call may wait for its answer; also what it waits where it doesn't say
 }
 
-// Counters tells what became of deliveries.
+// Counters counts deliveries by what was done with them.
 type Counters struct {
 	Deliveries    uint64 // requests to the right path with the right method
 	Unauthorized  uint64 // without a valid signature
@@ -151,7 +151,7 @@
 	return &connection{receiver: r, transport: transport, peer: peer}
 }
 
-// Sweep forgets outcomes whose time is over.
+// Sweep forgets outcomes that have expired at now, on the loop's monotonic clock.
 func (r *Receiver) Sweep(now time.Duration) {
 	r.deliveries.sweep(now-r.settings.DedupeFor, r.wallClock().Add(-r.settings.Ledger.Retention))
 }
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// handleRedelivery answers a redelivery with the first outcome, once there is one.
+// handleRedelivery answers a redelivery with the outcome of the first delivery, as soon as that is known.
 func (r *Receiver) handleRedelivery(c *connection, d *delivery, digest string) {
 	switch {
 	case d.digest != digest: // a sender may not give an id to another payload
@@ -254,8 +254,8 @@
 	r.router.Submit(r.now(), request)
 }
 
-// logRejection logs why a delivery was not let in, at most once in rejectionLogInterval: whoever can connect could
-// fill the log otherwise. The counters have them all.
+// logRejection logs why a delivery was rejected, at most once in rejectionLogInterval: otherwise any client could fill
+// the log. The counters count them all.
 func (r *Receiver) logRejection(message string, err error) {
 	now := r.now()
 	if now < r.nextRejectionLog {
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -23,8 +23,8 @@
 	defaultPort           = ":80"
 )
 
-// Sender sends a signed notice of what became of each order. It is never in a request's way: what its queue has no
-// room for is dropped and counted. It belongs to the event loop's goroutine.
+// Sender sends a signed notice of each order's outcome. It never delays a request: notices that its queue has no room
+// for are dropped and counted. It belongs to the event loop's goroutine.
 type Sender struct {
 	settings  *SenderConfig
 	url       *url.URL
@@ -41,11 +41,11 @@
 	Sent SenderCounters
 }
 
-// SenderCounters tells what became of notices.
+// SenderCounters counts notices by what was done with them.
 type SenderCounters struct {
 	Queued    uint64
 	Dropped   uint64 // not queued: the queue was full
-	Delivered uint64 // taken by their receiver
+	Delivered uint64 // accepted by their receiver
 	Retried   uint64 // attempts that failed and were followed by another
 	GivenUp   uint64 // notices whose last attempt failed
 }
@@ -67,7 +67,7 @@
 
 type noticeData struct {
 	ID        string `json:"id"`                   // of the request
-	WebhookID string `json:"webhook_id,omitempty"` // of the delivery that the order came by
+	WebhookID string `json:"webhook_id,omitempty"` // of the delivery that asked for the order
 	Key       string `json:"key"`                  // the function's
 }
 
@@ -177,8 +177,8 @@
 	return next
 }
 
-// attemptEnded settles a notice's attempt. What was not taken comes again, later each time, until its attempts are
-// used up; 410 (Gone) says that it must never come again.
+// attemptEnded counts the end of a notice's attempt. A notice that was not accepted with a 2xx status is queued for a
+// retry with exponential backoff, until its attempts are used up or its receiver answers 410 (Gone).
 func (s *Sender) attemptEnded(n *notice, status int, err error) {
 	s.inFlight--
 	n.attempts++
@@ -196,8 +196,8 @@
 	s.queue = append(s.queue, n)
 }
 
-// retryDelay returns the pause behind so many failed attempts. It grows fourfold with each, up to maxBackoff; half
-// of it is random, so that notices that failed together don't come again together.
+// retryDelay returns the backoff after so many failed attempts. It grows fourfold with each, up to maxBackoff; half of
+// it is jitter, so that notices that failed together are not retried together.
 func retryDelay(initial time.Duration, failed int) time.Duration {
 	doublings := min(2*(failed-1), maxBackoffDoublings)
 	delay := min(initial<<doublings, maxBackoff)
--- a/internal/frontend/webhook/signature.go
+++ b/internal/frontend/webhook/signature.go
@@ -31,7 +31,7 @@
 	signatureField = "webhook-signature"
 )
 
-// Why a delivery is not let in.
+// Why a delivery is not authentic.
 var (
 	errMalformedSignature = errors.New("unsigned or malformed signature headers")
 	errStaleTimestamp     = errors.New("timestamp is out of tolerance")
@@ -91,7 +91,7 @@
 // signedHeaders are a delivery's signature headers.
 type signedHeaders struct {
 	id         string
-	timestamp  string    // as it came: it is part of what is signed
+	timestamp  string    // as received: it is part of what is signed
 	sentAt     time.Time // the timestamp's time
 	signatures [][]byte
 }
@@ -128,8 +128,8 @@
 	return time.Unix(seconds, 0), nil
 }
 
-// isSignedWith reports whether one of the signatures was made with an active key. Each signature is compared with
-// each key's, whatever was found before, so that the time taken tells nothing of them.
+// isSignedWith reports whether one of the signatures was made with an active key. It compares each signature
+// with each key's, even after a match, so that the time taken reveals nothing about them.
 func (s *signedHeaders) isSignedWith(keys []signingKey, now time.Time, body []byte) bool {
 	matches := false
 	for i := range keys {
