--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,136 +6,149 @@
 	"time"
 )
 
-// What others queue at the one worker that has the function makes less worthy calls give way there, and only there.
-func TestShedsWhereOthersQueue(t *testing.T) {
+// What others queue at the one worker that has the function makes requests of less value give way there, and
+// only there.
+func TestShedsOnlyWhereOthersQueue(t *testing.T) {
 	cfg := testConfig()
 	cfg.RouterCount = 50
-	b := newHarness(t, cfg, 2)
-	sent := func(w *worker, f FunctionID) (n int) {
-		w.instance(f).warmUntil = b.now + time.Minute
+	h := newHarness(t, cfg, 2)
+	sentOf100 := func(w *worker, f FunctionID) (n int) {
+		w.instance(f).warmUntil = h.now + time.Minute
 		for range 100 {
-			id, acts := b.arrive(0, f)
-			if hasAction[SendAttempt](acts) {
+			id, actions := h.arrive(classIdempotent, f)
+			if hasAction[SendAttempt](actions) {
 				n++
-				b.handle(AttemptEnded{Request: id, Worker: w.Worker, Outcome: Cancelled, RequestClosed: true})
+				h.handle(AttemptEnded{Request: id, Worker: w.Worker, Outcome: Cancelled, RequestClosed: true})
 			}
 		}
 		return n
 	}
-	busy, idle := b.policy.workers[1], b.policy.workers[2]
+	busy, idle := h.policy.workers[1], h.policy.workers[2]
 	for range 10 {
-		busy.excessDelay.observe(b.now, float64(250*ms))
+		busy.excessDelay.observe(h.now, float64(250*ms))
 	}
-	if at, off := sent(busy, 7), sent(idle, 8); at > 60 || off < 95 {
-		t.Errorf("%d of 100 sent where others queue, %d where none do", at, off)
+	if atBusy, atIdle := sentOf100(busy, 7), sentOf100(idle, 8); atBusy > 60 || atIdle < 95 {
+		t.Errorf("%d of 100 sent where others queue, %d where none do", atBusy, atIdle)
 	}
-	b.now += 30 * time.Second
-	if at := sent(busy, 7); at < 95 {
-		t.Errorf("%d of 100 sent after the queue is gone", at)
+	h.now += 30 * time.Second
+	if atBusy := sentOf100(busy, 7); atBusy < 95 {
+		t.Errorf("%d of 100 sent after the queue is gone", atBusy)
 	}
 }
 
-// A refusal tells when to come back where the settings allow it, within the most that they tell and not all at once.
-func TestRefusalsTellWhenToComeBack(t *testing.T) {
-	for _, allowed := range []bool{true, false} {
-		cfg := testConfig()
-		cfg.AllowRetryAfter, cfg.MaxRetryAfter = allowed, 300*ms
-		for _, delay := range []time.Duration{150 * ms, 900 * ms} {
-			b := newHarness(t, cfg, 3)
-			b.policy.standingDelay, b.policy.lastTrial = float64(delay), b.now
+// A refusal tells when to come back where the settings allow it, within their limit and not all at once.
+func TestRefusalsCarryRetryAfter(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		allowed bool
+		delay   time.Duration
+	}{
+		{"allowed, short delay", true, 150 * ms},
+		{"allowed, delay beyond the limit", true, 900 * ms},
+		{"not allowed, short delay", false, 150 * ms},
+		{"not allowed, delay beyond the limit", false, 900 * ms},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.AllowRetryAfter, cfg.MaxRetryAfter = tc.allowed, 300*ms
+			h := newHarness(t, cfg, 3)
+			h.policy.standingDelay = float64(tc.delay)
+			h.policy.lastTrial = h.now
 			waits := map[time.Duration]bool{}
 			for range 100 {
-				_, acts := b.arrive(0, 7)
-				if r, ok := firstAction[RefuseRequest](acts); ok {
-					waits[r.RetryAfter] = true
-					if allowed != (r.RetryAfter > 0) || r.RetryAfter > cfg.MaxRetryAfter {
-						t.Fatalf("allowed %v, delay %v: told to come back after %v", allowed, delay, r.RetryAfter)
-					}
+				_, actions := h.arrive(classIdempotent, 7)
+				refusal, ok := firstAction[RefuseRequest](actions)
+				if !ok {
+					continue
+				}
+				waits[refusal.RetryAfter] = true
+				if tc.allowed != (refusal.RetryAfter > 0) || refusal.RetryAfter > cfg.MaxRetryAfter {
+					t.Fatalf("retry after %v", refusal.RetryAfter)
 				}
 			}
-			if allowed && len(waits) < 5 {
-				t.Errorf("delay %v: all come back at once: %v", delay, waits)
+			if tc.allowed && len(waits) < 5 {
+				t.Errorf("all come back at once: %v", waits)
 			}
-		}
+		})
 	}
 }
 
-// A tenant within its share must not look beyond it by chance, however few calls of it a dispatcher gets.
-func TestTenantWithinItsShareIsNotOver(t *testing.T) {
+// A tenant within its quota must not look beyond it by chance, however few requests of it a router gets.
+func TestTenantWithinItsQuotaIsNotOverIt(t *testing.T) {
 	cfg := testConfig()
 	cfg.RouterCount, cfg.Tenants = 100, []Tenant{{QuotaPerSecond: 200}}
-	b := newHarness(t, cfg, 5)
+	h := newHarness(t, cfg, 5)
 	rng := rand.New(rand.NewPCG(5, 5))
-	over := func(rate float64) (n int) {
+	overOf300 := func(perSecond float64) (n int) {
 		for range 300 {
-			b.now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-			b.lastRequest++
-			b.handle(RequestArrived{Request: b.lastRequest, Function: 7, LoadTime: time.Second, TimeLeft: 4 * time.Second})
-			r := b.policy.requests[b.lastRequest]
+			h.now += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
+			h.lastRequest++
+			h.handle(RequestArrived{Request: h.lastRequest, Function: 7, LoadTime: time.Second, TimeLeft: 4 * time.Second})
+			r := h.policy.requests[h.lastRequest]
 			if r == nil || r.overQuota {
 				n++
 			}
 			if r != nil && len(r.attempts) > 0 {
-				b.handle(AttemptEnded{Request: b.lastRequest, Worker: r.attempts[0].worker.Worker, InstanceStatus: InstanceWarm, RequestClosed: true, Duration: 50 * ms})
+				h.answer(h.lastRequest, r.attempts[0].worker.Worker, InstanceWarm, 50*ms)
 			}
 		}
 		return n
 	}
-	if n := over(1.6); n > 15 {
-		t.Errorf("%d of 300 calls within the share looked beyond it", n)
+	if n := overOf300(1.6); n > 15 {
+		t.Errorf("%d of 300 requests within the quota looked beyond it", n)
 	}
-	if n := over(6); n < 120 {
-		t.Errorf("only %d of 300 calls at three times the share looked beyond it", n)
+	if n := overOf300(6); n < 120 {
+		t.Errorf("only %d of 300 requests at three times the quota looked beyond it", n)
 	}
 }
 
-// In overload a call that must wait for a load is late at best and gives way before one that is warm.
-func TestLateAtBestGivesWayFirst(t *testing.T) {
-	b := newHarness(t, testConfig(), 4)
-	b.serveRequest(7, 1100*ms, LoadStarted)
-	sent := map[FunctionID]int{}
+// In overload a request that must wait for a load is late at best and gives way before one that is warm.
+func TestShedsLateRequestsFirst(t *testing.T) {
+	h := newHarness(t, testConfig(), 4)
+	h.serve(7, 1100*ms, LoadStarted)
+	sentWarm, sentCold := 0, 0
 	for n := range 200 {
-		b.policy.standingDelay = float64(220 * ms)
-		f := FunctionID(7)
+		h.policy.standingDelay = float64(220 * ms)
+		f, sent := FunctionID(7), &sentWarm
 		if n%2 == 0 {
-			f = FunctionID(1000 + n)
+			f, sent = FunctionID(1000+n), &sentCold
 		}
-		id, acts := b.arrive(2, f)
-		if s, ok := firstAction[SendAttempt](acts); ok {
-			sent[min(f, 8)]++
-			b.handle(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, InstanceStatus: LoadStarted, RequestClosed: true, Duration: 900 * ms})
+		id, actions := h.arrive(classNotIdempotent, f)
+		if s, ok := firstAction[SendAttempt](actions); ok {
+			*sent++
+			h.answer(id, s.Worker, LoadStarted, 900*ms)
 		}
 	}
-	if sent[7] < sent[8]+15 {
-		t.Errorf("sent %d warm and %d cold calls", sent[7], sent[8])
+	if sentWarm < sentCold+15 {
+		t.Errorf("sent %d warm and %d cold requests", sentWarm, sentCold)
 	}
 }
 
-// In overload least worth gives way first, and all is let in again once the delay is gone.
-func TestShedsLeastWorthAndRecovers(t *testing.T) {
-	b := newHarness(t, testConfig(), 4)
-	count := func(class int) (sent int) {
+// In overload the least value gives way first, and all is admitted again once the delay is gone.
+func TestShedsLeastValueFirstAndRecovers(t *testing.T) {
+	h := newHarness(t, testConfig(), 4)
+	sentOf100 := func(class int) (sent int) {
 		for range 100 {
-			id, acts := b.arrive(class, 7)
-			if s, ok := firstAction[SendAttempt](acts); ok {
+			id, actions := h.arrive(class, 7)
+			if s, ok := firstAction[SendAttempt](actions); ok {
 				sent++
-				b.handle(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, InstanceStatus: LoadStarted, RequestClosed: true, Duration: 10 * ms})
+				h.answer(id, s.Worker, LoadStarted, 10*ms)
 			}
 		}
 		return sent
 	}
-	b.policy.standingDelay = float64(220 * ms)
-	low, high := count(0), count(2)
+	h.policy.standingDelay = float64(220 * ms)
+	low, high := sentOf100(classIdempotent), sentOf100(classNotIdempotent)
 	if low >= high || low == 0 {
-		t.Errorf("sent %d of low worth and %d of high", low, high)
+		t.Errorf("sent %d of low value and %d of high", low, high)
 	}
 	for range 200 {
-		id, acts := b.arrive(2, 7)
-		if s, ok := firstAction[SendAttempt](acts); ok {
-			b.handle(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, InstanceStatus: InstanceWarm, RequestClosed: true, Duration: 50 * ms})
+		id, actions := h.arrive(classNotIdempotent, 7)
+		if s, ok := firstAction[SendAttempt](actions); ok {
+			h.answer(id, s.Worker, InstanceWarm, 50*ms)
 		}
 	}
-	if got := count(0); got < 95 {
-		t.Errorf("only %d of 100 let in after the overload", got)
+	if got := sentOf100(classIdempotent); got < 95 {
+		t.Errorf("only %d of 100 admitted after the overload", got)
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"functionrouter/policy"
 )
 
-// A dispatcher feeds events in as they happen and carries out the actions it gets back.
+// A router feeds events in as they happen and carries out the actions that it gets back.
 func Example() {
 	cfg := policy.Config{
 		RouterCount: 1, Tick: 2 * time.Millisecond, MaxAttempts: 3, InstanceKeepAlive: 10 * time.Second, OverQuotaWeight: 1,
@@ -18,7 +18,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Duration(0) // the dispatcher's own clock
+	now := time.Duration(0) // the router's own clock
 	p.Handle(now, policy.EndpointUpdate{Kind: policy.FullUpdate, Endpoints: []policy.Endpoint{
 		{Worker: 7, State: policy.Ready},
 	}}, nil)
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -6,6 +6,73 @@
 	"time"
 )
 
+// fuzzEvent makes an event of four bytes: its kind, and three that its fields are drawn from. The bytes that follow
+// in rest are the data of gossip.
+func fuzzEvent(kind, a, b, c byte, rest []byte) Event {
+	w, id, fn := WorkerID(a%5), RequestID(b%16), FunctionID(c%4)
+	switch kind % 9 {
+	case 0:
+		return EndpointUpdate{Kind: EndpointUpdateKind(a % 4), Endpoints: []Endpoint{{Worker: w,
+			State: WorkerState(b % 3), StartedAt: time.Duration(c) * time.Minute}}}
+	case 1:
+		return RequestArrived{Request: id, Class: int(a%4) - 1, Tenant: int(c) - 9, Function: fn,
+			Concurrency: math.NaN(), LoadTime: time.Duration(int64(c)-3) * time.Second,
+			WorkHint: time.Duration(a) * time.Hour, TimeLeft: time.Duration(int64(a)-9) * 40 * ms}
+	case 2:
+		return AttemptEnded{Request: id, Attempt: int(a%6) - 1, Worker: w, Outcome: Outcome(c % 9),
+			InstanceStatus: InstanceStatus(a % 5), RequestClosed: c%9 == 0,
+			Duration: time.Duration(int64(a)-9) * time.Second}
+	case 3:
+		return LoadOrderEnded{Worker: w, Function: fn, Outcome: Outcome(b % 9), Duration: -time.Second,
+			Instances: int(c) - 9}
+	case 4:
+		return ProbeEnded{Worker: w, Outcome: Outcome(b % 9), LoadReport: []float64{math.NaN(), -1}}
+	case 5:
+		return TimerFired{Token: uint64(b%16)<<uint(c%40) + uint64(a)}
+	case 6:
+		return TimerFired{Token: housekeepingToken}
+	case 7:
+		return GossipReceived{From: int(a), Data: rest}
+	default:
+		return ClientCancelled{Request: id}
+	}
+}
+
+// targets returns the request and the worker that an action names; 0: none.
+func targets(action Action) (RequestID, WorkerID) {
+	switch a := action.(type) {
+	case SendAttempt:
+		return a.Request, a.Worker
+	case RefuseRequest:
+		return a.Request, 0
+	case FailRequest:
+		return a.Request, 0
+	case LoadInstance:
+		return 0, a.Worker
+	case ProbeWorker:
+		return 0, a.Worker
+	}
+	return 0, 0
+}
+
+// checkTargets reports actions that name a request that is over or was never known, or an unknown worker.
+func checkTargets(t *testing.T, actions []Action, open map[RequestID]bool, known map[WorkerID]bool) {
+	t.Helper()
+	for _, action := range actions {
+		id, w := targets(action)
+		if id != 0 && !open[id] {
+			t.Fatalf("%T for request %d, which is over", action, id)
+		}
+		if w != 0 && !known[w] {
+			t.Fatalf("%T names unknown worker %d", action, w)
+		}
+		switch action.(type) {
+		case RefuseRequest, FailRequest:
+			open[id] = false
+		}
+	}
+}
+
 // FuzzHandle feeds arbitrary events: there must be no panic, no action for a finished or unknown request,
 // and none that names an unknown worker.
 func FuzzHandle(f *testing.F) {
@@ -14,7 +81,8 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		cfg := testConfig()
 		cfg.MissWhenNotLoaded, cfg.AllowLoadOrders, cfg.AllowGossip, cfg.RouterCount = true, true, true, 3
-		cfg.LoadOrderWindow, cfg.LoadOrdersPerRequest, cfg.RequiresSubscription = time.Second, 0.5, len(data)%2 == 0
+		cfg.LoadOrderWindow, cfg.LoadOrdersPerRequest = time.Second, 0.5
+		cfg.RequiresSubscription = len(data)%2 == 0
 		p, err := New(cfg, 3)
 		if err != nil {
 			t.Fatal(err)
@@ -22,69 +90,19 @@
 		known := map[WorkerID]bool{}
 		now := time.Hour
 		for ; len(data) >= 4; data = data[4:] {
-			a, b, c := data[1], data[2], data[3]
-			w, id, fn := WorkerID(a%5), RequestID(b%16), FunctionID(c%4)
-			now += time.Duration(c) * ms / 2
-			var ev Event
-			switch data[0] % 9 {
-			case 0:
-				ev = EndpointUpdate{Kind: EndpointUpdateKind(a % 4), Endpoints: []Endpoint{{Worker: w, State: WorkerState(b % 3),
-					StartedAt: time.Duration(c) * time.Minute}}}
-				known[w] = true
-			case 1:
-				ev = RequestArrived{Request: id, Class: int(a%4) - 1, Tenant: int(c) - 9, Function: fn, Concurrency: math.NaN(),
-					LoadTime: time.Duration(int64(c)-3) * time.Second, WorkHint: time.Duration(a) * time.Hour,
-					TimeLeft: time.Duration(int64(a)-9) * 40 * ms}
-			case 2:
-				ev = AttemptEnded{Request: id, Attempt: int(a%6) - 1, Worker: w, Outcome: Outcome(c % 9), InstanceStatus: InstanceStatus(a % 5),
-					RequestClosed: c%9 == 0, Duration: time.Duration(int64(a)-9) * time.Second}
-			case 3:
-				ev = LoadOrderEnded{Worker: w, Function: fn, Outcome: Outcome(b % 9), Duration: -time.Second, Instances: int(c) - 9}
-			case 4:
-				ev = ProbeEnded{Worker: w, Outcome: Outcome(b % 9), LoadReport: []float64{math.NaN(), -1}}
-			case 5:
-				ev = TimerFired{Token: uint64(b%16)<<uint(c%40) + uint64(a)}
-			case 6:
-				ev = TimerFired{Token: housekeepingToken}
-			case 7:
-				ev = GossipReceived{From: int(a), Data: data}
-			case 8:
-				ev = ClientCancelled{Request: id}
-			}
-			before := map[RequestID]bool{}
+			now += time.Duration(data[3]) * ms / 2
+			event := fuzzEvent(data[0], data[1], data[2], data[3], data)
+			open := map[RequestID]bool{}
 			for id, r := range p.requests {
-				before[id] = !r.finished
+				open[id] = !r.finished
 			}
-			over := map[RequestID]bool{}
-			for _, act := range p.Handle(now, ev, nil) {
-				var req RequestID
-				var to WorkerID
-				switch act := act.(type) {
-				case SendAttempt:
-					req, to = act.Request, act.Worker
-				case RefuseRequest:
-					req = act.Request
-				case FailRequest:
-					req = act.Request
-				case LoadInstance:
-					to = act.Worker
-				case ProbeWorker:
-					to = act.Worker
-				}
-				if arr, ok := ev.(RequestArrived); ok {
-					before[arr.Request] = true
-				}
-				if req != 0 && (!before[req] || over[req]) {
-					t.Fatalf("%T for request %d, which is over", act, req)
-				}
-				if to != 0 && !known[to] {
-					t.Fatalf("%T names unknown worker %d", act, to)
-				}
-				switch act.(type) {
-				case RefuseRequest, FailRequest:
-					over[req] = true
-				}
+			switch e := event.(type) {
+			case EndpointUpdate:
+				known[e.Endpoints[0].Worker] = true
+			case RequestArrived:
+				open[e.Request] = true
 			}
+			checkTargets(t, p.Handle(now, event, nil), open, known)
 		}
 	})
 }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -5,61 +5,66 @@
 	"time"
 )
 
-// Messages must cost the same a call whether few or many dispatchers carry the traffic; no probe goes out unasked for.
-func TestExtrasCostTheSameACallAtAnySize(t *testing.T) {
-	perCall := func(peers, calls int) (probes, receivers float64) {
-		cfg := testConfig()
-		cfg.RouterCount, cfg.AllowGossip = peers, true
-		b := newHarness(t, cfg, 40)
-		gap := 20 * time.Second / time.Duration(calls)
-		for n := range calls {
-			b.serveRequest(FunctionID(n%30), 10*ms, InstanceWarm)
-			for left := gap - 10*ms; left > 0; left -= housekeepingInterval {
-				b.now += min(left, housekeepingInterval)
-				for _, a := range b.handle(TimerFired{Token: housekeepingToken}) {
-					switch a := a.(type) {
-					case ProbeWorker:
-						probes++
-						b.handle(ProbeEnded{Worker: a.Worker})
-					case SendGossip:
-						receivers += float64(peers - 1)
-					}
+// gossipCost plays requests spread over 20 s to one of a number of routers, and returns the probes and the
+// delivered gossip messages that each cost.
+func gossipCost(t *testing.T, routers, requests int) (probes, deliveries float64) {
+	t.Helper()
+	cfg := testConfig()
+	cfg.RouterCount, cfg.AllowGossip = routers, true
+	h := newHarness(t, cfg, 40)
+	gap := 20 * time.Second / time.Duration(requests)
+	for n := range requests {
+		h.serve(FunctionID(n%30), 10*ms, InstanceWarm)
+		for left := gap - 10*ms; left > 0; left -= housekeepingInterval {
+			h.now += min(left, housekeepingInterval)
+			for _, a := range h.housekeep() {
+				switch a := a.(type) {
+				case ProbeWorker:
+					probes++
+					h.handle(ProbeEnded{Worker: a.Worker})
+				case SendGossip:
+					deliveries += float64(routers - 1)
 				}
 			}
 		}
-		return probes / float64(calls), receivers / float64(calls)
 	}
-	few, toFew := perCall(3, 1000)
-	many, toMany := perCall(100, 250)
-	if few > 0 || many > 0 {
-		t.Errorf("probes a call: %.2f with 3 dispatchers, %.2f with 100", few, many)
+	return probes / float64(requests), deliveries / float64(requests)
+}
+
+// Gossip must cost the same per request whether few or many routers carry the traffic, and nothing is probed
+// without cause.
+func TestGossipAndProbesPerRequestDoNotGrowWithRouters(t *testing.T) {
+	probesOfFew, deliveriesOfFew := gossipCost(t, 3, 1000)
+	probesOfMany, deliveriesOfMany := gossipCost(t, 100, 250)
+	if probesOfFew > 0 || probesOfMany > 0 {
+		t.Errorf("probes per request: %.2f with 3 routers, %.2f with 100", probesOfFew, probesOfMany)
 	}
-	if toFew == 0 || toFew > 2 || toMany == 0 || toMany > 2 {
-		t.Errorf("messages delivered a call: %.2f with 3 dispatchers, %.2f with 100", toFew, toMany)
+	if deliveriesOfFew == 0 || deliveriesOfFew > 2 || deliveriesOfMany == 0 || deliveriesOfMany > 2 {
+		t.Errorf("messages delivered per request: %.2f with 3 routers, %.2f with 100", deliveriesOfFew, deliveriesOfMany)
 	}
 }
 
-// A dispatcher that restarts knows only a list: the others tell it where instances stand.
-func TestToldInstancesAreUsed(t *testing.T) {
+// A router that restarts knows only the endpoint list: the others tell it where instances are loaded.
+func TestInstancesLearnedByGossipAreUsed(t *testing.T) {
 	cfg := testConfig()
 	cfg.AllowGossip, cfg.RouterCount = true, 2
-	a, b := newHarness(t, cfg, 8), newHarness(t, cfg, 8)
+	sender, receiver := newHarness(t, cfg, 8), newHarness(t, cfg, 8)
 	for f := FunctionID(1); f <= 12; f++ {
-		w := a.serveRequest(f, 1100*ms, LoadStarted)
-		a.now += housekeepingInterval
-		news, ok := firstAction[SendGossip](a.handle(TimerFired{Token: housekeepingToken}))
-		if !ok || len(news.Data) > 256 {
-			t.Fatalf("told %v %d", ok, len(news.Data))
+		w := sender.serve(f, 1100*ms, LoadStarted)
+		sender.now += housekeepingInterval
+		message, ok := firstAction[SendGossip](sender.housekeep())
+		if !ok || len(message.Data) > 256 {
+			t.Fatalf("gossip sent: %v, of %d bytes", ok, len(message.Data))
 		}
-		if news.Data[7] != byte(w) || news.Data[15] != byte(f) {
-			t.Fatalf("told %x of function %d at worker %d", news.Data, f, w)
+		if message.Data[7] != byte(w) || message.Data[15] != byte(f) {
+			t.Fatalf("gossip is %x, of function %d at worker %d", message.Data, f, w)
 		}
-		w = w%8 + 1 // not where b would look by itself
-		news.Data[7] = byte(w)
-		b.handle(GossipReceived{Data: news.Data})
-		if got := b.serveRequest(f, 80*ms, InstanceWarm); got != w {
-			t.Errorf("function %d stands at %d, sent to %d", f, w, got)
+		w = w%8 + 1 // not where the receiver would look by itself
+		message.Data[7] = byte(w)
+		receiver.handle(GossipReceived{Data: message.Data})
+		if got := receiver.serve(f, 80*ms, InstanceWarm); got != w {
+			t.Errorf("function %d is loaded at %d, sent to %d", f, w, got)
 		}
 	}
-	b.handle(GossipReceived{Data: []byte("short and odd, not a whole number of entries")})
+	receiver.handle(GossipReceived{Data: []byte("short and odd, not a whole number of entries")})
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -7,18 +7,31 @@
 
 const ms = time.Millisecond
 
+// The classes of testConfig.
+const (
+	classIdempotent = iota
+	classKeyed      // idempotent with a key that the workers of a zone remember for a second
+	classNotIdempotent
+)
+
 func testConfig() Config {
-	return Config{RouterCount: 1, Tick: 2 * ms, MaxAttempts: 5, AllowCancel: true, AllowProbes: true, OverQuotaWeight: 1,
-		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: 3 * time.Second,
-		DrainGrace: 500 * ms, InstanceKeepAlive: 10 * time.Second, InstanceStatusInAnswers: true, LoadOrderAllowance: 1,
+	return Config{
+		RouterCount: 1, Tick: 2 * ms, MaxAttempts: 5, AllowCancel: true, AllowProbes: true, OverQuotaWeight: 1,
+		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second,
+		OverloadMultiple: 2, OverloadWindow: 3 * time.Second, DrainGrace: 500 * ms,
+		InstanceKeepAlive: 10 * time.Second, InstanceStatusInAnswers: true, LoadOrderAllowance: 1,
 		Classes: []Class{
-			{LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: Idempotent, PriorityWeight: 1, LateWeight: 0.2},
-			{LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: time.Second, PriorityWeight: 1},
-			{LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: NotIdempotent, PriorityWeight: 5, LateWeight: 0.2},
-		}}
+			classIdempotent: {LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: Idempotent,
+				PriorityWeight: 1, LateWeight: 0.2},
+			classKeyed: {LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: IdempotentWithKey,
+				DedupScope: DedupZone, DedupWindow: time.Second, PriorityWeight: 1},
+			classNotIdempotent: {LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: NotIdempotent,
+				PriorityWeight: 5, LateWeight: 0.2},
+		},
+	}
 }
 
-// bed drives a Policy by hand.
+// harness drives a Policy by hand, in the place of a router.
 type harness struct {
 	t           *testing.T
 	policy      *Policy
@@ -26,44 +39,74 @@
 	lastRequest RequestID
 }
 
+// newHarness returns a harness whose endpoint list holds ready workers, numbered from 1.
 func newHarness(t *testing.T, cfg Config, workers int) *harness {
 	t.Helper()
 	p, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{t: t, policy: p, now: time.Hour}
-	var l EndpointUpdate
-	l.Kind = FullUpdate
+	h := &harness{t: t, policy: p, now: time.Hour}
+	update := EndpointUpdate{Kind: FullUpdate}
 	for i := range workers {
-		l.Endpoints = append(l.Endpoints, Endpoint{Worker: WorkerID(i + 1), State: Ready, Weight: 1})
+		update.Endpoints = append(update.Endpoints, Endpoint{Worker: WorkerID(i + 1), State: Ready, Weight: 1})
 	}
-	b.handle(l)
-	return b
+	h.handle(update)
+	return h
 }
 
-func (b *harness) handle(ev Event) []Action { return b.policy.Handle(b.now, ev, nil) }
+func (h *harness) handle(event Event) []Action { return h.policy.Handle(h.now, event, nil) }
+
+// housekeep fires the housekeeping timer now.
+func (h *harness) housekeep() []Action { return h.handle(TimerFired{Token: housekeepingToken}) }
 
-func (b *harness) arrive(class int, f FunctionID) (RequestID, []Action) {
-	b.lastRequest++
-	return b.lastRequest, b.handle(RequestArrived{Request: b.lastRequest, Class: class, Function: f, Concurrency: 4, LoadTime: time.Second, TimeLeft: 4 * time.Second})
+// arrive brings a new request of a class for a function.
+func (h *harness) arrive(class int, f FunctionID) (RequestID, []Action) {
+	h.lastRequest++
+	return h.lastRequest, h.handle(RequestArrived{Request: h.lastRequest, Class: class, Function: f, Concurrency: 4,
+		LoadTime: time.Second, TimeLeft: 4 * time.Second})
 }
 
-// serve has one request of f arrive and served after took.
-func (b *harness) serveRequest(f FunctionID, took time.Duration, note InstanceStatus) WorkerID {
-	b.t.Helper()
-	id, acts := b.arrive(0, f)
-	s, ok := firstAction[SendAttempt](acts)
+// arriveAndSend brings a new request, which must be sent, and returns where to.
+func (h *harness) arriveAndSend(class int, f FunctionID) (RequestID, WorkerID) {
+	h.t.Helper()
+	id, actions := h.arrive(class, f)
+	return id, h.sentTo(actions)
+}
+
+// sentTo returns the worker of the first attempt among the actions, of which there must be one.
+func (h *harness) sentTo(actions []Action) WorkerID {
+	h.t.Helper()
+	send, ok := firstAction[SendAttempt](actions)
 	if !ok {
-		b.t.Fatalf("request not sent: %v", acts)
+		h.t.Fatalf("no attempt sent: %v", actions)
 	}
-	b.now += took
-	b.handle(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, InstanceStatus: note, RequestClosed: true, Duration: took})
-	return s.Worker
+	return send.Worker
+}
+
+// answer ends a request's first attempt as served, after took.
+func (h *harness) answer(id RequestID, w WorkerID, status InstanceStatus, took time.Duration) []Action {
+	return h.handle(AttemptEnded{Request: id, Worker: w, Outcome: Served, InstanceStatus: status, RequestClosed: true,
+		Duration: took})
 }
 
-func firstAction[A Action](acts []Action) (A, bool) {
-	for _, a := range acts {
+// fail ends an attempt that did not serve its request.
+func (h *harness) fail(id RequestID, attempt int, w WorkerID, o Outcome) []Action {
+	return h.handle(AttemptEnded{Request: id, Attempt: attempt, Worker: w, Outcome: o})
+}
+
+// serve plays one idempotent request of a function from its arrival to its answer after took.
+func (h *harness) serve(f FunctionID, took time.Duration, status InstanceStatus) WorkerID {
+	h.t.Helper()
+	id, w := h.arriveAndSend(classIdempotent, f)
+	h.now += took
+	h.answer(id, w, status, took)
+	return w
+}
+
+// firstAction returns the first action of a type.
+func firstAction[A Action](actions []Action) (A, bool) {
+	for _, a := range actions {
 		if a, ok := a.(A); ok {
 			return a, true
 		}
@@ -72,6 +115,18 @@
 	return zero, false
 }
 
-func hasAction[A Action](acts []Action) bool { _, ok := firstAction[A](acts); return ok }
+// hasAction reports whether there is an action of a type.
+func hasAction[A Action](actions []Action) bool {
+	_, ok := firstAction[A](actions)
+	return ok
+}
+
+// list replaces the endpoint list.
+func (h *harness) list(endpoints ...Endpoint) {
+	h.handle(EndpointUpdate{Kind: FullUpdate, Endpoints: endpoints})
+}
 
-func firstClass(b *harness) *class { return &b.policy.classes[0] }
+// isFinal reports whether the actions hold a final answer.
+func isFinal(actions []Action) bool {
+	return hasAction[RefuseRequest](actions) || hasAction[FailRequest](actions)
+}
--- a/policy/random_world_test.go
+++ b/policy/random_world_test.go
@@ -1,101 +1,128 @@
 package policy
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
 )
 
-// checker follows the actions of a random world and reports broken rules. It shares no code with the module.
+// ruleChecker follows the actions of a random world and reports broken rules. It shares no code with the policy.
 type ruleChecker struct {
 	t            *testing.T
 	cfg          Config
+	now          time.Duration
 	requests     map[RequestID]*observedRequest
 	workerStates map[WorkerID]WorkerState
-	loadOrders   []time.Duration
-	arrivals     []time.Duration
+	loadOrders   []time.Duration // times of the load orders
+	arrivals     []time.Duration // times of the requests
 }
 
+// observedRequest is what a ruleChecker has seen of a request.
 type observedRequest struct {
 	class        int
 	deadline     time.Duration
-	workers      []WorkerID
-	open         map[int]bool
-	mayHaveRunAt time.Duration // when the first attempt that may have run was sent
+	workers      []WorkerID      // by attempt
+	sentAt       []time.Duration // by attempt
+	open         map[int]bool    // the attempts in flight
 	mayHaveRun   bool
-	sentAt       []time.Duration
+	mayHaveRunAt time.Duration // when the first attempt that may have run was sent
 	answered     bool
 }
 
-func (c *ruleChecker) check(now time.Duration, acts []Action) {
-	for _, a := range acts {
+func (c *ruleChecker) check(actions []Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case SendAttempt:
-			r := c.requests[a.Request]
-			class := c.cfg.Classes[r.class]
-			risky := r.mayHaveRun || len(r.open) > 0
-			switch {
-			case r.answered:
-				c.t.Fatalf("%v: send after the final answer of %d", now, a.Request)
-			case c.workerStates[a.Worker] != Ready:
-				c.t.Fatalf("%v: send to worker %d in state %d", now, a.Worker, c.workerStates[a.Worker])
-			case risky && class.Idempotency == NotIdempotent, len(r.open) > 0 && !c.cfg.AllowHedging:
-				c.t.Fatalf("%v: repeat of %d", now, a.Request)
-			case r.mayHaveRun && class.Idempotency == IdempotentWithKey && now > r.mayHaveRunAt+class.DedupWindow:
-				c.t.Fatalf("%v: keyed repeat outside the window", now)
-			case len(r.workers) >= c.cfg.MaxAttempts:
-				c.t.Fatalf("%v: too many attempts", now)
-			}
-			r.open[len(r.workers)] = true
-			r.workers, r.sentAt = append(r.workers, a.Worker), append(r.sentAt, now)
+			c.checkSend(a)
 		case RefuseRequest:
-			r := c.requests[a.Request]
-			if class := c.cfg.Classes[r.class]; (r.mayHaveRun || len(r.open) > 0) && (class.Idempotency == NotIdempotent ||
-				class.Idempotency == IdempotentWithKey && class.DedupScope != DedupFleet) {
-				c.t.Fatalf("%v: refusal of %d, which may have run", now, a.Request)
-			}
-			c.checkFinalAnswer(now, r)
+			c.checkRefusal(a)
 		case FailRequest:
-			c.checkFinalAnswer(now, c.requests[a.Request])
+			c.checkFinalAnswer(c.requests[a.Request])
 		case LoadInstance:
-			if c.workerStates[a.Worker] != Ready {
-				c.t.Fatalf("%v: order to worker %d in state %d", now, a.Worker, c.workerStates[a.Worker])
-			}
-			c.loadOrders = append(c.loadOrders, now)
-			n, m := 0, 0
-			for _, at := range c.loadOrders {
-				if at >= now-c.cfg.LoadOrderWindow {
-					n++
-				}
-			}
-			for _, at := range c.arrivals {
-				if at > now-c.cfg.LoadOrderWindow {
-					m++
-				}
-			}
-			if float64(n) > c.cfg.LoadOrderAllowance+c.cfg.LoadOrdersPerRequest*float64(m) {
-				c.t.Fatalf("%v: %d orders with %d calls", now, n, m)
-			}
+			c.checkLoadOrder(a)
 		}
 	}
 }
 
-func (c *ruleChecker) checkFinalAnswer(now time.Duration, r *observedRequest) {
-	if r.answered || now > r.deadline+8*ms {
-		c.t.Fatalf("%v: second or late final answer", now)
+func (c *ruleChecker) checkSend(a SendAttempt) {
+	r := c.requests[a.Request]
+	class := c.cfg.Classes[r.class]
+	risky := r.mayHaveRun || len(r.open) > 0
+	switch {
+	case r.answered:
+		c.t.Fatalf("%v: send after the final answer of %d", c.now, a.Request)
+	case c.workerStates[a.Worker] != Ready:
+		c.t.Fatalf("%v: send to worker %d, which is %v", c.now, a.Worker, c.workerStates[a.Worker])
+	case risky && class.Idempotency == NotIdempotent, len(r.open) > 0 && !c.cfg.AllowHedging:
+		c.t.Fatalf("%v: repeat of %d", c.now, a.Request)
+	case r.mayHaveRun && class.Idempotency == IdempotentWithKey && c.now > r.mayHaveRunAt+class.DedupWindow:
+		c.t.Fatalf("%v: keyed repeat outside the window", c.now)
+	case len(r.workers) >= c.cfg.MaxAttempts:
+		c.t.Fatalf("%v: too many attempts", c.now)
+	}
+	r.open[len(r.workers)] = true
+	r.workers = append(r.workers, a.Worker)
+	r.sentAt = append(r.sentAt, c.now)
+}
+
+func (c *ruleChecker) checkRefusal(a RefuseRequest) {
+	r := c.requests[a.Request]
+	class := c.cfg.Classes[r.class]
+	mayRunTwice := class.Idempotency == NotIdempotent ||
+		class.Idempotency == IdempotentWithKey && class.DedupScope != DedupFleet
+	if (r.mayHaveRun || len(r.open) > 0) && mayRunTwice {
+		c.t.Fatalf("%v: refusal of %d, which may have run", c.now, a.Request)
+	}
+	c.checkFinalAnswer(r)
+}
+
+func (c *ruleChecker) checkFinalAnswer(r *observedRequest) {
+	if r.answered || c.now > r.deadline+8*ms {
+		c.t.Fatalf("%v: second or late final answer", c.now)
 	}
 	r.answered = true
 }
 
-func TestRulesHoldInRandomWorlds(t *testing.T) {
-	for seed := range uint64(60) {
-		randomWorld(t, seed, 3000)
+func (c *ruleChecker) checkLoadOrder(a LoadInstance) {
+	if c.workerStates[a.Worker] != Ready {
+		c.t.Fatalf("%v: load order to worker %d, which is %v", c.now, a.Worker, c.workerStates[a.Worker])
+	}
+	c.loadOrders = append(c.loadOrders, c.now)
+	start := c.now - c.cfg.LoadOrderWindow
+	orders, arrivals := 0, 0
+	for _, at := range c.loadOrders {
+		if at >= start {
+			orders++
+		}
+	}
+	for _, at := range c.arrivals {
+		if at > start {
+			arrivals++
+		}
+	}
+	if float64(orders) > c.cfg.LoadOrderAllowance+c.cfg.LoadOrdersPerRequest*float64(arrivals) {
+		c.t.Fatalf("%v: %d load orders with %d requests", c.now, orders, arrivals)
 	}
 }
 
 // randomWorld plays legal but hostile events, in which workers drain, vanish, restart and answer anything.
-func randomWorld(t *testing.T, seed uint64, steps int) {
-	rng := rand.New(rand.NewPCG(seed, 9))
+type randomWorld struct {
+	*ruleChecker
+	rng         *rand.Rand
+	policy      *Policy
+	lastRequest RequestID
+	timers      []worldTimer
+	loads       []LoadInstance // orders without an answer
+}
+
+type worldTimer struct {
+	at    time.Duration
+	token uint64
+}
+
+func newRandomWorld(t *testing.T, seed uint64) *randomWorld {
+	t.Helper()
 	cfg := testConfig()
 	cfg.MissWhenNotLoaded, cfg.AllowLoadOrders = seed%2 == 0, seed%3 != 0
 	cfg.AllowHedging, cfg.AllowGossip = seed%5 == 0, seed%4 == 0
@@ -104,120 +131,159 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &ruleChecker{t: t, cfg: cfg, requests: map[RequestID]*observedRequest{}, workerStates: map[WorkerID]WorkerState{}}
-	now, next := time.Hour, RequestID(0)
-	type timer struct {
-		at    time.Duration
-		token uint64
-	}
-	var timers []timer
-	var loads []LoadInstance
-	handle := func(ev Event) {
-		acts := p.Handle(now, ev, nil)
-		c.check(now, acts)
-		for _, a := range acts {
-			switch a := a.(type) {
-			case SetTimer:
-				timers = append(timers, timer{now + a.After, a.Token})
-			case LoadInstance:
-				loads = append(loads, a)
-			}
+	checker := &ruleChecker{t: t, cfg: cfg, now: time.Hour, requests: map[RequestID]*observedRequest{},
+		workerStates: map[WorkerID]WorkerState{}}
+	return &randomWorld{ruleChecker: checker, rng: rand.New(rand.NewPCG(seed, 9)), policy: p}
+}
+
+func (w *randomWorld) handle(event Event) {
+	actions := w.policy.Handle(w.now, event, nil)
+	w.check(actions)
+	for _, a := range actions {
+		switch a := a.(type) {
+		case SetTimer:
+			w.timers = append(w.timers, worldTimer{w.now + a.After, a.Token})
+		case LoadInstance:
+			w.loads = append(w.loads, a)
 		}
 	}
-	list := func() {
-		l := EndpointUpdate{Kind: FullUpdate}
-		for w := WorkerID(1); w <= 6; w++ {
-			e := Endpoint{Worker: w, State: WorkerState(1 + rng.IntN(5)/4), Zone: int(w) % 2}
-			if rng.IntN(4) == 0 {
-				e.StartedAt = now - time.Duration(rng.IntN(9000))*ms
-			}
-			if rng.IntN(6) == 0 {
-				e.State = Gone
-			}
-			c.workerStates[w] = e.State
-			l.Endpoints = append(l.Endpoints, e)
+}
+
+func (w *randomWorld) millis(below int) time.Duration { return time.Duration(w.rng.IntN(below)) * ms }
+
+// step plays one event, after the timers that are due.
+func (w *randomWorld) step() {
+	w.now += w.millis(9)
+	for i := 0; i < len(w.timers); i++ {
+		if timer := w.timers[i]; timer.at <= w.now {
+			w.timers = append(w.timers[:i], w.timers[i+1:]...)
+			i--
+			w.handle(TimerFired{Token: timer.token})
 		}
-		handle(l)
-	}
-	list()
-	for range steps {
-		now += time.Duration(rng.IntN(9)) * ms
-		for i := 0; i < len(timers); i++ {
-			if tm := timers[i]; tm.at <= now {
-				timers = append(timers[:i], timers[i+1:]...)
-				i--
-				handle(TimerFired{Token: tm.token})
-			}
+	}
+	switch k := w.rng.IntN(20); {
+	case k == 0 && w.rng.IntN(5) == 0:
+		w.list()
+	case k < 8:
+		w.arrive()
+	case k == 9 && w.lastRequest > 0:
+		w.cancel()
+	case k == 10 && len(w.loads) > 0:
+		order := w.loads[0]
+		w.loads = w.loads[1:]
+		w.handle(LoadOrderEnded{Worker: order.Worker, Function: order.Function, Outcome: Outcome(w.rng.IntN(6)),
+			Duration: 900 * ms, Instances: w.rng.IntN(2)})
+	case k == 11:
+		w.handle(ProbeEnded{Worker: WorkerID(w.rng.IntN(8)), Outcome: Outcome(w.rng.IntN(6))})
+	default:
+		w.endAttempt()
+	}
+}
+
+// list brings a new endpoint list.
+func (w *randomWorld) list() {
+	update := EndpointUpdate{Kind: FullUpdate}
+	for id := WorkerID(1); id <= 6; id++ {
+		e := Endpoint{Worker: id, State: WorkerState(1 + w.rng.IntN(5)/4), Zone: int(id) % 2}
+		if w.rng.IntN(4) == 0 {
+			e.StartedAt = w.now - w.millis(9000)
 		}
-		switch k := rng.IntN(20); {
-		case k == 0 && rng.IntN(5) == 0:
-			list()
-		case k < 8:
-			next++
-			left := time.Duration(rng.IntN(3000)) * ms
-			c.arrivals = append(c.arrivals, now)
-			c.requests[next] = &observedRequest{class: rng.IntN(3), deadline: now + left, open: map[int]bool{}}
-			handle(RequestArrived{Request: next, Class: c.requests[next].class, Function: FunctionID(rng.IntN(12)), Concurrency: 2,
-				LoadTime: 800 * ms, TimeLeft: left})
-		case k == 9 && next > 0:
-			if r := c.requests[1+RequestID(rng.IntN(int(next)))]; !r.answered {
-				r.answered = true
-				for id, o := range c.requests {
-					if o == r {
-						handle(ClientCancelled{Request: id})
-					}
-				}
-			}
-		case k == 10 && len(loads) > 0:
-			o := loads[0]
-			loads = loads[1:]
-			handle(LoadOrderEnded{Worker: o.Worker, Function: o.Function, Outcome: Outcome(rng.IntN(6)), Duration: 900 * ms, Instances: rng.IntN(2)})
-		case k == 11:
-			handle(ProbeEnded{Worker: WorkerID(rng.IntN(8)), Outcome: Outcome(rng.IntN(6))})
-		default:
-			id := RequestID(0)
-			for try := range int(next) {
-				if r := c.requests[next-RequestID(try)]; len(r.open) > 0 && rng.IntN(3) == 0 {
-					id = next - RequestID(try)
-					break
-				}
-			}
-			if id == 0 {
-				continue
-			}
-			r := c.requests[id]
-			for n := range len(r.workers) {
-				if !r.open[n] {
-					continue
-				}
-				o := []Outcome{Served, Served, Errored, WorkerOverloaded, TimedOut, Unreachable, ConnectionReset, Cancelled, NotSent, FunctionNotLoaded}[rng.IntN(10)]
-				delete(r.open, n)
-				if !o.NeverRan() && !r.mayHaveRun {
-					r.mayHaveRun, r.mayHaveRunAt = true, r.sentAt[n]
-				}
-				closed := r.answered || o == Served
-				r.answered = closed
-				handle(AttemptEnded{Request: id, Attempt: n, Worker: r.workers[n], Outcome: o, RequestClosed: closed, Duration: now - r.sentAt[n]})
-				break
-			}
+		if w.rng.IntN(6) == 0 {
+			e.State = Gone
 		}
+		w.workerStates[id] = e.State
+		update.Endpoints = append(update.Endpoints, e)
 	}
-	now += 5 * time.Second // everything that is owed is answered by then
-	for _, tm := range timers {
-		now = max(now, tm.at)
+	w.handle(update)
+}
+
+// arrive brings a new request.
+func (w *randomWorld) arrive() {
+	w.lastRequest++
+	left := w.millis(3000)
+	w.arrivals = append(w.arrivals, w.now)
+	r := &observedRequest{class: w.rng.IntN(3), deadline: w.now + left, open: map[int]bool{}}
+	w.requests[w.lastRequest] = r
+	w.handle(RequestArrived{Request: w.lastRequest, Class: r.class, Function: FunctionID(w.rng.IntN(12)),
+		Concurrency: 2, LoadTime: 800 * ms, TimeLeft: left})
+}
+
+// cancel has a client leave that has no answer yet.
+func (w *randomWorld) cancel() {
+	id := 1 + RequestID(w.rng.IntN(int(w.lastRequest)))
+	if r := w.requests[id]; !r.answered {
+		r.answered = true
+		w.handle(ClientCancelled{Request: id})
 	}
-	for _, r := range c.requests {
-		r.deadline = now
+}
+
+// endAttempt ends the first attempt in flight of one of the latest requests that have one.
+func (w *randomWorld) endAttempt() {
+	outcomes := []Outcome{Served, Served, Errored, WorkerOverloaded, TimedOut, Unreachable, ConnectionReset, Cancelled,
+		NotSent, FunctionNotLoaded}
+	id := w.chooseOpenRequest()
+	if id == 0 {
+		return
 	}
-	for _, tm := range timers {
-		handle(TimerFired{Token: tm.token})
+	r := w.requests[id]
+	for n := range r.workers {
+		if !r.open[n] {
+			continue
+		}
+		o := outcomes[w.rng.IntN(len(outcomes))]
+		delete(r.open, n)
+		if !o.NeverRan() && !r.mayHaveRun {
+			r.mayHaveRun, r.mayHaveRunAt = true, r.sentAt[n]
+		}
+		closed := r.answered || o == Served
+		r.answered = closed
+		w.handle(AttemptEnded{Request: id, Attempt: n, Worker: r.workers[n], Outcome: o, RequestClosed: closed,
+			Duration: w.now - r.sentAt[n]})
+		return
+	}
+}
+
+// chooseOpenRequest draws one of the latest requests with an attempt in flight; 0: none.
+func (w *randomWorld) chooseOpenRequest() RequestID {
+	for id := w.lastRequest; id > 0; id-- {
+		if len(w.requests[id].open) > 0 && w.rng.IntN(3) == 0 {
+			return id
+		}
+	}
+	return 0
+}
+
+// finish fires all timers late, after which every request must have its final answer.
+func (w *randomWorld) finish() {
+	w.now += 5 * time.Second
+	for _, timer := range w.timers {
+		w.now = max(w.now, timer.at)
 	}
-	for id, r := range c.requests {
+	for _, r := range w.requests {
+		r.deadline = w.now
+	}
+	for _, timer := range w.timers {
+		w.handle(TimerFired{Token: timer.token})
+	}
+	for id, r := range w.requests {
 		if !r.answered {
-			t.Fatalf("seed %d: request %d got no final answer", seed, id)
+			w.t.Fatalf("request %d got no final answer", id)
 		}
 	}
-	if len(p.waiting) > len(c.requests) {
-		t.Fatalf("seed %d: books grow: %d held", seed, len(p.waiting))
+	if len(w.policy.waiting) > len(w.requests) {
+		w.t.Fatalf("the books grow: %d requests wait", len(w.policy.waiting))
+	}
+}
+
+func TestRulesHoldInRandomWorlds(t *testing.T) {
+	for seed := range uint64(60) {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			w := newRandomWorld(t, seed)
+			w.list()
+			for range 3000 {
+				w.step()
+			}
+			w.finish()
+		})
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -2,65 +2,64 @@
 
 import "testing"
 
-func TestNothingGoesToADrainingWorker(t *testing.T) {
-	b := newHarness(t, testConfig(), 1)
-	b.handle(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Draining}}})
-	if _, acts := b.arrive(0, 7); hasAction[SendAttempt](acts) {
+func TestDrainingWorkerGetsNothing(t *testing.T) {
+	h := newHarness(t, testConfig(), 1)
+	h.handle(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Draining}}})
+	if _, actions := h.arrive(classIdempotent, 7); hasAction[SendAttempt](actions) {
 		t.Error("sent to a draining worker")
 	}
 }
 
-func TestUnsafeThatMayHaveRunIsFailedNotRepeated(t *testing.T) {
+func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	for _, o := range []Outcome{Errored, TimedOut, ConnectionReset, Cancelled} {
-		b := newHarness(t, testConfig(), 4)
-		id, acts := b.arrive(2, 7)
-		s, _ := firstAction[SendAttempt](acts)
-		acts = b.handle(AttemptEnded{Request: id, Worker: s.Worker, Outcome: o})
-		if hasAction[SendAttempt](acts) || hasAction[RefuseRequest](acts) || !hasAction[FailRequest](acts) {
-			t.Errorf("outcome %d: %v", o, acts)
-		}
+		t.Run(o.String(), func(t *testing.T) {
+			h := newHarness(t, testConfig(), 4)
+			id, w := h.arriveAndSend(classNotIdempotent, 7)
+			actions := h.fail(id, 0, w, o)
+			if hasAction[SendAttempt](actions) || hasAction[RefuseRequest](actions) || !hasAction[FailRequest](actions) {
+				t.Errorf("answered with %v", actions)
+			}
+		})
 	}
 }
 
-// The guard must hold at the place of emission, whatever path asks.
-func TestEmissionGuardsUnsafeRepeats(t *testing.T) {
-	b := newHarness(t, testConfig(), 2)
-	id, acts := b.arrive(2, 7)
-	s, _ := firstAction[SendAttempt](acts)
-	r := b.policy.requests[id]
+// The rule must hold where actions are emitted, whatever path asks.
+func TestEmitForbidsNonIdempotentRepeat(t *testing.T) {
+	h := newHarness(t, testConfig(), 2)
+	id, w := h.arriveAndSend(classNotIdempotent, 7)
+	r := h.policy.requests[id]
 	r.outstanding, r.mayHaveRun = 0, r.attempts[0]
-	if b.policy.emit(SendAttempt{Request: id, Worker: 3 - s.Worker}) {
-		t.Error("a repeat of an unsafe request left")
+	if h.policy.emit(SendAttempt{Request: id, Worker: 3 - w}) {
+		t.Error("a repeat of a request that is not idempotent was emitted")
 	}
 }
 
-func TestUnsafeThatNeverRanGoesElsewhere(t *testing.T) {
-	b := newHarness(t, testConfig(), 4)
-	id, acts := b.arrive(2, 7)
-	s, _ := firstAction[SendAttempt](acts)
-	again, ok := firstAction[SendAttempt](b.handle(AttemptEnded{Request: id, Worker: s.Worker, Outcome: WorkerOverloaded}))
-	if !ok || again.Worker == s.Worker {
-		t.Errorf("after full: %v %v", again, ok)
+func TestNonIdempotentRequestThatNeverRanIsRetried(t *testing.T) {
+	h := newHarness(t, testConfig(), 4)
+	id, w := h.arriveAndSend(classNotIdempotent, 7)
+	retry, ok := firstAction[SendAttempt](h.fail(id, 0, w, WorkerOverloaded))
+	if !ok || retry.Worker == w {
+		t.Errorf("after an overloaded worker: %v %v", retry, ok)
 	}
 }
 
-func TestKeyedIsRepeatedOnlyInsideItsGroupAndWindow(t *testing.T) {
-	b := newHarness(t, testConfig(), 0)
-	b.handle(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Worker: 1, State: Ready, Zone: 0},
-		{Worker: 2, State: Ready, Zone: 1}, {Worker: 3, State: Ready, Zone: 1}}})
+func TestKeyedRequestIsRetriedOnlyInScopeAndWindow(t *testing.T) {
+	h := newHarness(t, testConfig(), 0)
+	h.list(Endpoint{Worker: 1, State: Ready, Zone: 0}, Endpoint{Worker: 2, State: Ready, Zone: 1},
+		Endpoint{Worker: 3, State: Ready, Zone: 1})
 	for range 20 {
-		id, acts := b.arrive(1, 7)
-		s, _ := firstAction[SendAttempt](acts)
-		b.now += 10 * ms
-		again, ok := firstAction[SendAttempt](b.handle(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored}))
-		if ok && (again.Worker == 1) != (s.Worker == 1) {
-			t.Fatalf("sent to %d, then to %d of another group", s.Worker, again.Worker)
+		id, w := h.arriveAndSend(classKeyed, 7)
+		h.now += 10 * ms
+		retry, ok := firstAction[SendAttempt](h.fail(id, 0, w, Errored))
+		if ok && (retry.Worker == 1) != (w == 1) {
+			t.Fatalf("sent to %d, then to %d of another zone", w, retry.Worker)
 		}
-		id, acts = b.arrive(1, 8)
-		s, _ = firstAction[SendAttempt](acts)
-		b.now += 1100 * ms
-		if acts := b.handle(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored}); hasAction[SendAttempt](acts) || hasAction[RefuseRequest](acts) {
-			t.Fatal("repeated or refused outside the window")
+		id, actions := h.arrive(classKeyed, 8)
+		send, _ := firstAction[SendAttempt](actions) // none once the errors have made the class look hopeless
+		h.now += 1100 * ms
+		actions = h.fail(id, 0, send.Worker, Errored)
+		if hasAction[SendAttempt](actions) || hasAction[RefuseRequest](actions) {
+			t.Fatal("retried or refused outside the window")
 		}
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,61 +6,61 @@
 	"time"
 )
 
-// In overload work turned away as full must not count as what a worker can take.
-func TestColdWorkerGetsNoMoreThanItsBudget(t *testing.T) {
-	b := newHarness(t, testConfig(), 5)
+// sendsToFirstWorker brings a request and counts its sends to worker 1, where each attempt errs.
+func sendsToFirstWorker(h *harness, f FunctionID) (sent int) {
+	id, actions := h.arrive(classIdempotent, f)
+	send, ok := firstAction[SendAttempt](actions)
+	for attempt := 0; ok; attempt++ {
+		if send.Worker == 1 {
+			sent++
+		}
+		send, ok = firstAction[SendAttempt](h.fail(id, attempt, send.Worker, Errored))
+	}
+	return sent
+}
+
+// In overload, what workers reject must not count as what they can take.
+func TestWarmingWorkerStaysWithinBudget(t *testing.T) {
+	h := newHarness(t, testConfig(), 5)
 	for range 200 { // 10 a second over 5 workers
-		b.serveRequest(FunctionID(b.now%50), 100*ms, InstanceWarm)
-		if b.now%time.Second < 100*ms {
-			b.handle(TimerFired{Token: housekeepingToken})
+		h.serve(FunctionID(h.now%50), 100*ms, InstanceWarm)
+		if h.now%time.Second < 100*ms {
+			h.housekeep()
 		}
 	}
-	b.handle(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Ready, StartedAt: b.now}}})
+	h.handle(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Ready, StartedAt: h.now}}})
 	sent := 0
 	for f := FunctionID(1000); f < 1400; f++ {
-		id, acts := b.arrive(0, f)
-		s, ok := firstAction[SendAttempt](acts)
-		for n := 0; ok; n++ {
-			if s.Worker == 1 {
-				sent++
-			}
-			s, ok = firstAction[SendAttempt](b.handle(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Errored}))
-		}
+		sent += sendsToFirstWorker(h, f)
 	}
 	// A share of 0.2 at a multiple of 2 allows 0.4 of the mean: 2.4 of 6 in the 3 s window.
 	if sent < 1 || sent > 3 {
-		t.Errorf("%d sends to a cold worker at once", sent)
+		t.Errorf("%d sends to a warming worker at once", sent)
 	}
 }
 
-// Of many dispatchers, blind to each other, each may send a worker that just started only part of a call.
-func TestManyDispatchersTogetherSpareAColdWorker(t *testing.T) {
-	const peers, workers, each = 100, 10, 30 // calls of each dispatcher in 10 s
+// Of many routers, which do not see each other's requests, each may send a worker that just started only part
+// of a request.
+func TestManyRoutersTogetherSpareWarmingWorker(t *testing.T) {
+	const routers, workers, requests = 100, 10, 30 // requests of each router in 10 s
 	cfg := testConfig()
-	cfg.RouterCount = peers
+	cfg.RouterCount = routers
 	sent := 0
-	for n := range peers {
-		b := newHarness(t, cfg, workers)
-		b.policy.rng = rand.New(rand.NewPCG(uint64(n), 1))
-		for k := range each {
-			b.serveRequest(FunctionID(k), 300*ms, InstanceWarm)
-			b.now += 33 * ms
+	for n := range routers {
+		h := newHarness(t, cfg, workers)
+		h.policy.rng = rand.New(rand.NewPCG(uint64(n), 1))
+		for k := range requests {
+			h.serve(FunctionID(k), 300*ms, InstanceWarm)
+			h.now += 33 * ms
 		}
-		b.handle(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Ready, StartedAt: b.now}}})
-		for f := FunctionID(1000); f < 1009; f++ { // 3 s of calls for functions that stand nowhere
-			b.now += 333 * ms
-			id, acts := b.arrive(0, f)
-			s, ok := firstAction[SendAttempt](acts)
-			for try := 0; ok; try++ {
-				if s.Worker == 1 {
-					sent++
-				}
-				s, ok = firstAction[SendAttempt](b.handle(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Errored}))
-			}
+		h.handle(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Ready, StartedAt: h.now}}})
+		for f := FunctionID(1000); f < 1009; f++ { // 3 s of requests for functions that are loaded nowhere
+			h.now += 333 * ms
+			sent += sendsToFirstWorker(h, f)
 		}
 	}
-	// A worker serves 30 calls a second. At 0.2 to 0.44 of its capacity and a multiple of 2, 3 s allow 36 to 79.
+	// A worker serves 30 requests a second. At 0.2 to 0.44 of its capacity and a multiple of 2, 3 s allow 36 to 79.
 	if sent < 8 || sent > 60 {
-		t.Errorf("%d sends to a cold worker within 3 s by all together", sent)
+		t.Errorf("%d sends to a warming worker within 3 s by all together", sent)
 	}
 }
