--- a/internal/frontend/thrift/codec.go
+++ b/internal/frontend/thrift/codec.go
@@ -2,215 +2,275 @@
 
 import (
 	"encoding/binary"
-	"errors"
+	"fmt"
 )
 
-// The strict binary protocol's types and message kinds.
+// valueType is a type of value in the binary protocol.
+type valueType byte
+
+// The types of values, from the Apache Thrift specification, "Thrift Binary protocol encoding". Strings and binary
+// values share a type.
 const (
-	typeStop   = 0
-	typeBool   = 2
-	typeByte   = 3
-	typeDouble = 4
-	typeI16    = 6
-	typeI32    = 8
-	typeI64    = 10
-	typeString = 11
-	typeStruct = 12
-	typeMap    = 13
-	typeSet    = 14
-	typeList   = 15
-
-	kindCall      = 1
-	kindReply     = 2
-	kindException = 3
-	kindOneway    = 4
-
-	version = 0x80010000
+	typeStop   valueType = 0 // ends a struct
+	typeBool   valueType = 2
+	typeByte   valueType = 3
+	typeDouble valueType = 4
+	typeI16    valueType = 6
+	typeI32    valueType = 8
+	typeI64    valueType = 10
+	typeString valueType = 11
+	typeStruct valueType = 12
+	typeMap    valueType = 13
+	typeSet    valueType = 14
+	typeList   valueType = 15
 )
 
+// messageType is the kind of a message.
+type messageType byte
+
+// The types of messages, from the same specification.
 const (
-	maxBody   = 16 << 10
-	maxFrame  = maxBody + 4<<10 // a body and its fields
-	maxFields = 64              // in the map of a request
-	maxDepth  = 8
-	maxCount  = 1024 // elements of what is skipped
+	messageCall      messageType = 1
+	messageReply     messageType = 2
+	messageException messageType = 3
+	messageOneway    messageType = 4
 )
 
-// errSyntax says that a client broke the protocol.
-var errSyntax = errors.New("malformed message")
+// String returns the specification's name.
+func (t messageType) String() string {
+	switch t {
+	case messageCall:
+		return "call"
+	case messageReply:
+		return "reply"
+	case messageException:
+		return "exception"
+	case messageOneway:
+		return "oneway"
+	}
+	return fmt.Sprintf("message type %d", byte(t))
+}
+
+// The first word of a strict message holds the version; its lowest byte is the message's type.
+const (
+	strictVersion = 0x80010000
+	versionMask   = 0xffffff00
+)
 
-// reader takes values off the front of b, in place. The first shortage sticks in bad.
-type reader struct {
-	b   []byte
-	bad bool
+// The limits on what a client may send.
+const (
+	maxMethodNameBytes = 64
+	maxFields          = 64 // in the map of a request
+	maxNesting         = 8
+	maxElements        = 1024 // in a map, set or list that is skipped
+)
+
+// decoder decodes values from the front of a message, in place. After the first failure it returns zero values, and
+// err says what was wrong.
+type decoder struct {
+	remaining []byte
+	err       error
 }
 
-func (r *reader) take(n int) []byte {
-	if n < 0 || n > len(r.b) {
-		r.bad = true
-		r.b = nil
+func (d *decoder) fail(err error) {
+	if d.err == nil {
+		d.err = err
+	}
+	d.remaining = nil
+}
+
+// next returns the next n bytes, or nil where there are fewer.
+func (d *decoder) next(n int) []byte {
+	if n < 0 || n > len(d.remaining) {
+		d.fail(errTruncated)
 		return nil
 	}
-	out := r.b[:n:n]
-	r.b = r.b[n:]
-	return out
+	b := d.remaining[:n:n]
+	d.remaining = d.remaining[n:]
+	return b
 }
 
-func (r *reader) u8() byte {
-	if b := r.take(1); b != nil {
+func (d *decoder) uint8() byte {
+	if b := d.next(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (r *reader) u16() uint16 {
-	if b := r.take(2); b != nil {
+func (d *decoder) uint16() uint16 {
+	if b := d.next(2); b != nil {
 		return binary.BigEndian.Uint16(b)
 	}
 	return 0
 }
 
-func (r *reader) u32() uint32 {
-	if b := r.take(4); b != nil {
+func (d *decoder) uint32() uint32 {
+	if b := d.next(4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
 	return 0
 }
 
-// bytes takes a string; one longer than what is left is bad before anything is allocated.
-func (r *reader) bytes() []byte { return r.take(int(int32(r.u32()))) }
+func (d *decoder) valueType() valueType { return valueType(d.uint8()) }
+
+// byteString decodes a string or binary value. A length beyond the message fails before anything is allocated.
+func (d *decoder) byteString() []byte { return d.next(int(int32(d.uint32()))) }
 
-// skip passes over a value of any type.
-func (r *reader) skip(typ byte, depth int) {
-	if depth > maxDepth {
-		r.bad = true
+// messageHeader is the beginning of a message; the struct of its arguments follows.
+type messageHeader struct {
+	messageType messageType
+	method      string
+	sequenceID  uint32
+}
+
+func (d *decoder) messageHeader() (messageHeader, error) {
+	firstWord := d.uint32()
+	method := d.byteString()
+	sequenceID := d.uint32()
+	switch {
+	case d.err != nil:
+		return messageHeader{}, d.err
+	case firstWord&versionMask != strictVersion:
+		return messageHeader{}, errBadVersion
+	case len(method) > maxMethodNameBytes:
+		return messageHeader{}, errMethodNameTooLong
+	}
+	return messageHeader{messageType: messageType(firstWord), method: string(method), sequenceID: sequenceID}, nil
+}
+
+// structFields calls decode for each field of the struct that comes next. decode either decodes the field's value or
+// returns false to have it skipped.
+func (d *decoder) structFields(decode func(id uint16, t valueType) bool) error {
+	for d.err == nil {
+		t := d.valueType()
+		if t == typeStop {
+			break
+		}
+		id := d.uint16()
+		if d.err == nil && !decode(id, t) {
+			d.skip(t, 1)
+		}
 	}
-	if r.bad {
+	return d.err
+}
+
+// stringMap decodes a map of strings. The values point into the message.
+func (d *decoder) stringMap() map[string][]byte {
+	keyType := d.valueType()
+	elementType := d.valueType()
+	count := d.uint32()
+	if count > maxFields {
+		d.fail(errTooManyElements)
+		return nil
+	}
+	if count > 0 && (keyType != typeString || elementType != typeString) {
+		d.fail(errNotStringMap)
+		return nil
+	}
+	values := make(map[string][]byte, count)
+	for range count {
+		key := d.byteString()
+		value := d.byteString()
+		if d.err != nil {
+			return nil
+		}
+		values[string(key)] = value
+	}
+	return values
+}
+
+// skip passes over a value. nesting is how many structs and containers it is in.
+func (d *decoder) skip(t valueType, nesting int) {
+	if nesting > maxNesting {
+		d.fail(errNestedTooDeep)
+	}
+	if d.err != nil {
 		return
 	}
-	switch typ {
+	switch t {
 	case typeBool, typeByte:
-		r.take(1)
+		d.next(1)
 	case typeI16:
-		r.take(2)
+		d.next(2)
 	case typeI32:
-		r.take(4)
+		d.next(4)
 	case typeI64, typeDouble:
-		r.take(8)
+		d.next(8)
 	case typeString:
-		r.bytes()
+		d.byteString()
 	case typeStruct:
-		for !r.bad {
-			t := r.u8()
-			if t == typeStop {
-				return
-			}
-			r.u16()
-			r.skip(t, depth+1)
-		}
+		d.skipStruct(nesting)
 	case typeMap:
-		k, v := r.u8(), r.u8()
-		for range r.count() {
-			r.skip(k, depth+1)
-			r.skip(v, depth+1)
-		}
+		keyType := d.valueType()
+		d.skipElements(nesting, keyType, d.valueType())
 	case typeSet, typeList:
-		t := r.u8()
-		for range r.count() {
-			r.skip(t, depth+1)
-		}
+		d.skipElements(nesting, d.valueType())
 	default:
-		r.bad = true
-	}
-}
-
-func (r *reader) count() int {
-	n := r.u32()
-	if n > maxCount {
-		r.bad = true
-		return 0
-	}
-	return int(n)
-}
-
-// message is the head of a message; its arguments are left in the reader.
-type message struct {
-	kind byte
-	name string
-	seq  uint32
-}
-
-func (r *reader) message() (message, error) {
-	v := r.u32()
-	m := message{kind: byte(v)}
-	name := r.bytes()
-	m.seq = r.u32()
-	if r.bad || v&0xffffff00 != version || len(name) > 64 {
-		return m, errSyntax
+		d.fail(fmt.Errorf("%w %d", errUnknownType, t))
 	}
-	m.name = string(name)
-	return m, nil
 }
 
-// fields calls f for each field of the struct that comes next; f takes the value off, or returns
-// false to have it skipped.
-func (r *reader) fields(f func(typ byte, id uint16) bool) error {
-	for !r.bad {
-		typ := r.u8()
-		if typ == typeStop && !r.bad {
-			return nil
-		}
-		if id := r.u16(); !f(typ, id) {
-			r.skip(typ, 1)
+func (d *decoder) skipStruct(nesting int) {
+	for d.err == nil {
+		t := d.valueType()
+		if t == typeStop {
+			return
 		}
+		d.uint16() // the field's ID
+		d.skip(t, nesting+1)
 	}
-	return errSyntax
 }
 
-// strings takes a map of strings. The values point into the message.
-func (r *reader) strings() map[string][]byte {
-	k, v, n := r.u8(), r.u8(), r.u32()
-	if n > maxFields || n > 0 && (k != typeString || v != typeString) {
-		r.bad = true
-		return nil
+// skipElements passes over the count of a container and its elements, each of which holds a value of each of types.
+func (d *decoder) skipElements(nesting int, types ...valueType) {
+	count := d.uint32()
+	if count > maxElements {
+		d.fail(errTooManyElements)
+		return
 	}
-	out := make(map[string][]byte, n)
-	for range n {
-		key := r.bytes()
-		if out[string(key)] = r.bytes(); r.bad {
-			return nil
+	for range count {
+		for _, t := range types {
+			d.skip(t, nesting+1)
 		}
 	}
-	return out
 }
 
-// appendMessage begins a frame: room for its length, and the message's head.
-func appendMessage(b []byte, kind byte, name string, seq uint32) []byte {
-	b = append(b, 0, 0, 0, 0)
-	b = binary.BigEndian.AppendUint32(b, version|uint32(kind))
-	b = appendString(b, name)
-	return binary.BigEndian.AppendUint32(b, seq)
+// appendFrame begins a frame: the header, whose length setFrameLength fills in, and the header of a message.
+func appendFrame(b []byte, t messageType, method string, sequenceID uint32) []byte {
+	b = append(b, make([]byte, frameHeaderBytes)...)
+	b = appendUint32(b, strictVersion|uint32(t))
+	b = appendString(b, method)
+	return appendUint32(b, sequenceID)
 }
 
-func appendString(b []byte, s string) []byte {
-	return append(binary.BigEndian.AppendUint32(b, uint32(len(s))), s...)
+// setFrameLength writes the length into the header of a frame that holds extraBytes more than b.
+func setFrameLength(b []byte, extraBytes int) {
+	binary.BigEndian.PutUint32(b, uint32(len(b)-frameHeaderBytes+extraBytes))
 }
 
-func appendField(b []byte, typ byte, id uint16) []byte {
-	return binary.BigEndian.AppendUint16(append(b, typ), id)
+func appendFieldHeader(b []byte, id uint16, t valueType) []byte {
+	return binary.BigEndian.AppendUint16(append(b, byte(t)), id)
 }
 
-// appendStrings appends a map of strings, given as names and values in turn.
-func appendStrings(b []byte, pairs ...string) []byte {
-	b = binary.BigEndian.AppendUint32(append(b, typeString, typeString), uint32(len(pairs)/2))
-	for _, s := range pairs {
-		b = appendString(b, s)
+func appendUint32(b []byte, value uint32) []byte { return binary.BigEndian.AppendUint32(b, value) }
+
+func appendBool(b []byte, value bool) []byte {
+	if value {
+		return append(b, 1)
 	}
-	return b
+	return append(b, 0)
 }
 
-// seal writes the frame's length: what b holds and more bytes that follow it.
-func seal(b []byte, more int) []byte {
-	binary.BigEndian.PutUint32(b, uint32(len(b)-4+more))
+func appendString(b []byte, value string) []byte {
+	return append(appendUint32(b, uint32(len(value))), value...)
+}
+
+// appendStringMap appends a map of strings, given as names and values in turn.
+func appendStringMap(b []byte, namesAndValues ...string) []byte {
+	b = append(b, byte(typeString), byte(typeString))
+	b = appendUint32(b, uint32(len(namesAndValues)/2))
+	for _, s := range namesAndValues {
+		b = appendString(b, s)
+	}
 	return b
 }
--- /dev/null
+++ b/internal/frontend/thrift/harness_test.go
@@ -0,0 +1,138 @@
+package thrift
+
+import (
+	"bytes"
+	"encoding/binary"
+	"net/netip"
+	"slices"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"functionrouter/internal/router"
+	"functionrouter/policy"
+)
+
+// testNow is what the tests' clock shows.
+const testNow = time.Hour
+
+// fakeTransport keeps what is written to it.
+type fakeTransport struct {
+	written bytes.Buffer
+	closed  bool
+}
+
+func (f *fakeTransport) Write(bufs ...[]byte) {
+	for _, b := range bufs {
+		f.written.Write(b)
+	}
+}
+
+func (f *fakeTransport) Close() { f.closed = true }
+
+// fakeRouter keeps the requests that it is handed. The ID of a submitted request is its position, counted from 1.
+type fakeRouter struct {
+	submitted []router.Request
+	cancelled []policy.RequestID
+	rejected  int
+}
+
+func (f *fakeRouter) Submit(_ time.Duration, r router.Request) policy.RequestID {
+	f.submitted = append(f.submitted, r)
+	return policy.RequestID(len(f.submitted))
+}
+
+func (f *fakeRouter) Reject(_ time.Duration, r router.Request) {
+	f.rejected++
+	r.Responder.Respond(router.Response{Status: router.Refused})
+}
+
+func (f *fakeRouter) Cancel(_ time.Duration, id policy.RequestID) {
+	f.cancelled = append(f.cancelled, id)
+}
+
+// newTestConnection returns the connection of a client between a fake router and a fake transport.
+func newTestConnection() (*connection, *fakeRouter, *fakeTransport) {
+	requests, transport := &fakeRouter{}, &fakeTransport{}
+	server := New(requests, []string{"dim-level", "repair-order"}, []string{"north", "south"},
+		func() time.Duration { return testNow }, func() bool { return true })
+	return server.newConnection(transport, netip.AddrPort{}), requests, transport
+}
+
+// The positions of the values in validFields.
+const (
+	classValue      = 1
+	idValue         = 3
+	waitValue       = 5
+	keyValue        = 7
+	propertiesValue = 9
+)
+
+// validFields are the fields of a request that can be used, as names and values in turn.
+var validFields = []string{
+	fieldClass, "repair-order", fieldID, "9b1f03aa5c7e2d41", fieldWait, "1500", fieldKey, "7f3a9c21e0b4d655",
+	fieldProperties, "memory_mb:512;lanes:2;load_ms:640",
+}
+
+// fieldsWith returns validFields with another value at the position.
+func fieldsWith(position int, value string) []string {
+	fields := slices.Clone(validFields)
+	fields[position] = value
+	return fields
+}
+
+// executeFrame returns the frame of an execute call with fields, given as names and values in turn.
+func executeFrame(sequenceID uint32, body string, fields ...string) []byte {
+	b := appendFrame(nil, messageCall, methodExecute, sequenceID)
+	b = appendStringMap(appendFieldHeader(b, executeFieldsID, typeMap), fields...)
+	b = appendString(appendFieldHeader(b, executeBodyID, typeString), body)
+	return closeFrame(b)
+}
+
+// interruptFrame returns the frame that gives up the call with the sequence ID.
+func interruptFrame(sequenceID uint32) []byte {
+	b := appendFrame(nil, messageOneway, methodInterrupt, 0)
+	return closeFrame(appendUint32(appendFieldHeader(b, interruptSequenceID, typeI32), sequenceID))
+}
+
+// checkFrame returns the frame of a check call.
+func checkFrame(sequenceID uint32) []byte {
+	b := appendFrame(nil, messageCall, methodCheck, sequenceID)
+	return closeFrame(appendBool(appendFieldHeader(b, 1, typeBool), true))
+}
+
+// emptyFrame returns the frame of a message without arguments.
+func emptyFrame(t messageType, method string, sequenceID uint32) []byte {
+	return closeFrame(appendFrame(nil, t, method, sequenceID))
+}
+
+// closeFrame ends the struct of arguments and the frame.
+func closeFrame(b []byte) []byte {
+	b = append(b, byte(typeStop))
+	setFrameLength(b, 0)
+	return b
+}
+
+// noResultField is what readReply returns for a reply without a result.
+const noResultField = 99
+
+// readReply takes the first frame off what was written: its sequence ID and the field that its result sets.
+func readReply(t rapid.TB, transport *fakeTransport) (sequenceID uint32, resultField uint16) {
+	t.Helper()
+	b := transport.written.Bytes()
+	if len(b) < frameHeaderBytes || len(b) < frameHeaderBytes+int(binary.BigEndian.Uint32(b)) {
+		t.Fatalf("wrote %x", b)
+	}
+	end := frameHeaderBytes + int(binary.BigEndian.Uint32(b))
+	d := decoder{remaining: b[frameHeaderBytes:end]}
+	header, err := d.messageHeader()
+	resultField = noResultField
+	if err == nil && header.messageType == messageReply {
+		err = d.structFields(func(id uint16, _ valueType) bool { resultField = id; return false })
+	}
+	if err != nil {
+		t.Fatalf("wrote %x: %v", b, err)
+	}
+	transport.written.Next(end)
+	return header.sequenceID, resultField
+}
--- /dev/null
+++ b/internal/frontend/thrift/model_test.go
@@ -0,0 +1,132 @@
+package thrift
+
+import (
+	"bytes"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"functionrouter/internal/router"
+)
+
+// connectionModel plays random steps on a connection and knows what must come of each.
+type connectionModel struct {
+	connection     *connection
+	router         *fakeRouter
+	transport      *fakeTransport
+	lastSequenceID uint32
+	open           map[uint32]int // the request of each open call, as its position in router.submitted
+}
+
+// Whole calls reach the router however they are split, each open one gets its one answer, an interrupted one none.
+func TestConnection(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := &connectionModel{open: map[uint32]int{}}
+		m.connection, m.router, m.transport = newTestConnection()
+		t.Repeat(map[string]func(*rapid.T){
+			"call":      m.call,
+			"answer":    m.answer,
+			"interrupt": m.interrupt,
+			"bad":       m.callWithInvalidField,
+			"check":     m.check,
+			"":          m.checkInvariants,
+		})
+	})
+}
+
+// feed hands in the bytes in pieces of any size.
+func (m *connectionModel) feed(t *rapid.T, b []byte) {
+	for len(b) > 0 {
+		n := rapid.IntRange(1, len(b)).Draw(t, "n")
+		m.connection.OnData(bytes.Clone(b[:n]))
+		b = b[n:]
+	}
+}
+
+// drawOpenCall returns the sequence ID of any open call.
+func (m *connectionModel) drawOpenCall(t *rapid.T) (sequenceID uint32, found bool) {
+	if len(m.open) == 0 {
+		return 0, false
+	}
+	sequenceID = rapid.Uint32Range(1, m.lastSequenceID).Draw(t, "seq")
+	for {
+		if _, open := m.open[sequenceID]; open {
+			return sequenceID, true
+		}
+		sequenceID = sequenceID%m.lastSequenceID + 1
+	}
+}
+
+func (m *connectionModel) call(t *rapid.T) {
+	if len(m.open) == maxOpenCalls {
+		return
+	}
+	m.lastSequenceID++
+	m.feed(t, executeFrame(m.lastSequenceID, "body", validFields...))
+	position := len(m.router.submitted) - 1
+	m.open[m.lastSequenceID] = position
+	r := m.router.submitted[position]
+	if r.Class != 1 || r.ID != "9b1f03aa5c7e2d41" || r.Function != 0x7f3a9c21e0b4d655 || string(r.Body) != "body" ||
+		r.Concurrency != 2 || r.MemoryMB != 512 || r.LoadTime != 640*time.Millisecond ||
+		r.Deadline != testNow+1460*time.Millisecond {
+		t.Fatalf("submitted %+v", r)
+	}
+}
+
+func (m *connectionModel) answer(t *rapid.T) {
+	sequenceID, found := m.drawOpenCall(t)
+	if !found {
+		return
+	}
+	status := router.Status(rapid.IntRange(0, 2).Draw(t, "verdict"))
+	response := router.Response{Status: status, Body: []byte("x"), RetryAfter: 1}
+	responder := m.router.submitted[m.open[sequenceID]].Responder
+	responder.Respond(response)
+	responder.Respond(response) // a second one goes nowhere
+	delete(m.open, sequenceID)
+	if got, field := readReply(t, m.transport); got != sequenceID || field != uint16(status) {
+		t.Fatalf("the reply to %d has field %d, want %d to %d", got, field, status, sequenceID)
+	}
+}
+
+func (m *connectionModel) interrupt(t *rapid.T) {
+	sequenceID, found := m.drawOpenCall(t)
+	if !found {
+		return
+	}
+	m.feed(t, interruptFrame(sequenceID))
+	position := m.open[sequenceID]
+	cancelled := m.router.cancelled
+	if len(cancelled) == 0 || int(cancelled[len(cancelled)-1]) != position+1 {
+		t.Fatalf("cancelled %v, want %d last", cancelled, position+1)
+	}
+	m.router.submitted[position].Responder.Respond(router.Response{})
+	delete(m.open, sequenceID)
+}
+
+// callWithInvalidField sends what is answered at once with a failure.
+func (m *connectionModel) callWithInvalidField(t *rapid.T) {
+	positions := []int{classValue, idValue, waitValue, keyValue, propertiesValue}
+	position := rapid.SampledFrom(positions).Draw(t, "field")
+	m.lastSequenceID++
+	m.feed(t, executeFrame(m.lastSequenceID, "", fieldsWith(position, "nonsense")...))
+	if got, field := readReply(t, m.transport); got != m.lastSequenceID || field != resultLostID {
+		t.Fatalf("the reply to %d has field %d", got, field)
+	}
+}
+
+func (m *connectionModel) check(t *rapid.T) {
+	m.feed(t, checkFrame(7))
+	if got, field := readReply(t, m.transport); got != 7 || field != resultSuccessID {
+		t.Fatalf("the reply to %d has field %d", got, field)
+	}
+}
+
+// checkInvariants finds answers that nobody is owed, and a connection that forgets its open calls.
+func (m *connectionModel) checkInvariants(t *rapid.T) {
+	if m.transport.written.Len() > 0 || m.transport.closed || m.connection.HasOpenRequests() != (len(m.open) > 0) {
+		t.Fatalf("wrote %x, closed %v, has open requests %v, want %d",
+			m.transport.written.Bytes(), m.transport.closed, m.connection.HasOpenRequests(), len(m.open))
+	}
+}
--- /dev/null
+++ b/internal/frontend/thrift/request_test.go
@@ -0,0 +1,86 @@
+package thrift
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"functionrouter/internal/router"
+)
+
+// Guards tenants' quotas: a call counts against the tenant that it names, by the settings' names, and one that names
+// none against nobody's, not against the first's.
+func TestCallsHaveTheirTenant(t *testing.T) {
+	c, requests, _ := newTestConnection()
+	for _, test := range []struct {
+		name, tenant string
+		want         int
+	}{
+		{"first", "north", 0},
+		{"second", "south", 1},
+		{"unknown", "west", router.UnknownTenant},
+		{"none", "", router.UnknownTenant},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			fields := validFields
+			if test.tenant != "" {
+				fields = append(slices.Clone(validFields), fieldTenant, test.tenant)
+			}
+			c.OnData(executeFrame(c.lastSequenceID+1, "body", fields...))
+			if got := requests.submitted[len(requests.submitted)-1].Tenant; got != test.want {
+				t.Errorf("got %d, want %d", got, test.want)
+			}
+		})
+	}
+}
+
+// Guards the estimates: a figure that no worker could use, or that is no number, is answered with a failure, and the
+// request is routed nowhere.
+func TestInvalidFieldsAreAnsweredWithLost(t *testing.T) {
+	for _, test := range []struct {
+		position int
+		values   []string
+	}{
+		{classValue, []string{"", "nonsense", "repair-order\r\n"}},
+		{idValue, []string{"", "9B1F03AA5C7E2D41", "9b1f03aa5c7e2d4", "9b1f03aa5c7e2d411", "9b1f03aa5c7e2d4\n"}},
+		{waitValue, []string{"", "-1", "NaN", "Inf", "1e300", "600001", "0x10p400"}},
+		{keyValue, []string{"", "7F3A9C21E0B4D655", "7f3a9c21e0b4d65g"}},
+		{propertiesValue, []string{
+			"memory_mb:-1", "memory_mb:NaN", "memory_mb:1e9", "lanes:1e8", "lanes:-0.1", "load_ms:1e7", "load_ms:",
+			"lanes", "other:x",
+		}},
+	} {
+		for _, value := range test.values {
+			t.Run(validFields[test.position-1]+"="+value, func(t *testing.T) {
+				c, requests, transport := newTestConnection()
+				c.OnData(executeFrame(1, "", fieldsWith(test.position, value)...))
+				if _, field := readReply(t, transport); len(requests.submitted) != 0 || field != resultLostID {
+					t.Errorf("%d submitted, the reply has field %d", len(requests.submitted), field)
+				}
+			})
+		}
+	}
+}
+
+// Guards calls that wait hardly longer than their work takes: the margin for the way back leaves them most of their
+// time.
+func TestShortWaitsKeepMostOfTheirTime(t *testing.T) {
+	for _, test := range []struct {
+		wait string
+		want time.Duration
+	}{
+		{"0", 0},
+		{"20", 18 * time.Millisecond},
+		{"100", 90 * time.Millisecond},
+		{"400", 360 * time.Millisecond},
+		{"5000", 4960 * time.Millisecond},
+	} {
+		t.Run(test.wait, func(t *testing.T) {
+			c, requests, _ := newTestConnection()
+			c.OnData(executeFrame(1, "", fieldsWith(waitValue, test.wait)...))
+			if len(requests.submitted) != 1 || requests.submitted[0].Deadline-testNow != test.want {
+				t.Errorf("submitted %+v, want %v", requests.submitted, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/frontend/thrift/response.go
@@ -0,0 +1,111 @@
+package thrift
+
+import (
+	"strconv"
+	"time"
+
+	"functionrouter/internal/router"
+)
+
+// The fields of a method's result: its return value and the exceptions that it declares.
+const (
+	resultSuccessID = 0 // Answer
+	resultBackoffID = 1
+	resultLostID    = 2
+)
+
+// The fields of Answer, Backoff and Lost.
+const (
+	answerBodyID      = 1
+	answerFieldsID    = 2
+	answerGoodID      = 3
+	exceptionFieldsID = 1
+)
+
+// What the fields of Backoff and Lost may hold.
+const (
+	answerAfter  = "after"  // how long the client should stay away, in milliseconds
+	answerReason = "reason" // the field of the request that can't be used
+)
+
+// The fields of Thrift's TApplicationException, and the type that says that the service has no such method.
+const (
+	applicationExceptionMessageID = 1
+	applicationExceptionTypeID    = 2
+	unknownMethodType             = 1
+)
+
+// responseCapacity is enough for a response without its body, so that one allocation does.
+const responseCapacity = 64
+
+// Respond sends the final answer. A client that has interrupted the call or closed the connection is owed none.
+func (k *call) Respond(response router.Response) {
+	if k.finished {
+		return
+	}
+	k.finished = true
+	delete(k.connection.openCalls, k.sequenceID)
+	transport := k.connection.transport
+	switch response.Status {
+	case router.Served:
+		head, tail := encodeAnswer(methodExecute, k.sequenceID, len(response.Body), true)
+		transport.Write(head, response.Body, tail)
+	case router.Refused:
+		transport.Write(encodeBackoff(k.sequenceID, response.RetryAfter))
+	default:
+		transport.Write(encodeLost(k.sequenceID))
+	}
+}
+
+// encodeAnswer returns the frame of an Answer as the bytes before its body and those after it.
+func encodeAnswer(method string, sequenceID uint32, bodyBytes int, good bool) (head, tail []byte) {
+	tail = appendFieldHeader(nil, answerFieldsID, typeMap)
+	tail = appendStringMap(tail)
+	tail = appendFieldHeader(tail, answerGoodID, typeBool)
+	tail = appendBool(tail, good)
+	tail = append(tail, byte(typeStop)) // of the Answer
+	tail = append(tail, byte(typeStop)) // of the result
+
+	head = appendFrame(make([]byte, 0, responseCapacity), messageReply, method, sequenceID)
+	head = appendFieldHeader(head, resultSuccessID, typeStruct)
+	head = appendFieldHeader(head, answerBodyID, typeString)
+	head = appendUint32(head, uint32(bodyBytes))
+	setFrameLength(head, bodyBytes+len(tail))
+	return head, tail
+}
+
+// encodeBackoff returns the frame of a Backoff. The time is rounded up to whole milliseconds, so that a client that
+// keeps to it never comes back too early.
+func encodeBackoff(sequenceID uint32, retryAfter time.Duration) []byte {
+	roundedUp := (retryAfter + time.Millisecond - 1) / time.Millisecond
+	return encodeException(sequenceID, resultBackoffID, answerAfter, strconv.FormatInt(int64(roundedUp), 10))
+}
+
+// encodeLost returns the frame of a Lost.
+func encodeLost(sequenceID uint32, namesAndValues ...string) []byte {
+	return encodeException(sequenceID, resultLostID, namesAndValues...)
+}
+
+// encodeException returns the frame of a declared exception of execute.
+func encodeException(sequenceID uint32, resultID uint16, namesAndValues ...string) []byte {
+	frame := appendFrame(make([]byte, 0, responseCapacity), messageReply, methodExecute, sequenceID)
+	frame = appendFieldHeader(frame, resultID, typeStruct)
+	frame = appendFieldHeader(frame, exceptionFieldsID, typeMap)
+	frame = appendStringMap(frame, namesAndValues...)
+	frame = append(frame, byte(typeStop)) // of the exception
+	frame = append(frame, byte(typeStop)) // of the result
+	setFrameLength(frame, 0)
+	return frame
+}
+
+// encodeUnknownMethod returns the frame of the TApplicationException for a method that the service does not have.
+func encodeUnknownMethod(method string, sequenceID uint32) []byte {
+	frame := appendFrame(nil, messageException, method, sequenceID)
+	frame = appendFieldHeader(frame, applicationExceptionMessageID, typeString)
+	frame = appendString(frame, "unknown method")
+	frame = appendFieldHeader(frame, applicationExceptionTypeID, typeI32)
+	frame = appendUint32(frame, unknownMethodType)
+	frame = append(frame, byte(typeStop))
+	setFrameLength(frame, 0)
+	return frame
+}
--- a/internal/frontend/thrift/response_test.go
+++ b/internal/frontend/thrift/response_test.go
@@ -10,18 +10,15 @@
 
 // Frames are compared byte for byte, because clients decode them with code that this module does not have.
 func TestFramesOnTheWire(t *testing.T) {
-	emptyArguments := func(method string, messageType byte) []byte {
-		return seal(append(appendMessage(nil, messageType, method, 7), typeStop), 0)
-	}
-	respond := func(answer router.Response) func(*client, *core) {
-		return func(c *client, k *core) {
-			c.OnData(execute(7, "request", good...))
-			k.taken[0].Responder.Respond(answer)
+	respond := func(answer router.Response) func(*connection, *fakeRouter) {
+		return func(c *connection, requests *fakeRouter) {
+			c.OnData(executeFrame(7, "request", validFields...))
+			requests.submitted[0].Responder.Respond(answer)
 		}
 	}
 	for _, test := range []struct {
 		name string
-		play func(*client, *core)
+		play func(*connection, *fakeRouter)
 		want string
 	}{
 		{"served", respond(router.Response{Status: router.Served, Body: []byte("a body")}),
@@ -40,27 +37,27 @@
 				"313530300000"},
 		{"failed", respond(router.Response{Status: router.Failed}),
 			"00000021800100020000000765786563757465000000070c00020d00010b0b000000000000"},
-		{"field out of range", func(c *client, _ *core) { c.OnData(execute(7, "", "class", "no such")) },
+		{"field out of range", func(c *connection, _ *fakeRouter) { c.OnData(executeFrame(7, "", "class", "no such")) },
 			"00000034800100020000000765786563757465000000070c00020d00010b0b0000000100000006726561736f6e000000" +
 				"05636c6173730000"},
-		{"check while ready", func(c *client, _ *core) { c.OnData(emptyArguments("check", kindCall)) },
+		{"check while ready", func(c *connection, _ *fakeRouter) { c.OnData(emptyFrame(messageCall, "check", 7)) },
 			"0000002a8001000200000005636865636b000000070c00000b0001000000000d00020b0b00000000020003010000"},
-		{"check while not ready", func(c *client, _ *core) {
-			c.front.ready = func() bool { return false }
-			c.OnData(emptyArguments("check", kindCall))
+		{"check while not ready", func(c *connection, _ *fakeRouter) {
+			c.server.ready = func() bool { return false }
+			c.OnData(emptyFrame(messageCall, "check", 7))
 		},
 			"0000002a8001000200000005636865636b000000070c00000b0001000000000d00020b0b00000000020003000000"},
-		{"unknown method", func(c *client, _ *core) { c.OnData(emptyArguments("other", kindCall)) },
+		{"unknown method", func(c *connection, _ *fakeRouter) { c.OnData(emptyFrame(messageCall, "other", 7)) },
 			"0000002e80010003000000056f74686572000000070b00010000000e756e6b6e6f776e206d6574686f64080002000000" +
 				"0100"},
-		{"unknown one-way method", func(c *client, _ *core) { c.OnData(emptyArguments("other", kindOneway)) }, ""},
-		{"interrupt of no open call", func(c *client, _ *core) { c.OnData(emptyArguments("interrupt", kindCall)) }, ""},
+		{"unknown one-way method", func(c *connection, _ *fakeRouter) { c.OnData(emptyFrame(messageOneway, "other", 7)) }, ""},
+		{"interrupt of no open call", func(c *connection, _ *fakeRouter) { c.OnData(emptyFrame(messageCall, "interrupt", 7)) }, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, k, l := newClient()
-			test.play(c, k)
-			if got := hex.EncodeToString(l.Wrote.Bytes()); got != test.want || l.HasClosed {
-				t.Errorf("wrote %s, want %s; closed %v", got, test.want, l.HasClosed)
+			c, requests, transport := newTestConnection()
+			test.play(c, requests)
+			if got := hex.EncodeToString(transport.written.Bytes()); got != test.want || transport.closed {
+				t.Errorf("wrote %s, want %s; closed %v", got, test.want, transport.closed)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/frontend/thrift/violation_test.go
@@ -0,0 +1,133 @@
+package thrift
+
+import (
+	"bytes"
+	"errors"
+	"log"
+	"log/slog"
+	"math"
+	"net/netip"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+func TestAnyBytesCloseTheirConnectionAtMost(t *testing.T) {
+	t.Run("changed bytes", rapid.MakeCheck(func(t *rapid.T) {
+		c, requests, transport := newTestConnection()
+		b := executeFrame(1, "body", validFields...)
+		for range rapid.IntRange(1, 4).Draw(t, "changes") {
+			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
+		}
+		c.OnData(b)
+		if len(requests.submitted) > 1 || transport.closed && c.partialFrame != nil {
+			t.Fatalf("%d submitted, %d bytes kept", len(requests.submitted), len(c.partialFrame))
+		}
+	}))
+	for _, test := range []struct {
+		name  string
+		frame []byte
+	}{
+		{"a frame over the limit", []byte{0, 0, 0x60, 0}},
+		{"nesting over the limit", nestedFrame(20)},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c, _, transport := newTestConnection()
+			c.OnData(test.frame)
+			if !transport.closed {
+				t.Error("the connection was not closed")
+			}
+		})
+	}
+}
+
+// nestedFrame returns the frame of an execute call with structs nested to the depth.
+func nestedFrame(depth int) []byte {
+	b := appendFrame(nil, messageCall, methodExecute, 1)
+	b = append(b, bytes.Repeat([]byte{byte(typeStruct), 0, 9}, depth)...)
+	b = append(b, make([]byte, depth)...)
+	return closeFrame(b)
+}
+
+// Each violation of the protocol is told from the others, and all are known as violations.
+func TestViolationsHaveTheirErrors(t *testing.T) {
+	arguments := func(b ...byte) []byte { // of an execute call
+		return closeFrame(append(appendFrame(nil, messageCall, methodExecute, 1), b...))
+	}
+	badVersion := executeFrame(1, "", validFields...)
+	badVersion[frameHeaderBytes] = 0
+	for _, test := range []struct {
+		name  string
+		frame []byte
+		want  error
+	}{
+		{"frame too large", []byte{0, 0, 0x60, 0}, errFrameTooLarge},
+		{"empty frame", []byte{0, 0, 0, 0}, errTruncated},
+		{"string beyond the frame", arguments(byte(typeString), 0, 2, 0, 0, 1, 0), errTruncated},
+		{"string of negative length", arguments(byte(typeString), 0, 2, 0xff, 0xff, 0xff, 0xff), errTruncated},
+		{"version", badVersion, errBadVersion},
+		{"long method name", emptyFrame(messageCall, strings.Repeat("x", 65), 1), errMethodNameTooLong},
+		{"reply", emptyFrame(messageReply, methodExecute, 1), errUnexpectedMessage},
+		{"message type", emptyFrame(9, methodExecute, 1), errUnexpectedMessage},
+		{"value type", arguments(99, 0, 3), errUnknownType},
+		{"nesting", nestedFrame(20), errNestedTooDeep},
+		{"long list", arguments(byte(typeList), 0, 3, byte(typeBool), 0, 0, 4, 1), errTooManyElements},
+		{"many fields", executeFrame(1, "", make([]string, 2*(maxFields+1))...), errTooManyElements},
+		{"map of numbers", arguments(byte(typeMap), 0, 1, byte(typeString), byte(typeI16), 0, 0, 0, 1), errNotStringMap},
+		{"body too large", executeFrame(1, string(make([]byte, maxBodyBytes+1)), validFields...), errBodyTooLarge},
+		{"sequence ID 0", executeFrame(0, "", validFields...), errSequenceID},
+		{"negative sequence ID", executeFrame(math.MaxInt32+1, "", validFields...), errSequenceID},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c, requests, _ := newTestConnection()
+			_, err := c.handleFrames(test.frame)
+			if !errors.Is(err, test.want) || !errors.Is(err, errProtocol) || len(requests.submitted) != 0 {
+				t.Errorf("got %v, want %v; %d submitted", err, test.want, len(requests.submitted))
+			}
+		})
+	}
+}
+
+// Guards the log: whoever can connect could fill it with violations otherwise.
+func TestViolationsAreLoggedOnceASecond(t *testing.T) {
+	var lines bytes.Buffer
+	previous, previousOutput, previousFlags := slog.Default(), log.Writer(), log.Flags()
+	t.Cleanup(func() {
+		slog.SetDefault(previous)
+		log.SetOutput(previousOutput)
+		log.SetFlags(previousFlags)
+	})
+	slog.SetDefault(slog.New(slog.NewTextHandler(&lines, nil)))
+
+	now := testNow
+	server := New(&fakeRouter{}, nil, nil, func() time.Duration { return now }, nil)
+	violate := func() {
+		server.newConnection(&fakeTransport{}, netip.AddrPort{}).OnData([]byte{0, 0, 0x60, 0})
+	}
+	for _, step := range []struct {
+		name       string
+		at         time.Duration
+		violations int
+		wantCount  string
+	}{
+		{"the first", testNow, 1, "count=1 "},
+		{"more within the second", testNow + time.Second, 3, ""},
+		{"after the second", testNow + time.Second + 1, 1, "count=4 "},
+	} {
+		t.Run(step.name, func(t *testing.T) {
+			lines.Reset()
+			now = step.at
+			for range step.violations {
+				violate()
+			}
+			got := lines.String()
+			wantLine := step.wantCount != ""
+			if strings.Contains(got, "frontend=thrift") != wantLine || !strings.Contains(got, step.wantCount) ||
+				strings.Count(got, "\n") > 1 {
+				t.Errorf("logged %q, want %q", got, step.wantCount)
+			}
+		})
+	}
+}
