--- /dev/null
+++ b/internal/ipfix/config_test.go
@@ -0,0 +1,46 @@
+package ipfix
+
+import (
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+func TestReadConfig(t *testing.T) {
+	for _, test := range []struct {
+		name, text string
+		want       Config
+		wantError  string // a part of it
+	}{
+		{"all settings", "enabled = true\ncollector = \"127.0.0.1:4739\"\nobservation_domain = 9",
+			Config{Enabled: true, Collector: "127.0.0.1:4739", Domain: 9}, ""},
+		{"empty", "", Config{}, ""},
+		{"disabled, without an address", "collector = \"nowhere\"", Config{Collector: "nowhere"}, ""},
+		{"enabled, without an address", "enabled = true", Config{}, "not an ip:port"},
+		{"enabled, with a host name", "enabled = true\ncollector = \"localhost:4739\"", Config{}, "localhost"},
+		{"unknown setting", "port = 4739", Config{}, "unknown setting port"},
+		{"not TOML", "enabled", Config{}, "toml"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "ipfix.toml")
+			if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			got, err := ReadConfig(path)
+			switch {
+			case test.wantError == "" && (err != nil || *got != test.want):
+				t.Errorf("got %+v, %v; want %+v", got, err, test.want)
+			case test.wantError != "" && (err == nil || !strings.Contains(err.Error(), test.wantError)):
+				t.Errorf("got error %v, want %q", err, test.wantError)
+			}
+		})
+	}
+	t.Run("no file", func(t *testing.T) {
+		if _, err := ReadConfig(filepath.Join(t.TempDir(), "none.toml")); !errors.Is(err, fs.ErrNotExist) {
+			t.Errorf("got error %v", err)
+		}
+	})
+}
--- /dev/null
+++ b/internal/ipfix/harness_test.go
@@ -0,0 +1,63 @@
+package ipfix
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"net/netip"
+	"os"
+	"testing"
+	"time"
+
+	"functionrouter/internal/eventloop"
+)
+
+// TestMain fixes rapid's random steps, so that each run gives the same verdict.
+func TestMain(m *testing.M) {
+	flag.Parse()
+	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(2)
+		}
+	}
+	os.Exit(m.Run())
+}
+
+// noon is what the tests' wall clock shows.
+var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+
+const testDomain = 7
+
+// fakeTransport keeps what is written to it.
+type fakeTransport struct{ written bytes.Buffer }
+
+func (f *fakeTransport) Write(bufs ...[]byte) {
+	for _, b := range bufs {
+		f.written.Write(b)
+	}
+}
+
+func (f *fakeTransport) Close() {}
+
+// newTestExporter returns an exporter whose socket is open since an event loop's clock of an hour.
+func newTestExporter() (*Exporter, *fakeTransport) {
+	transport := &fakeTransport{}
+	x := New(&Config{Domain: testDomain}, func() time.Time { return noon },
+		func(eventloop.DialHandler) Transport { return transport })
+	x.Process(time.Hour)
+	x.OnOpen(nil)
+	return x, transport
+}
+
+// testFlow returns the flow of a request that took the second until noon.
+func testFlow(client, server string, octets uint64, class string) Flow {
+	return Flow{
+		Client: netip.MustParseAddrPort(client),
+		Server: netip.MustParseAddrPort(server),
+		Start:  noon.Add(-time.Second),
+		End:    noon,
+		Octets: octets,
+		Class:  class,
+	}
+}
--- /dev/null
+++ b/internal/ipfix/message.go
@@ -0,0 +1,84 @@
+package ipfix
+
+import (
+	"encoding/binary"
+	"time"
+)
+
+const (
+	protocolVersion    = 10 // RFC 7011 section 3.1
+	messageHeaderBytes = 16
+	setHeaderBytes     = 4 // RFC 7011 section 3.3.2
+	templateSetID      = 2
+
+	// maxMessageBytes keeps a message within one Ethernet frame, so that none is fragmented (RFC 7011 section
+	// 10.3.3).
+	maxMessageBytes = 1400
+)
+
+// messageEncoder encodes the messages of one observation domain.
+type messageEncoder struct {
+	domain uint32
+	// sequence is the number of data records in all earlier messages, modulo 2^32 (RFC 7011 section 3.1).
+	sequence uint32
+}
+
+// encode returns a message with as many of records as fit, in order, and how many those are. Each run of records with
+// one template becomes a set. The templates come first where they are wanted.
+func (e *messageEncoder) encode(
+	exportTime time.Time, withTemplates bool, records []record,
+) (message []byte, count int) {
+	b := make([]byte, messageHeaderBytes, maxMessageBytes)
+	if withTemplates {
+		b = appendTemplateSet(b)
+	}
+	setStart := 0
+	var setID uint16 // 0: none has begun
+	for _, r := range records {
+		if len(b)+setHeaderBytes+len(r.data) > maxMessageBytes {
+			break
+		}
+		if r.templateID != setID {
+			setID = r.templateID
+			setStart = len(b)
+			b = appendSetHeader(b, setID)
+		}
+		b = append(b, r.data...)
+		setSetLength(b, setStart)
+		count++
+	}
+	binary.BigEndian.PutUint16(b, protocolVersion)
+	binary.BigEndian.PutUint16(b[2:], uint16(len(b)))
+	binary.BigEndian.PutUint32(b[4:], uint32(exportTime.Unix()))
+	binary.BigEndian.PutUint32(b[8:], e.sequence)
+	binary.BigEndian.PutUint32(b[12:], e.domain)
+	e.sequence += uint32(count)
+	return b, count
+}
+
+// appendTemplateSet appends a set with the templates of all records, RFC 7011 section 3.4.1.
+func appendTemplateSet(b []byte) []byte {
+	setStart := len(b)
+	b = appendSetHeader(b, templateSetID)
+	for _, t := range []template{ipv4Template, ipv6Template} {
+		b = binary.BigEndian.AppendUint16(b, t.id)
+		b = binary.BigEndian.AppendUint16(b, uint16(len(t.fields)))
+		for _, f := range t.fields {
+			b = binary.BigEndian.AppendUint16(b, uint16(f.element))
+			b = binary.BigEndian.AppendUint16(b, f.length)
+		}
+	}
+	setSetLength(b, setStart)
+	return b
+}
+
+// appendSetHeader begins a set; setSetLength fills in its length.
+func appendSetHeader(b []byte, id uint16) []byte {
+	b = binary.BigEndian.AppendUint16(b, id)
+	return binary.BigEndian.AppendUint16(b, 0)
+}
+
+// setSetLength writes the length of the set that begins at start and ends with b.
+func setSetLength(b []byte, start int) {
+	binary.BigEndian.PutUint16(b[start+2:], uint16(len(b)-start))
+}
--- /dev/null
+++ b/internal/ipfix/record.go
@@ -0,0 +1,108 @@
+package ipfix
+
+import (
+	"encoding/binary"
+	"net/netip"
+	"time"
+)
+
+// informationElement is the ID of an information element in IANA's registry "IP Flow Information Export (IPFIX)
+// Entities".
+type informationElement uint16
+
+// The information elements of a record.
+const (
+	octetDeltaCount          informationElement = 1
+	protocolIdentifier       informationElement = 4
+	sourceTransportPort      informationElement = 7
+	sourceIPv4Address        informationElement = 8
+	destinationTransportPort informationElement = 11
+	destinationIPv4Address   informationElement = 12
+	sourceIPv6Address        informationElement = 27
+	destinationIPv6Address   informationElement = 28
+	applicationName          informationElement = 96
+	flowEndReason            informationElement = 136
+	flowStartMilliseconds    informationElement = 152
+	flowEndMilliseconds      informationElement = 153
+)
+
+const (
+	protocolTCP       = 6 // a protocolIdentifier
+	reasonEndOfFlow   = 3 // a flowEndReason: the end of the flow was detected
+	variableLength    = 65535
+	maxClassNameBytes = 64 // longer names are cut; below 255, so that one byte holds the length (RFC 7011 section 7)
+)
+
+// fieldSpecifier is a field of a template, RFC 7011 section 3.2.
+type fieldSpecifier struct {
+	element informationElement
+	length  uint16 // bytes, or variableLength
+}
+
+// template says which fields the records of a set hold, RFC 7011 section 3.4.1.
+type template struct {
+	id     uint16 // 256 or above
+	fields []fieldSpecifier
+}
+
+var (
+	commonFields = []fieldSpecifier{
+		{flowStartMilliseconds, 8},
+		{flowEndMilliseconds, 8},
+		{sourceTransportPort, 2},
+		{destinationTransportPort, 2},
+		{protocolIdentifier, 1},
+		{octetDeltaCount, 8},
+		{flowEndReason, 1},
+		{applicationName, variableLength},
+	}
+	ipv4Template = template{
+		id:     256,
+		fields: append([]fieldSpecifier{{sourceIPv4Address, 4}, {destinationIPv4Address, 4}}, commonFields...),
+	}
+	ipv6Template = template{
+		id:     257,
+		fields: append([]fieldSpecifier{{sourceIPv6Address, 16}, {destinationIPv6Address, 16}}, commonFields...),
+	}
+)
+
+// Flow is one request, on its way from the client to this program.
+type Flow struct {
+	Client, Server netip.AddrPort
+	Start, End     time.Time
+	Octets         uint64 // of the request's body
+	Class          string // exported as the application's name
+}
+
+// record is an encoded data record, RFC 7011 section 3.4.3.
+type record struct {
+	templateID uint16
+	data       []byte
+}
+
+// newRecord encodes a flow. It returns false where the client has no address or one of another family than the server.
+func newRecord(f Flow) (record, bool) {
+	client := f.Client.Addr().Unmap()
+	server := f.Server.Addr().Unmap()
+	if !client.IsValid() || client.Is4() != server.Is4() {
+		return record{}, false
+	}
+	templateID := ipv6Template.id
+	if client.Is4() {
+		templateID = ipv4Template.id
+	}
+	var data []byte
+	data = append(data, client.AsSlice()...)
+	data = append(data, server.AsSlice()...)
+	data = binary.BigEndian.AppendUint64(data, uint64(f.Start.UnixMilli()))
+	data = binary.BigEndian.AppendUint64(data, uint64(f.End.UnixMilli()))
+	data = binary.BigEndian.AppendUint16(data, f.Client.Port())
+	data = binary.BigEndian.AppendUint16(data, f.Server.Port())
+	data = append(data, protocolTCP)
+	data = binary.BigEndian.AppendUint64(data, f.Octets)
+	data = append(data, reasonEndOfFlow)
+	class := f.Class[:min(len(f.Class), maxClassNameBytes)]
+	data = append(data, byte(len(class)))
+	data = append(data, class...)
+	return record{templateID: templateID, data: data}, true
+}
