--- a/internal/frontend/thrift/connection.go
+++ b/internal/frontend/thrift/connection.go
@@ -133,14 +133,14 @@
 }
 
 // cancel gives up the call. No answer is sent.
-func (k *call) cancel() {
-	delete(k.connection.openCalls, k.sequenceID)
-	if k.finished {
+func (c *call) cancel() {
+	delete(c.connection.openCalls, c.sequenceID)
+	if c.finished {
 		return
 	}
-	k.finished = true
-	server := k.connection.server
-	server.router.Cancel(server.clock(), k.requestID)
+	c.finished = true
+	server := c.connection.server
+	server.router.Cancel(server.clock(), c.requestID)
 }
 
 // handleMessage handles the message in a frame. An error says how it violates the protocol.
@@ -198,8 +198,8 @@
 
 // submit hands the request of a call to the router, or has it rejected where too many calls are open.
 func (c *connection) submit(sequenceID uint32, request router.Request, body []byte) {
-	k := &call{connection: c, sequenceID: sequenceID}
-	request.Responder = k
+	newCall := &call{connection: c, sequenceID: sequenceID}
+	request.Responder = newCall
 	request.ClientAddr = c.clientAddr
 	server := c.server
 	if len(c.openCalls) >= maxOpenCalls {
@@ -207,10 +207,10 @@
 		return
 	}
 	request.Body = bytes.Clone(body) // so that a large read is not kept in memory for one small body in it
-	c.openCalls[sequenceID] = k
+	c.openCalls[sequenceID] = newCall
 	requestID := server.router.Submit(server.clock(), request)
-	if !k.finished {
-		k.requestID = requestID
+	if !newCall.finished {
+		newCall.requestID = requestID
 	}
 }
 
--- a/internal/frontend/thrift/response.go
+++ b/internal/frontend/thrift/response.go
@@ -39,21 +39,21 @@
 const responseCapacity = 64
 
 // Respond sends the final answer. A client that has interrupted the call or closed the connection is owed none.
-func (k *call) Respond(response router.Response) {
-	if k.finished {
+func (c *call) Respond(response router.Response) {
+	if c.finished {
 		return
 	}
-	k.finished = true
-	delete(k.connection.openCalls, k.sequenceID)
-	transport := k.connection.transport
+	c.finished = true
+	delete(c.connection.openCalls, c.sequenceID)
+	transport := c.connection.transport
 	switch response.Status {
 	case router.Served:
-		head, tail := encodeAnswer(methodExecute, k.sequenceID, len(response.Body), true)
+		head, tail := encodeAnswer(methodExecute, c.sequenceID, len(response.Body), true)
 		transport.Write(head, response.Body, tail)
 	case router.Refused:
-		transport.Write(encodeBackoff(k.sequenceID, response.RetryAfter))
+		transport.Write(encodeBackoff(c.sequenceID, response.RetryAfter))
 	default:
-		transport.Write(encodeLost(k.sequenceID))
+		transport.Write(encodeLost(c.sequenceID))
 	}
 }
 
--- a/internal/frontend/thrift/response_test.go
+++ b/internal/frontend/thrift/response_test.go
@@ -50,8 +50,10 @@
 		{"unknown method", func(c *connection, _ *fakeRouter) { c.OnData(emptyFrame(messageCall, "other", 7)) },
 			"0000002e80010003000000056f74686572000000070b00010000000e756e6b6e6f776e206d6574686f64080002000000" +
 				"0100"},
-		{"unknown one-way method", func(c *connection, _ *fakeRouter) { c.OnData(emptyFrame(messageOneway, "other", 7)) }, ""},
-		{"interrupt of no open call", func(c *connection, _ *fakeRouter) { c.OnData(emptyFrame(messageCall, "interrupt", 7)) }, ""},
+		{"unknown one-way method",
+			func(c *connection, _ *fakeRouter) { c.OnData(emptyFrame(messageOneway, "other", 7)) }, ""},
+		{"interrupt of no open call",
+			func(c *connection, _ *fakeRouter) { c.OnData(emptyFrame(messageCall, "interrupt", 7)) }, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c, requests, transport := newTestConnection()
