--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -29,8 +29,9 @@
 	for _, c := range l.unflushed {
 		if c.canWrite() {
 			c.flush()
+		} else {
+			c.dropPending()
 		}
-		c.dropPending()
 	}
 	l.unflushed = l.unflushed[:0]
 }
