--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -33,7 +33,7 @@
 // Client polls the directory for the list of workers.
 type Client struct {
 	QueriesSent     uint64 // queries sent to any directory
-	AnswersReceived uint64 // answers that could be used, those without news included
+	AnswersReceived uint64 // usable answers, whether or not their list was newer
 
 	dial     DialFunc
 	onUpdate func([]Endpoint)
--- a/policy/events.go
+++ b/policy/events.go
@@ -53,7 +53,7 @@
 // Event is something that happened at the router. Only this package's types are events.
 type Event interface{ event() }
 
-// EndpointUpdate brings news of the endpoint list.
+// EndpointUpdate says what changed in the endpoint list, or what it holds as a whole.
 type EndpointUpdate struct {
 	Kind      EndpointUpdateKind
 	Endpoints []Endpoint
