--- a/cmd/functionrouter/counters.go
+++ b/cmd/functionrouter/counters.go
@@ -8,7 +8,7 @@
 	"functionrouter/policy"
 )
 
-// outcomeCounts is how many attempts, load orders or health checks ended with each policy.Outcome.
+// outcomeCounts is how many attempts, load commands or health checks ended with each policy.Outcome.
 type outcomeCounts = [policy.FunctionNotLoaded + 1]uint64
 
 // logCounters logs all counters, one message for each group. They count from the start of the process.
@@ -20,7 +20,7 @@
 	s.logConnectionCounters()
 	logAttemptCounters(c)
 	logGiveUpCounters(c)
-	logLoadOrderCounters(c)
+	logLoadCommandCounters(c)
 	logHealthCheckCounters(c)
 	s.extensions.logCounters()
 	slog.Info("discovery counters",
@@ -62,16 +62,16 @@
 	slog.Info("give-up counters", attributes...)
 }
 
-// logLoadOrderCounters logs the orders to load function instances and their outcomes, and the orders to unload them.
-func logLoadOrderCounters(c *router.Counters) {
-	attributes := withOutcomes([]any{"sent", c.LoadOrders}, &c.LoadOrderOutcomes)
+// logLoadCommandCounters logs the commands to load function instances and their outcomes, and those to unload them.
+func logLoadCommandCounters(c *router.Counters) {
+	attributes := withOutcomes([]any{"sent", c.LoadCommands}, &c.LoadCommandOutcomes)
 	attributes = append(attributes, "unloads_sent", c.Unloads)
-	slog.Info("load order counters", attributes...)
+	slog.Info("load command counters", attributes...)
 }
 
 // logHealthCheckCounters logs the health checks sent to workers and their outcomes.
 func logHealthCheckCounters(c *router.Counters) {
-	slog.Info("health check counters", withOutcomes([]any{"sent", c.Probes}, &c.ProbeOutcomes)...)
+	slog.Info("health check counters", withOutcomes([]any{"sent", c.HealthChecks}, &c.HealthCheckOutcomes)...)
 }
 
 // withOutcomes appends an attribute for each outcome that occurred.
--- a/cmd/functionrouter/counters_test.go
+++ b/cmd/functionrouter/counters_test.go
@@ -23,10 +23,10 @@
 	c.AttemptOutcomes[policy.FunctionNotLoaded] = 2
 	c.Overdue = 3
 	c.GivenUp[policy.LoadShed] = 2
-	c.LoadOrders = 6
-	c.LoadOrderOutcomes[policy.TimedOut] = 6
+	c.LoadCommands = 6
+	c.LoadCommandOutcomes[policy.TimedOut] = 6
 	c.Unloads = 8
-	c.Probes = 10
+	c.HealthChecks = 10
 	for _, test := range []struct {
 		name string
 		log  func(*router.Counters)
@@ -37,7 +37,7 @@
 		{"attempts", logAttemptCounters, `msg="attempt counters" sent=7 served=5 function_not_loaded=2 overdue_requests=3`},
 		{"give-ups", logGiveUpCounters,
 			`msg="give-up counters" deadline_exceeded=0 no_worker_available=0 predicted_too_late=0 load_shed=2`},
-		{"load orders", logLoadOrderCounters, `msg="load order counters" sent=6 timed_out=6 unloads_sent=8`},
+		{"load commands", logLoadCommandCounters, `msg="load command counters" sent=6 timed_out=6 unloads_sent=8`},
 		{"health checks", logHealthCheckCounters, `msg="health check counters" sent=10`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/cmd/functionrouter/limits.go
+++ b/cmd/functionrouter/limits.go
@@ -38,8 +38,8 @@
 )
 
 const (
-	// probeTimeout is how long a worker may take to answer a health check.
-	probeTimeout = 250 * time.Millisecond
+	// healthCheckTimeout is how long a worker may take to answer a health check.
+	healthCheckTimeout = 250 * time.Millisecond
 
 	// maxRejectionRetryAfter bounds the Retry-After of a rejected request; the settings may bound it further.
 	maxRejectionRetryAfter = time.Second
--- a/cmd/functionrouter/server.go
+++ b/cmd/functionrouter/server.go
@@ -107,12 +107,12 @@
 // routerLimits is the configuration of the router.
 func (c *config) routerLimits() router.Limits {
 	return router.Limits{
-		MaxOpenRequests:  c.maxOpenRequests(),
-		MaxBodyBytes:     c.scaleToMemory(maxBodyBytes),
-		RetryAfter:       c.rejectionRetryAfter(),
-		MaxAttempts:      c.policy.MaxAttempts,
-		LoadOrderTimeout: c.policy.LoadOrderTimeout,
-		ProbeTimeout:     probeTimeout,
+		MaxOpenRequests:    c.maxOpenRequests(),
+		MaxBodyBytes:       c.scaleToMemory(maxBodyBytes),
+		RetryAfter:         c.rejectionRetryAfter(),
+		MaxAttempts:        c.policy.MaxAttempts,
+		LoadCommandTimeout: c.policy.LoadCommandTimeout,
+		HealthCheckTimeout: healthCheckTimeout,
 	}
 }
 
--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -22,7 +22,7 @@
 	actionSendGossip,
 	actionSubscribe,
 	actionLoadInstance,
-	actionProbeWorker,
+	actionCheckHealth,
 	actionCancelAttempt,
 	actionRefuseRequest,
 }
@@ -46,7 +46,7 @@
 			compareReplies(t, replies, readGolden(t, path))
 		})
 	}
-	for code := byte(eventResponseStarted); code <= eventLoadOrderEnded; code++ {
+	for code := byte(eventResponseStarted); code <= eventLoadCommandEnded; code++ {
 		if seen[code] == 0 {
 			t.Errorf("no scenario brings events of code %d", code)
 		}
--- a/cmd/simadapter/wire_test.go
+++ b/cmd/simadapter/wire_test.go
@@ -14,13 +14,13 @@
 	eventAttemptEnded
 	eventClientCancelled
 	eventInstanceKilled
-	eventProbeEnded
+	eventHealthCheckEnded
 	eventEndpointUpdate
 	eventTimerFired
 	eventGossipReceived
 	eventInstanceStarted
 	eventRequestArrived
-	eventLoadOrderEnded
+	eventLoadCommandEnded
 )
 
 // Codes of the wire's action records.
@@ -32,7 +32,7 @@
 	actionSendGossip           = 70
 	actionSubscribe            = 71
 	actionLoadInstance         = 72
-	actionProbeWorker          = 73
+	actionCheckHealth          = 73
 	actionUnloadInstance       = 74
 	actionLogLine              = 75
 	actionCancelAttempt        = 76
--- a/cmd/simadapter/world_actions_test.go
+++ b/cmd/simadapter/world_actions_test.go
@@ -44,8 +44,8 @@
 		return 15, nil
 	case actionUnloadInstance:
 		return 14, nil
-	case actionProbeWorker:
-		w.probe(instance, readWorker(fields))
+	case actionCheckHealth:
+		w.checkHealth(instance, readWorker(fields))
 		return 6, nil
 	case actionCloseIdleConnections:
 		return 6, nil
@@ -83,7 +83,7 @@
 	return &simWorker{id: id, loaded: map[uint64]float64{}}
 }
 
-// load carries out a load order, which fails now and then.
+// load carries out a load command, which fails now and then.
 func (w *world) load(instance int, count byte, function, workerID uint64) {
 	worker := w.worker(workerID)
 	after := 200 + 700*w.rng.Float64()
@@ -98,18 +98,18 @@
 	default:
 		worker.loaded[function] = w.now + after
 	}
-	ordered := w.now
-	w.schedule(after, instance, eventLoadOrderEnded, func() []byte {
+	sentAt := w.now
+	w.schedule(after, instance, eventLoadCommandEnded, func() []byte {
 		b := appendWorker(nil, workerID)
 		b = binary.BigEndian.AppendUint64(b, function)
 		b = append(b, outcome)
-		b = appendFloat(b, w.now-ordered)
+		b = appendFloat(b, w.now-sentAt)
 		return append(b, count)
 	})
 }
 
-// probe answers a health check, or lets it time out.
-func (w *world) probe(instance int, workerID uint64) {
+// checkHealth answers a health check, or lets it time out.
+func (w *world) checkHealth(instance int, workerID uint64) {
 	worker := w.worker(workerID)
 	outcome := byte(outcomeServed)
 	after := 3.0
@@ -117,7 +117,7 @@
 		outcome = outcomeTimedOut
 		after = 120
 	}
-	w.schedule(after, instance, eventProbeEnded, func() []byte {
+	w.schedule(after, instance, eventHealthCheckEnded, func() []byte {
 		b := appendFloat(nil, after)
 		b = append(b, outcome)
 		b = appendWorker(b, workerID)
--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -75,8 +75,8 @@
 	if err != nil {
 		return err
 	}
-	c.health.lastAnswerAt = c.pool.now
-	c.health.checkSentAt = 0
+	c.keepAlive.lastAnswerAt = c.pool.now
+	c.keepAlive.checkSentAt = 0
 	call := c.pending[string(a.id)]
 	if call == nil {
 		return nil // a duplicate, or the answer to a cancelled attempt
@@ -87,7 +87,7 @@
 	}
 	c.release(call)
 	c.lastUsedAt = c.pool.now
-	c.health.lastAnsweredSentAt = max(c.health.lastAnsweredSentAt, call.sentAt)
+	c.keepAlive.lastAnsweredSentAt = max(c.keepAlive.lastAnsweredSentAt, call.sentAt)
 	c.pool.endAnswered(call, outcome, a)
 	return nil
 }
@@ -98,11 +98,11 @@
 	case attemptCall:
 		delete(p.attempts, call.attempt)
 		p.results.AttemptEnded(call.attempt, outcome, a.instanceStatus(), bytes.Clone(a.body), p.loadReport(a))
-	case loadOrderCall:
-		p.results.LoadOrderEnded(call.tag, outcome, a.instanceCount())
-	case probeCall:
-		p.results.ProbeEnded(call.tag, outcome, p.loadReport(a))
-	case healthCheckCall: // that it was answered is all there is to know
+	case loadCommandCall:
+		p.results.LoadCommandEnded(call.tag, outcome, a.instanceCount())
+	case healthCheckCall:
+		p.results.HealthCheckEnded(call.tag, outcome, p.loadReport(a))
+	case keepAliveCall: // that it was answered is all there is to know
 	}
 }
 
@@ -127,7 +127,7 @@
 		return 0, malformed("unknown word")
 	}
 	healthWord := string(a.word) == answerHealthy || string(a.word) == answerUnhealthy
-	asksHealth := call.kind == probeCall || call.kind == healthCheckCall
+	asksHealth := call.kind == healthCheckCall || call.kind == keepAliveCall
 	if healthWord != asksHealth {
 		return 0, malformed(fmt.Sprintf("%s in answer to %s", a.word, call.kind))
 	}
@@ -141,7 +141,7 @@
 	return instanceStatuses[string(fieldValue(a.fields, fieldInstanceStatus))]
 }
 
-// instanceCount is the number of loaded instances that the answer to a load order gives, 0 if it gives none.
+// instanceCount is the number of loaded instances that the answer to a load command gives, 0 if it gives none.
 func (a answer) instanceCount() int {
 	count, _ := strconv.Atoi(string(fieldValue(a.fields, fieldInstanceCount)))
 	return count
--- a/internal/backend/call.go
+++ b/internal/backend/call.go
@@ -17,9 +17,9 @@
 
 const (
 	attemptCall callKind = iota
-	loadOrderCall
-	probeCall       // the policy's check of a worker
-	healthCheckCall // a connection's own check of itself, whose end is reported to nobody
+	loadCommandCall
+	healthCheckCall // the policy's check of a worker
+	keepAliveCall   // a connection's own check of itself, whose end is reported to nobody
 )
 
 // String names the kind for logs and test failures.
@@ -27,12 +27,12 @@
 	switch k {
 	case attemptCall:
 		return "attempt"
-	case loadOrderCall:
-		return "load order"
-	case probeCall:
-		return "probe"
+	case loadCommandCall:
+		return "load command"
 	case healthCheckCall:
 		return "health check"
+	case keepAliveCall:
+		return "keep-alive check"
 	}
 	return "callKind(" + strconv.Itoa(int(k)) + ")"
 }
@@ -41,7 +41,7 @@
 type pendingCall struct {
 	kind    callKind
 	attempt router.AttemptID // of an attempt
-	tag     uint64           // of a load order or a probe: the caller's name for it
+	tag     uint64           // of a load command or a health check: the caller's name for it
 	token   string           // the id on the wire
 
 	// What is to be written; nil once it is. The header of an attempt is encoded then, with the time that is left.
@@ -80,26 +80,26 @@
 	return encodeHeader(len(call.body), commandRun, call.token, fields)
 }
 
-func newLoadOrderCall(tag uint64, f policy.FunctionID, count int) *pendingCall {
-	token := loadOrderToken(tag)
+func newLoadCommandCall(tag uint64, f policy.FunctionID, count int) *pendingCall {
+	token := loadCommandToken(tag)
 	fields := fmt.Sprintf("path=%s,count=%d", formatFunctionID(f), count)
-	return &pendingCall{kind: loadOrderCall, tag: tag, token: token, header: encodeCommand(commandLoad, token, fields)}
+	return &pendingCall{kind: loadCommandCall, tag: tag, token: token, header: encodeCommand(commandLoad, token, fields)}
 }
 
-func newProbeCall(tag uint64) *pendingCall {
-	token := probeToken(tag)
-	return &pendingCall{kind: probeCall, tag: tag, token: token, header: encodeCommand(commandProbe, token)}
+func newHealthCheckCall(tag uint64) *pendingCall {
+	token := healthCheckToken(tag)
+	return &pendingCall{kind: healthCheckCall, tag: tag, token: token, header: encodeCommand(commandHealthCheck, token)}
 }
 
-// newHealthCheckCall returns the health check with this number.
-func newHealthCheckCall(number uint64) *pendingCall {
+// newKeepAliveCall returns the keep-alive check with this number.
+func newKeepAliveCall(number uint64) *pendingCall {
 	token := "n" + strconv.FormatUint(number, 10)
-	return &pendingCall{kind: healthCheckCall, token: token, header: encodeCommand(commandPing, token)}
+	return &pendingCall{kind: keepAliveCall, token: token, header: encodeCommand(commandPing, token)}
 }
 
 // The tokens of the kinds differ in their first letter. An attempt's is 16 hex digits, which are longer.
-func loadOrderToken(tag uint64) string { return "h" + strconv.FormatUint(tag, 10) }
-func probeToken(tag uint64) string     { return "p" + strconv.FormatUint(tag, 10) }
+func loadCommandToken(tag uint64) string { return "h" + strconv.FormatUint(tag, 10) }
+func healthCheckToken(tag uint64) string { return "p" + strconv.FormatUint(tag, 10) }
 
 func formatFunctionID(f policy.FunctionID) string { return fmt.Sprintf("%016x", uint64(f)) }
 
--- a/internal/backend/codec_test.go
+++ b/internal/backend/codec_test.go
@@ -43,7 +43,7 @@
 func TestArbitraryBytesAtMostCloseTheirConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newTestPool()
-		p.Probe(workerID, 1)
+		p.CheckHealth(workerID, 1)
 		transport := p.last()
 		transport.handler.OnOpen(nil)
 		pieces := rapid.SampledFrom([]string{
@@ -52,7 +52,7 @@
 		transport.handler.OnData([]byte(strings.Join(rapid.SliceOfN(pieces, 0, 30).Draw(t, "bits"), "")))
 	})
 	p := newTestPool()
-	p.Probe(workerID, 1)
+	p.CheckHealth(workerID, 1)
 	transport := p.last()
 	transport.handler.OnOpen(nil)
 	transport.handler.OnData([]byte("*4\r\n$16449\r\n"))
--- a/internal/backend/commands.go
+++ b/internal/backend/commands.go
@@ -49,18 +49,18 @@
 	}
 }
 
-// LoadInstance orders a worker to have count instances of a function loaded; a count of 0 only asks for the
+// LoadInstance commands a worker to have count instances of a function loaded; a count of 0 only asks for the
 // number of loaded ones.
 func (p *Pool) LoadInstance(id policy.WorkerID, f policy.FunctionID, count int, tag uint64) {
-	p.sendControl(id, newLoadOrderCall(tag, f, count), count > 0)
+	p.sendControl(id, newLoadCommandCall(tag, f, count), count > 0)
 }
 
-// Probe asks a worker for a sign of health and for its load report.
-func (p *Pool) Probe(id policy.WorkerID, tag uint64) {
-	p.sendControl(id, newProbeCall(tag), false)
+// CheckHealth asks a worker for a sign of health and for its load report.
+func (p *Pool) CheckHealth(id policy.WorkerID, tag uint64) {
+	p.sendControl(id, newHealthCheckCall(tag), false)
 }
 
-// sendControl sends a load order or a probe. One that needs a ready worker ends as Unreachable at any other.
+// sendControl sends a load command or a health check. One that needs a ready worker ends as Unreachable at any other.
 func (p *Pool) sendControl(id policy.WorkerID, call *pendingCall, needsReady bool) {
 	w := p.workers[id]
 	if w != nil && (w.acceptsNew() || !needsReady) {
@@ -72,14 +72,14 @@
 	p.endUnanswered(call, policy.Unreachable)
 }
 
-// AbandonControl drops the load order and the probe with this tag; no result follows.
+// AbandonControl drops the load command and the health check with this tag; no result follows.
 func (p *Pool) AbandonControl(id policy.WorkerID, tag uint64) {
 	w := p.workers[id]
 	if w == nil {
 		return
 	}
 	for _, c := range w.connections {
-		for _, token := range []string{loadOrderToken(tag), probeToken(tag)} {
+		for _, token := range []string{loadCommandToken(tag), healthCheckToken(tag)} {
 			if call := c.pending[token]; call != nil {
 				c.dequeue(call)
 				c.release(call)
@@ -88,7 +88,7 @@
 	}
 }
 
-// UnloadInstance orders a worker to unload the idle instances of a function; it has no answer. Where no
+// UnloadInstance commands a worker to unload the idle instances of a function; it has no answer. Where no
 // connection is open it does nothing: idle instances expire by themselves, which makes them not worth a dial.
 func (p *Pool) UnloadInstance(id policy.WorkerID, f policy.FunctionID) {
 	w := p.workers[id]
@@ -109,13 +109,13 @@
 	case attemptCall:
 		delete(p.attempts, call.attempt)
 		p.results.AttemptEnded(call.attempt, outcome, policy.InstanceUnknown, nil, nil)
-	case loadOrderCall:
-		p.results.LoadOrderEnded(call.tag, outcome, 0)
-	case probeCall:
+	case loadCommandCall:
+		p.results.LoadCommandEnded(call.tag, outcome, 0)
+	case healthCheckCall:
 		if outcome == policy.NotSent { // it is no sign of life either
 			outcome = policy.Unreachable
 		}
-		p.results.ProbeEnded(call.tag, outcome, nil)
-	case healthCheckCall: // nobody outside this package knows of it
+		p.results.HealthCheckEnded(call.tag, outcome, nil)
+	case keepAliveCall: // nobody outside this package knows of it
 	}
 }
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxProbeResends is how often a probe is sent again after its connection broke.
-	maxProbeResends = 2
+	// maxHealthCheckResends is how often a health check is sent again after its connection broke.
+	maxHealthCheckResends = 2
 
 	// maxDialRetries is how often a call that waits for a dial gets another one after a reset.
 	maxDialRetries = 2
@@ -49,8 +49,8 @@
 	dialedAt   time.Duration
 	lastUsedAt time.Duration // when a call was last written or answered
 
-	partial partialAnswer
-	health  connectionHealth
+	partial   partialAnswer
+	keepAlive keepAlive
 }
 
 func (c *connection) idle() bool { return len(c.pending) == 0 }
@@ -111,18 +111,18 @@
 	}
 }
 
-// failQueued ends the calls that wait for the dial, except probes. A dial that nothing waits for any more
+// failQueued ends the calls that wait for the dial, except health checks. A dial that nothing waits for any more
 // is cancelled.
 func (c *connection) failQueued() {
 	var kept []*pendingCall
 	for _, call := range c.queued {
-		if call.kind == probeCall {
+		if call.kind == healthCheckCall {
 			kept = append(kept, call)
 			continue
 		}
 		c.release(call)
 		outcome := policy.Unreachable
-		if call.kind == loadOrderCall {
+		if call.kind == loadCommandCall {
 			outcome = policy.WorkerOverloaded // the answer of a draining worker
 		}
 		c.pool.endUnanswered(call, outcome)
@@ -204,8 +204,8 @@
 	c.queued = nil
 	for _, call := range pending {
 		switch {
-		case call.kind == probeCall && outcome == policy.ConnectionReset && call.resends < maxProbeResends:
-			c.resendProbe(call)
+		case call.kind == healthCheckCall && outcome == policy.ConnectionReset && call.resends < maxHealthCheckResends:
+			c.resendHealthCheck(call)
 		case redial && c.resendUnsent(call):
 		default:
 			c.pool.endUnanswered(call, outcome)
@@ -213,10 +213,10 @@
 	}
 }
 
-// resendProbe sends a probe over another connection. A broken connection says nothing of its worker, which
+// resendHealthCheck sends a health check over another connection. A broken connection says nothing of its worker, which
 // others may well be using. A worker that died refuses a new one, and a healthy one answers on it.
-func (c *connection) resendProbe(call *pendingCall) {
-	again := newProbeCall(call.tag)
+func (c *connection) resendHealthCheck(call *pendingCall) {
+	again := newHealthCheckCall(call.tag)
 	again.resends = call.resends + 1
 	c.pool.sendControl(c.worker.id, again, false)
 }
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -13,8 +13,8 @@
 	"functionrouter/policy"
 )
 
-// Guards the drain rule for load orders: one that waits for a dial is not sent once its worker drains.
-func TestQueuedLoadOrderIsNotSentToADrainingWorker(t *testing.T) {
+// Guards the drain rule for load commands: one that waits for a dial is not sent once its worker drains.
+func TestQueuedLoadCommandIsNotSentToADrainingWorker(t *testing.T) {
 	p := newTestPool()
 	p.LoadInstance(workerID, 5, 1, 9)
 	p.UpdateEndpoint(workerID, workerAddress, policy.Draining, 0)
@@ -104,7 +104,7 @@
 	a := attemptID(1)
 	p.start(a, hexID(0xa1))
 	p.LoadInstance(workerID, 5, 1, 9)
-	p.Probe(workerID, 10)
+	p.CheckHealth(workerID, 10)
 	for _, transport := range p.transports {
 		transport.handler.OnOpen(fmt.Errorf("dial: %w: %w", eventloop.ErrLocalFault, syscall.EMFILE))
 	}
@@ -113,9 +113,9 @@
 		t.Errorf("the attempt ended with %v", got)
 	}
 	if got := p.results.controls[9]; !slices.Equal(got, want) {
-		t.Errorf("the load order ended with %v", got)
+		t.Errorf("the load command ended with %v", got)
 	}
 	if got := p.results.controls[10]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) {
-		t.Errorf("the probe ended with %v", got)
+		t.Errorf("the health check ended with %v", got)
 	}
 }
--- a/internal/backend/endings_test.go
+++ b/internal/backend/endings_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// Guards healthy workers against connections that break under a probe: it goes over another one, so
+// Guards healthy workers against connections that break under a health check: it goes over another one, so
 // that only a worker that refuses, or breaks them all, counts as having failed it.
-func TestProbeOutlivesItsConnection(t *testing.T) {
+func TestHealthCheckOutlivesItsConnection(t *testing.T) {
 	const tag = 7
 	for _, test := range []struct {
 		name   string
@@ -56,14 +56,14 @@
 		{"dead worker", 1, func(transport *fakeTransport) {
 			transport.handler.OnOpen(errors.New("refused"))
 		}, policy.Unreachable},
-		{"worker that breaks all connections", maxProbeResends, func(transport *fakeTransport) {
+		{"worker that breaks all connections", maxHealthCheckResends, func(transport *fakeTransport) {
 			transport.handler.OnOpen(nil)
 			transport.handler.OnClose(errors.New("reset"))
 		}, policy.ConnectionReset},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := newTestPool()
-			p.Probe(workerID, tag)
+			p.CheckHealth(workerID, tag)
 			for i := range test.resets {
 				p.transports[i].handler.OnOpen(nil)
 				p.transports[i].handler.OnClose(errors.New("reset"))
@@ -99,7 +99,7 @@
 	}
 }
 
-// runGeneration has w replace all workers, take an attempt and a load order, and go.
+// runGeneration has w replace all workers, take an attempt and a load command, and go.
 func runGeneration(p *testPool, w policy.WorkerID, number int) {
 	p.RetainEndpoints(map[policy.WorkerID]bool{w: true})
 	p.UpdateEndpoint(w, workerAddress, policy.Ready, 0)
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -39,11 +39,11 @@
 	return strings.Count(f.written.String(), "RUN\r\n$16\r\n"+id)
 }
 
-// resultRecorder keeps how attempts, load orders and probes ended.
+// resultRecorder keeps how attempts, load commands and health checks ended.
 type resultRecorder struct {
 	attempts map[router.AttemptID][]policy.Outcome
 	bodies   map[router.AttemptID]string
-	controls map[uint64][]policy.Outcome // load orders and probes, by tag
+	controls map[uint64][]policy.Outcome // load commands and health checks, by tag
 }
 
 func (r *resultRecorder) AttemptEnded(a router.AttemptID, o policy.Outcome, _ policy.InstanceStatus,
@@ -52,11 +52,11 @@
 	r.bodies[a] = string(body)
 }
 
-func (r *resultRecorder) LoadOrderEnded(tag uint64, o policy.Outcome, _ int) {
+func (r *resultRecorder) LoadCommandEnded(tag uint64, o policy.Outcome, _ int) {
 	r.controls[tag] = append(r.controls[tag], o)
 }
 
-func (r *resultRecorder) ProbeEnded(tag uint64, o policy.Outcome, _ []float64) {
+func (r *resultRecorder) HealthCheckEnded(tag uint64, o policy.Outcome, _ []float64) {
 	r.controls[tag] = append(r.controls[tag], o)
 }
 
--- a/internal/backend/health.go
+++ b/internal/backend/keep_alive.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// healthCheckAfter is how long a connection with attempts in flight may go without a whole answer. Then it
-	// is sent a health check, and it is avoided until an answer comes.
-	healthCheckAfter = 150 * time.Millisecond
+	// keepAliveAfter is how long a connection with attempts in flight may go without a whole answer. Then it
+	// is sent a keep-alive check, and it is avoided until an answer comes.
+	keepAliveAfter = 150 * time.Millisecond
 
-	// healthCheckTimeout is how long a health check may go unanswered. Then the connection is closed if
-	// the worker has answered, on another one, a call that was sent after the health check.
-	healthCheckTimeout = 250 * time.Millisecond
+	// keepAliveTimeout is how long a keep-alive check may go unanswered. Then the connection is closed if
+	// the worker has answered, on another one, a call that was sent after the keep-alive check.
+	keepAliveTimeout = 250 * time.Millisecond
 
 	// partialAnswerTimeout bounds the wait for the rest of an answer that has begun.
 	partialAnswerTimeout = 600 * time.Millisecond
@@ -26,31 +26,31 @@
 	errSilentConnection = errors.New("connection is silent while others to the worker are not")
 )
 
-// connectionHealth holds what a connection's health is judged by.
-type connectionHealth struct {
+// keepAlive holds what tells whether a connection still works.
+type keepAlive struct {
 	lastAnswerAt       time.Duration // when the last whole answer came
 	lastAnsweredSentAt time.Duration // the latest sending of a call that has been answered
-	checkSentAt        time.Duration // when the unanswered health check was sent; 0: there is none
+	checkSentAt        time.Duration // when the unanswered keep-alive check was sent; 0: there is none
 }
 
-// checkHealth closes the connection if it has stalled or fallen silent. One that is cut off stays open
+// checkKeepAlive closes the connection if it has stalled or fallen silent. One that is cut off stays open
 // without a word, while others to the same worker may work: that is no reason to avoid the whole worker. Single bytes
 // prove nothing here; only whole answers count.
-func (c *connection) checkHealth() {
+func (c *connection) checkKeepAlive() {
 	now := c.pool.now
 	if len(c.partial.data) > 0 && now-c.partial.since > partialAnswerTimeout {
 		c.closeWithError(errStalledAnswer)
 		return
 	}
 	oldest := c.oldestAttemptSentAt()
-	if oldest == 0 || now-max(oldest, c.health.lastAnswerAt) <= healthCheckAfter {
+	if oldest == 0 || now-max(oldest, c.keepAlive.lastAnswerAt) <= keepAliveAfter {
 		return
 	}
-	if c.health.checkSentAt == 0 {
-		c.sendHealthCheck()
+	if c.keepAlive.checkSentAt == 0 {
+		c.sendKeepAlive()
 		return
 	}
-	if now-c.health.checkSentAt > healthCheckTimeout && c.worker.answeredCallSentAfter(c.health.checkSentAt) {
+	if now-c.keepAlive.checkSentAt > keepAliveTimeout && c.worker.answeredCallSentAfter(c.keepAlive.checkSentAt) {
 		c.closeWithError(errSilentConnection)
 	}
 }
@@ -66,8 +66,8 @@
 	return oldest
 }
 
-func (c *connection) sendHealthCheck() {
-	c.health.checkSentAt = c.pool.now
-	c.pool.healthChecks++
-	c.send(newHealthCheckCall(c.pool.healthChecks))
+func (c *connection) sendKeepAlive() {
+	c.keepAlive.checkSentAt = c.pool.now
+	c.pool.keepAlives++
+	c.send(newKeepAliveCall(c.pool.keepAlives))
 }
--- a/internal/backend/health_test.go
+++ b/internal/backend/keep_alive_test.go
@@ -38,9 +38,9 @@
 	}
 	a := attemptID(1)
 	silent := p.startOpen(a, hexID(0xa1))
-	sweepFor(healthCheckAfter + SweepInterval)
+	sweepFor(keepAliveAfter + SweepInterval)
 	if got := silent.written.String(); strings.Count(got, "NOOP") != 1 {
-		t.Fatalf("no health check was sent: %q", got)
+		t.Fatalf("no keep-alive check was sent: %q", got)
 	}
 	sweepFor(SweepInterval)
 	p.start(attemptID(2), hexID(0xb2))
@@ -54,9 +54,9 @@
 		other.handler.OnData(encodeAnswer(hexID(0xb2), "HIT", ""))
 	}
 	if silent.closed {
-		t.Fatal("closed before its health check timed out")
+		t.Fatal("closed before its keep-alive check timed out")
 	}
-	sweepFor(healthCheckTimeout + SweepInterval)
+	sweepFor(keepAliveTimeout + SweepInterval)
 	if silent.closed != healthy {
 		t.Errorf("silent connection closed: %v", silent.closed)
 	}
@@ -69,10 +69,10 @@
 	}
 }
 
-func TestAnsweredHealthCheckMakesAConnectionEligibleAgain(t *testing.T) {
+func TestAnsweredKeepAliveMakesAConnectionEligibleAgain(t *testing.T) {
 	p := newTestPool()
 	transport := p.startOpen(attemptID(1), hexID(0xa1))
-	p.Sweep(healthCheckAfter + SweepInterval)
+	p.Sweep(keepAliveAfter + SweepInterval)
 	transport.handler.OnData([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
 	p.start(attemptID(2), hexID(0xb2))
 	if len(p.transports) != 1 || transport.closed {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,5 +1,5 @@
 // Package backend is the client side of the router towards its workers. A Pool keeps RESP connections to
-// each worker and multiplexes attempts, load orders and probes over them; what becomes of each is reported once
+// each worker and multiplexes attempts, load commands and health checks over them; what becomes of each is reported once
 // to a ResultHandler.
 //
 // The commands and answers are RESP arrays of bulk strings, as Redis defines them
@@ -24,12 +24,12 @@
 // idleCloseFraction is the part of the workers' idle timeout after which the pool closes an idle connection.
 const idleCloseFraction = 0.8
 
-// ResultHandler receives the result of each attempt, load order and probe; a router.Router is one. The body
+// ResultHandler receives the result of each attempt, load command and health check; a router.Router is one. The body
 // is the handler's to keep. A nil report means that the worker sent no complete load report.
 type ResultHandler interface {
 	AttemptEnded(a router.AttemptID, outcome policy.Outcome, status policy.InstanceStatus, body []byte, report []float64)
-	LoadOrderEnded(tag uint64, outcome policy.Outcome, count int)
-	ProbeEnded(tag uint64, outcome policy.Outcome, report []float64)
+	LoadCommandEnded(tag uint64, outcome policy.Outcome, count int)
+	HealthCheckEnded(tag uint64, outcome policy.Outcome, report []float64)
 }
 
 // Transport is a byte stream to a worker; an eventloop.Conn is one.
@@ -54,13 +54,13 @@
 
 // Pool holds the connections to all workers.
 type Pool struct {
-	cfg          Config
-	results      ResultHandler
-	now          time.Duration
-	workers      map[policy.WorkerID]*worker
-	attempts     map[router.AttemptID]*pendingCall // attempts that have not ended
-	healthChecks uint64                            // health checks sent so far; numbers their tokens
-	losses       lossLog
+	cfg        Config
+	results    ResultHandler
+	now        time.Duration
+	workers    map[policy.WorkerID]*worker
+	attempts   map[router.AttemptID]*pendingCall // attempts that have not ended
+	keepAlives uint64                            // keep-alive checks sent so far; numbers their tokens
+	losses     lossLog
 }
 
 // New returns a Pool without endpoints that reports to results.
@@ -127,7 +127,7 @@
 	}
 }
 
-// Sweep does the periodic work at now: it closes idle connections, checks the health of the others, and
+// Sweep does the periodic work at now: it closes idle connections, checks that the others still work, and
 // forgets workers that are gone. Call it every SweepInterval.
 func (p *Pool) Sweep(now time.Duration) {
 	p.SetNow(now)
@@ -160,7 +160,7 @@
 		c.close()
 		return
 	}
-	c.checkHealth()
+	c.checkKeepAlive()
 }
 
 // idleCloseAfter is how long a connection may be idle. It is less than the workers' own limit: a call that
--- a/internal/backend/selection.go
+++ b/internal/backend/selection.go
@@ -14,7 +14,7 @@
 
 const (
 	notEligible  preference = iota
-	unresponsive            // a health check is unanswered
+	unresponsive            // a keep-alive check is unanswered
 	beingDialed
 	responsive
 )
@@ -57,7 +57,7 @@
 		return notEligible
 	}
 	switch {
-	case c.health.checkSentAt > 0:
+	case c.keepAlive.checkSentAt > 0:
 		return unresponsive
 	case c.state == connecting:
 		return beingDialed
--- a/internal/backend/selection_test.go
+++ b/internal/backend/selection_test.go
@@ -11,7 +11,7 @@
 // Guards against a worker that took over the address of one that has gone.
 func TestNewWorkerAtAnOldAddressGetsItsOwnConnection(t *testing.T) {
 	p := newTestPool()
-	p.Probe(workerID, 1)
+	p.CheckHealth(workerID, 1)
 	p.RetainEndpoints(map[policy.WorkerID]bool{2: true})
 	p.UpdateEndpoint(2, workerAddress, policy.Ready, 0)
 	p.StartAttempt(2, attemptID(1), testRequest("0123456789abcdef"), time.Second)
--- a/internal/backend/wire.go
+++ b/internal/backend/wire.go
@@ -4,12 +4,12 @@
 
 // Commands to a worker.
 const (
-	commandRun    = "RUN"  // RUN ID queue=CLASS,path=FUNCTION,budget=MS BODY: run a function
-	commandCancel = "STOP" // STOP ID: give an attempt up; no answer
-	commandLoad   = "HOLD" // HOLD ID path=FUNCTION,count=N: keep N instances loaded
-	commandUnload = "FREE" // FREE FUNCTION: unload the idle instances; no answer
-	commandProbe  = "INFO" // INFO ID: report health and load
-	commandPing   = "NOOP" // NOOP ID: answer, which tells only that the connection works
+	commandRun         = "RUN"  // RUN ID queue=CLASS,path=FUNCTION,budget=MS BODY: run a function
+	commandCancel      = "STOP" // STOP ID: give an attempt up; no answer
+	commandLoad        = "HOLD" // HOLD ID path=FUNCTION,count=N: keep N instances loaded
+	commandUnload      = "FREE" // FREE FUNCTION: unload the idle instances; no answer
+	commandHealthCheck = "INFO" // INFO ID: report health and load
+	commandPing        = "NOOP" // NOOP ID: answer, which tells only that the connection works
 )
 
 // Words of a worker's answer.
--- a/internal/backend/wire_test.go
+++ b/internal/backend/wire_test.go
@@ -25,15 +25,15 @@
 			p.StartAttempt(workerID, attemptID(1), testRequest(hexID(0xa1)), time.Microsecond)
 		}, "*4\r\n$3\r\nRUN\r\n$16\r\n00000000000000a1\r\n" +
 			"$46\r\nqueue=dim-level,path=00000000000000aa,budget=1\r\n$5\r\nhello\r\n"},
-		{"load order", func(p *testPool) { p.LoadInstance(workerID, 5, 2, 9) },
+		{"load command", func(p *testPool) { p.LoadInstance(workerID, 5, 2, 9) },
 			"*3\r\n$4\r\nHOLD\r\n$2\r\nh9\r\n$29\r\npath=0000000000000005,count=2\r\n"},
-		{"probe", func(p *testPool) { p.Probe(workerID, 9) }, "*2\r\n$4\r\nINFO\r\n$2\r\np9\r\n"},
+		{"health check", func(p *testPool) { p.CheckHealth(workerID, 9) }, "*2\r\n$4\r\nINFO\r\n$2\r\np9\r\n"},
 		{"unload", func(p *testPool) { p.UnloadInstance(workerID, 5) },
 			"*2\r\n$4\r\nFREE\r\n$16\r\n0000000000000005\r\n"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := newTestPool()
-			p.Probe(workerID, 1)
+			p.CheckHealth(workerID, 1)
 			p.last().handler.OnOpen(nil)
 			test.send(p)
 			if got := p.last().written.String(); got != open+test.want {
@@ -96,16 +96,16 @@
 func TestMalformedAnswersCloseTheirConnection(t *testing.T) {
 	const id = "00000000000000a1"
 	for name, words := range map[string][]string{
-		"one word":                  {id},
-		"unknown word":              {id, "hit"},
-		"health word to an attempt": {id, "PONG"},
-		"attempt's word to a probe": {"p9", "HIT"},
+		"one word":                         {id},
+		"unknown word":                     {id, "hit"},
+		"health word to an attempt":        {id, "PONG"},
+		"attempt's word to a health check": {"p9", "HIT"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			logged := captureLog(t)
 			p := newTestPool()
 			transport := p.startOpen(attemptID(1), id)
-			p.Probe(workerID, 9)
+			p.CheckHealth(workerID, 9)
 			transport.handler.OnData(encodeCommand(words[0], words[1:]...))
 			if err := logged.lastError("worker connection closed"); !transport.closed || !errors.Is(err, errMalformedAnswer) {
 				t.Errorf("closed %v, logged %v", transport.closed, err)
--- a/internal/backend/worker.go
+++ b/internal/backend/worker.go
@@ -15,7 +15,7 @@
 	connections []*connection
 }
 
-// acceptsNew reports whether the worker may be sent attempts and orders to load.
+// acceptsNew reports whether the worker may be sent attempts and load commands.
 func (w *worker) acceptsNew() bool { return w.state == policy.Ready }
 
 func (w *worker) remove(c *connection) {
@@ -38,5 +38,5 @@
 
 // answeredCallSentAfter reports whether the worker has answered a call that was sent after t, on any connection.
 func (w *worker) answeredCallSentAfter(t time.Duration) bool {
-	return slices.ContainsFunc(w.connections, func(c *connection) bool { return c.health.lastAnsweredSentAt > t })
+	return slices.ContainsFunc(w.connections, func(c *connection) bool { return c.keepAlive.lastAnsweredSentAt > t })
 }
--- a/internal/frontend/webhook/testserver_test.go
+++ b/internal/frontend/webhook/testserver_test.go
@@ -50,11 +50,11 @@
 func (w *fakeWorkers) CancelAttempt(policy.WorkerID, router.AttemptID) {}
 
 func (w *fakeWorkers) LoadInstance(_ policy.WorkerID, _ policy.FunctionID, _ int, tag uint64) {
-	w.router.LoadOrderEnded(tag, policy.Served, 1)
+	w.router.LoadCommandEnded(tag, policy.Served, 1)
 }
 
-func (w *fakeWorkers) Probe(_ policy.WorkerID, tag uint64) {
-	w.router.ProbeEnded(tag, policy.Served, nil)
+func (w *fakeWorkers) CheckHealth(_ policy.WorkerID, tag uint64) {
+	w.router.HealthCheckEnded(tag, policy.Served, nil)
 }
 
 func (w *fakeWorkers) AbandonControl(policy.WorkerID, uint64) {}
@@ -74,7 +74,7 @@
 		Tick:              4 * time.Millisecond,
 		MaxAttempts:       3,
 		AllowCancel:       true,
-		AllowProbes:       true,
+		AllowHealthChecks: true,
 		OverQuotaWeight:   1,
 		InstanceKeepAlive: 10 * time.Second,
 		AllowRetryAfter:   true,
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits := router.Limits{MaxOpenRequests: 100, MaxBodyBytes: 1 << 20, MaxAttempts: 3, ProbeTimeout: time.Second}
+	limits := router.Limits{MaxOpenRequests: 100, MaxBodyBytes: 1 << 20, MaxAttempts: 3, HealthCheckTimeout: time.Second}
 	workers := &fakeWorkers{router: router.New(decisions, limits), runs: runs}
 	workers.router.SetWorkerPool(workers)
 	workers.router.UpdateEndpoints(policy.EndpointUpdate{Kind: policy.FullUpdate, Endpoints: []policy.Endpoint{
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -11,17 +11,17 @@
 type controlKind uint8
 
 const (
-	loadOrder controlKind = iota
-	healthProbe
+	loadCommand controlKind = iota
+	healthCheck
 )
 
 // String returns the kind's name.
 func (k controlKind) String() string {
 	switch k {
-	case loadOrder:
-		return "load order"
-	case healthProbe:
-		return "health probe"
+	case loadCommand:
+		return "load command"
+	case healthCheck:
+		return "health check"
 	}
 	return fmt.Sprintf("controlKind(%d)", uint8(k))
 }
@@ -30,7 +30,7 @@
 type pendingControl struct {
 	kind     controlKind
 	worker   policy.WorkerID
-	function policy.FunctionID // loadOrder: what to load
+	function policy.FunctionID // loadCommand: what to load
 	sentAt   time.Duration
 }
 
@@ -58,17 +58,17 @@
 	return c, true
 }
 
-func (r *Router) sendLoadOrder(a policy.LoadInstance) {
-	r.Counters.LoadOrders++
-	order := pendingControl{kind: loadOrder, worker: a.Worker, function: a.Function}
-	tag := r.awaitControl(order, r.limits.LoadOrderTimeout)
+func (r *Router) sendLoadCommand(a policy.LoadInstance) {
+	r.Counters.LoadCommands++
+	command := pendingControl{kind: loadCommand, worker: a.Worker, function: a.Function}
+	tag := r.awaitControl(command, r.limits.LoadCommandTimeout)
 	r.workers.LoadInstance(a.Worker, a.Function, a.Instances, tag)
 }
 
-func (r *Router) sendProbe(a policy.ProbeWorker) {
-	r.Counters.Probes++
-	tag := r.awaitControl(pendingControl{kind: healthProbe, worker: a.Worker}, r.limits.ProbeTimeout)
-	r.workers.Probe(a.Worker, tag)
+func (r *Router) sendHealthCheck(a policy.CheckHealth) {
+	r.Counters.HealthChecks++
+	tag := r.awaitControl(pendingControl{kind: healthCheck, worker: a.Worker}, r.limits.HealthCheckTimeout)
+	r.workers.CheckHealth(a.Worker, tag)
 }
 
 // awaitControl stores a control request that is about to be sent, and sets its timeout.
@@ -87,42 +87,42 @@
 	}
 	r.workers.AbandonControl(c.worker, tag)
 	switch c.kind {
-	case loadOrder:
-		r.LoadOrderEnded(tag, policy.TimedOut, 0)
-	case healthProbe:
-		r.ProbeEnded(tag, policy.TimedOut, nil)
+	case loadCommand:
+		r.LoadCommandEnded(tag, policy.TimedOut, 0)
+	case healthCheck:
+		r.HealthCheckEnded(tag, policy.TimedOut, nil)
 	}
 }
 
-// LoadOrderEnded reports how an order to load ended, and how many instances the worker has loaded. A report of an
-// order that has ended already is ignored.
-func (r *Router) LoadOrderEnded(tag uint64, outcome policy.Outcome, instances int) {
-	order, ok := r.controls.remove(tag, loadOrder)
+// LoadCommandEnded reports how a load command ended, and how many instances the worker has loaded. A report of a
+// command that has ended already is ignored.
+func (r *Router) LoadCommandEnded(tag uint64, outcome policy.Outcome, instances int) {
+	command, ok := r.controls.remove(tag, loadCommand)
 	if !ok {
 		return
 	}
-	r.Counters.LoadOrderOutcomes[outcome]++
-	r.events.add(policy.LoadOrderEnded{
-		Worker:    order.worker,
-		Function:  order.function,
+	r.Counters.LoadCommandOutcomes[outcome]++
+	r.events.add(policy.LoadCommandEnded{
+		Worker:    command.worker,
+		Function:  command.function,
 		Outcome:   outcome,
-		Duration:  r.now - order.sentAt,
+		Duration:  r.now - command.sentAt,
 		Instances: instances,
 	})
 }
 
-// ProbeEnded reports how a probe ended, with the worker's load report where it gave one. A report of a probe that
+// HealthCheckEnded reports how a health check ended, with the worker's load report where it gave one. A report of a health check that
 // has ended already is ignored.
-func (r *Router) ProbeEnded(tag uint64, outcome policy.Outcome, loadReport []float64) {
-	probe, ok := r.controls.remove(tag, healthProbe)
+func (r *Router) HealthCheckEnded(tag uint64, outcome policy.Outcome, loadReport []float64) {
+	check, ok := r.controls.remove(tag, healthCheck)
 	if !ok {
 		return
 	}
-	r.Counters.ProbeOutcomes[outcome]++
-	r.events.add(policy.ProbeEnded{
-		Worker:     probe.worker,
+	r.Counters.HealthCheckOutcomes[outcome]++
+	r.events.add(policy.HealthCheckEnded{
+		Worker:     check.worker,
 		Outcome:    outcome,
-		Duration:   r.now - probe.sentAt,
+		Duration:   r.now - check.sentAt,
 		LoadReport: loadReport,
 	})
 }
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -18,14 +18,14 @@
 
 	// Messages to workers.
 	AttemptsSent uint64
-	LoadOrders   uint64
-	Probes       uint64
+	LoadCommands uint64
+	HealthChecks uint64
 	Unloads      uint64
 
-	// How attempts, load orders and probes ended, by policy.Outcome.
-	AttemptOutcomes   [outcomeCount]uint64
-	LoadOrderOutcomes [outcomeCount]uint64
-	ProbeOutcomes     [outcomeCount]uint64
+	// How attempts, load commands and health checks ended, by policy.Outcome.
+	AttemptOutcomes     [outcomeCount]uint64
+	LoadCommandOutcomes [outcomeCount]uint64
+	HealthCheckOutcomes [outcomeCount]uint64
 
 	// Overdue counts requests that the policy had not ended by their deadlines. It stays 0 unless the policy is
 	// at fault or the machine stalled.
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -30,8 +30,8 @@
 	openAttempts map[AttemptID]policy.WorkerID
 	queued       map[AttemptID]bool // attempts of which nothing has been sent
 	sent         map[policy.RequestID][]AttemptID
-	loadOrders   map[uint64]bool // by tag
-	probes       map[uint64]bool // by tag
+	loadCommands map[uint64]bool // by tag
+	healthChecks map[uint64]bool // by tag
 }
 
 func newFakeWorkerPool(r *Router) *fakeWorkerPool {
@@ -40,8 +40,8 @@
 		openAttempts: map[AttemptID]policy.WorkerID{},
 		queued:       map[AttemptID]bool{},
 		sent:         map[policy.RequestID][]AttemptID{},
-		loadOrders:   map[uint64]bool{},
-		probes:       map[uint64]bool{},
+		loadCommands: map[uint64]bool{},
+		healthChecks: map[uint64]bool{},
 	}
 	r.SetWorkerPool(w)
 	return w
@@ -68,14 +68,14 @@
 func (w *fakeWorkerPool) CancelAttempt(_ policy.WorkerID, id AttemptID) { delete(w.openAttempts, id) }
 
 func (w *fakeWorkerPool) LoadInstance(_ policy.WorkerID, _ policy.FunctionID, _ int, tag uint64) {
-	w.loadOrders[tag] = true
+	w.loadCommands[tag] = true
 }
 
-func (w *fakeWorkerPool) Probe(_ policy.WorkerID, tag uint64) { w.probes[tag] = true }
+func (w *fakeWorkerPool) CheckHealth(_ policy.WorkerID, tag uint64) { w.healthChecks[tag] = true }
 
 func (w *fakeWorkerPool) AbandonControl(_ policy.WorkerID, tag uint64) {
-	delete(w.loadOrders, tag)
-	delete(w.probes, tag)
+	delete(w.loadCommands, tag)
+	delete(w.healthChecks, tag)
 }
 
 func (w *fakeWorkerPool) UnloadInstance(policy.WorkerID, policy.FunctionID) {}
@@ -102,8 +102,8 @@
 		Tick:                    4 * ms,
 		MaxAttempts:             3,
 		AllowCancel:             true,
-		AllowProbes:             true,
-		AllowLoadOrders:         true,
+		AllowHealthChecks:       true,
+		AllowLoadCommands:       true,
 		MissWhenNotLoaded:       true,
 		InstanceStatusInAnswers: true,
 		AllowHedging:            true,
@@ -111,10 +111,10 @@
 		MaxRetryAfter:           time.Second,
 		OverQuotaWeight:         1,
 		InstanceKeepAlive:       10 * time.Second,
-		LoadOrderTimeout:        10 * time.Second,
-		LoadOrderWindow:         10 * time.Second,
-		LoadOrderAllowance:      4,
-		LoadOrdersPerRequest:    0.3,
+		LoadCommandTimeout:      10 * time.Second,
+		LoadCommandWindow:       10 * time.Second,
+		LoadCommandAllowance:    4,
+		LoadCommandsPerRequest:  0.3,
 		DrainGrace:              time.Second,
 		LoadReportFields:        []string{"inflight"},
 		InlineLoadReports:       true,
@@ -123,8 +123,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := New(p, Limits{MaxOpenRequests: 50, MaxBodyBytes: 1 << 16, MaxAttempts: 3, RetryAfter: 100 * ms, LoadOrderTimeout: 10 * time.Second,
-		ProbeTimeout: 250 * ms})
+	r := New(p, Limits{MaxOpenRequests: 50, MaxBodyBytes: 1 << 16, MaxAttempts: 3, RetryAfter: 100 * ms, LoadCommandTimeout: 10 * time.Second,
+		HealthCheckTimeout: 250 * ms})
 	return r, newFakeWorkerPool(r)
 }
 
--- a/internal/router/ids.go
+++ b/internal/router/ids.go
@@ -4,7 +4,7 @@
 const hexIDLength = 16
 
 // ParseHexID reads an id or a function key: 16 hexadecimal digits in lower case. It returns false for any other
-// spelling of the same number, because workers compare ids as text, and load orders name functions in this form.
+// spelling of the same number, because workers compare ids as text, and load commands name functions in this form.
 func ParseHexID(s string) (id uint64, ok bool) {
 	if len(s) != hexIDLength {
 		return 0, false
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -19,14 +19,14 @@
 		m := newRouterModel(t)
 		m.updateEndpoints(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"attempt ends":    m.endAttempt,
-			"cancel":          m.cancel,
-			"endpoint update": m.updateEndpoints,
-			"load order ends": m.endLoadOrder,
-			"probe ends":      m.endProbe,
-			"submit":          m.submit,
-			"time passes":     m.advanceClock,
-			"":                m.processAndCheck,
+			"attempt ends":      m.endAttempt,
+			"cancel":            m.cancel,
+			"endpoint update":   m.updateEndpoints,
+			"load command ends": m.endLoadCommand,
+			"health check ends": m.endHealthCheck,
+			"submit":            m.submit,
+			"time passes":       m.advanceClock,
+			"":                  m.processAndCheck,
 		})
 	})
 }
@@ -108,20 +108,20 @@
 	m.router.AttemptEnded(id, policy.Served, policy.InstanceUnknown, []byte("again"), nil)
 }
 
-func (m *routerModel) endLoadOrder(t *rapid.T) {
-	tag, ok := drawKey(t, m.workers.loadOrders)
+func (m *routerModel) endLoadCommand(t *rapid.T) {
+	tag, ok := drawKey(t, m.workers.loadCommands)
 	if !ok {
 		return
 	}
-	delete(m.workers.loadOrders, tag)
+	delete(m.workers.loadCommands, tag)
 	outcomes := []policy.Outcome{policy.Served, policy.WorkerOverloaded, policy.Errored}
-	m.router.LoadOrderEnded(tag, rapid.SampledFrom(outcomes).Draw(t, "outcome"), 1)
+	m.router.LoadCommandEnded(tag, rapid.SampledFrom(outcomes).Draw(t, "outcome"), 1)
 }
 
-func (m *routerModel) endProbe(t *rapid.T) {
-	if tag, ok := drawKey(t, m.workers.probes); ok {
-		delete(m.workers.probes, tag)
-		m.router.ProbeEnded(tag, policy.Served, []float64{1})
+func (m *routerModel) endHealthCheck(t *rapid.T) {
+	if tag, ok := drawKey(t, m.workers.healthChecks); ok {
+		delete(m.workers.healthChecks, tag)
+		m.router.HealthCheckEnded(tag, policy.Served, []float64{1})
 	}
 }
 
--- a/internal/router/names_test.go
+++ b/internal/router/names_test.go
@@ -31,8 +31,8 @@
 		{controlTimeout, "control timeout"},
 		{requestDeadline, "request deadline"},
 		{timerKind(9), "timerKind(9)"},
-		{loadOrder, "load order"},
-		{healthProbe, "health probe"},
+		{loadCommand, "load command"},
+		{healthCheck, "health check"},
 		{controlKind(9), "controlKind(9)"},
 	} {
 		t.Run(fmt.Sprintf("%T/%s", test.value, test.want), func(t *testing.T) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -19,12 +19,12 @@
 
 // Limits bounds what a Router holds and how long it waits.
 type Limits struct {
-	MaxOpenRequests  int           // open requests at any time
-	MaxBodyBytes     int           // bytes of the bodies of all open requests
-	RetryAfter       time.Duration // advice in the answer to a rejected request; 0: none
-	MaxAttempts      int           // attempts of one request; 0: no limit
-	LoadOrderTimeout time.Duration // after which an unanswered load order ends as policy.TimedOut
-	ProbeTimeout     time.Duration // after which an unanswered probe does
+	MaxOpenRequests    int           // open requests at any time
+	MaxBodyBytes       int           // bytes of the bodies of all open requests
+	RetryAfter         time.Duration // advice in the answer to a rejected request; 0: none
+	MaxAttempts        int           // attempts of one request; 0: no limit
+	LoadCommandTimeout time.Duration // after which an unanswered load command ends as policy.TimedOut
+	HealthCheckTimeout time.Duration // after which an unanswered health check does
 }
 
 // Router ties requests to the decisions of a policy. It is not safe for concurrent use: the event loop's goroutine
@@ -107,9 +107,9 @@
 	case policy.FailRequest:
 		r.giveUp(a.Request, a.Reason, Response{Status: Failed})
 	case policy.LoadInstance:
-		r.sendLoadOrder(a)
-	case policy.ProbeWorker:
-		r.sendProbe(a)
+		r.sendLoadCommand(a)
+	case policy.CheckHealth:
+		r.sendHealthCheck(a)
 	case policy.UnloadInstance:
 		r.Counters.Unloads++
 		r.workers.UnloadInstance(a.Worker, a.Function)
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -14,7 +14,7 @@
 const (
 	policyTimer     timerKind = iota // the policy set it with policy.SetTimer
 	attemptTimeout                   // the time of an attempt is over
-	controlTimeout                   // the time of a load order or a probe is over
+	controlTimeout                   // the time of a load command or a health check is over
 	requestDeadline                  // the time of a request is over
 )
 
--- a/internal/router/workerpool.go
+++ b/internal/router/workerpool.go
@@ -12,8 +12,8 @@
 	Number  int
 }
 
-// WorkerPool carries messages to workers. Each StartAttempt, LoadInstance and Probe is answered by one call of the
-// Router's AttemptEnded, LoadOrderEnded or ProbeEnded, before it returns or later, unless it is cancelled or
+// WorkerPool carries messages to workers. Each StartAttempt, LoadInstance and CheckHealth is answered by one call of the
+// Router's AttemptEnded, LoadCommandEnded or HealthCheckEnded, before it returns or later, unless it is cancelled or
 // abandoned first.
 type WorkerPool interface {
 	// StartAttempt sends a request to a worker, which has budget to answer it. It may read req until it returns.
@@ -23,11 +23,11 @@
 	WithdrawQueued(attempt AttemptID) bool
 	// CancelAttempt gives an attempt up; its end is not reported any more.
 	CancelAttempt(worker policy.WorkerID, attempt AttemptID)
-	// LoadInstance orders a worker to keep count instances of a function loaded. The tag names the order.
+	// LoadInstance commands a worker to keep count instances of a function loaded. The tag names the command.
 	LoadInstance(worker policy.WorkerID, function policy.FunctionID, count int, tag uint64)
-	// Probe checks a worker's health. The tag names the probe.
-	Probe(worker policy.WorkerID, tag uint64)
-	// AbandonControl stops waiting for the answer to a load order or a probe.
+	// CheckHealth checks a worker's health. The tag names the health check.
+	CheckHealth(worker policy.WorkerID, tag uint64)
+	// AbandonControl stops waiting for the answer to a load command or a health check.
 	AbandonControl(worker policy.WorkerID, tag uint64)
 	// UnloadInstance tells a worker to drop the idle instances of a function. It is not answered.
 	UnloadInstance(worker policy.WorkerID, function policy.FunctionID)
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -18,7 +18,7 @@
 	codeSendGossip           = 70 // TELL
 	codeSubscribe            = 71 // SUBSCRIBE
 	codeLoadInstance         = 72 // MOUNT
-	codeProbeWorker          = 73 // ASK_LOAD
+	codeCheckHealth          = 73 // ASK_LOAD
 	codeUnloadInstance       = 74 // UNMOUNT
 	codeLogLine              = 75 // WRITE_LOG
 	codeCancelAttempt        = 76 // STOP_ATTEMPT
@@ -93,8 +93,8 @@
 		e.loadInstance(instance, a)
 	case policy.UnloadInstance:
 		e.unloadInstance(instance, a)
-	case policy.ProbeWorker:
-		e.probeWorker(instance, a)
+	case policy.CheckHealth:
+		e.checkHealth(instance, a)
 	case policy.SendGossip:
 		e.sendGossip(instance, a)
 	case policy.SetTimer:
@@ -149,8 +149,8 @@
 	e.function(a.Function)
 }
 
-func (e *encoder) probeWorker(instance uint16, a policy.ProbeWorker) {
-	e.header(codeProbeWorker, instance)
+func (e *encoder) checkHealth(instance uint16, a policy.CheckHealth) {
+	e.header(codeCheckHealth, instance)
 	e.worker(a.Worker)
 }
 
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -4,17 +4,17 @@
 
 // Event record codes; the wire's own names stand behind them.
 const (
-	codeResponseStarted = 1  // ACK_FIRST
-	codeAttemptEnded    = 2  // OUTCOME
-	codeClientCancelled = 3  // ABORTED
-	codeInstanceKilled  = 4  // KILL
-	codeProbeEnded      = 5  // HEALTH_RESULT
-	codeEndpointUpdate  = 6  // TARGETS
-	codeTimerFired      = 7  // REMINDER
-	codeGossipReceived  = 8  // MESSAGE
-	codeInstanceStarted = 9  // INIT
-	codeRequestArrived  = 10 // INCOMING
-	codeLoadOrderEnded  = 11 // READY_THERE
+	codeResponseStarted  = 1  // ACK_FIRST
+	codeAttemptEnded     = 2  // OUTCOME
+	codeClientCancelled  = 3  // ABORTED
+	codeInstanceKilled   = 4  // KILL
+	codeHealthCheckEnded = 5  // HEALTH_RESULT
+	codeEndpointUpdate   = 6  // TARGETS
+	codeTimerFired       = 7  // REMINDER
+	codeGossipReceived   = 8  // MESSAGE
+	codeInstanceStarted  = 9  // INIT
+	codeRequestArrived   = 10 // INCOMING
+	codeLoadCommandEnded = 11 // READY_THERE
 )
 
 // InstanceStarted says that an instance starts.
@@ -45,8 +45,8 @@
 		return policy.ClientCancelled{Request: d.request()}
 	case codeInstanceKilled:
 		return InstanceKilled{}
-	case codeProbeEnded:
-		return d.probeEnded()
+	case codeHealthCheckEnded:
+		return d.healthCheckEnded()
 	case codeEndpointUpdate:
 		return d.endpointUpdate()
 	case codeTimerFired:
@@ -57,8 +57,8 @@
 		return d.instanceStarted()
 	case codeRequestArrived:
 		return d.requestArrived()
-	case codeLoadOrderEnded:
-		return d.loadOrderEnded()
+	case codeLoadCommandEnded:
+		return d.loadCommandEnded()
 	}
 	d.fail(unknownCodeError{"record code", code})
 	return nil
@@ -129,8 +129,8 @@
 	return status, int(info >> statusBits)
 }
 
-func (d *decoder) probeEnded() policy.ProbeEnded {
-	var e policy.ProbeEnded
+func (d *decoder) healthCheckEnded() policy.HealthCheckEnded {
+	var e policy.HealthCheckEnded
 	e.Duration = d.millis()
 	e.Outcome = d.outcome()
 	e.Worker = d.worker()
@@ -138,8 +138,8 @@
 	return e
 }
 
-func (d *decoder) loadOrderEnded() policy.LoadOrderEnded {
-	var e policy.LoadOrderEnded
+func (d *decoder) loadCommandEnded() policy.LoadCommandEnded {
+	var e policy.LoadCommandEnded
 	e.Worker = d.worker()
 	e.Function = d.function()
 	e.Outcome = d.outcome()
--- a/internal/simwire/events_test.go
+++ b/internal/simwire/events_test.go
@@ -37,8 +37,8 @@
 	{"client cancelled", "03 0003 5d3a91c4", policy.ClientCancelled{Request: 0x5d3a91c4}},
 	{"instance killed", "04 0003", InstanceKilled{}},
 	{
-		"probe ended", "05 0003 4014000000000000 03 0a9011f22354 00",
-		policy.ProbeEnded{Worker: sampleWorker, Outcome: policy.TimedOut, Duration: 5 * time.Millisecond},
+		"health check ended", "05 0003 4014000000000000 03 0a9011f22354 00",
+		policy.HealthCheckEnded{Worker: sampleWorker, Outcome: policy.TimedOut, Duration: 5 * time.Millisecond},
 	},
 	{
 		"endpoint update", "06 0003 02 00000029 00000001 0a9011f22354 0000 01 3fc00000 0000 00 40b7d40000000000",
@@ -68,8 +68,8 @@
 		},
 	},
 	{
-		"load order ended", "0b 0003 0a9011f22354 0000007c55d20a01 00 4084000000000000 01",
-		policy.LoadOrderEnded{Worker: sampleWorker, Function: 0x7c55d20a01, Duration: 640 * time.Millisecond, Instances: 1},
+		"load command ended", "0b 0003 0a9011f22354 0000007c55d20a01 00 4084000000000000 01",
+		policy.LoadCommandEnded{Worker: sampleWorker, Function: 0x7c55d20a01, Duration: 640 * time.Millisecond, Instances: 1},
 	},
 }
 
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -153,7 +153,7 @@
 
 func (l limitSettings) apply(config *policy.Config) {
 	config.AllowCancel = l.Cancel
-	config.AllowProbes = l.MayProbe
+	config.AllowHealthChecks = l.MayProbe
 	config.AllowGossip = l.Peers
 	config.AllowHedging = l.SecondCopies
 	config.AllowRetryAfter = l.RetryAfter
@@ -195,11 +195,11 @@
 func (f functionSettings) apply(config *policy.Config) {
 	config.MissWhenNotLoaded = f.IfCold == "miss"
 	config.InstanceKeepAlive = fromMillis(f.LingerIdleMs)
-	config.LoadOrderAllowance = f.LoadFree
-	config.LoadOrdersPerRequest = f.LoadPart
-	config.LoadOrderTimeout = fromMillis(f.LoadWaitMs)
-	config.LoadOrderWindow = fromMillis(f.LoadsWithinMs)
+	config.LoadCommandAllowance = f.LoadFree
+	config.LoadCommandsPerRequest = f.LoadPart
+	config.LoadCommandTimeout = fromMillis(f.LoadWaitMs)
+	config.LoadCommandWindow = fromMillis(f.LoadsWithinMs)
 	config.ConcurrencyInAnswers = f.NotesPeersInHand
-	config.AllowLoadOrders = f.PlacementCalls
+	config.AllowLoadCommands = f.PlacementCalls
 	config.InstanceStatusInAnswers = f.WarmNotes
 }
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -61,7 +61,7 @@
 		InlineLoadReports:       true,
 		MaxAttempts:             6,
 		AllowCancel:             true,
-		AllowProbes:             true,
+		AllowHealthChecks:       true,
 		AllowGossip:             true,
 		AllowHedging:            true,
 		AllowRetryAfter:         true,
@@ -74,14 +74,14 @@
 		OverloadWindow:          1500 * time.Millisecond,
 		DrainGrace:              1900 * time.Millisecond,
 		MissWhenNotLoaded:       true,
-		AllowLoadOrders:         true,
+		AllowLoadCommands:       true,
 		InstanceStatusInAnswers: true,
 		ConcurrencyInAnswers:    true,
 		InstanceKeepAlive:       11 * time.Second,
-		LoadOrderTimeout:        9 * time.Second,
-		LoadOrderWindow:         5 * time.Second,
-		LoadOrderAllowance:      4,
-		LoadOrdersPerRequest:    0.3,
+		LoadCommandTimeout:      9 * time.Second,
+		LoadCommandWindow:       5 * time.Second,
+		LoadCommandAllowance:    4,
+		LoadCommandsPerRequest:  0.3,
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -48,21 +48,21 @@
 	Reason  GiveUpReason
 }
 
-// LoadInstance orders a worker to hold a number of instances of a function; with 0 it only asks how many there are.
+// LoadInstance commands a worker to hold a number of instances of a function; with 0 it only asks how many there are.
 type LoadInstance struct {
 	Worker    WorkerID
 	Function  FunctionID
 	Instances int
 }
 
-// UnloadInstance orders a worker to unload the idle instances of a function.
+// UnloadInstance commands a worker to unload the idle instances of a function.
 type UnloadInstance struct {
 	Worker   WorkerID
 	Function FunctionID
 }
 
-// ProbeWorker sends a health check to a worker; ProbeEnded follows.
-type ProbeWorker struct{ Worker WorkerID }
+// CheckHealth sends a health check to a worker; HealthCheckEnded follows.
+type CheckHealth struct{ Worker WorkerID }
 
 // SendGossip sends a message to another router, or to all others with a negative To.
 type SendGossip struct {
@@ -94,7 +94,7 @@
 func (FailRequest) action()          {}
 func (LoadInstance) action()         {}
 func (UnloadInstance) action()       {}
-func (ProbeWorker) action()          {}
+func (CheckHealth) action()          {}
 func (SendGossip) action()           {}
 func (SetTimer) action()             {}
 func (Subscribe) action()            {}
--- a/policy/config.go
+++ b/policy/config.go
@@ -60,16 +60,16 @@
 
 	RequiresSubscription bool     // endpoint updates come only after Subscribe or FetchEndpoints
 	LoadReportFields     []string // names of the values of a load report, in order
-	InlineLoadReports    bool     // load reports come with answers as well as with probes
+	InlineLoadReports    bool     // load reports come with answers as well as with health checks
 
-	MaxAttempts     int  // per request; 0: unlimited
-	AllowCancel     bool // CancelAttempt is available
-	AllowProbes     bool // ProbeWorker is available
-	AllowGossip     bool // SendGossip is available
-	AllowHedging    bool // two attempts of a request may be in flight at once
-	AllowRetryAfter bool // clients receive RefuseRequest.RetryAfter
-	MaxRetryAfter   time.Duration
-	OverQuotaWeight float64 // factor on the value of a request beyond its tenant's quota; 1 if unused
+	MaxAttempts       int  // per request; 0: unlimited
+	AllowCancel       bool // CancelAttempt is available
+	AllowHealthChecks bool // CheckHealth is available
+	AllowGossip       bool // SendGossip is available
+	AllowHedging      bool // two attempts of a request may be in flight at once
+	AllowRetryAfter   bool // clients receive RefuseRequest.RetryAfter
+	MaxRetryAfter     time.Duration
+	OverQuotaWeight   float64 // factor on the value of a request beyond its tenant's quota; 1 if unused
 
 	ImplicitListAge   time.Duration // without a subscription, a list this old counts as known
 	SlowStartCapacity float64       // least share of its capacity that a worker has at its start, 0 to 1
@@ -79,14 +79,14 @@
 	DrainGrace        time.Duration
 
 	MissWhenNotLoaded       bool          // a worker answers FunctionNotLoaded instead of loading the function
-	AllowLoadOrders         bool          // LoadInstance and UnloadInstance are available
+	AllowLoadCommands       bool          // LoadInstance and UnloadInstance are available
 	InstanceStatusInAnswers bool          // answers carry an InstanceStatus
 	ConcurrencyInAnswers    bool          // answers carry AttemptEnded.FunctionConcurrency
 	InstanceKeepAlive       time.Duration // least time that a worker keeps an idle instance
-	LoadOrderTimeout        time.Duration // a load order without an answer ends as TimedOut after this
-	LoadOrderWindow         time.Duration // window of the load order budget; 0: no budget
-	LoadOrderAllowance      float64       // load orders per window that are always allowed
-	LoadOrdersPerRequest    float64       // further ones per request that arrived within the window
+	LoadCommandTimeout      time.Duration // a load command without an answer ends as TimedOut after this
+	LoadCommandWindow       time.Duration // window of the load command budget; 0: no budget
+	LoadCommandAllowance    float64       // load commands per window that are always allowed
+	LoadCommandsPerRequest  float64       // further ones per request that arrived within the window
 }
 
 // ConfigError reports a setting that a Policy cannot work with; of several such settings any one.
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -19,7 +19,7 @@
 //     workers alike at all routers. It is spread over as many workers, its replicas, as its share of our work
 //     asks for, or more while they are saturated; each router keeps to one replica, and others keep the rest
 //     warm. As many requests of others make it likely that it is loaded there, the load counts for less.
-//   - Load orders and backoff. Where workers do not load by themselves, one order per missing instance is sent
+//   - Load commands and backoff. Where workers do not load by themselves, one command per missing instance is sent
 //     within a budget. While loads fail, at whatever worker, they begin one at a time and ever more slowly, to
 //     guard the store that functions are loaded from; requests that need a load wait.
 //   - Slow start. What workers serve is within their capacity, so each router keeps its sends to a worker that
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -5,9 +5,9 @@
 	health
 	slowStart
 	queueEstimate
-	inFlight   []*attempt // in the order of their sends
-	loadOrders int        // ours without an answer
-	instances  map[FunctionID]*instance
+	inFlight     []*attempt // in the order of their sends
+	loadCommands int        // ours without an answer
+	instances    map[FunctionID]*instance
 }
 
 func (w *worker) instance(f FunctionID) *instance {
--- a/policy/events.go
+++ b/policy/events.go
@@ -79,8 +79,8 @@
 // TimerFired says that a timer set by SetTimer has expired.
 type TimerFired struct{ Token uint64 }
 
-// ProbeEnded is the result of a ProbeWorker.
-type ProbeEnded struct {
+// HealthCheckEnded is the result of a CheckHealth.
+type HealthCheckEnded struct {
 	Worker     WorkerID
 	Outcome    Outcome
 	Duration   time.Duration
@@ -93,8 +93,8 @@
 	Data []byte
 }
 
-// LoadOrderEnded is the result of a LoadInstance.
-type LoadOrderEnded struct {
+// LoadCommandEnded is the result of a LoadInstance.
+type LoadCommandEnded struct {
 	Worker    WorkerID
 	Function  FunctionID
 	Outcome   Outcome
@@ -121,12 +121,12 @@
 	LoadReport          []float64 // in the order of Config.LoadReportFields; empty where none came
 }
 
-func (EndpointUpdate) event()  {}
-func (RequestArrived) event()  {}
-func (ClientCancelled) event() {}
-func (TimerFired) event()      {}
-func (ProbeEnded) event()      {}
-func (GossipReceived) event()  {}
-func (LoadOrderEnded) event()  {}
-func (ResponseStarted) event() {}
-func (AttemptEnded) event()    {}
+func (EndpointUpdate) event()   {}
+func (RequestArrived) event()   {}
+func (ClientCancelled) event()  {}
+func (TimerFired) event()       {}
+func (HealthCheckEnded) event() {}
+func (GossipReceived) event()   {}
+func (LoadCommandEnded) event() {}
+func (ResponseStarted) event()  {}
+func (AttemptEnded) event()     {}
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -23,10 +23,10 @@
 			InstanceStatus: InstanceStatus(a % 5), RequestClosed: c%9 == 0,
 			Duration: time.Duration(int64(a)-9) * time.Second}
 	case 3:
-		return LoadOrderEnded{Worker: w, Function: fn, Outcome: Outcome(b % 9), Duration: -time.Second,
+		return LoadCommandEnded{Worker: w, Function: fn, Outcome: Outcome(b % 9), Duration: -time.Second,
 			Instances: int(c) - 9}
 	case 4:
-		return ProbeEnded{Worker: w, Outcome: Outcome(b % 9), LoadReport: []float64{math.NaN(), -1}}
+		return HealthCheckEnded{Worker: w, Outcome: Outcome(b % 9), LoadReport: []float64{math.NaN(), -1}}
 	case 5:
 		return TimerFired{Token: uint64(b%16)<<uint(c%40) + uint64(a)}
 	case 6:
@@ -49,7 +49,7 @@
 		return a.Request, 0
 	case LoadInstance:
 		return 0, a.Worker
-	case ProbeWorker:
+	case CheckHealth:
 		return 0, a.Worker
 	}
 	return 0, 0
@@ -80,8 +80,8 @@
 	f.Add([]byte{0, 255, 0, 0, 1, 0, 2, 1, 2, 0, 8, 0, 4, 1, 1, 0, 5, 3, 0, 0, 7, 1, 0, 0, 6, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		cfg := testConfig()
-		cfg.MissWhenNotLoaded, cfg.AllowLoadOrders, cfg.AllowGossip, cfg.RouterCount = true, true, true, 3
-		cfg.LoadOrderWindow, cfg.LoadOrdersPerRequest = time.Second, 0.5
+		cfg.MissWhenNotLoaded, cfg.AllowLoadCommands, cfg.AllowGossip, cfg.RouterCount = true, true, true, 3
+		cfg.LoadCommandWindow, cfg.LoadCommandsPerRequest = time.Second, 0.5
 		cfg.RequiresSubscription = len(data)%2 == 0
 		p, err := New(cfg, 3)
 		if err != nil {
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// gossipCost plays requests spread over 20 s to one of a number of routers, and returns the probes and the
+// gossipCost plays requests spread over 20 s to one of a number of routers, and returns the health checks and the
 // delivered gossip messages that each cost.
-func gossipCost(t *testing.T, routers, requests int) (probes, deliveries float64) {
+func gossipCost(t *testing.T, routers, requests int) (healthChecks, deliveries float64) {
 	t.Helper()
 	cfg := testConfig()
 	cfg.RouterCount, cfg.AllowGossip = routers, true
@@ -19,25 +19,25 @@
 			h.now += min(left, housekeepingInterval)
 			for _, a := range h.housekeep() {
 				switch a := a.(type) {
-				case ProbeWorker:
-					probes++
-					h.handle(ProbeEnded{Worker: a.Worker})
+				case CheckHealth:
+					healthChecks++
+					h.handle(HealthCheckEnded{Worker: a.Worker})
 				case SendGossip:
 					deliveries += float64(routers - 1)
 				}
 			}
 		}
 	}
-	return probes / float64(requests), deliveries / float64(requests)
+	return healthChecks / float64(requests), deliveries / float64(requests)
 }
 
-// Gossip must cost the same per request whether few or many routers carry the traffic, and nothing is probed
+// Gossip must cost the same per request whether few or many routers carry the traffic, and no health is checked
 // without cause.
-func TestGossipAndProbesPerRequestDoNotGrowWithRouters(t *testing.T) {
-	probesOfFew, deliveriesOfFew := gossipCost(t, 3, 1000)
-	probesOfMany, deliveriesOfMany := gossipCost(t, 100, 250)
-	if probesOfFew > 0 || probesOfMany > 0 {
-		t.Errorf("probes per request: %.2f with 3 routers, %.2f with 100", probesOfFew, probesOfMany)
+func TestGossipAndHealthChecksPerRequestDoNotGrowWithRouters(t *testing.T) {
+	healthChecksOfFew, deliveriesOfFew := gossipCost(t, 3, 1000)
+	healthChecksOfMany, deliveriesOfMany := gossipCost(t, 100, 250)
+	if healthChecksOfFew > 0 || healthChecksOfMany > 0 {
+		t.Errorf("health checks per request: %.2f with 3 routers, %.2f with 100", healthChecksOfFew, healthChecksOfMany)
 	}
 	if deliveriesOfFew == 0 || deliveriesOfFew > 2 || deliveriesOfMany == 0 || deliveriesOfMany > 2 {
 		t.Errorf("messages delivered per request: %.2f with 3 routers, %.2f with 100", deliveriesOfFew, deliveriesOfMany)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -16,10 +16,10 @@
 
 func testConfig() Config {
 	return Config{
-		RouterCount: 1, Tick: 2 * ms, MaxAttempts: 5, AllowCancel: true, AllowProbes: true, OverQuotaWeight: 1,
+		RouterCount: 1, Tick: 2 * ms, MaxAttempts: 5, AllowCancel: true, AllowHealthChecks: true, OverQuotaWeight: 1,
 		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second,
 		OverloadMultiple: 2, OverloadWindow: 3 * time.Second, DrainGrace: 500 * ms,
-		InstanceKeepAlive: 10 * time.Second, InstanceStatusInAnswers: true, LoadOrderAllowance: 1,
+		InstanceKeepAlive: 10 * time.Second, InstanceStatusInAnswers: true, LoadCommandAllowance: 1,
 		Classes: []Class{
 			classIdempotent: {LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: Idempotent,
 				PriorityWeight: 1, LateWeight: 0.2},
--- a/policy/loads.go
+++ b/policy/loads.go
@@ -18,7 +18,7 @@
 	warmUntil, announcedAt time.Duration // announcedAt: to the other routers
 	loadEndsAt             time.Duration // a load under way is expected to end then; 0: none
 	inFlight, concurrency  int           // our requests; as many as were seen to be served at a time
-	loadOrdered            bool          // by us, without an answer yet
+	loadCommandPending     bool          // by us, without an answer yet
 	waiting                []*request    // for that answer
 }
 
@@ -39,44 +39,44 @@
 	p.loadRatio += loadRatioGain * (clamp(took/float64(f.loadTime), 0.2, 10) - p.loadRatio)
 }
 
-type loadOrderBudget struct{ orders, requests []time.Duration } // recent ones; requests allow orders
+type loadCommandBudget struct{ commands, requests []time.Duration } // recent ones; requests allow commands
 
 func (p *Policy) within(window time.Duration, times []time.Duration) []time.Duration {
 	return slices.DeleteFunc(times, func(t time.Duration) bool { return t < p.now-window })
 }
 
-func (p *Policy) takeOrder() bool {
-	b, window := &p.loadOrders, p.cfg.LoadOrderWindow
-	b.orders, b.requests = p.within(window, b.orders), p.within(window-1, b.requests)
-	budget := p.cfg.LoadOrderAllowance + p.cfg.LoadOrdersPerRequest*float64(len(b.requests))
-	if window > 0 && float64(len(b.orders)+1) > budget {
+func (p *Policy) takeLoadCommand() bool {
+	b, window := &p.loadCommands, p.cfg.LoadCommandWindow
+	b.commands, b.requests = p.within(window, b.commands), p.within(window-1, b.requests)
+	budget := p.cfg.LoadCommandAllowance + p.cfg.LoadCommandsPerRequest*float64(len(b.requests))
+	if window > 0 && float64(len(b.commands)+1) > budget {
 		return false
 	}
-	b.orders = append(b.orders, p.now)
+	b.commands = append(b.commands, p.now)
 	return true
 }
 
-func (p *Policy) orderLoad(r *request, i *instance) bool {
-	if !i.loadOrdered {
+func (p *Policy) requestLoad(r *request, i *instance) bool {
+	if !i.loadCommandPending {
 		if !p.emit(LoadInstance{Worker: i.worker.Worker, Function: r.Function, Instances: 1}) {
 			return false
 		}
-		i.worker.loadOrders++
-		i.loadOrdered, i.loadEndsAt = true, p.now+time.Duration(p.predictedLoadTime(r.function))
+		i.worker.loadCommands++
+		i.loadCommandPending, i.loadEndsAt = true, p.now+time.Duration(p.predictedLoadTime(r.function))
 	}
 	i.waiting = append(i.waiting, r)
 	r.triedWorkers = slices.DeleteFunc(r.triedWorkers, func(w *worker) bool { return w == i.worker })
 	return true
 }
 
-func (p *Policy) loadOrderEnded(e LoadOrderEnded) {
+func (p *Policy) loadCommandEnded(e LoadCommandEnded) {
 	w, f := p.workers[e.Worker], p.functions[e.Function]
-	if w == nil || f == nil || !w.instance(f.id).loadOrdered {
+	if w == nil || f == nil || !w.instance(f.id).loadCommandPending {
 		return
 	}
 	i := w.instance(f.id)
-	i.loadOrdered, i.loadEndsAt = false, 0
-	w.loadOrders--
+	i.loadCommandPending, i.loadEndsAt = false, 0
+	w.loadCommands--
 	switch e.Outcome {
 	case Served:
 		p.recordAlive(w)
@@ -87,8 +87,8 @@
 		}
 	case Errored:
 		p.loadBackoff.extend(p.now, 1)
-	case ConnectionReset, Unreachable: // a connection may break alone: a probe tells
-		if e.Outcome == Unreachable || !w.probing && !p.probe(w) {
+	case ConnectionReset, Unreachable: // a connection may break alone: a health check tells
+		if e.Outcome == Unreachable || !w.checkingHealth && !p.checkHealth(w) {
 			p.eject(w)
 		}
 	}
--- a/policy/loads_test.go
+++ b/policy/loads_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// loadOrderConfig has workers that answer a miss and load on order.
-func loadOrderConfig() Config {
+// loadCommandConfig has workers that answer a miss and load on command.
+func loadCommandConfig() Config {
 	cfg := testConfig()
-	cfg.MissWhenNotLoaded, cfg.AllowLoadOrders, cfg.InstanceStatusInAnswers = true, true, false
+	cfg.MissWhenNotLoaded, cfg.AllowLoadCommands, cfg.InstanceStatusInAnswers = true, true, false
 	return cfg
 }
 
@@ -22,39 +22,39 @@
 }
 
 func TestMissOrdersOneLoadAndRequestFollows(t *testing.T) {
-	h := newHarness(t, loadOrderConfig(), 4)
+	h := newHarness(t, loadCommandConfig(), 4)
 	id, w := h.arriveAndSend(classIdempotent, 7)
 	actions := h.fail(id, 0, w, FunctionNotLoaded)
-	order, ok := firstAction[LoadInstance](actions)
-	if !ok || order.Worker != w || order.Instances != 1 || hasAction[SendAttempt](actions) {
+	command, ok := firstAction[LoadInstance](actions)
+	if !ok || command.Worker != w || command.Instances != 1 || hasAction[SendAttempt](actions) {
 		t.Fatalf("after a miss: %v", actions)
 	}
 	h.now += time.Second
-	actions = h.handle(LoadOrderEnded{Worker: w, Function: 7, Outcome: Served, Duration: time.Second, Instances: 1})
+	actions = h.handle(LoadCommandEnded{Worker: w, Function: 7, Outcome: Served, Duration: time.Second, Instances: 1})
 	if retry, ok := firstAction[SendAttempt](actions); !ok || retry.Worker != w {
 		t.Errorf("after the load: %v", actions)
 	}
 }
 
-func TestLoadOrdersStayWithinBudget(t *testing.T) {
-	cfg := loadOrderConfig()
-	cfg.LoadOrderWindow, cfg.LoadOrderAllowance, cfg.LoadOrdersPerRequest = 10*time.Second, 2, 0.1
+func TestLoadCommandsStayWithinBudget(t *testing.T) {
+	cfg := loadCommandConfig()
+	cfg.LoadCommandWindow, cfg.LoadCommandAllowance, cfg.LoadCommandsPerRequest = 10*time.Second, 2, 0.1
 	h := newHarness(t, cfg, 8)
-	orders := 0
+	commands := 0
 	for f := FunctionID(1); f <= 9; f++ {
 		id, actions := h.arrive(classIdempotent, f)
 		send, ok := firstAction[SendAttempt](actions)
 		for n := 0; ok; n++ {
 			actions = h.fail(id, n, send.Worker, FunctionNotLoaded)
 			if hasAction[LoadInstance](actions) {
-				orders++
+				commands++
 				break
 			}
 			send, ok = firstAction[SendAttempt](actions)
 		}
 	}
-	if orders != 2 {
-		t.Errorf("%d orders, the budget is 2", orders)
+	if commands != 2 {
+		t.Errorf("%d commands, the budget is 2", commands)
 	}
 }
 
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Outcome says how an attempt, a probe or a load order ended.
+// Outcome says how an attempt, a health check or a load command ended.
 type Outcome uint8
 
 // The outcomes. WorkerOverloaded, Unreachable, NotSent and FunctionNotLoaded prove that an attempt never ran.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -8,10 +8,10 @@
 const maxEjectionTime = 8 * time.Second // no worker is ejected for longer without a new look
 
 type health struct {
-	lastHeard, lastProbe, lastReset, ejectedUntil time.Duration
-	probing                                       bool
-	consecutiveFailures                           int
-	unserved                                      []decayingMean // by class: share of attempts
+	lastHeard, lastHealthCheck, lastReset, ejectedUntil time.Duration
+	checkingHealth                                      bool
+	consecutiveFailures                                 int
+	unserved                                            []decayingMean // by class: share of attempts
 }
 
 func (w *worker) silentSince() time.Duration { return max(w.lastHeard, w.inFlight[0].sentAt) }
@@ -27,37 +27,37 @@
 	}
 }
 
-// isEjected reports whether w must answer a probe first or, without probes, serve one attempt at a time.
+// isEjected reports whether w must answer a health check first or, without health checks, serve one attempt at a time.
 func (p *Policy) isEjected(w *worker) bool {
-	return w.consecutiveFailures > 0 && (p.cfg.AllowProbes || p.now < w.ejectedUntil || len(w.inFlight) > 0)
+	return w.consecutiveFailures > 0 && (p.cfg.AllowHealthChecks || p.now < w.ejectedUntil || len(w.inFlight) > 0)
 }
 
-func (p *Policy) probeSuspects() {
+func (p *Policy) checkSuspects() {
 	for _, w := range p.fleet {
-		silent := len(w.inFlight) > 0 && p.now-w.lastProbe > 4*housekeepingInterval &&
+		silent := len(w.inFlight) > 0 && p.now-w.lastHealthCheck > 4*housekeepingInterval &&
 			p.now-w.silentSince() > 2*(w.inFlight[0].expectedLatency+housekeepingInterval)
 		mayReturn := w.consecutiveFailures > 0 && p.now >= w.ejectedUntil
-		if w.State != Gone && !w.probing && (silent || mayReturn) {
-			p.probe(w)
+		if w.State != Gone && !w.checkingHealth && (silent || mayReturn) {
+			p.checkHealth(w)
 		}
 	}
 }
 
-func (p *Policy) probe(w *worker) bool {
-	w.probing, w.lastProbe = p.emit(ProbeWorker{Worker: w.Worker}), p.now
-	return w.probing
+func (p *Policy) checkHealth(w *worker) bool {
+	w.checkingHealth, w.lastHealthCheck = p.emit(CheckHealth{Worker: w.Worker}), p.now
+	return w.checkingHealth
 }
 
-func (p *Policy) probeEnded(e ProbeEnded) {
+func (p *Policy) healthCheckEnded(e HealthCheckEnded) {
 	w := p.workers[e.Worker]
 	if w == nil {
 		return
 	}
-	w.probing = false
+	w.checkingHealth = false
 	if e.Outcome != TimedOut && e.Outcome != Unreachable && e.Outcome != ConnectionReset {
 		p.recordAlive(w)
 		p.observeLoadReport(w, e.LoadReport)
-	} else if w.lastHeard < w.lastProbe {
+	} else if w.lastHeard < w.lastHealthCheck {
 		p.eject(w)
 		for _, a := range slices.Clone(w.inFlight) { // what may be sent elsewhere is cancelled
 			if r := a.request; !r.finished && !r.responseStarted && !a.cancelled &&
@@ -84,11 +84,11 @@
 		if !a.neededLoad && p.outOfTime(a.request) && e.Duration > outlierClip*a.expectedLatency {
 			unserved.observe(p.now, 1)
 		}
-	case ConnectionReset: // a probe tells whether the worker failed or the connection, else the next dial
-		if !w.probing && w.lastReset != p.now { // one sign for all attempts on the connection
+	case ConnectionReset: // a health check tells whether the worker failed or the connection, else the next dial
+		if !w.checkingHealth && w.lastReset != p.now { // one sign for all attempts on the connection
 			w.lastReset = p.now
 			unserved.observe(p.now, 1)
-			p.probe(w)
+			p.checkHealth(w)
 		}
 	case Unreachable:
 		p.eject(w)
@@ -99,7 +99,7 @@
 	r, w, i := a.request, a.worker, a.instance
 	if e.Outcome == FunctionNotLoaded || e.InstanceStatus == LoadFailed {
 		i.forget()
-	} else if e.Outcome == WorkerOverloaded && i.inFlight == 0 && !i.loadOrdered { // it began no load
+	} else if e.Outcome == WorkerOverloaded && i.inFlight == 0 && !i.loadCommandPending { // it began no load
 		i.loadEndsAt = 0
 	}
 	switch {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -40,8 +40,8 @@
 			if retry, ok := firstAction[SendAttempt](actions); !ok || retry.Worker != w {
 				t.Fatalf("after a reset: %v", actions)
 			}
-			if !hasAction[ProbeWorker](sharerActions) || hasAction[ProbeWorker](actions) {
-				t.Fatalf("not one probe after resets: %v, %v", sharerActions, actions)
+			if !hasAction[CheckHealth](sharerActions) || hasAction[CheckHealth](actions) {
+				t.Fatalf("not one health check after resets: %v, %v", sharerActions, actions)
 			}
 			if unserved.count != before {
 				t.Error("one broken connection counts as two failures")
@@ -54,11 +54,11 @@
 	}
 }
 
-// Guards a worker that is well where no probe may tell so: a connection that breaks under many attempts counts
+// Guards a worker that is well where no health check may tell so: a connection that breaks under many attempts counts
 // once and ejects nobody. A dial that is refused does.
-func TestConnectionResetCountsOnceWithoutProbes(t *testing.T) {
+func TestConnectionResetCountsOnceWithoutHealthChecks(t *testing.T) {
 	cfg := testConfig()
-	cfg.AllowProbes = false
+	cfg.AllowHealthChecks = false
 	h := newHarness(t, cfg, 3)
 	warm := h.serve(7, 80*ms, InstanceWarm)
 	var ids []RequestID
@@ -82,30 +82,30 @@
 	}
 }
 
-// Guards a worker that is well against a load order whose connection broke: a probe tells, and until then
+// Guards a worker that is well against a load command whose connection broke: a health check tells, and until then
 // neither is the worker ejected nor do the requests that wait for the load go elsewhere.
-func TestConnectionResetOfLoadOrderEjectsNoWorker(t *testing.T) {
+func TestConnectionResetOfLoadCommandEjectsNoWorker(t *testing.T) {
 	for _, tc := range []struct {
-		outcome        Outcome
-		ejects, probes bool
+		outcome              Outcome
+		ejects, healthChecks bool
 	}{
-		{outcome: ConnectionReset, probes: true},
+		{outcome: ConnectionReset, healthChecks: true},
 		{outcome: Unreachable, ejects: true},
 	} {
 		t.Run(tc.outcome.String(), func(t *testing.T) {
 			cfg := testConfig()
-			cfg.MissWhenNotLoaded, cfg.AllowLoadOrders = true, true
+			cfg.MissWhenNotLoaded, cfg.AllowLoadCommands = true, true
 			h := newHarness(t, cfg, 3)
 			id, w := h.arriveAndSend(classIdempotent, 7)
 			if actions := h.fail(id, 0, w, FunctionNotLoaded); !hasAction[LoadInstance](actions) {
 				t.Fatalf("after a miss: %v", actions)
 			}
-			actions := h.handle(LoadOrderEnded{Worker: w, Function: 7, Outcome: tc.outcome})
+			actions := h.handle(LoadCommandEnded{Worker: w, Function: 7, Outcome: tc.outcome})
 			if ejected := h.policy.isEjected(h.policy.workers[w]); ejected != tc.ejects {
 				t.Errorf("ejected: %v", ejected)
 			}
-			if hasAction[ProbeWorker](actions) != tc.probes {
-				t.Errorf("probed: %v", !tc.probes)
+			if hasAction[CheckHealth](actions) != tc.healthChecks {
+				t.Errorf("checked: %v", !tc.healthChecks)
 			}
 			if next := h.sentTo(actions); tc.ejects && next == w {
 				t.Error("sent to the ejected worker")
@@ -124,22 +124,22 @@
 	id, warm := h.arriveAndSend(classIdempotent, 7)
 	due, _ := h.arrive(classNotIdempotent, 7)
 	h.now += 3999 * ms // beyond the time to answer the second, whose worker has not
-	probes := 0
+	healthChecks := 0
 	for _, a := range h.housekeep() {
-		if _, ok := a.(ProbeWorker); ok {
-			probes++
+		if _, ok := a.(CheckHealth); ok {
+			healthChecks++
 		}
 	}
-	if probes > 4 {
-		t.Errorf("%d probes of 4 workers in one turn", probes)
+	if healthChecks > 4 {
+		t.Errorf("%d health checks of 4 workers in one turn", healthChecks)
 	}
 	if actions := h.handle(TimerFired{Token: deadlineTokenBase + uint64(due)}); !hasAction[FailRequest](actions) {
 		t.Errorf("a request that may have run is not failed when due: %v", actions)
 	}
 	h.answer(id, warm, InstanceWarm, 100*ms)
 	for _, w := range h.policy.fleet {
-		if w.probing {
-			h.handle(ProbeEnded{Worker: w.Worker, Duration: 2 * ms})
+		if w.checkingHealth {
+			h.handle(HealthCheckEnded{Worker: w.Worker, Duration: 2 * ms})
 		}
 		if h.policy.isEjected(w) {
 			t.Errorf("worker %d is ejected", w.Worker)
@@ -222,7 +222,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.AllowProbes = false
+			cfg.AllowHealthChecks = false
 			h := newHarness(t, cfg, 4)
 			warm := h.serve(7, 80*ms, InstanceWarm)
 			id := h.sentToWarm(classNotIdempotent, warm)
@@ -248,62 +248,62 @@
 	}
 }
 
-// An answer lost by a reset does not mean that the process died: a probe finds out.
-func TestConnectionResetTriggersProbe(t *testing.T) {
+// An answer lost by a reset does not mean that the process died: a health check finds out.
+func TestConnectionResetTriggersHealthCheck(t *testing.T) {
 	h := newHarness(t, testConfig(), 5)
 	w := h.serve(7, 1100*ms, LoadStarted)
 	id, _ := h.arrive(classNotIdempotent, 7)
 	actions := h.fail(id, 0, w, ConnectionReset)
-	if probe, ok := firstAction[ProbeWorker](actions); !ok || probe.Worker != w {
-		t.Fatalf("no probe of the worker: %v", actions)
+	if check, ok := firstAction[CheckHealth](actions); !ok || check.Worker != w {
+		t.Fatalf("no health check of the worker: %v", actions)
 	}
-	h.handle(ProbeEnded{Worker: w})
+	h.handle(HealthCheckEnded{Worker: w})
 	if h.policy.isEjected(h.policy.workers[w]) || h.policy.workers[w].instances[7].warmUntil <= h.now {
 		t.Error("a living worker is ejected or thought empty")
 	}
 	h.now += ms
-	h.handle(ProbeEnded{Worker: 999}) // the clock goes on
-	h.policy.probe(h.policy.workers[w])
+	h.handle(HealthCheckEnded{Worker: 999}) // the clock goes on
+	h.policy.checkHealth(h.policy.workers[w])
 	h.now += time.Second
-	h.handle(ProbeEnded{Worker: w, Outcome: TimedOut})
+	h.handle(HealthCheckEnded{Worker: w, Outcome: TimedOut})
 	if !h.policy.isEjected(h.policy.workers[w]) {
-		t.Error("a worker that answers no probe is still used")
+		t.Error("a worker that answers no health check is still used")
 	}
 }
 
-// housekeepUntilCancel plays 3 s of housekeeping, in which a silent worker answers no probe and the others do. It
-// reports whether the silent one was probed, and whether an attempt was cancelled for it.
-func (h *harness) housekeepUntilCancel(silent WorkerID) (probed, cancelled bool) {
+// housekeepUntilCancel plays 3 s of housekeeping, in which a silent worker answers no health check and the others do. It
+// reports whether the silent one was checked, and whether an attempt was cancelled for it.
+func (h *harness) housekeepUntilCancel(silent WorkerID) (checked, cancelled bool) {
 	for range 60 {
 		h.now += housekeepingInterval
 		for _, a := range h.housekeep() {
-			probe, ok := a.(ProbeWorker)
+			check, ok := a.(CheckHealth)
 			if !ok {
 				continue
 			}
 			outcome := Served
-			if probe.Worker == silent {
-				probed = true
+			if check.Worker == silent {
+				checked = true
 				outcome = TimedOut
 			}
-			actions := h.handle(ProbeEnded{Worker: probe.Worker, Outcome: outcome})
+			actions := h.handle(HealthCheckEnded{Worker: check.Worker, Outcome: outcome})
 			cancelled = cancelled || hasAction[CancelAttempt](actions)
 		}
 		if cancelled {
 			break
 		}
 	}
-	return probed, cancelled
+	return checked, cancelled
 }
 
-// A silent worker gives no outcomes: the failed probe is the signal to cancel what may be sent elsewhere.
+// A silent worker gives no outcomes: the failed health check is the signal to cancel what may be sent elsewhere.
 func TestSilentWorkerIsEjectedAndItsAttemptsRescued(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	silent := h.serve(7, 1100*ms, LoadStarted)
 	id := h.sentToWarm(classIdempotent, silent)
-	probed, cancelled := h.housekeepUntilCancel(silent)
-	if !probed || !cancelled {
-		t.Fatalf("probed %v, cancelled %v", probed, cancelled)
+	checked, cancelled := h.housekeepUntilCancel(silent)
+	if !checked || !cancelled {
+		t.Fatalf("checked %v, cancelled %v", checked, cancelled)
 	}
 	retry, ok := firstAction[SendAttempt](h.fail(id, 0, silent, Cancelled))
 	if !ok || retry.Worker == silent {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -36,7 +36,7 @@
 	classes      []class
 	tenants      []tokenBucket
 	loadBackoff  loadBackoff
-	loadOrders   loadOrderBudget
+	loadCommands loadCommandBudget
 	gossip       gossipOutbox
 }
 
@@ -78,8 +78,8 @@
 		"MaxAttempts": float64(cfg.MaxAttempts), "Tick": float64(cfg.Tick),
 		"SlowStartCapacity": cfg.SlowStartCapacity, "SlowStartDuration": float64(cfg.SlowStartDuration),
 		"OverloadMultiple": cfg.OverloadMultiple, "OverloadWindow": float64(cfg.OverloadWindow),
-		"InstanceKeepAlive": float64(cfg.InstanceKeepAlive), "LoadOrderWindow": float64(cfg.LoadOrderWindow),
-		"LoadOrderAllowance": cfg.LoadOrderAllowance, "LoadOrdersPerRequest": cfg.LoadOrdersPerRequest,
+		"InstanceKeepAlive": float64(cfg.InstanceKeepAlive), "LoadCommandWindow": float64(cfg.LoadCommandWindow),
+		"LoadCommandAllowance": cfg.LoadCommandAllowance, "LoadCommandsPerRequest": cfg.LoadCommandsPerRequest,
 	} {
 		if math.IsNaN(v) || math.IsInf(v, 1) || v < 0 || field == "SlowStartCapacity" && v > 1 {
 			return &ConfigError{field, fmt.Sprintf("impossible: %v", v)}
@@ -106,10 +106,10 @@
 		if r := p.requests[e.Request]; r != nil {
 			p.closeRequest(r)
 		}
-	case LoadOrderEnded:
-		p.loadOrderEnded(e)
-	case ProbeEnded:
-		p.probeEnded(e)
+	case LoadCommandEnded:
+		p.loadCommandEnded(e)
+	case HealthCheckEnded:
+		p.healthCheckEnded(e)
 	case GossipReceived:
 		p.gossipReceived(e.Data)
 	case TimerFired:
@@ -127,7 +127,7 @@
 
 func (p *Policy) housekeeping() {
 	p.emit(SetTimer{After: housekeepingInterval, Token: housekeepingToken})
-	p.probeSuspects()
+	p.checkSuspects()
 	p.sendGossip()
 	waiting := p.waiting
 	p.waiting = nil
@@ -142,12 +142,12 @@
 }
 
 func (p *Policy) sweep() { // what is no longer used
-	unused := func(w *worker) bool { return w.State == Gone && len(w.inFlight) == 0 && w.loadOrders == 0 }
+	unused := func(w *worker) bool { return w.State == Gone && len(w.inFlight) == 0 && w.loadCommands == 0 }
 	p.fleet = slices.DeleteFunc(p.fleet, unused)
 	maps.DeleteFunc(p.workers, func(_ WorkerID, w *worker) bool { return unused(w) })
 	for _, w := range p.fleet {
 		maps.DeleteFunc(w.instances, func(_ FunctionID, i *instance) bool {
-			return i.inFlight == 0 && !i.loadOrdered && p.now > i.warmUntil && p.now > i.loadEndsAt
+			return i.inFlight == 0 && !i.loadCommandPending && p.now > i.warmUntil && p.now > i.loadEndsAt
 		})
 	}
 	oldest := p.now - functionMemory
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -17,7 +17,7 @@
 		{"capacity above 1", "SlowStartCapacity", func(c *Config) { c.SlowStartCapacity = 1.5 }},
 		{"not a number", "OverloadMultiple", func(c *Config) { c.OverloadMultiple = math.NaN() }},
 		{"negative tick", "Tick", func(c *Config) { c.Tick = -1 }},
-		{"infinite loads", "LoadOrderAllowance", func(c *Config) { c.LoadOrderAllowance = math.Inf(1) }},
+		{"infinite loads", "LoadCommandAllowance", func(c *Config) { c.LoadCommandAllowance = math.Inf(1) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			cfg := testConfig()
@@ -122,8 +122,8 @@
 		LoadTime: -time.Hour, WorkHint: math.MaxInt64, TimeLeft: time.Second})
 	h.handle(AttemptEnded{Request: 99, Worker: 1, Outcome: Served, Duration: -time.Hour, RequestClosed: true,
 		LoadReport: []float64{math.NaN()}})
-	h.handle(LoadOrderEnded{Worker: 77, Function: 5})
-	h.handle(ProbeEnded{Worker: 77})
+	h.handle(LoadCommandEnded{Worker: 77, Function: 5})
+	h.handle(HealthCheckEnded{Worker: 77})
 	h.handle(AttemptEnded{Request: 5000, Attempt: -3})
 	h.handle(RequestArrived{Request: 100, Class: 44, Tenant: -4})
 	for range 5 {
--- a/policy/random_world_test.go
+++ b/policy/random_world_test.go
@@ -14,7 +14,7 @@
 	now          time.Duration
 	requests     map[RequestID]*observedRequest
 	workerStates map[WorkerID]WorkerState
-	loadOrders   []time.Duration // times of the load orders
+	loadCommands []time.Duration // times of the load commands
 	arrivals     []time.Duration // times of the requests
 }
 
@@ -40,7 +40,7 @@
 		case FailRequest:
 			c.checkFinalAnswer(c.requests[a.Request])
 		case LoadInstance:
-			c.checkLoadOrder(a)
+			c.checkLoadCommand(a)
 		}
 	}
 }
@@ -84,16 +84,16 @@
 	r.answered = true
 }
 
-func (c *ruleChecker) checkLoadOrder(a LoadInstance) {
+func (c *ruleChecker) checkLoadCommand(a LoadInstance) {
 	if c.workerStates[a.Worker] != Ready {
-		c.t.Fatalf("%v: load order to worker %d, which is %v", c.now, a.Worker, c.workerStates[a.Worker])
+		c.t.Fatalf("%v: load command to worker %d, which is %v", c.now, a.Worker, c.workerStates[a.Worker])
 	}
-	c.loadOrders = append(c.loadOrders, c.now)
-	start := c.now - c.cfg.LoadOrderWindow
-	orders, arrivals := 0, 0
-	for _, at := range c.loadOrders {
+	c.loadCommands = append(c.loadCommands, c.now)
+	start := c.now - c.cfg.LoadCommandWindow
+	commands, arrivals := 0, 0
+	for _, at := range c.loadCommands {
 		if at >= start {
-			orders++
+			commands++
 		}
 	}
 	for _, at := range c.arrivals {
@@ -101,8 +101,8 @@
 			arrivals++
 		}
 	}
-	if float64(orders) > c.cfg.LoadOrderAllowance+c.cfg.LoadOrdersPerRequest*float64(arrivals) {
-		c.t.Fatalf("%v: %d load orders with %d requests", c.now, orders, arrivals)
+	if float64(commands) > c.cfg.LoadCommandAllowance+c.cfg.LoadCommandsPerRequest*float64(arrivals) {
+		c.t.Fatalf("%v: %d load commands with %d requests", c.now, commands, arrivals)
 	}
 }
 
@@ -113,7 +113,7 @@
 	policy      *Policy
 	lastRequest RequestID
 	timers      []worldTimer
-	loads       []LoadInstance // orders without an answer
+	loads       []LoadInstance // commands without an answer
 }
 
 type worldTimer struct {
@@ -124,9 +124,9 @@
 func newRandomWorld(t *testing.T, seed uint64) *randomWorld {
 	t.Helper()
 	cfg := testConfig()
-	cfg.MissWhenNotLoaded, cfg.AllowLoadOrders = seed%2 == 0, seed%3 != 0
+	cfg.MissWhenNotLoaded, cfg.AllowLoadCommands = seed%2 == 0, seed%3 != 0
 	cfg.AllowHedging, cfg.AllowGossip = seed%5 == 0, seed%4 == 0
-	cfg.LoadOrderWindow, cfg.LoadOrderAllowance, cfg.LoadOrdersPerRequest = 10*time.Second, 3, 0.2
+	cfg.LoadCommandWindow, cfg.LoadCommandAllowance, cfg.LoadCommandsPerRequest = 10*time.Second, 3, 0.2
 	p, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -169,12 +169,12 @@
 	case k == 9 && w.lastRequest > 0:
 		w.cancel()
 	case k == 10 && len(w.loads) > 0:
-		order := w.loads[0]
+		command := w.loads[0]
 		w.loads = w.loads[1:]
-		w.handle(LoadOrderEnded{Worker: order.Worker, Function: order.Function, Outcome: Outcome(w.rng.IntN(6)),
+		w.handle(LoadCommandEnded{Worker: command.Worker, Function: command.Function, Outcome: Outcome(w.rng.IntN(6)),
 			Duration: 900 * ms, Instances: w.rng.IntN(2)})
 	case k == 11:
-		w.handle(ProbeEnded{Worker: WorkerID(w.rng.IntN(8)), Outcome: Outcome(w.rng.IntN(6))})
+		w.handle(HealthCheckEnded{Worker: WorkerID(w.rng.IntN(8)), Outcome: Outcome(w.rng.IntN(6))})
 	default:
 		w.endAttempt()
 	}
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -43,7 +43,7 @@
 	if e.Class < 0 || e.Class >= len(p.classes) || p.requests[e.Request] != nil {
 		return
 	}
-	p.loadOrders.requests = append(p.within(p.cfg.LoadOrderWindow, p.loadOrders.requests), p.now)
+	p.loadCommands.requests = append(p.within(p.cfg.LoadCommandWindow, p.loadCommands.requests), p.now)
 	p.gossip.budget = min(p.gossip.budget+gossipBudgetPerRequest, float64(p.cfg.RouterCount))
 	e.TimeLeft = max(e.TimeLeft, 0)
 	r := &request{RequestArrived: e, function: p.requestedFunction(e), deadline: p.now + e.TimeLeft}
@@ -120,7 +120,7 @@
 	}
 	switch {
 	case r.finished || r.outstanding > 0:
-	case e.Outcome == FunctionNotLoaded && p.orderLoad(r, a.instance):
+	case e.Outcome == FunctionNotLoaded && p.requestLoad(r, a.instance):
 	case e.Outcome == NotSent || e.Outcome == TimedOut && p.outOfTime(r):
 		p.giveUp(r, 0, DeadlineExceeded)
 	default:
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -17,11 +17,11 @@
 		}
 	case LoadInstance:
 		w := p.workers[a.Worker]
-		allowed = w != nil && p.cfg.AllowLoadOrders && (a.Instances <= 0 || w.State == Ready && p.takeOrder())
+		allowed = w != nil && p.cfg.AllowLoadCommands && (a.Instances <= 0 || w.State == Ready && p.takeLoadCommand())
 	case Subscribe:
 		allowed = p.cfg.RequiresSubscription && !p.subscribed
-	case ProbeWorker:
-		allowed = p.cfg.AllowProbes
+	case CheckHealth:
+		allowed = p.cfg.AllowHealthChecks
 	case CancelAttempt:
 		allowed = p.cfg.AllowCancel
 	}
--- a/policy/scoring_test.go
+++ b/policy/scoring_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("late answers predict %v, nothing known %v", before, idle)
 	}
 	h.now += 20 * time.Second
-	h.handle(ProbeEnded{Worker: w})
+	h.handle(HealthCheckEnded{Worker: w})
 	if after := h.queueing(w); after > before/10 {
 		t.Errorf("a queue is still believed in after 20 s: %v of %v", after, before)
 	}
@@ -51,24 +51,24 @@
 			Duration: took, LoadReport: []float64{queue + 3, queue}})
 	}
 	h.now += time.Minute
-	h.handle(ProbeEnded{Worker: 1, LoadReport: []float64{33, 30}})
-	h.handle(ProbeEnded{Worker: 2, LoadReport: []float64{3, 0}})
+	h.handle(HealthCheckEnded{Worker: 1, LoadReport: []float64{33, 30}})
+	h.handle(HealthCheckEnded{Worker: 2, LoadReport: []float64{3, 0}})
 	if full, idle := h.queueing(1), h.queueing(2); full < idle+float64(150*ms) {
 		t.Errorf("a queue of 30 predicts %v, of 0 %v", full, idle)
 	}
 	before := h.queueing(3)
 	for _, report := range [][]float64{nil, {1}, {math.NaN(), math.NaN()}, {-5, -5}, {math.Inf(-1), math.Inf(-1)}} {
-		h.handle(ProbeEnded{Worker: 3, LoadReport: report})
+		h.handle(HealthCheckEnded{Worker: 3, LoadReport: report})
 	}
 	if got := h.queueing(3); got != before {
 		t.Errorf("implausible reports predict %v", got)
 	}
-	h.handle(ProbeEnded{Worker: 3, LoadReport: []float64{1e300, 1e300}})
+	h.handle(HealthCheckEnded{Worker: 3, LoadReport: []float64{1e300, 1e300}})
 	if got := h.queueing(3); got > outlierClip*float64(400*ms) {
 		t.Errorf("a report far off predicts %v", got)
 	}
 	h.now += time.Minute
-	h.handle(ProbeEnded{Worker: 3, LoadReport: []float64{3, 0}})
+	h.handle(HealthCheckEnded{Worker: 3, LoadReport: []float64{3, 0}})
 	if got := h.queueing(3); got > float64(50*ms) {
 		t.Errorf("a report far off is still believed after a minute: %v", got)
 	}
