--- a/cmd/functionrouter/counters.go
+++ b/cmd/functionrouter/counters.go
@@ -19,7 +19,7 @@
 	}
 	s.logConnectionCounters()
 	logAttemptCounters(c)
-	logGiveUpCounters(c)
+	logUnservedCounters(c)
 	logLoadCommandCounters(c)
 	logHealthCheckCounters(c)
 	s.extensions.logCounters()
@@ -30,7 +30,7 @@
 // logRequestCounters logs what clients sent to a frontend and what they were answered.
 func logRequestCounters(c *router.Counters, f router.Frontend) {
 	slog.Info("request counters", "frontend", f.String(), "received", c.Received[f], "served", c.Served[f],
-		"refused", c.Refused[f], "failed", c.Failed[f], "client_cancelled", c.ClientCancelled[f], "rejected", c.Rejected[f],
+		"refused", c.Refused[f], "failed", c.Failed[f], "client_cancelled", c.ClientCancelled[f], "refused_at_once", c.RefusedAtOnce[f],
 		"client_disconnected", c.ClientDisconnected[f])
 }
 
@@ -53,13 +53,13 @@
 	slog.Info("attempt counters", attributes...)
 }
 
-// logGiveUpCounters logs the requests that the policy gave up, by reason.
-func logGiveUpCounters(c *router.Counters) {
+// logUnservedCounters logs the requests that the policy refused or failed, by reason.
+func logUnservedCounters(c *router.Counters) {
 	var attributes []any
-	for reason, count := range c.GivenUp {
-		attributes = append(attributes, policy.GiveUpReason(reason).String(), count)
+	for reason, count := range c.UnservedByReason {
+		attributes = append(attributes, policy.UnservedReason(reason).String(), count)
 	}
-	slog.Info("give-up counters", attributes...)
+	slog.Info("unserved counters", attributes...)
 }
 
 // logLoadCommandCounters logs the commands to load function instances and their outcomes, and those to unload them.
--- a/cmd/functionrouter/counters_test.go
+++ b/cmd/functionrouter/counters_test.go
@@ -16,13 +16,13 @@
 	c.Refused[router.Webhook] = 2
 	c.Failed[router.Webhook] = 1
 	c.ClientCancelled[router.Webhook] = 1
-	c.Rejected[router.Webhook] = 1
+	c.RefusedAtOnce[router.Webhook] = 1
 	c.ClientDisconnected[router.Webhook] = 1
 	c.AttemptsSent = 7
 	c.AttemptOutcomes[policy.Served] = 5
 	c.AttemptOutcomes[policy.FunctionNotLoaded] = 2
 	c.Overdue = 3
-	c.GivenUp[policy.LoadShed] = 2
+	c.UnservedByReason[policy.LoadShed] = 2
 	c.LoadCommands = 6
 	c.LoadCommandOutcomes[policy.TimedOut] = 6
 	c.Unloads = 8
@@ -33,10 +33,10 @@
 		want string
 	}{
 		{"requests", func(c *router.Counters) { logRequestCounters(c, router.Webhook) },
-			`msg="request counters" frontend=webhook received=9 served=4 refused=2 failed=1 client_cancelled=1 rejected=1 client_disconnected=1`},
+			`msg="request counters" frontend=webhook received=9 served=4 refused=2 failed=1 client_cancelled=1 refused_at_once=1 client_disconnected=1`},
 		{"attempts", logAttemptCounters, `msg="attempt counters" sent=7 served=5 function_not_loaded=2 overdue_requests=3`},
-		{"give-ups", logGiveUpCounters,
-			`msg="give-up counters" deadline_exceeded=0 no_worker_available=0 predicted_too_late=0 load_shed=2`},
+		{"unserved", logUnservedCounters,
+			`msg="unserved counters" deadline_exceeded=0 no_worker_available=0 predicted_too_late=0 load_shed=2`},
 		{"load commands", logLoadCommandCounters, `msg="load command counters" sent=6 timed_out=6 unloads_sent=8`},
 		{"health checks", logHealthCheckCounters, `msg="health check counters" sent=10`},
 	} {
--- a/cmd/functionrouter/extensions.go
+++ b/cmd/functionrouter/extensions.go
@@ -44,7 +44,7 @@
 	return x, nil
 }
 
-// requestEnded is the router's OnRequestEnd: it queues a notice and a flow record.
+// requestEnded is the router's Config.OnRequestEnd: it queues a notice and a flow record.
 func (x *extensions) requestEnded(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	if x.sender != nil {
 		x.notify(now, r, outcome)
--- a/cmd/functionrouter/server.go
+++ b/cmd/functionrouter/server.go
@@ -79,9 +79,17 @@
 	}
 	s := &server{cfg: cfg, shutdown: shutdown{flushTimeout: cfg.flushTimeout()}}
 	s.loop = eventloop.New(cfg.loopConfig())
-	s.router = router.New(decisions, cfg.routerLimits())
-	s.pool = backend.New(s.poolConfig(), s.router)
-	s.router.SetWorkerPool(s.pool)
+	s.router = router.New(router.Config{
+		Policy: decisions,
+		Limits: cfg.routerLimits(),
+		NewWorkerPool: func(r *router.Router) router.WorkerPool {
+			s.pool = backend.New(s.poolConfig(), r)
+			return s.pool
+		},
+		OnRequestEnd: func(now time.Duration, req *router.Request, outcome router.RequestOutcome) {
+			s.extensions.requestEnded(now, req, outcome)
+		},
+	})
 	s.discovery = discovery.New(cfg.DirectoryAddress, s.dialDirectory, s.updateEndpoints)
 	if err := s.discovery.LoadInitial(cfg.InitialEndpoints); err != nil {
 		return nil, err
@@ -89,7 +97,6 @@
 	if s.extensions, err = newExtensions(cfg, s.loop, s.router); err != nil {
 		return nil, err
 	}
-	s.router.OnRequestEnd = s.extensions.requestEnded
 	frontend := thrift.New(s.router, cfg.transport.classNames(), cfg.transport.tenantNames(), s.loop.Now, s.loop.InputTime,
 		s.ready)
 	s.loop.Listen(cfg.Listen, frontend.Accept)
--- a/cmd/functionrouter/shutdown.go
+++ b/cmd/functionrouter/shutdown.go
@@ -47,11 +47,14 @@
 // nobody to send it to again.
 func (s *server) advanceShutdown(now time.Duration) {
 	elapsed := now - s.shutdown.startedAt
-	s.router.Draining = elapsed >= shutdownGracePeriod
+	graceOver := elapsed >= shutdownGracePeriod
+	if graceOver {
+		s.router.StopAdmitting()
+	}
 	if s.loop.AcceptedConnections() > 0 {
 		s.shutdown.lastClientAt = now
 	}
-	if !s.router.Draining || now-s.shutdown.lastClientAt < shutdownQuietPeriod {
+	if !graceOver || now-s.shutdown.lastClientAt < shutdownQuietPeriod {
 		s.logShutdown(now)
 		return
 	}
--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -99,9 +99,9 @@
 		delete(p.attempts, call.attempt)
 		p.results.AttemptEnded(call.attempt, outcome, a.instanceStatus(), bytes.Clone(a.body), p.loadReport(a))
 	case loadCommandCall:
-		p.results.LoadCommandEnded(call.tag, outcome, a.instanceCount())
+		p.results.LoadCommandEnded(call.control, outcome, a.instanceCount())
 	case healthCheckCall:
-		p.results.HealthCheckEnded(call.tag, outcome, p.loadReport(a))
+		p.results.HealthCheckEnded(call.control, outcome, p.loadReport(a))
 	case keepAliveCall: // that it was answered is all there is to know
 	}
 }
--- a/internal/backend/call.go
+++ b/internal/backend/call.go
@@ -41,7 +41,7 @@
 type pendingCall struct {
 	kind    callKind
 	attempt router.AttemptID // of an attempt
-	tag     uint64           // of a load command or a health check: the caller's name for it
+	control router.ControlID // of a load command or a health check: the caller's name for it
 	token   string           // the id on the wire
 
 	// What is to be written; nil once it is. The header of an attempt is encoded then, with the time that is left.
@@ -80,15 +80,15 @@
 	return encodeHeader(len(call.body), commandRun, call.token, fields)
 }
 
-func newLoadCommandCall(tag uint64, f policy.FunctionID, count int) *pendingCall {
-	token := loadCommandToken(tag)
+func newLoadCommandCall(control router.ControlID, f policy.FunctionID, count int) *pendingCall {
+	token := loadCommandToken(control)
 	fields := fmt.Sprintf("path=%s,count=%d", formatFunctionID(f), count)
-	return &pendingCall{kind: loadCommandCall, tag: tag, token: token, header: encodeCommand(commandLoad, token, fields)}
+	return &pendingCall{kind: loadCommandCall, control: control, token: token, header: encodeCommand(commandLoad, token, fields)}
 }
 
-func newHealthCheckCall(tag uint64) *pendingCall {
-	token := healthCheckToken(tag)
-	return &pendingCall{kind: healthCheckCall, tag: tag, token: token, header: encodeCommand(commandHealthCheck, token)}
+func newHealthCheckCall(control router.ControlID) *pendingCall {
+	token := healthCheckToken(control)
+	return &pendingCall{kind: healthCheckCall, control: control, token: token, header: encodeCommand(commandHealthCheck, token)}
 }
 
 // newKeepAliveCall returns the keep-alive check with this number.
@@ -98,8 +98,12 @@
 }
 
 // The tokens of the kinds differ in their first letter. An attempt's is 16 hex digits, which are longer.
-func loadCommandToken(tag uint64) string { return "h" + strconv.FormatUint(tag, 10) }
-func healthCheckToken(tag uint64) string { return "p" + strconv.FormatUint(tag, 10) }
+func loadCommandToken(control router.ControlID) string {
+	return "h" + strconv.FormatUint(uint64(control), 10)
+}
+func healthCheckToken(control router.ControlID) string {
+	return "p" + strconv.FormatUint(uint64(control), 10)
+}
 
 func formatFunctionID(f policy.FunctionID) string { return fmt.Sprintf("%016x", uint64(f)) }
 
--- a/internal/backend/commands.go
+++ b/internal/backend/commands.go
@@ -22,9 +22,9 @@
 	p.results.AttemptEnded(a, policy.Unreachable, policy.InstanceUnknown, nil, nil)
 }
 
-// WithdrawQueued takes back an attempt that waits for a dial. It returns false if the attempt has been
+// CancelUnsent takes back an attempt that waits for a dial. It returns false if the attempt has been
 // written or has ended.
-func (p *Pool) WithdrawQueued(a router.AttemptID) bool {
+func (p *Pool) CancelUnsent(a router.AttemptID) bool {
 	call := p.attempts[a]
 	if call == nil || call.written {
 		return false
@@ -39,7 +39,7 @@
 // allow it.
 func (p *Pool) CancelAttempt(_ policy.WorkerID, a router.AttemptID) {
 	call := p.attempts[a]
-	if call == nil || p.WithdrawQueued(a) {
+	if call == nil || p.CancelUnsent(a) {
 		return
 	}
 	delete(p.attempts, a)
@@ -51,13 +51,13 @@
 
 // LoadInstance commands a worker to have count instances of a function loaded; a count of 0 only asks for the
 // number of loaded ones.
-func (p *Pool) LoadInstance(id policy.WorkerID, f policy.FunctionID, count int, tag uint64) {
-	p.sendControl(id, newLoadCommandCall(tag, f, count), count > 0)
+func (p *Pool) LoadInstance(id policy.WorkerID, f policy.FunctionID, count int, control router.ControlID) {
+	p.sendControl(id, newLoadCommandCall(control, f, count), count > 0)
 }
 
 // CheckHealth asks a worker for a sign of health and for its load report.
-func (p *Pool) CheckHealth(id policy.WorkerID, tag uint64) {
-	p.sendControl(id, newHealthCheckCall(tag), false)
+func (p *Pool) CheckHealth(id policy.WorkerID, control router.ControlID) {
+	p.sendControl(id, newHealthCheckCall(control), false)
 }
 
 // sendControl sends a load command or a health check. One that needs a ready worker ends as Unreachable at any other.
@@ -72,14 +72,14 @@
 	p.endUnanswered(call, policy.Unreachable)
 }
 
-// AbandonControl drops the load command and the health check with this tag; no result follows.
-func (p *Pool) AbandonControl(id policy.WorkerID, tag uint64) {
+// CancelControl drops the load command and the health check with this id; no result follows.
+func (p *Pool) CancelControl(id policy.WorkerID, control router.ControlID) {
 	w := p.workers[id]
 	if w == nil {
 		return
 	}
 	for _, c := range w.connections {
-		for _, token := range []string{loadCommandToken(tag), healthCheckToken(tag)} {
+		for _, token := range []string{loadCommandToken(control), healthCheckToken(control)} {
 			if call := c.pending[token]; call != nil {
 				c.dequeue(call)
 				c.release(call)
@@ -110,12 +110,12 @@
 		delete(p.attempts, call.attempt)
 		p.results.AttemptEnded(call.attempt, outcome, policy.InstanceUnknown, nil, nil)
 	case loadCommandCall:
-		p.results.LoadCommandEnded(call.tag, outcome, 0)
+		p.results.LoadCommandEnded(call.control, outcome, 0)
 	case healthCheckCall:
 		if outcome == policy.NotSent { // it is no sign of life either
 			outcome = policy.Unreachable
 		}
-		p.results.HealthCheckEnded(call.tag, outcome, nil)
+		p.results.HealthCheckEnded(call.control, outcome, nil)
 	case keepAliveCall: // nobody outside this package knows of it
 	}
 }
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -216,7 +216,7 @@
 // resendHealthCheck sends a health check over another connection. A broken connection says nothing of its worker, which
 // others may well be using. A worker that died refuses a new one, and a healthy one answers on it.
 func (c *connection) resendHealthCheck(call *pendingCall) {
-	again := newHealthCheckCall(call.tag)
+	again := newHealthCheckCall(call.control)
 	again.resends = call.resends + 1
 	c.pool.sendControl(c.worker.id, again, false)
 }
--- a/internal/backend/endings_test.go
+++ b/internal/backend/endings_test.go
@@ -42,7 +42,7 @@
 // Guards healthy workers against connections that break under a health check: it goes over another one, so
 // that only a worker that refuses, or breaks them all, counts as having failed it.
 func TestHealthCheckOutlivesItsConnection(t *testing.T) {
-	const tag = 7
+	const control = 7
 	for _, test := range []struct {
 		name   string
 		resets int
@@ -63,16 +63,16 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := newTestPool()
-			p.CheckHealth(workerID, tag)
+			p.CheckHealth(workerID, control)
 			for i := range test.resets {
 				p.transports[i].handler.OnOpen(nil)
 				p.transports[i].handler.OnClose(errors.New("reset"))
-				if ended := p.results.controls[tag]; len(ended) != 0 || len(p.transports) != i+2 {
+				if ended := p.results.controls[control]; len(ended) != 0 || len(p.transports) != i+2 {
 					t.Fatalf("ended %v on %d connections", ended, len(p.transports))
 				}
 			}
 			test.last(p.transports[test.resets])
-			ended := p.results.controls[tag]
+			ended := p.results.controls[control]
 			if len(ended) != 1 || ended[0] != test.want || len(p.transports) != test.resets+1 {
 				t.Errorf("ended %v on %d connections", ended, len(p.transports))
 			}
@@ -105,7 +105,7 @@
 	p.UpdateEndpoint(w, workerAddress, policy.Ready, 0)
 	a := attemptID(number)
 	p.StartAttempt(w, a, testRequest(hexID(number)), time.Second)
-	p.LoadInstance(w, 7, 1, uint64(number))
+	p.LoadInstance(w, 7, 1, router.ControlID(number))
 	transport := p.last()
 	transport.handler.OnOpen(nil)
 	if number%2 == 0 {
@@ -113,7 +113,7 @@
 	} else {
 		p.CancelAttempt(w, a)
 	}
-	p.AbandonControl(w, uint64(number))
+	p.CancelControl(w, router.ControlID(number))
 	p.RetainEndpoints(nil)
 }
 
@@ -147,7 +147,7 @@
 	p.cfg.AllowCancel = allowed
 	sent, queued := attemptID(1), attemptID(2)
 	transport := p.startOpen(sent, hexID(0xa1))
-	if p.WithdrawQueued(sent) {
+	if p.CancelUnsent(sent) {
 		t.Error("an attempt that was written was withdrawn")
 	}
 	p.CancelAttempt(workerID, sent)
@@ -157,10 +157,10 @@
 	p.UpdateEndpoint(workerID, "127.0.0.1:2", policy.Ready, 0) // the next attempt waits for a dial
 	p.start(queued, hexID(0xa2))
 	second := p.transports[1]
-	if !p.WithdrawQueued(queued) {
+	if !p.CancelUnsent(queued) {
 		t.Error("an attempt that waits was not withdrawn")
 	}
-	if p.WithdrawQueued(queued) {
+	if p.CancelUnsent(queued) {
 		t.Error("an attempt was withdrawn twice")
 	}
 	second.handler.OnOpen(nil)
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -43,7 +43,7 @@
 type resultRecorder struct {
 	attempts map[router.AttemptID][]policy.Outcome
 	bodies   map[router.AttemptID]string
-	controls map[uint64][]policy.Outcome // load commands and health checks, by tag
+	controls map[router.ControlID][]policy.Outcome // load commands and health checks, by id
 }
 
 func (r *resultRecorder) AttemptEnded(a router.AttemptID, o policy.Outcome, _ policy.InstanceStatus,
@@ -52,12 +52,12 @@
 	r.bodies[a] = string(body)
 }
 
-func (r *resultRecorder) LoadCommandEnded(tag uint64, o policy.Outcome, _ int) {
-	r.controls[tag] = append(r.controls[tag], o)
+func (r *resultRecorder) LoadCommandEnded(control router.ControlID, o policy.Outcome, _ int) {
+	r.controls[control] = append(r.controls[control], o)
 }
 
-func (r *resultRecorder) HealthCheckEnded(tag uint64, o policy.Outcome, _ []float64) {
-	r.controls[tag] = append(r.controls[tag], o)
+func (r *resultRecorder) HealthCheckEnded(control router.ControlID, o policy.Outcome, _ []float64) {
+	r.controls[control] = append(r.controls[control], o)
 }
 
 // testPool is a Pool with one ready worker whose transports are fakes, in the order of their dials.
@@ -71,7 +71,7 @@
 	p := &testPool{results: &resultRecorder{
 		attempts: map[router.AttemptID][]policy.Outcome{},
 		bodies:   map[router.AttemptID]string{},
-		controls: map[uint64][]policy.Outcome{},
+		controls: map[router.ControlID][]policy.Outcome{},
 	}}
 	p.Pool = New(Config{
 		Classes:                 []string{"dim-level"},
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -28,8 +28,8 @@
 // is the handler's to keep. A nil report means that the worker sent no complete load report.
 type ResultHandler interface {
 	AttemptEnded(a router.AttemptID, outcome policy.Outcome, status policy.InstanceStatus, body []byte, report []float64)
-	LoadCommandEnded(tag uint64, outcome policy.Outcome, count int)
-	HealthCheckEnded(tag uint64, outcome policy.Outcome, report []float64)
+	LoadCommandEnded(control router.ControlID, outcome policy.Outcome, count int)
+	HealthCheckEnded(control router.ControlID, outcome policy.Outcome, report []float64)
 }
 
 // Transport is a byte stream to a worker; an eventloop.Conn is one.
--- a/internal/frontend/thrift/connection.go
+++ b/internal/frontend/thrift/connection.go
@@ -225,7 +225,7 @@
 	request.ClientAddr = c.clientAddr
 	server := c.server
 	if len(c.openCalls) >= maxOpenCalls {
-		server.router.Reject(server.clock(), request)
+		server.router.RefuseAtOnce(server.clock(), request)
 		return
 	}
 	request.Body = bytes.Clone(body) // so that a large read is not kept in memory for one small body in it
--- a/internal/frontend/thrift/harness_test.go
+++ b/internal/frontend/thrift/harness_test.go
@@ -42,7 +42,7 @@
 	return policy.RequestID(len(f.submitted))
 }
 
-func (f *fakeRouter) Reject(_ time.Duration, r router.Request) {
+func (f *fakeRouter) RefuseAtOnce(_ time.Duration, r router.Request) {
 	f.rejected++
 	r.Responder.Respond(router.Response{Status: router.Refused})
 }
--- a/internal/frontend/thrift/server.go
+++ b/internal/frontend/thrift/server.go
@@ -19,8 +19,8 @@
 type RequestRouter interface {
 	// Submit routes a request and returns its ID. The request's Responder may be called before Submit returns.
 	Submit(now time.Duration, r router.Request) policy.RequestID
-	// Reject refuses a request without routing it. Its Responder is called before Reject returns.
-	Reject(now time.Duration, r router.Request)
+	// RefuseAtOnce refuses a request without routing it. Its Responder is called before RefuseAtOnce returns.
+	RefuseAtOnce(now time.Duration, r router.Request)
 	// Cancel gives up a request whose client no longer waits for the response.
 	Cancel(now time.Duration, id policy.RequestID, cause router.CancelCause)
 	// Disconnect gives up a request whose client sends nothing more. Its Responder is called before Disconnect returns.
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -101,7 +101,7 @@
 		return
 	}
 	body, err := json.Marshal(noticePayload{
-		Type:      "repair-order." + outcome.String(),
+		Type:      noticeType(outcome),
 		Timestamp: s.wallClock().UTC(),
 		Data:      noticeData{ID: r.ID, WebhookID: r.ClientReference, Key: r.FunctionKey},
 	})
@@ -113,6 +113,15 @@
 	s.queue = append(s.queue, &notice{id: newMessageID(), body: body, notBefore: s.now})
 }
 
+// noticeType returns the type of a notice of an outcome. The types are part of the wire: receivers compare them.
+func noticeType(outcome router.RequestOutcome) string {
+	const prefix = "repair-order."
+	if outcome == router.RequestCancelled {
+		return prefix + "abandoned"
+	}
+	return prefix + outcome.String()
+}
+
 // newMessageID returns a webhook-id.
 func newMessageID() string {
 	var b [16]byte
--- a/internal/frontend/webhook/sender_test.go
+++ b/internal/frontend/webhook/sender_test.go
@@ -13,6 +13,20 @@
 	"functionrouter/internal/router"
 )
 
+// Guards the receivers of notices: the types are part of the wire, whatever the code calls an outcome.
+func TestNoticeTypes(t *testing.T) {
+	for outcome, want := range map[router.RequestOutcome]string{
+		router.RequestServed:    "repair-order.served",
+		router.RequestRefused:   "repair-order.refused",
+		router.RequestFailed:    "repair-order.failed",
+		router.RequestCancelled: "repair-order.abandoned",
+	} {
+		if got := noticeType(outcome); got != want {
+			t.Errorf("notice of %v: %q, want %q", outcome, got, want)
+		}
+	}
+}
+
 // fakeDialer keeps the connections that a sender opens.
 type fakeDialer struct {
 	connections []*fakeConnection
--- a/internal/frontend/webhook/testserver_test.go
+++ b/internal/frontend/webhook/testserver_test.go
@@ -45,19 +45,19 @@
 	w.router.AttemptEnded(a, outcome, policy.InstanceWarm, []byte("done "+body), nil)
 }
 
-func (w *fakeWorkers) WithdrawQueued(router.AttemptID) bool { return false }
+func (w *fakeWorkers) CancelUnsent(router.AttemptID) bool { return false }
 
 func (w *fakeWorkers) CancelAttempt(policy.WorkerID, router.AttemptID) {}
 
-func (w *fakeWorkers) LoadInstance(_ policy.WorkerID, _ policy.FunctionID, _ int, tag uint64) {
-	w.router.LoadCommandEnded(tag, policy.Served, 1)
+func (w *fakeWorkers) LoadInstance(_ policy.WorkerID, _ policy.FunctionID, _ int, control router.ControlID) {
+	w.router.LoadCommandEnded(control, policy.Served, 1)
 }
 
-func (w *fakeWorkers) CheckHealth(_ policy.WorkerID, tag uint64) {
-	w.router.HealthCheckEnded(tag, policy.Served, nil)
+func (w *fakeWorkers) CheckHealth(_ policy.WorkerID, control router.ControlID) {
+	w.router.HealthCheckEnded(control, policy.Served, nil)
 }
 
-func (w *fakeWorkers) AbandonControl(policy.WorkerID, uint64) {}
+func (w *fakeWorkers) CancelControl(policy.WorkerID, router.ControlID) {}
 
 func (w *fakeWorkers) UnloadInstance(policy.WorkerID, policy.FunctionID) {}
 
@@ -66,8 +66,11 @@
 // isLostOrder reports whether the fake workers lose the connection over this order.
 func isLostOrder(body string) bool { return strings.HasSuffix(body, "7") }
 
+// requestEndHandler is what a router.Config's OnRequestEnd is.
+type requestEndHandler = func(now time.Duration, req *router.Request, outcome router.RequestOutcome)
+
 // newTestRouter returns a router over two fake workers.
-func newTestRouter(t *testing.T, runs map[string]int) *fakeWorkers {
+func newTestRouter(t *testing.T, runs map[string]int, onRequestEnd requestEndHandler) *fakeWorkers {
 	t.Helper()
 	decisions, err := policy.New(policy.Config{
 		RouterCount:       1,
@@ -88,8 +91,13 @@
 		t.Fatal(err)
 	}
 	limits := router.Limits{MaxOpenRequests: 100, MaxBodyBytes: 1 << 20, MaxAttempts: 3, HealthCheckTimeout: time.Second}
-	workers := &fakeWorkers{router: router.New(decisions, limits), runs: runs}
-	workers.router.SetWorkerPool(workers)
+	workers := &fakeWorkers{runs: runs}
+	workers.router = router.New(router.Config{
+		Policy:        decisions,
+		Limits:        limits,
+		NewWorkerPool: func(*router.Router) router.WorkerPool { return workers },
+		OnRequestEnd:  onRequestEnd,
+	})
 	workers.router.UpdateEndpoints(policy.EndpointUpdate{Kind: policy.FullUpdate, Endpoints: []policy.Endpoint{
 		{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
 	return workers
@@ -100,10 +108,14 @@
 func startServer(t *testing.T, ledgerPath, noticeAddress string, runs map[string]int) *testServer {
 	t.Helper()
 	s := &testServer{
-		fakeWorkers: newTestRouter(t, runs),
-		loop:        eventloop.New(eventloop.Config{MaxAcceptedConnections: 50}),
-		loopDone:    make(chan struct{}),
+		loop:     eventloop.New(eventloop.Config{MaxAcceptedConnections: 50}),
+		loopDone: make(chan struct{}),
 	}
+	s.fakeWorkers = newTestRouter(t, runs, func(now time.Duration, req *router.Request, outcome router.RequestOutcome) {
+		if noticeAddress != "" {
+			s.sender.Notify(now, req, outcome)
+		}
+	})
 	var err error
 	s.receiver, err = NewReceiver(testConfig(t, ledgerPath), s.router, testClasses, testReplayBytes, s.loop.Now, noonClock, s.loop.Post)
 	if err != nil {
@@ -121,9 +133,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if noticeAddress != "" {
-		s.router.OnRequestEnd = s.sender.Notify
-	}
 	s.loop.Listen("127.0.0.1:0", s.receiver.Accept)
 	if err := s.loop.Start(); err != nil {
 		t.Fatal(err)
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -55,11 +55,11 @@
 	}
 }
 
-// withdrawQueuedAttempts ends the attempts of a closed request of which nothing has been sent.
-func (r *Router) withdrawQueuedAttempts(request policy.RequestID, p *pendingRequest) {
+// cancelUnsentAttempts ends the attempts of a closed request of which nothing has been sent.
+func (r *Router) cancelUnsentAttempts(request policy.RequestID, p *pendingRequest) {
 	for n := range p.attempts {
 		id := AttemptID{Request: request, Number: n}
-		if !p.attempts[n].ended && r.workers.WithdrawQueued(id) {
+		if !p.attempts[n].ended && r.workers.CancelUnsent(id) {
 			r.AttemptEnded(id, policy.NotSent, policy.InstanceUnknown, nil, nil)
 		}
 	}
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -7,7 +7,7 @@
 	"functionrouter/policy"
 )
 
-// controlKind is the kind of a control request, which a worker answers without running a function.
+// controlKind is the kind of a control call, which a worker answers without running a function.
 type controlKind uint8
 
 const (
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("controlKind(%d)", uint8(k))
 }
 
-// pendingControl is a control request that awaits its answer.
+// pendingControl is a control call that awaits its answer.
 type pendingControl struct {
 	kind     controlKind
 	worker   policy.WorkerID
@@ -34,70 +34,70 @@
 	sentAt   time.Duration
 }
 
-// controlTable holds the pending control requests by tag.
+// controlTable holds the pending control calls by id.
 type controlTable struct {
-	byTag   map[uint64]pendingControl
-	lastTag uint64
+	byID   map[ControlID]pendingControl
+	lastID ControlID
 }
 
-func newControlTable() controlTable { return controlTable{byTag: map[uint64]pendingControl{}} }
+func newControlTable() controlTable { return controlTable{byID: map[ControlID]pendingControl{}} }
 
-// add stores c under a new tag.
-func (t *controlTable) add(c pendingControl) (tag uint64) {
-	t.lastTag++
-	t.byTag[t.lastTag] = c
-	return t.lastTag
+// add stores c under a new id.
+func (t *controlTable) add(c pendingControl) ControlID {
+	t.lastID++
+	t.byID[t.lastID] = c
+	return t.lastID
 }
 
-// remove takes out the control request with the tag if there is one of this kind.
-func (t *controlTable) remove(tag uint64, kind controlKind) (c pendingControl, ok bool) {
-	if c, ok = t.byTag[tag]; !ok || c.kind != kind {
+// remove takes out the control call with the id if there is one of this kind.
+func (t *controlTable) remove(id ControlID, kind controlKind) (c pendingControl, ok bool) {
+	if c, ok = t.byID[id]; !ok || c.kind != kind {
 		return pendingControl{}, false
 	}
-	delete(t.byTag, tag)
+	delete(t.byID, id)
 	return c, true
 }
 
 func (r *Router) sendLoadCommand(a policy.LoadInstance) {
 	r.Counters.LoadCommands++
 	command := pendingControl{kind: loadCommand, worker: a.Worker, function: a.Function}
-	tag := r.awaitControl(command, r.limits.LoadCommandTimeout)
-	r.workers.LoadInstance(a.Worker, a.Function, a.Instances, tag)
+	control := r.awaitControl(command, r.limits.LoadCommandTimeout)
+	r.workers.LoadInstance(a.Worker, a.Function, a.Instances, control)
 }
 
 func (r *Router) sendHealthCheck(a policy.CheckHealth) {
 	r.Counters.HealthChecks++
-	tag := r.awaitControl(pendingControl{kind: healthCheck, worker: a.Worker}, r.limits.HealthCheckTimeout)
-	r.workers.CheckHealth(a.Worker, tag)
+	control := r.awaitControl(pendingControl{kind: healthCheck, worker: a.Worker}, r.limits.HealthCheckTimeout)
+	r.workers.CheckHealth(a.Worker, control)
 }
 
-// awaitControl stores a control request that is about to be sent, and sets its timeout.
-func (r *Router) awaitControl(c pendingControl, timeout time.Duration) (tag uint64) {
+// awaitControl stores a control call that is about to be sent, and sets its timeout.
+func (r *Router) awaitControl(c pendingControl, timeout time.Duration) ControlID {
 	c.sentAt = r.now
-	tag = r.controls.add(c)
-	r.timers.schedule(r.now+timeout, timer{kind: controlTimeout, token: tag})
-	return tag
+	control := r.controls.add(c)
+	r.timers.schedule(r.now+timeout, timer{kind: controlTimeout, control: control})
+	return control
 }
 
-// timeOutControl ends a control request that is still unanswered.
-func (r *Router) timeOutControl(tag uint64) {
-	c, ok := r.controls.byTag[tag]
+// timeOutControl ends a control call that is still unanswered.
+func (r *Router) timeOutControl(control ControlID) {
+	c, ok := r.controls.byID[control]
 	if !ok {
 		return
 	}
-	r.workers.AbandonControl(c.worker, tag)
+	r.workers.CancelControl(c.worker, control)
 	switch c.kind {
 	case loadCommand:
-		r.LoadCommandEnded(tag, policy.TimedOut, 0)
+		r.LoadCommandEnded(control, policy.TimedOut, 0)
 	case healthCheck:
-		r.HealthCheckEnded(tag, policy.TimedOut, nil)
+		r.HealthCheckEnded(control, policy.TimedOut, nil)
 	}
 }
 
 // LoadCommandEnded reports how a load command ended, and how many instances the worker has loaded. A report of a
 // command that has ended already is ignored.
-func (r *Router) LoadCommandEnded(tag uint64, outcome policy.Outcome, instances int) {
-	command, ok := r.controls.remove(tag, loadCommand)
+func (r *Router) LoadCommandEnded(control ControlID, outcome policy.Outcome, instances int) {
+	command, ok := r.controls.remove(control, loadCommand)
 	if !ok {
 		return
 	}
@@ -111,10 +111,10 @@
 	})
 }
 
-// HealthCheckEnded reports how a health check ended, with the worker's load report where it gave one. A report of a health check that
-// has ended already is ignored.
-func (r *Router) HealthCheckEnded(tag uint64, outcome policy.Outcome, loadReport []float64) {
-	check, ok := r.controls.remove(tag, healthCheck)
+// HealthCheckEnded reports how a health check ended, with the worker's load report where it gave one. A report of a
+// check that has ended already is ignored.
+func (r *Router) HealthCheckEnded(control ControlID, outcome policy.Outcome, loadReport []float64) {
+	check, ok := r.controls.remove(control, healthCheck)
 	if !ok {
 		return
 	}
--- a/internal/router/control_test.go
+++ b/internal/router/control_test.go
@@ -26,14 +26,14 @@
 	}
 }
 
-// Guards the tags: the answer to a load command does not end a health check, nor the reverse.
+// Guards the ids: the answer to a load command does not end a health check, nor the reverse.
 func TestControlAnswerOfTheOtherKindIsIgnored(t *testing.T) {
 	r, _ := newTestRouter(t, 1)
 	check := r.controls.add(pendingControl{kind: healthCheck, worker: 1})
 	command := r.controls.add(pendingControl{kind: loadCommand, worker: 1})
 	r.LoadCommandEnded(check, policy.Served, 1)
 	r.HealthCheckEnded(command, policy.Served, nil)
-	if len(r.controls.byTag) != 2 || !r.events.empty() {
-		t.Errorf("%d control requests pending, want 2; events %v", len(r.controls.byTag), r.events.pending)
+	if len(r.controls.byID) != 2 || !r.events.empty() {
+		t.Errorf("%d control requests pending, want 2; events %v", len(r.controls.byID), r.events.pending)
 	}
 }
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -10,11 +10,11 @@
 	// Requests, by frontend. Each one that was received is counted once more when it ends, in one of the others.
 	Received           [frontendCount]uint64
 	Served             [frontendCount]uint64
-	Refused            [frontendCount]uint64 // by the policy, or at the deadline
+	Refused            [frontendCount]uint64 // by the policy, or at the deadline; not RefusedAtOnce
 	Failed             [frontendCount]uint64
 	ClientCancelled    [frontendCount]uint64
 	ClientDisconnected [frontendCount]uint64 // those of ClientCancelled whose connection ended
-	Rejected           [frontendCount]uint64 // refused for want of room, unseen by the policy
+	RefusedAtOnce      [frontendCount]uint64 // no room, or a shutdown; not in Refused, since the policy did not see them
 
 	// Messages to workers.
 	AttemptsSent uint64
@@ -30,8 +30,8 @@
 	// Overdue counts requests that the policy had not ended by their deadlines. It stays 0 unless the policy is
 	// at fault or the machine stalled.
 	Overdue uint64
-	// GivenUp counts requests that the policy refused or failed, by reason.
-	GivenUp [policy.GiveUpReasonCount]uint64
+	// UnservedByReason counts requests that the policy refused or failed, by reason.
+	UnservedByReason [policy.UnservedReasonCount]uint64
 }
 
 // countResponse counts the final answer to a request that was open.
--- a/internal/router/deadline.go
+++ b/internal/router/deadline.go
@@ -22,8 +22,8 @@
 	return wait - min(answerMargin, wait/answerMarginDivisor)
 }
 
-// deadlineTolerance is how close before its deadline a request that is given up counts as out of time. The policy
-// gives up two of its ticks before the deadline, 8 ms with this deployment's settings, to be sure that its answer
+// deadlineTolerance is how close before its deadline a request that ends unserved counts as out of time. The policy
+// ends it two of its ticks before the deadline, 8 ms with this deployment's settings, to be sure that its answer
 // is not late. An answer that early still means that the time ran out.
 const deadlineTolerance = 10 * time.Millisecond
 
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -105,8 +105,8 @@
 	if resp.Status != Failed || !resp.DeadlineExceeded || !resp.MayHaveRun || r.Counters.Overdue != 0 {
 		t.Errorf("answer %+v, %d overdue", resp, r.Counters.Overdue)
 	}
-	if r.Counters.GivenUp[policy.DeadlineExceeded] != 1 {
-		t.Errorf("given up: %v", r.Counters.GivenUp)
+	if r.Counters.UnservedByReason[policy.DeadlineExceeded] != 1 {
+		t.Errorf("given up: %v", r.Counters.UnservedByReason)
 	}
 }
 
--- a/internal/router/end_log.go
+++ b/internal/router/end_log.go
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("CancelCause(%d)", uint8(c))
 }
 
-// Causes of an end that are neither a CancelCause nor a policy.GiveUpReason.
+// Causes of an end that are neither a CancelCause nor a policy.UnservedReason.
 const overdueCause = "deadline_guard"
 
 // endLog logs requests that ended in a way that deserves a look: failed, ended by the deadline guard, or cancelled by
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -30,21 +30,19 @@
 	openAttempts map[AttemptID]policy.WorkerID
 	queued       map[AttemptID]bool // attempts of which nothing has been sent
 	sent         map[policy.RequestID][]AttemptID
-	loadCommands map[uint64]bool // by tag
-	healthChecks map[uint64]bool // by tag
+	loadCommands map[ControlID]bool
+	healthChecks map[ControlID]bool
 }
 
 func newFakeWorkerPool(r *Router) *fakeWorkerPool {
-	w := &fakeWorkerPool{
+	return &fakeWorkerPool{
 		router:       r,
 		openAttempts: map[AttemptID]policy.WorkerID{},
 		queued:       map[AttemptID]bool{},
 		sent:         map[policy.RequestID][]AttemptID{},
-		loadCommands: map[uint64]bool{},
-		healthChecks: map[uint64]bool{},
+		loadCommands: map[ControlID]bool{},
+		healthChecks: map[ControlID]bool{},
 	}
-	r.SetWorkerPool(w)
-	return w
 }
 
 // StartAttempt panics if the budget is none or exceeds the request's deadline.
@@ -56,7 +54,7 @@
 	w.sent[id.Request] = append(w.sent[id.Request], id)
 }
 
-func (w *fakeWorkerPool) WithdrawQueued(id AttemptID) bool {
+func (w *fakeWorkerPool) CancelUnsent(id AttemptID) bool {
 	if !w.queued[id] {
 		return false
 	}
@@ -67,15 +65,17 @@
 
 func (w *fakeWorkerPool) CancelAttempt(_ policy.WorkerID, id AttemptID) { delete(w.openAttempts, id) }
 
-func (w *fakeWorkerPool) LoadInstance(_ policy.WorkerID, _ policy.FunctionID, _ int, tag uint64) {
-	w.loadCommands[tag] = true
+func (w *fakeWorkerPool) LoadInstance(_ policy.WorkerID, _ policy.FunctionID, _ int, control ControlID) {
+	w.loadCommands[control] = true
 }
 
-func (w *fakeWorkerPool) CheckHealth(_ policy.WorkerID, tag uint64) { w.healthChecks[tag] = true }
+func (w *fakeWorkerPool) CheckHealth(_ policy.WorkerID, control ControlID) {
+	w.healthChecks[control] = true
+}
 
-func (w *fakeWorkerPool) AbandonControl(_ policy.WorkerID, tag uint64) {
-	delete(w.loadCommands, tag)
-	delete(w.healthChecks, tag)
+func (w *fakeWorkerPool) CancelControl(_ policy.WorkerID, control ControlID) {
+	delete(w.loadCommands, control)
+	delete(w.healthChecks, control)
 }
 
 func (w *fakeWorkerPool) UnloadInstance(policy.WorkerID, policy.FunctionID) {}
@@ -123,9 +123,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := New(p, Limits{MaxOpenRequests: 50, MaxBodyBytes: 1 << 16, MaxAttempts: 3, RetryAfter: 100 * ms, LoadCommandTimeout: 10 * time.Second,
-		HealthCheckTimeout: 250 * ms})
-	return r, newFakeWorkerPool(r)
+	return newRouterOverFakePool(p, Limits{
+		MaxOpenRequests:    50,
+		MaxBodyBytes:       1 << 16,
+		MaxAttempts:        3,
+		RetryAfter:         100 * ms,
+		LoadCommandTimeout: 10 * time.Second,
+		HealthCheckTimeout: 250 * ms,
+	})
+}
+
+// newRouterOverFakePool returns a router whose attempts and control calls the test ends.
+func newRouterOverFakePool(p *policy.Policy, limits Limits) (*Router, *fakeWorkerPool) {
+	var workers *fakeWorkerPool
+	r := New(Config{Policy: p, Limits: limits, NewWorkerPool: func(r *Router) WorkerPool {
+		workers = newFakeWorkerPool(r)
+		return workers
+	}})
+	return r, workers
 }
 
 // addReadyWorkers gives the router a list of count workers that are ready, numbered from 1.
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -10,10 +10,10 @@
 // Submit returns.
 func (r *Router) Submit(now time.Duration, req Request) policy.RequestID {
 	r.SetNow(now)
-	if r.Draining || r.requests.open >= r.limits.MaxOpenRequests ||
+	if r.admissionStopped || r.requests.open >= r.limits.MaxOpenRequests ||
 		r.requests.bodyBytes+len(req.Body) > r.limits.MaxBodyBytes {
 		// This bounds the memory, and lets a shutdown end although clients go on sending.
-		r.Reject(now, req)
+		r.RefuseAtOnce(now, req)
 		return 0
 	}
 	r.Counters.Received[req.Frontend]++
@@ -41,11 +41,11 @@
 	return id
 }
 
-// Reject refuses a request for want of room. The policy does not learn of it.
-func (r *Router) Reject(now time.Duration, req Request) {
+// RefuseAtOnce refuses a request that the limits or a shutdown leave no room for. The policy does not learn of it.
+func (r *Router) RefuseAtOnce(now time.Duration, req Request) {
 	r.SetNow(now)
 	r.Counters.Received[req.Frontend]++
-	r.Counters.Rejected[req.Frontend]++
+	r.Counters.RefusedAtOnce[req.Frontend]++
 	r.respondAtOnce(req, Response{Status: Refused, RetryAfter: r.limits.RetryAfter})
 }
 
@@ -66,9 +66,9 @@
 	r.Counters.ClientCancelled[p.Frontend]++
 	if cause == ClientDisconnected {
 		r.Counters.ClientDisconnected[p.Frontend]++
-		r.endLog.record(r.now, p, RequestAbandoned, cause.String())
+		r.endLog.record(r.now, p, RequestCancelled, cause.String())
 	}
-	r.close(id, p, RequestAbandoned)
+	r.close(id, p, RequestCancelled)
 	r.events.add(policy.ClientCancelled{Request: id})
 }
 
@@ -88,13 +88,13 @@
 	r.Cancel(now, id, ClientDisconnected)
 }
 
-// giveUp answers a request that the policy gave up, if it is still open.
-func (r *Router) giveUp(id policy.RequestID, reason policy.GiveUpReason, resp Response) {
+// endUnserved answers a request that the policy refused or failed, if it is still open.
+func (r *Router) endUnserved(id policy.RequestID, reason policy.UnservedReason, resp Response) {
 	p := r.requests.findOpen(id)
 	if p == nil {
 		return
 	}
-	r.Counters.GivenUp[reason]++
+	r.Counters.UnservedByReason[reason]++
 	if resp.Status == Failed {
 		r.endLog.record(r.now, p, RequestFailed, reason.String())
 	}
@@ -116,17 +116,17 @@
 }
 
 // close marks a request as ended. Attempts that are still on their way to a worker go on until they end or are
-// cancelled; those of which nothing has been sent are withdrawn.
+// cancelled; those of which nothing has been sent are cancelled here.
 func (r *Router) close(id policy.RequestID, p *pendingRequest, outcome RequestOutcome) {
 	p.closed = true
-	r.withdrawQueuedAttempts(id, p)
+	r.cancelUnsentAttempts(id, p)
 	r.reportEnd(&p.Request, outcome)
 	r.requests.release(p)
 	r.requests.removeIfDone(id, p)
 }
 
 func (r *Router) reportEnd(req *Request, outcome RequestOutcome) {
-	if r.OnRequestEnd != nil {
-		r.OnRequestEnd(r.now, req, outcome)
+	if r.onRequestEnd != nil {
+		r.onRequestEnd(r.now, req, outcome)
 	}
 }
--- a/internal/router/lifecycle_test.go
+++ b/internal/router/lifecycle_test.go
@@ -12,7 +12,7 @@
 func TestDrainingRouterRefusesNewRequests(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
-	r.Draining = true
+	r.StopAdmitting()
 	_, responder := submit(r, notIdempotentClass)
 	r.Process(testStart)
 	if resp := responder.only(t); resp.Status != Refused || resp.MayHaveRun {
@@ -68,8 +68,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := New(p, Limits{MaxOpenRequests: 50, MaxBodyBytes: 1 << 16})
-			workers := newFakeWorkerPool(r)
+			r, workers := newRouterOverFakePool(p, Limits{MaxOpenRequests: 50, MaxBodyBytes: 1 << 16})
 			addReadyWorkers(r, 1)
 			for n := range 5 {
 				r.Submit(testStart, Request{Responder: &recordingResponder{}, ID: fmt.Sprint(n), Tenant: tenant,
@@ -100,12 +99,12 @@
 		{RequestServed, serve},
 		{RequestRefused, refuse},
 		{RequestFailed, reset},
-		{RequestAbandoned, cancel},
+		{RequestCancelled, cancel},
 	} {
 		t.Run(test.want.String(), func(t *testing.T) {
 			r, workers := newTestRouter(t, 1)
 			var got []RequestOutcome
-			r.OnRequestEnd = func(_ time.Duration, _ *Request, o RequestOutcome) { got = append(got, o) }
+			r.onRequestEnd = func(_ time.Duration, _ *Request, o RequestOutcome) { got = append(got, o) }
 			addReadyWorkers(r, 1)
 			id, _ := submit(r, notIdempotentClass)
 			r.Process(testStart)
@@ -143,7 +142,7 @@
 			if first == 0 || second == 0 || rejected != 0 {
 				t.Fatalf("requests got the ids %d, %d and %d, want the third one rejected", first, second, rejected)
 			}
-			if resp := responder.only(t); resp.Status != Refused || resp.RetryAfter != 50*ms || r.Counters.Rejected[Thrift] != 1 {
+			if resp := responder.only(t); resp.Status != Refused || resp.RetryAfter != 50*ms || r.Counters.RefusedAtOnce[Thrift] != 1 {
 				t.Errorf("answer %+v, counters %+v", resp, r.Counters)
 			}
 			r.Cancel(testStart, first, ClientInterrupted)
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -38,7 +38,7 @@
 	now       time.Duration
 	submitted int
 	requests  map[policy.RequestID]*requestModel
-	ends      map[string]int // calls of OnRequestEnd, by Request.ID
+	ends      map[string]int // calls of Config.OnRequestEnd, by Request.ID
 }
 
 // requestModel is what is known of a request that the router accepted.
@@ -55,7 +55,7 @@
 func newRouterModel(t *rapid.T) *routerModel {
 	m := &routerModel{now: testStart, requests: map[policy.RequestID]*requestModel{}, ends: map[string]int{}}
 	m.router, m.workers = newTestRouter(t, rapid.Uint64().Draw(t, "seed"))
-	m.router.OnRequestEnd = func(_ time.Duration, req *Request, _ RequestOutcome) { m.ends[req.ID]++ }
+	m.router.onRequestEnd = func(_ time.Duration, req *Request, _ RequestOutcome) { m.ends[req.ID]++ }
 	return m
 }
 
@@ -82,7 +82,7 @@
 		m.requests[id] = req
 		return
 	}
-	// Rejected for want of room.
+	// Refused at once for want of room.
 	if len(req.responder.responses) != 1 || req.responder.responses[0].Status != Refused {
 		t.Fatal("a request was rejected without a refusal")
 	}
@@ -109,19 +109,19 @@
 }
 
 func (m *routerModel) endLoadCommand(t *rapid.T) {
-	tag, ok := drawKey(t, m.workers.loadCommands)
+	control, ok := drawKey(t, m.workers.loadCommands)
 	if !ok {
 		return
 	}
-	delete(m.workers.loadCommands, tag)
+	delete(m.workers.loadCommands, control)
 	outcomes := []policy.Outcome{policy.Served, policy.WorkerOverloaded, policy.Errored}
-	m.router.LoadCommandEnded(tag, rapid.SampledFrom(outcomes).Draw(t, "outcome"), 1)
+	m.router.LoadCommandEnded(control, rapid.SampledFrom(outcomes).Draw(t, "outcome"), 1)
 }
 
 func (m *routerModel) endHealthCheck(t *rapid.T) {
-	if tag, ok := drawKey(t, m.workers.healthChecks); ok {
-		delete(m.workers.healthChecks, tag)
-		m.router.HealthCheckEnded(tag, policy.Served, []float64{1})
+	if control, ok := drawKey(t, m.workers.healthChecks); ok {
+		delete(m.workers.healthChecks, control)
+		m.router.HealthCheckEnded(control, policy.Served, []float64{1})
 	}
 }
 
--- a/internal/router/names_test.go
+++ b/internal/router/names_test.go
@@ -21,7 +21,7 @@
 		{RequestServed, "served"},
 		{RequestRefused, "refused"},
 		{RequestFailed, "failed"},
-		{RequestAbandoned, "abandoned"},
+		{RequestCancelled, "cancelled"},
 		{RequestOutcome(9), "RequestOutcome(9)"},
 		{ClientInterrupted, "client_interrupted"},
 		{ClientDisconnected, "client_disconnected"},
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -49,7 +49,7 @@
 	Deadline        time.Duration // time by which the final answer must have left, see AnswerBudget
 
 	ClientAddr netip.AddrPort // for flow records only
-	ReceivedAt time.Duration  // set by Submit and Reject
+	ReceivedAt time.Duration  // set by Submit and RefuseAtOnce
 }
 
 // The largest figures that a request may give. No worker can hold a function beyond them, and they would distort the
--- a/internal/router/response.go
+++ b/internal/router/response.go
@@ -34,7 +34,7 @@
 	Body             []byte        // Served: the worker's result
 	RetryAfter       time.Duration // Refused: how long the client should wait before a retry; 0: no advice
 	MayHaveRun       bool          // false only if it is proven that no attempt ran
-	DeadlineExceeded bool          // the request was given up because its time ran out
+	DeadlineExceeded bool          // the request ended unserved because its time ran out
 }
 
 // Responder writes the final answer to a request's client. Respond is called at most once, and never after Cancel.
@@ -50,10 +50,10 @@
 	RequestServed    RequestOutcome = iota // answered with Served
 	RequestRefused                         // answered with Refused
 	RequestFailed                          // answered with Failed
-	RequestAbandoned                       // cancelled by its client before it was answered
+	RequestCancelled                       // cancelled by its client before it was answered
 )
 
-// String returns the outcome's name. The webhook notices carry it on the wire: the texts must not change.
+// String returns the outcome's name for logs.
 func (o RequestOutcome) String() string {
 	switch o {
 	case RequestServed:
@@ -62,8 +62,8 @@
 		return "refused"
 	case RequestFailed:
 		return "failed"
-	case RequestAbandoned:
-		return "abandoned"
+	case RequestCancelled:
+		return "cancelled"
 	}
 	return fmt.Sprintf("RequestOutcome(%d)", uint8(o))
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -21,12 +21,23 @@
 type Limits struct {
 	MaxOpenRequests    int           // open requests at any time
 	MaxBodyBytes       int           // bytes of the bodies of all open requests
-	RetryAfter         time.Duration // advice in the answer to a rejected request; 0: none
+	RetryAfter         time.Duration // advice in the answer to a request that is refused at once; 0: none
 	MaxAttempts        int           // attempts of one request; 0: no limit
 	LoadCommandTimeout time.Duration // after which an unanswered load command ends as policy.TimedOut
 	HealthCheckTimeout time.Duration // after which an unanswered health check does
 }
 
+// Config is what a Router is built from.
+type Config struct {
+	// Policy takes every decision. The Router alone may use it from then on.
+	Policy *policy.Policy
+	Limits Limits
+	// NewWorkerPool returns the pool that carries messages to workers and reports their results to the Router.
+	NewWorkerPool func(*Router) WorkerPool
+	// OnRequestEnd, where set, is called once for each request, when it has ended.
+	OnRequestEnd func(now time.Duration, req *Request, outcome RequestOutcome)
+}
+
 // Router ties requests to the decisions of a policy. It is not safe for concurrent use: the event loop's goroutine
 // owns it.
 type Router struct {
@@ -43,23 +54,27 @@
 	// latestDeadline bounds the deadlines of all requests; 0: it does not. See BeginShutdown.
 	latestDeadline time.Duration
 
+	admissionStopped bool // see StopAdmitting
+	onRequestEnd     func(now time.Duration, req *Request, outcome RequestOutcome)
+
 	// Counters may be read between two calls of Router's methods.
 	Counters Counters
-	// Draining makes Submit reject every request, because the program is about to end.
-	Draining bool
-	// OnRequestEnd, where set, is called once for each request, when it has ended.
-	OnRequestEnd func(now time.Duration, req *Request, outcome RequestOutcome)
 }
 
-// New returns a Router that asks p for every decision. SetWorkerPool must be called before it is used.
-func New(p *policy.Policy, limits Limits) *Router {
-	return &Router{policy: p, limits: limits, requests: newRequestTable(), controls: newControlTable(),
-		endLog: newEndLog()}
+// New returns a Router without endpoints.
+func New(cfg Config) *Router {
+	r := &Router{
+		policy:       cfg.Policy,
+		limits:       cfg.Limits,
+		requests:     newRequestTable(),
+		controls:     newControlTable(),
+		endLog:       newEndLog(),
+		onRequestEnd: cfg.OnRequestEnd,
+	}
+	r.workers = cfg.NewWorkerPool(r)
+	return r
 }
 
-// SetWorkerPool sets the pool that carries messages to workers. It is called once, before any other method.
-func (r *Router) SetWorkerPool(w WorkerPool) { r.workers = w }
-
 // SetNow advances the clock. The event loop calls it before it delivers what happened since the last call.
 func (r *Router) SetNow(now time.Duration) { r.now = max(r.now, now) }
 
@@ -103,9 +118,9 @@
 	case policy.CancelAttempt:
 		r.cancelAttempt(AttemptID{a.Request, a.Attempt}, policy.Cancelled)
 	case policy.RefuseRequest:
-		r.giveUp(a.Request, a.Reason, Response{Status: Refused, RetryAfter: a.RetryAfter})
+		r.endUnserved(a.Request, a.Reason, Response{Status: Refused, RetryAfter: a.RetryAfter})
 	case policy.FailRequest:
-		r.giveUp(a.Request, a.Reason, Response{Status: Failed})
+		r.endUnserved(a.Request, a.Reason, Response{Status: Failed})
 	case policy.LoadInstance:
 		r.sendLoadCommand(a)
 	case policy.CheckHealth:
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -15,6 +15,9 @@
 	}
 }
 
+// StopAdmitting makes Submit refuse every request from now on, because the process is about to end.
+func (r *Router) StopAdmitting() { r.admissionStopped = true }
+
 // limitDeadline returns the deadline of a new request that asks for this one.
 func (r *Router) limitDeadline(deadline time.Duration) time.Duration {
 	if r.latestDeadline == 0 {
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -39,7 +39,8 @@
 	due     time.Duration
 	seq     uint64 // order of scheduling
 	kind    timerKind
-	token   uint64    // policyTimer: the policy's token; controlTimeout: the tag
+	token   uint64    // policyTimer: the policy's token
+	control ControlID // controlTimeout: the control call
 	attempt AttemptID // attemptTimeout: the attempt; requestDeadline: its Request alone
 }
 
@@ -61,7 +62,7 @@
 	case attemptTimeout:
 		r.cancelAttempt(t.attempt, policy.TimedOut)
 	case controlTimeout:
-		r.timeOutControl(t.token)
+		r.timeOutControl(t.control)
 	case requestDeadline:
 		r.enforceDeadline(t.attempt.Request)
 	}
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -18,20 +18,20 @@
 	Attempt int
 }
 
-// GiveUpReason is why the policy gave a request up.
-type GiveUpReason uint8
+// UnservedReason is why the policy gave a request up.
+type UnservedReason uint8
 
 // The reasons to give a request up.
 const (
-	DeadlineExceeded  GiveUpReason = iota // its time ran out
-	NoWorkerAvailable                     // no worker may take it, or none soon enough
-	PredictedTooLate                      // no worker is predicted to serve it in time
-	LoadShed                              // it was shed in overload
-	GiveUpReasonCount                     // the number of reasons
+	DeadlineExceeded    UnservedReason = iota // its time ran out
+	NoWorkerAvailable                         // no worker may take it, or none soon enough
+	PredictedTooLate                          // no worker is predicted to serve it in time
+	LoadShed                                  // it was shed in overload
+	UnservedReasonCount                       // the number of reasons
 )
 
 // String returns the reason's name for logs.
-func (r GiveUpReason) String() string {
+func (r UnservedReason) String() string {
 	return enumName(uint8(r), "deadline_exceeded", "no_worker_available", "predicted_too_late", "load_shed")
 }
 
@@ -39,13 +39,13 @@
 type RefuseRequest struct {
 	Request    RequestID
 	RetryAfter time.Duration // advice when to try again; 0: none
-	Reason     GiveUpReason
+	Reason     UnservedReason
 }
 
 // FailRequest is a final answer that promises nothing: the request may have run.
 type FailRequest struct {
 	Request RequestID
-	Reason  GiveUpReason
+	Reason  UnservedReason
 }
 
 // LoadInstance commands a worker to hold a number of instances of a function; with 0 it only asks how many there are.
--- a/policy/api_test.go
+++ b/policy/api_test.go
@@ -34,7 +34,7 @@
 		"no_worker_available": NoWorkerAvailable,
 		"predicted_too_late":  PredictedTooLate,
 		"load_shed":           LoadShed,
-		"unknown(4)":          GiveUpReasonCount,
+		"unknown(4)":          UnservedReasonCount,
 	} {
 		if got := value.String(); got != want {
 			t.Errorf("%T(%d) is named %q, want %q", value, value, got, want)
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -133,7 +133,7 @@
 
 func (p *Policy) outOfTime(r *request) bool { return p.now >= r.deadline-2*p.cfg.Tick }
 
-func (p *Policy) giveUp(r *request, wait float64, reason GiveUpReason) { // wait: in nanoseconds
+func (p *Policy) giveUp(r *request, wait float64, reason UnservedReason) { // wait: in nanoseconds
 	refusal := RefuseRequest{Request: r.Request, Reason: reason}
 	if most := float64(p.cfg.MaxRetryAfter); p.cfg.AllowRetryAfter && most > 0 {
 		wait = clamp(wait, float64(housekeepingInterval), most)
