--- a/cmd/functionrouter/process_test.go
+++ b/cmd/functionrouter/process_test.go
@@ -212,6 +212,7 @@
 	}{
 		{"stalls", func(*testing.T, *os.File) {}},
 		{"ends", func(t *testing.T, reader *os.File) {
+			t.Helper()
 			if err := reader.Close(); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -145,6 +145,7 @@
 }
 
 func testMigrate(t *testing.T, open bool) {
+	t.Helper()
 	c := newTestClient(t)
 	pending := uint16(0)
 	if open {
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -48,14 +48,14 @@
 
 func (e responseCodeError) Error() string { return fmt.Sprintf("response code %d", uint8(e)) }
 
-// encodeQuery returns a query for the SRV records of name.
-func encodeQuery(id uint16, name string) []byte {
+// encodeQuery returns a query for the SRV records of serviceName.
+func encodeQuery(id uint16) []byte {
 	b := binary.BigEndian.AppendUint16(nil, id)
 	b = binary.BigEndian.AppendUint16(b, flagRecursionDesired)
 	for _, count := range [...]uint16{1, 0, 0, 0} { // questions, answers, authorities, additional records
 		b = binary.BigEndian.AppendUint16(b, count)
 	}
-	for label := range strings.SplitSeq(strings.Trim(name, "."), ".") {
+	for label := range strings.SplitSeq(strings.Trim(serviceName, "."), ".") {
 		b = append(b, byte(len(label)))
 		b = append(b, label...)
 	}
--- a/internal/discovery/dns_test.go
+++ b/internal/discovery/dns_test.go
@@ -17,7 +17,7 @@
 		b[offset] = value
 		return b
 	}
-	withoutSOA := encodeQuery(id, serviceName)
+	withoutSOA := encodeQuery(id)
 	withoutSOA[2] |= flagResponse >> 8
 	pointerLoop := bytes.Clone(response[:headerLength])
 	pointerLoop = append(pointerLoop, 0xc0, headerLength, 0, typeSRV, 0, classIN)
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -4,7 +4,7 @@
 
 // Whatever the directory sends, a reply is parsed or refused, and what is parsed can be applied.
 func FuzzParseResponse(f *testing.F) {
-	f.Add(encodeQuery(7, serviceName))
+	f.Add(encodeQuery(7))
 	f.Fuzz(func(t *testing.T, message []byte) {
 		if _, r, err := parseResponse(message); err == nil {
 			list := newEndpointList()
--- a/internal/discovery/main_test.go
+++ b/internal/discovery/main_test.go
@@ -1,20 +1,12 @@
 package discovery
 
 import (
-	"flag"
-	"fmt"
-	"os"
 	"testing"
+
+	"functionrouter/internal/testsupport"
 )
 
 // TestMain fixes the seed of the property tests, so that each run gives the same verdict.
 func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
-		if err := flag.Set(name, value); err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			os.Exit(2)
-		}
-	}
-	os.Exit(m.Run())
+	testsupport.RunWithFixedSeeds(m)
 }
--- a/internal/discovery/message_test.go
+++ b/internal/discovery/message_test.go
@@ -18,7 +18,7 @@
 // buildResponse returns the directory's response to query id: a list with one worker for each SRV priority.
 // Names are compressed wherever RFC 1035 allows it.
 func buildResponse(id uint16, serial uint32, priorities ...uint16) []byte {
-	b := encodeQuery(id, serviceName)
+	b := encodeQuery(id)
 	b[2] |= flagResponse >> 8
 	var targets [][]byte
 	for i, priority := range priorities {
--- a/internal/discovery/socket.go
+++ b/internal/discovery/socket.go
@@ -28,7 +28,7 @@
 	}
 	oldestKept := max(0, len(s.pending)+1-maxPendingQueries)
 	s.pending = append(s.pending[oldestKept:], id)
-	s.transport.Write(encodeQuery(id, serviceName))
+	s.transport.Write(encodeQuery(id))
 }
 
 // OnOpen ends the dial.
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -71,7 +71,7 @@
 		c.t.Fatalf("query %x", b)
 	}
 	id := binary.BigEndian.Uint16(b)
-	if want := encodeQuery(id, serviceName); !bytes.Equal(b, want) {
+	if want := encodeQuery(id); !bytes.Equal(b, want) {
 		c.t.Fatalf("query %x, want %x", b, want)
 	}
 	return id
--- a/internal/frontend/webhook/endtoend_test.go
+++ b/internal/frontend/webhook/endtoend_test.go
@@ -76,6 +76,7 @@
 	notices := startNoticeReceiver(t)
 
 	play := func(t *testing.T, whileRunning func()) {
+		t.Helper()
 		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		server := startServer(t, ledgerPath, notices.address, runs)
 		server.deliverAll(t, all)
--- a/internal/frontend/webhook/harness_test.go
+++ b/internal/frontend/webhook/harness_test.go
@@ -143,8 +143,8 @@
 }
 
 // orderDelivery returns a delivery of an order that is of noon, as all that the tests send but for the expired ones.
-func orderDelivery(id, body string) []byte {
-	return signedDelivery(activeSecret, id, noon, callPayload("repair-order", body, noon))
+func orderDelivery(id string) []byte {
+	return signedDelivery(activeSecret, id, noon, callPayload("repair-order", "x", noon))
 }
 
 // writeKeyFile returns the path of a key file.
--- a/internal/frontend/webhook/ledger_format_test.go
+++ b/internal/frontend/webhook/ledger_format_test.go
@@ -125,7 +125,7 @@
 		{id: "msg_released", recorded: true},
 	} {
 		t.Run(test.id, func(t *testing.T) {
-			transport := deliver(receiver, orderDelivery(test.id, "x"))
+			transport := deliver(receiver, orderDelivery(test.id))
 			if test.recorded {
 				(<-loopCalls)()
 			}
--- a/internal/frontend/webhook/ledger_test.go
+++ b/internal/frontend/webhook/ledger_test.go
@@ -108,6 +108,7 @@
 	}{
 		{"full", func(_ *testing.T, l *ledger) { l.maxBytes = 10 }, true},
 		{"failed write", func(t *testing.T, l *ledger) {
+			t.Helper()
 			if err := l.file.Close(); err != nil {
 				t.Fatal(err)
 			}
@@ -119,7 +120,7 @@
 			receiver, loopCalls := newTestReceiver(t, requests, path)
 			test.fault(t, receiver.ledger)
 			for i := range 2 { // also the one after it
-				transport := deliver(receiver, orderDelivery(strconv.Itoa(i), "x"))
+				transport := deliver(receiver, orderDelivery(strconv.Itoa(i)))
 				(<-loopCalls)()
 				if got := transport.statuses(t); !slices.Equal(got, []int{http.StatusServiceUnavailable}) || len(requests.requests) > 0 {
 					t.Errorf("order %d: statuses %v, %d calls", i, got, len(requests.requests))
@@ -137,11 +138,13 @@
 
 func TestLedgerErrors(t *testing.T) {
 	write := func(t *testing.T, l *ledger) error {
+		t.Helper()
 		written := make(chan error, 1)
 		l.recordStart(ledgerEntry{ID: "m", EventTime: noon}, func(err error) { written <- err })
 		return <-written
 	}
 	open := func(t *testing.T) *ledger {
+		t.Helper()
 		l, _, err := openLedger(filepath.Join(t.TempDir(), "ledger"), testLedgerBytes, time.Hour, noonClock)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/frontend/webhook/noticereceiver_test.go
+++ b/internal/frontend/webhook/noticereceiver_test.go
@@ -49,6 +49,7 @@
 }
 
 func (n *noticeReceiver) serve(t *testing.T, w http.ResponseWriter, r *http.Request) {
+	t.Helper()
 	body, err := io.ReadAll(r.Body)
 	id := r.Header.Get(idField)
 	var p noticePayload
--- a/internal/frontend/webhook/receiver_test.go
+++ b/internal/frontend/webhook/receiver_test.go
@@ -76,7 +76,7 @@
 // router again.
 func TestOrderInFlightAtACrashIsNotRunAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	request := orderDelivery("m", "x")
+	request := orderDelivery("m")
 
 	t.Run("before", func(t *testing.T) {
 		requests := &fakeRouter{}
@@ -105,7 +105,7 @@
 	requests := &fakeRouter{}
 	receiver, loopCalls := newTestReceiver(t, requests, filepath.Join(t.TempDir(), "ledger"))
 	defer closeReceiver(t, receiver)
-	request := orderDelivery("m", "x")
+	request := orderDelivery("m")
 
 	firstTransport := &fakeTransport{}
 	first := receiver.serve(firstTransport, netip.AddrPort{})
--- a/internal/frontend/webhook/response_test.go
+++ b/internal/frontend/webhook/response_test.go
@@ -27,7 +27,7 @@
 		"refused without advice": {good, &router.Response{Status: router.Refused},
 			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n"},
 		"overdue": {good, &router.Response{Status: router.Refused, DeadlineExceeded: true}, "HTTP/1.1 504 Gateway Timeout\r\nContent-Length: 0\r\n\r\n"},
-		"order without a ledger": {string(orderDelivery("m", "x")), nil,
+		"order without a ledger": {string(orderDelivery("m")), nil,
 			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n"},
 		"malformed":   {"\n", nil, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 		"bad payload": {string(signedDelivery(activeSecret, "m", noon, []byte("{"))), nil, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"},
--- a/internal/frontend/webhook/sender_test.go
+++ b/internal/frontend/webhook/sender_test.go
@@ -147,6 +147,7 @@
 	givenUp := SenderCounters{Queued: 1, GivenUp: 1}
 	replyWith := func(text string) func(*testing.T, *Sender, *fakeConnection) {
 		return func(t *testing.T, s *Sender, c *fakeConnection) {
+			t.Helper()
 			c.receiveNotice(t, s.secret)
 			c.reply(t, text)
 		}
@@ -168,6 +169,7 @@
 			c.handler.OnOpen(errors.New("connection refused"))
 		}, retried},
 		"no reply in time": {func(t *testing.T, s *Sender, c *fakeConnection) {
+			t.Helper()
 			c.receiveNotice(t, s.secret)
 			s.Process(time.Hour + s.settings.Timeout)
 		}, retried},
--- a/internal/ipfix/harness_test.go
+++ b/internal/ipfix/harness_test.go
@@ -2,27 +2,16 @@
 
 import (
 	"bytes"
-	"flag"
-	"fmt"
 	"net/netip"
-	"os"
 	"testing"
 	"time"
 
 	"functionrouter/internal/eventloop"
+	"functionrouter/internal/testsupport"
 )
 
-// TestMain fixes rapid's random steps, so that each run gives the same verdict.
-func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
-		if err := flag.Set(name, value); err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			os.Exit(2)
-		}
-	}
-	os.Exit(m.Run())
-}
+// TestMain fixes the seed of the property tests, so that each run gives the same verdict.
+func TestMain(m *testing.M) { testsupport.RunWithFixedSeeds(m) }
 
 // noon is what the tests' wall clock shows.
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -87,10 +87,10 @@
 func (r *recordingResponder) Respond(resp Response) { r.responses = append(r.responses, resp) }
 
 // only returns the answer, and ends the test if there is none or more than one.
-func (r *recordingResponder) only(t testing.TB) Response {
-	t.Helper()
+func (r *recordingResponder) only(tb testing.TB) Response {
+	tb.Helper()
 	if len(r.responses) != 1 {
-		t.Fatalf("got %d answers, want one: %+v", len(r.responses), r.responses)
+		tb.Fatalf("got %d answers, want one: %+v", len(r.responses), r.responses)
 	}
 	return r.responses[0]
 }
--- a/internal/simwire/frames_test.go
+++ b/internal/simwire/frames_test.go
@@ -14,11 +14,11 @@
 )
 
 // fromHex decodes hexadecimal digits; spaces and line breaks between them are ignored.
-func fromHex(t testing.TB, digits string) []byte {
-	t.Helper()
+func fromHex(tb testing.TB, digits string) []byte {
+	tb.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(digits), ""))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return b
 }
--- /dev/null
+++ b/internal/testsupport/testsupport.go
@@ -0,0 +1,32 @@
+// Package testsupport holds what the tests of several packages share. Only tests may import it: .ci/run checks that no
+// program does.
+package testsupport
+
+import (
+	"flag"
+	"fmt"
+	"log/slog"
+	"os"
+	"testing"
+
+	_ "pgregory.net/rapid" // defines the flags that RunWithFixedSeeds sets
+)
+
+// propertySeed is the seed of all property tests.
+const propertySeed = "20261201"
+
+// RunWithFixedSeeds is the body of a TestMain. It fixes the seed of the property tests, so that each run gives the same
+// verdict, runs the tests and exits.
+func RunWithFixedSeeds(m *testing.M) {
+	flag.Parse()
+	for name, value := range map[string]string{"rapid.seed": propertySeed, "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(2)
+		}
+	}
+	os.Exit(m.Run())
+}
+
+// DiscardLog makes the default logger drop every line, for tests whose runs would fill the output.
+func DiscardLog() { slog.SetDefault(slog.New(slog.DiscardHandler)) }
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -16,23 +16,48 @@
 	}
 }
 
+// The steady traffic of the benchmark.
+const (
+	benchmarkFunctions      = 64
+	benchmarkInFlight       = 8
+	benchmarkInterval       = 12500 * time.Microsecond // between two arrivals
+	benchmarkRunTime        = benchmarkInFlight * benchmarkInterval
+	benchmarkDeadline       = 4 * time.Second
+	arrivalsPerHousekeeping = 4
+	benchmarkHousekeeping   = 0 // the token of the housekeeping timer
+	arrivalsBeforeMeasuring = 5000
+)
+
 func benchmarkRequests(b *testing.B, workers int) {
-	const (
-		functions           = 64
-		inFlight            = 8
-		interval            = 12500 * time.Microsecond // between two arrivals
-		housekeepingEvery   = 4                        // arrivals
-		runTime             = inFlight * interval
-		housekeepingToken   = 0
-		deadline            = 4 * time.Second
-		answersBeforeTiming = 5000
-	)
+	b.Helper()
+	traffic := newBenchmarkTraffic(b, workers)
+	for range arrivalsBeforeMeasuring {
+		traffic.step()
+	}
+	b.ReportAllocs()
+	b.ResetTimer()
+	for b.Loop() {
+		traffic.step()
+	}
+}
+
+// benchmarkTraffic plays steady traffic to a policy.
+type benchmarkTraffic struct {
+	policy      *policy.Policy
+	now         time.Duration
+	lastRequest policy.RequestID
+	inFlight    []policy.SendAttempt // oldest first
+	actions     []policy.Action      // of the last event; the slice is reused
+}
+
+func newBenchmarkTraffic(b *testing.B, workers int) *benchmarkTraffic {
+	b.Helper()
 	p, err := policy.New(policy.Config{
 		RouterCount: 4, Tick: 4 * time.Millisecond, MaxAttempts: 3, AllowCancel: true, OverQuotaWeight: 1,
 		InstanceKeepAlive: 30 * time.Second, InstanceStatusInAnswers: true,
 		Classes: []policy.Class{
-			{LatencyObjective: 400 * time.Millisecond, Deadline: deadline, Idempotency: policy.Idempotent, PriorityWeight: 1},
-			{LatencyObjective: 800 * time.Millisecond, Deadline: deadline, Idempotency: policy.NotIdempotent, PriorityWeight: 5},
+			{LatencyObjective: 400 * time.Millisecond, Deadline: benchmarkDeadline, Idempotency: policy.Idempotent, PriorityWeight: 1},
+			{LatencyObjective: 800 * time.Millisecond, Deadline: benchmarkDeadline, Idempotency: policy.NotIdempotent, PriorityWeight: 5},
 		},
 	}, 1)
 	if err != nil {
@@ -42,40 +67,37 @@
 	for i := range workers {
 		update.Endpoints = append(update.Endpoints, policy.Endpoint{Worker: policy.WorkerID(i + 1), State: policy.Ready, Weight: 1})
 	}
-	now := time.Hour
-	actions := p.Handle(now, update, nil)
-	var sent []policy.SendAttempt // in flight, oldest first
-	var next policy.RequestID
-	step := func() {
-		next++
-		now += interval
-		actions = p.Handle(now, policy.RequestArrived{
-			Request: next, Class: int(next % 2), Function: policy.FunctionID(next % functions), Concurrency: 4,
-			LoadTime: 200 * time.Millisecond, TimeLeft: deadline,
-		}, actions[:0])
-		for _, action := range actions {
-			if send, ok := action.(policy.SendAttempt); ok {
-				sent = append(sent, send)
-			}
-		}
-		if len(sent) > inFlight {
-			oldest := sent[0]
-			sent = append(sent[:0], sent[1:]...)
-			actions = p.Handle(now, policy.AttemptEnded{
-				Request: oldest.Request, Worker: oldest.Worker, Outcome: policy.Served,
-				InstanceStatus: policy.InstanceWarm, RequestClosed: true, Duration: runTime,
-			}, actions[:0])
-		}
-		if next%housekeepingEvery == 0 {
-			actions = p.Handle(now, policy.TimerFired{Token: housekeepingToken}, actions[:0])
+	t := &benchmarkTraffic{policy: p, now: time.Hour}
+	t.actions = p.Handle(t.now, update, nil)
+	return t
+}
+
+// step brings a request, ends the oldest attempt where enough are in flight, and does housekeeping now and then.
+func (t *benchmarkTraffic) step() {
+	t.lastRequest++
+	t.now += benchmarkInterval
+	t.actions = t.policy.Handle(t.now, policy.RequestArrived{
+		Request: t.lastRequest, Class: int(t.lastRequest % 2), Function: policy.FunctionID(t.lastRequest % benchmarkFunctions),
+		Concurrency: 4, LoadTime: 200 * time.Millisecond, TimeLeft: benchmarkDeadline,
+	}, t.actions[:0])
+	for _, action := range t.actions {
+		if send, ok := action.(policy.SendAttempt); ok {
+			t.inFlight = append(t.inFlight, send)
 		}
 	}
-	for range answersBeforeTiming {
-		step()
+	if len(t.inFlight) > benchmarkInFlight {
+		t.answerOldest()
 	}
-	b.ReportAllocs()
-	b.ResetTimer()
-	for b.Loop() {
-		step()
+	if t.lastRequest%arrivalsPerHousekeeping == 0 {
+		t.actions = t.policy.Handle(t.now, policy.TimerFired{Token: benchmarkHousekeeping}, t.actions[:0])
 	}
 }
+
+func (t *benchmarkTraffic) answerOldest() {
+	oldest := t.inFlight[0]
+	t.inFlight = append(t.inFlight[:0], t.inFlight[1:]...)
+	t.actions = t.policy.Handle(t.now, policy.AttemptEnded{
+		Request: oldest.Request, Worker: oldest.Worker, Outcome: policy.Served,
+		InstanceStatus: policy.InstanceWarm, RequestClosed: true, Duration: benchmarkRunTime,
+	}, t.actions[:0])
+}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -85,8 +85,8 @@
 }
 
 // answer ends a request's first attempt as served, after took.
-func (h *harness) answer(id RequestID, w WorkerID, status InstanceStatus, took time.Duration) []Action {
-	return h.handle(AttemptEnded{Request: id, Worker: w, Outcome: Served, InstanceStatus: status, RequestClosed: true,
+func (h *harness) answer(id RequestID, w WorkerID, status InstanceStatus, took time.Duration) {
+	h.handle(AttemptEnded{Request: id, Worker: w, Outcome: Served, InstanceStatus: status, RequestClosed: true,
 		Duration: took})
 }
 
