--- a/policy/actions.go
+++ b/policy/actions.go
@@ -5,7 +5,8 @@
 // Action is something for the router to do. Only this package's types are actions.
 type Action interface{ action() }
 
-// SendAttempt sends a request to a worker; a request's attempts are numbered from 0 in the order of their sends.
+// SendAttempt sends a request to a worker; a request's attempts are numbered from 0 in the order of their
+// sends.
 type SendAttempt struct {
 	Request RequestID
 	Worker  WorkerID
@@ -18,24 +19,26 @@
 	Attempt int
 }
 
-// UnservedReason is why the policy gave a request up.
+// UnservedReason is why the policy ended a request without a result.
 type UnservedReason uint8
 
-// The reasons to give a request up.
+// The reasons to end a request without a result.
 const (
-	DeadlineExceeded    UnservedReason = iota // its time ran out
-	NoWorkerAvailable                         // no worker may take it, or none soon enough
-	PredictedTooLate                          // no worker is predicted to serve it in time
-	LoadShed                                  // it was shed in overload
-	UnservedReasonCount                       // the number of reasons
+	// DeadlineExceeded: its time ran out.
+	DeadlineExceeded UnservedReason = iota // deadline_exceeded
+	// NoWorkerAvailable: no worker may take it, or none soon enough.
+	NoWorkerAvailable // no_worker_available
+	// PredictedTooLate: no worker is predicted to serve it in time.
+	PredictedTooLate // predicted_too_late
+	// LoadShed: it was shed in overload.
+	LoadShed // load_shed
+
+	// UnservedReasonCount is the number of reasons.
+	UnservedReasonCount = iota
 )
 
-// String returns the reason's name for logs.
-func (r UnservedReason) String() string {
-	return enumName(uint8(r), "deadline_exceeded", "no_worker_available", "predicted_too_late", "load_shed")
-}
-
-// RefuseRequest is a final answer that promises that the request did no work, or that repeating it is harmless.
+// RefuseRequest is a final answer that promises that the request did no work, or that repeating it is
+// harmless.
 type RefuseRequest struct {
 	Request    RequestID
 	RetryAfter time.Duration // advice when to try again; 0: none
@@ -48,7 +51,8 @@
 	Reason  UnservedReason
 }
 
-// LoadInstance commands a worker to hold a number of instances of a function; with 0 it only asks how many there are.
+// LoadInstance commands a worker to hold a number of instances of a function; with 0 it only asks how many
+// there are.
 type LoadInstance struct {
 	Worker    WorkerID
 	Function  FunctionID
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,70 +1,109 @@
 package policy
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
-const ( // ratios of the standing delay to the latency objective, at which load shedding begins
+const (
+	// The ratios of the delay to the latency objective at which load shedding begins. They were chosen on the
+	// simulator's days. Higher, and queues eat the objective; lower, and requests are shed that would have
+	// been served.
 	shedStart       = 0.5
 	shedStartBehind = 0.25 // where a class of more value is served too
-	shedStartFirst  = 0.15 // beyond its quota or late at best
-)
+	shedStartFirst  = 0.15 // for requests beyond their quota, or late at best
 
-type tokenBucket struct { // of a tenant's requests, by this router's part of its quota
-	tokens, refillPerSecond float64
-	refilledAt              time.Duration
-}
+	// shedSlope is how fast the chance to be shed grows with that ratio: from 0 at the start to 1 half an
+	// objective later.
+	shedSlope = 2
 
-func (b *tokenBucket) refill(now time.Duration) {
-	most := b.refillPerSecond + 3*math.Sqrt(b.refillPerSecond) + 1 // a second's worth, and some for chance
-	b.tokens = min(b.tokens+b.refillPerSecond*(now-b.refilledAt).Seconds(), most)
-	b.refilledAt = now
-}
+	// maxShedChance leaves some requests to show that the delay is gone.
+	maxShedChance = 0.9
 
-func (p *Policy) admit(r *request, w *worker, score, latency float64, likelyWarm bool) bool { // or give up
-	if likelyWarm {
-		latency -= p.remainingLoadTime(w, r)
+	// moreValuable is how many times the value for its work a class must have to go before another.
+	moreValuable = 1.5
+
+	// explorationInterval is the least time between two requests that are admitted against the estimates.
+	explorationInterval = time.Second
+)
+
+// admit reports whether r is sent to its best target. Otherwise it ends r unserved, at once: because no
+// worker is predicted to serve it in time, because it is beyond its quota and late at best, or because load
+// is shed. Now and then one request goes against the estimates, so that a wrong one is corrected.
+func (p *Policy) admit(r *request, to target) bool {
+	latency := to.latency
+	if to.likelyWarm {
+		latency -= p.remainingLoadTime(to.worker, r)
+	}
+	shed, drain := p.shouldShed(r, to.worker, latency)
+	tooLate := latency > p.timeLeft(r) || r.overQuota && to.score > p.objective(r)
+	isRetry := len(r.attempts) > 0
+	if !tooLate && (!shed || isRetry) {
+		return true
+	}
+	if p.explore(r) {
+		return true
 	}
-	shed, drain := p.shouldShed(r, w, latency)
 	reason := LoadShed
-	if latency > float64(r.deadline-p.now) || r.overQuota && score > p.objective(r) {
+	if tooLate {
 		reason = PredictedTooLate
-	} else if !shed || len(r.attempts) > 0 {
-		return true
 	}
-	if p.now-p.lastTrial < sweepInterval || r.overQuota {
-		p.giveUp(r, drain, reason)
+	p.endUnserved(r, drain, reason)
+	return false
+}
+
+// explore reports whether r, which the estimates speak against, is sent all the same: one request in
+// explorationInterval, and none beyond its quota.
+func (p *Policy) explore(r *request) bool {
+	if r.overQuota || p.now-p.lastExploration < explorationInterval {
 		return false
 	}
-	p.lastTrial = p.now // a trial now and then can correct a wrong estimate
+	p.lastExploration = p.now
 	return true
 }
 
-// shouldShed draws whether r gives way; drain is the time, in nanoseconds, until it would not need to.
-func (p *Policy) shouldShed(r *request, w *worker, latency float64) (shed bool, drain float64) {
-	c := &p.classes[r.Class]
-	start, objective := shedStart, p.objective(r)
+// shouldShed draws whether r gives way to others in overload. drain is the time until it would not need to. A
+// delay that even the fastest answers show serves nobody, so a growing part of the requests is shed:
+//
+//	chance = min(shedSlope * (delay/objective - start), maxShedChance)
+//
+//	delay      the standing delay of all workers or, if longer, the part of w's queue that other routers make up
+//	objective  r's latency objective, or the shortest of the classes that have more value for their work
+//	start      the ratio at which shedding begins: lowest for requests beyond their tenant's quota and for those
+//	           that are late at best, then for classes of less value than another
+func (p *Policy) shouldShed(r *request, w *worker, latency nanoseconds) (shed bool, drain nanoseconds) {
+	start, objective := p.shedThreshold(r, latency)
+	delay := max(p.estimates.standingDelay, nanoseconds(p.otherRoutersShare())*w.queue.excess(p.now))
+	chance := min(shedSlope*(float64(delay/objective)-start), maxShedChance)
+	return p.rng.Float64() < chance, delay - nanoseconds(start)*objective
+}
+
+// shedThreshold returns the ratio of the delay to an objective at which r may be shed, and that objective.
+func (p *Policy) shedThreshold(r *request, latency nanoseconds) (start float64, objective nanoseconds) {
+	start = shedStart
+	objective = p.objective(r)
+	own := p.valueDensity(p.classOf(r))
 	for i := range p.classes {
-		if other := &p.classes[i]; p.valueDensity(other) > 1.5*p.valueDensity(c) {
-			start, objective = shedStartBehind, min(objective, float64(other.LatencyObjective))
+		other := &p.classes[i]
+		if p.valueDensity(other) > moreValuable*own {
+			start = shedStartBehind
+			objective = min(objective, nanoseconds(other.settings.LatencyObjective))
 		}
 	}
-	if r.overQuota {
+	lateAtBest := latency > p.objective(r)
+	switch {
+	case r.overQuota:
 		start = shedStartFirst * p.cfg.OverQuotaWeight
-	} else if latency > p.objective(r) {
+	case lateAtBest:
 		start = shedStartFirst
 	}
-	delay := max(p.standingDelay, p.otherRoutersShare()*w.excessDelay.value(p.now))
-	chance := min(2*(delay/objective-start), 0.9) // some must be served to show that the delay is gone
-	return p.rng.Float64() < chance, delay - start*objective
+	return start, objective
 }
 
-func (p *Policy) valueDensity(c *class) float64 { // value for the work that it takes
+// valueDensity is the value of a class's requests for the work that they take.
+func (p *Policy) valueDensity(c *class) float64 {
 	if p.cfg.WeightByWork {
-		return c.PriorityWeight
+		return c.settings.PriorityWeight
 	}
-	return c.PriorityWeight / max(c.runTime.mean, 1)
+	return c.settings.PriorityWeight / max(float64(c.runTime.mean), 1)
 }
 
+// otherRoutersShare is the part of the fleet's traffic that other routers carry.
 func (p *Policy) otherRoutersShare() float64 { return 1 - 1/float64(p.cfg.RouterCount) }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -18,14 +18,14 @@
 			id, actions := h.arrive(classIdempotent, f)
 			if hasAction[SendAttempt](actions) {
 				n++
-				h.handle(AttemptEnded{Request: id, Worker: w.Worker, Outcome: Cancelled, RequestClosed: true})
+				h.handle(AttemptEnded{Request: id, Worker: w.id(), Outcome: Cancelled, RequestClosed: true})
 			}
 		}
 		return n
 	}
 	busy, idle := h.policy.workers[1], h.policy.workers[2]
 	for range 10 {
-		busy.excessDelay.observe(h.now, float64(250*ms))
+		busy.queue.excessDelay.observe(h.now, float64(250*ms))
 	}
 	if atBusy, atIdle := sentOf100(busy, 7), sentOf100(idle, 8); atBusy > 60 || atIdle < 95 {
 		t.Errorf("%d of 100 sent where others queue, %d where none do", atBusy, atIdle)
@@ -52,8 +52,8 @@
 			cfg := testConfig()
 			cfg.AllowRetryAfter, cfg.MaxRetryAfter = tc.allowed, 300*ms
 			h := newHarness(t, cfg, 3)
-			h.policy.standingDelay = float64(tc.delay)
-			h.policy.lastTrial = h.now
+			h.policy.estimates.standingDelay = nanoseconds(tc.delay)
+			h.policy.lastExploration = h.now
 			waits := map[time.Duration]bool{}
 			for range 100 {
 				_, actions := h.arrive(classIdempotent, 7)
@@ -89,7 +89,7 @@
 				n++
 			}
 			if r != nil && len(r.attempts) > 0 {
-				h.answer(h.lastRequest, r.attempts[0].worker.Worker, InstanceWarm, 50*ms)
+				h.answer(h.lastRequest, r.attempts[0].worker.id(), InstanceWarm, 50*ms)
 			}
 		}
 		return n
@@ -108,7 +108,7 @@
 	h.serve(7, 1100*ms, LoadStarted)
 	sentWarm, sentCold := 0, 0
 	for n := range 200 {
-		h.policy.standingDelay = float64(220 * ms)
+		h.policy.estimates.standingDelay = nanoseconds(220 * ms)
 		f, sent := FunctionID(7), &sentWarm
 		if n%2 == 0 {
 			f, sent = FunctionID(1000+n), &sentCold
@@ -137,7 +137,7 @@
 		}
 		return sent
 	}
-	h.policy.standingDelay = float64(220 * ms)
+	h.policy.estimates.standingDelay = nanoseconds(220 * ms)
 	low, high := sentOf100(classIdempotent), sentOf100(classNotIdempotent)
 	if low >= high || low == 0 {
 		t.Errorf("sent %d of low value and %d of high", low, high)
--- a/policy/api_test.go
+++ b/policy/api_test.go
@@ -21,7 +21,7 @@
 		"cancelled":           Cancelled,
 		"not_sent":            NotSent,
 		"function_not_loaded": FunctionNotLoaded,
-		"unknown(9)":          FunctionNotLoaded + 1,
+		"Outcome(9)":          FunctionNotLoaded + 1,
 		"unknown":             InstanceUnknown,
 		"warm":                InstanceWarm,
 		"load_failed":         LoadFailed,
@@ -34,7 +34,7 @@
 		"no_worker_available": NoWorkerAvailable,
 		"predicted_too_late":  PredictedTooLate,
 		"load_shed":           LoadShed,
-		"unknown(4)":          UnservedReasonCount,
+		"UnservedReason(4)":   UnservedReason(UnservedReasonCount),
 	} {
 		if got := value.String(); got != want {
 			t.Errorf("%T(%d) is named %q, want %q", value, value, got, want)
--- /dev/null
+++ b/policy/attempts.go
@@ -0,0 +1,135 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// attempt is one send of a request to a worker.
+type attempt struct {
+	request         *request
+	worker          *worker
+	instance        *instance
+	sentAt          time.Duration
+	expectedLatency time.Duration // the prediction when it was sent
+	number          int           // among the request's attempts, from 0
+	inFlightBefore  int           // our attempts in flight at the worker when it was sent
+	neededLoad      bool          // the function was not known to be loaded at the worker
+	likelyWarm      bool          // but another router had probably had it loaded
+	cancelled       bool          // by us; its end may still come
+	ended           bool
+}
+
+// expectedWarm reports whether a load would be a surprise.
+func (a *attempt) expectedWarm() bool { return !a.neededLoad || a.likelyWarm }
+
+// sendAttempt sends r to a worker, if the rules allow it, and records the attempt.
+func (p *Policy) sendAttempt(r *request, to target) {
+	w := to.worker
+	load := p.remainingLoadTime(w, r)
+	i := w.instance(r.function.id)
+	if !p.emit(SendAttempt{Request: r.id(), Worker: w.id()}) {
+		return
+	}
+	a := &attempt{
+		request:         r,
+		worker:          w,
+		instance:        i,
+		sentAt:          p.now,
+		expectedLatency: to.latency.duration(),
+		number:          len(r.attempts),
+		inFlightBefore:  len(w.inFlight),
+		neededLoad:      load > 0,
+		likelyWarm:      to.likelyWarm,
+	}
+	chargeQuota(r)
+	r.attempts = append(r.attempts, a)
+	r.attemptsInFlight++
+	w.inFlight = append(w.inFlight, a)
+	i.inFlight++
+	p.recordSlowStartSend(a)
+	p.recordBegunLoad(a, load)
+}
+
+// recordBegunLoad records the load that a begins, if it begins one.
+func (p *Policy) recordBegunLoad(a *attempt, load nanoseconds) {
+	if !a.neededLoad {
+		return
+	}
+	if a.instance.loadEndsAt == 0 && !p.cfg.MissWhenNotLoaded {
+		a.instance.loadEndsAt = p.now + load.duration()
+	}
+	if p.loadBackoff.pauseEnded(p.now) {
+		p.loadBackoff.extend(p.now, 0) // the load tries whether others may begin
+	}
+}
+
+// cancelAttempt cancels an attempt in flight where the settings allow it. Its AttemptEnded still comes.
+func (p *Policy) cancelAttempt(a *attempt) {
+	if !a.cancelled {
+		a.cancelled = p.emit(CancelAttempt{Request: a.request.id(), Attempt: a.number})
+	}
+}
+
+// attemptEnded takes an attempt off the books, learns from its end, and decides what its request does next.
+// Reports on unknown attempts and on those that have ended are ignored.
+func (p *Policy) attemptEnded(e AttemptEnded) {
+	a := p.openAttempt(e)
+	if a == nil {
+		return
+	}
+	r := a.request
+	p.recordAttemptEnd(a, e.Outcome)
+	e.Duration = min(max(e.Duration, 0), longestPlausibleTime)
+	p.learnFromOutcome(a, e)
+	if e.RequestClosed {
+		p.closeRequest(r)
+	}
+	p.continueAfter(a, e.Outcome)
+	p.forgetIfSettled(r)
+}
+
+// openAttempt returns the attempt that e reports on, or nil if there is none that has not ended.
+func (p *Policy) openAttempt(e AttemptEnded) *attempt {
+	r := p.requests[e.Request]
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
+		return nil
+	}
+	return r.attempts[e.Attempt]
+}
+
+// recordAttemptEnd takes a out of the books of what is in flight, and records whether its request may have
+// run.
+func (p *Policy) recordAttemptEnd(a *attempt, outcome Outcome) {
+	r := a.request
+	a.ended = true
+	a.instance.inFlight--
+	a.worker.inFlight = slices.DeleteFunc(a.worker.inFlight, func(other *attempt) bool { return other == a })
+	r.attemptsInFlight--
+	if !outcome.NeverRan() && r.mayHaveRun == nil {
+		r.mayHaveRun = a
+	}
+	// A connection may break alone: the worker, which has the instance, is tried once more over another one.
+	firstReset := outcome == ConnectionReset && a.number == 0
+	if !firstReset {
+		r.triedWorkers = append(r.triedWorkers, a.worker)
+	}
+}
+
+// continueAfter decides what the request of an ended attempt does next: it waits for a load, ends or goes
+// elsewhere.
+func (p *Policy) continueAfter(a *attempt, outcome Outcome) {
+	r := a.request
+	if r.finished || r.attemptsInFlight > 0 {
+		return
+	}
+	if outcome == FunctionNotLoaded && p.waitForLoad(r, a.instance) {
+		return
+	}
+	timeIsOver := outcome == NotSent || outcome == TimedOut && p.outOfTime(r)
+	if timeIsOver {
+		p.endUnserved(r, 0, DeadlineExceeded)
+		return
+	}
+	p.place(r)
+}
--- a/policy/config.go
+++ b/policy/config.go
@@ -7,29 +7,28 @@
 
 // The levels of idempotency.
 const (
-	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // workers in the DedupScope drop repeats within the DedupWindow
-	NotIdempotent                        // must not run twice
+	// Idempotent requests may run any number of times.
+	Idempotent Idempotency = iota // idempotent
+	// IdempotentWithKey requests are safe to repeat to workers in the DedupScope, which drop repeats within
+	// the DedupWindow.
+	IdempotentWithKey // idempotent_with_key
+	// NotIdempotent requests must not run twice.
+	NotIdempotent // not_idempotent
 )
 
-// String returns the level's name for logs.
-func (i Idempotency) String() string {
-	return enumName(uint8(i), "idempotent", "idempotent_with_key", "not_idempotent")
-}
-
 // DedupScope says which workers share the memory of idempotency keys that detects repeats.
 type DedupScope uint8
 
 // The deduplication scopes.
 const (
-	DedupFleet DedupScope = iota // all workers
-	DedupZone                    // the workers of one zone
-	DedupCell                    // the workers of one cell
+	// DedupFleet: all workers.
+	DedupFleet DedupScope = iota // fleet
+	// DedupZone: the workers of one zone.
+	DedupZone // zone
+	// DedupCell: the workers of one cell.
+	DedupCell // cell
 )
 
-// String returns the scope's name for logs.
-func (s DedupScope) String() string { return enumName(uint8(s), "fleet", "zone", "cell") }
-
 // Class describes a class of requests.
 type Class struct {
 	LatencyObjective time.Duration // an answer within it earns the full PriorityWeight
@@ -89,7 +88,7 @@
 	LoadCommandsPerRequest  float64       // further ones per request that arrived within the window
 }
 
-// ConfigError reports a setting that a Policy cannot work with; of several such settings any one.
+// ConfigError reports a setting that a Policy cannot work with; of several such settings the first one.
 type ConfigError struct {
 	Field  string // path of the field in Config, such as "Classes[1].Deadline"
 	Reason string // what is wrong with its value
--- /dev/null
+++ b/policy/config_check.go
@@ -0,0 +1,53 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+)
+
+// validate returns a [*ConfigError] for the first setting that a Policy cannot work with.
+func validate(cfg *Config) error {
+	if len(cfg.Classes) == 0 {
+		return &ConfigError{"Classes", "empty"}
+	}
+	for i := range cfg.Classes {
+		if !cfg.Classes[i].isPossible() {
+			return &ConfigError{fmt.Sprintf("Classes[%d]", i), fmt.Sprintf("impossible: %+v", cfg.Classes[i])}
+		}
+	}
+	return validateNumbers(cfg)
+}
+
+// isPossible reports whether a class's times are usable and its enumerations known.
+func (c *Class) isPossible() bool {
+	timesPossible := c.LatencyObjective > 0 && c.Deadline > 0 && c.DedupWindow >= 0
+	enumsKnown := c.Idempotency <= NotIdempotent && c.DedupScope <= DedupCell
+	return timesPossible && enumsKnown
+}
+
+// validateNumbers checks the settings that must be finite and not negative, and those that are shares.
+func validateNumbers(cfg *Config) error {
+	noLimit := math.MaxFloat64
+	for _, setting := range []struct {
+		field string
+		value float64
+		most  float64
+	}{
+		{"MaxAttempts", float64(cfg.MaxAttempts), noLimit},
+		{"Tick", float64(cfg.Tick), noLimit},
+		{"SlowStartCapacity", cfg.SlowStartCapacity, 1},
+		{"SlowStartDuration", float64(cfg.SlowStartDuration), noLimit},
+		{"OverloadMultiple", cfg.OverloadMultiple, noLimit},
+		{"OverloadWindow", float64(cfg.OverloadWindow), noLimit},
+		{"InstanceKeepAlive", float64(cfg.InstanceKeepAlive), noLimit},
+		{"LoadCommandWindow", float64(cfg.LoadCommandWindow), noLimit},
+		{"LoadCommandAllowance", cfg.LoadCommandAllowance, noLimit},
+		{"LoadCommandsPerRequest", cfg.LoadCommandsPerRequest, noLimit},
+	} {
+		possible := setting.value >= 0 && setting.value <= setting.most // false for NaN
+		if !possible {
+			return &ConfigError{setting.field, fmt.Sprintf("impossible: %v", setting.value)}
+		}
+	}
+	return nil
+}
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,38 +1,43 @@
 // Package policy decides which worker serves a request for a function that is loaded on demand.
 //
 // A [Policy] is the decision maker of one router. It is a deterministic state machine: the router feeds it
-// events in the order in which they happen, and it answers each with actions for the router to carry out.
-// It reads no clock, starts no goroutine and does no I/O, so the same seed and events always give the same
-// actions.
+// events in the order in which they happen ([Policy.Handle]), and it answers each with actions for the router
+// to carry out. It reads no clock, starts no goroutine and does no I/O, so the same seed and events always
+// give the same actions. The simulator adapter runs the same code.
 //
 // # How it decides
 //
 // Scoring follows the mask-aware scheduler of InstGenIE ("InstGenIE: Generative Image Editing Made Efficient
-// with Mask-aware Caching and Scheduling"): a request goes to the worker with the lowest predicted latency. The
-// rest is an addition to it, for many routers that do not see each other's requests:
+// with Mask-aware Caching and Scheduling", section 4.4): a request goes to the worker with the lowest
+// predicted latency. The paper has one scheduler that sees every running batch; the rest is for many routers
+// that do not see each other's requests. Read the files in this order:
 //
-//   - Prediction. The score is the sum of the queueing delay at the worker, the request's run time, the time of a
-//     load if the worker lacks the function, and the wait for nothing if it leaves requests unserved. The delay
-//     is a line, fitted online, over our requests in flight there, plus a constant for what others queue there.
-//   - Placement. A function that must be loaded goes to its first worker by rendezvous hashing (highest random
-//     weight; Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998), which ranks
-//     workers alike at all routers. It is spread over as many workers, its replicas, as its share of our work
-//     asks for, or more while they are saturated; each router keeps to one replica, and others keep the rest
-//     warm. As many requests of others make it likely that it is loaded there, the load counts for less.
-//   - Load commands and backoff. Where workers do not load by themselves, one command per missing instance is sent
-//     within a budget. While loads fail, at whatever worker, they begin one at a time and ever more slowly, to
-//     guard the store that functions are loaded from; requests that need a load wait.
-//   - Slow start. What workers serve is within their capacity, so each router keeps its sends to a worker that
-//     has just started below a multiple of what one worker serves it on average: the sum over all routers holds
-//     however uneven the traffic is. A part of a request is rounded at random, once per start of the worker, so
-//     that many routers that send little still send their sum.
-//   - Outlier ejection. A worker that cannot be reached, or is silent for too long and fails a health check, is
-//     ejected for a growing time; its attempts are cancelled where the request may be sent elsewhere.
-//   - Load shedding. A standing delay that even the fastest answers show serves nobody, so a growing part of the
-//     requests is shed: first those beyond their tenant's quota or late at best, then those of least value for
-//     their work. The measure is the shortest objective among the request's class and those of more value.
-//   - Gossip. Routers tell each other which instances are loaded, at a cost per request that does not grow with
-//     their number.
+//   - policy.go: the state, the dispatch of events, and the periodic work. timers.go: what wakes it.
+//   - rules.go: the check that every action passes. No mistake elsewhere sends an attempt that a rule
+//     forbids.
+//   - requests.go, attempts.go: the life of a request from its arrival to its one final answer.
+//   - placement.go: the steps from a request to a worker. prediction.go: the score, as a formula.
+//   - rendezvous.go: where a function that must be loaded is loaded. Rendezvous hashing (highest random
+//     weight) ranks workers alike at all routers; a popular function is spread over several replicas, of
+//     which each router keeps to one.
+//   - admission.go: which requests are refused although a worker could take them: those that no worker can
+//     finish in time, and in overload those of least value (load shedding). quotas.go: the tenants' quotas.
+//   - learning.go, estimators.go: how answers change the estimates that the score is made of.
+//   - outlier.go: workers that fail are ejected and return after a health check.
+//   - slow_start.go: workers that have just started get only what they bear from all routers together.
+//   - load_commands.go, load_backoff.go: where workers do not load by themselves they are commanded to,
+//     within a budget; while loads fail, they begin one at a time and ever more slowly.
+//   - gossip.go: routers tell each other which instances are loaded, where the settings allow it.
+//   - endpoints.go, functions.go, instances.go: what is known of a worker, a function, and a function at a
+//     worker.
+//   - config_check.go: which settings are refused at the start.
 //
-// All times are offsets on the router's monotonic clock. Estimates are in nanoseconds and of type float64.
+// The types that enter and leave are in config.go, events.go, actions.go and outcome.go.
+//
+// # Units
+//
+// Clock readings are offsets on the router's monotonic clock. They, the settings and what enters or leaves
+// the policy are of type time.Duration; estimates are floating-point nanoseconds.
 package policy
+
+//go:generate go tool -modfile=../tools/go.mod stringer -linecomment -output=enum_string.go -type=Idempotency,DedupScope,WorkerState,EndpointUpdateKind,UnservedReason,Outcome,InstanceStatus,timerKind
--- a/policy/events.go
+++ b/policy/events.go
@@ -16,14 +16,14 @@
 
 // The worker states.
 const (
-	Gone     WorkerState = iota // no longer listed
-	Ready                       // takes requests
-	Draining                    // finishes what it has and takes no more
+	// Gone: no longer listed.
+	Gone WorkerState = iota // gone
+	// Ready: takes requests.
+	Ready // ready
+	// Draining: finishes what it has and takes no more.
+	Draining // draining
 )
 
-// String returns the state's name for logs.
-func (s WorkerState) String() string { return enumName(uint8(s), "gone", "ready", "draining") }
-
 // Endpoint is an entry of the endpoint list: a worker and its state.
 type Endpoint struct {
 	Worker    WorkerID
@@ -39,17 +39,16 @@
 
 // The kinds of endpoint updates.
 const (
-	IncrementalUpdate EndpointUpdateKind = iota // changed entries only
-	FullUpdate                                  // the whole list; workers that it lacks are gone
-	CachedUpdate                                // the whole list as last known, possibly out of date
-	UpdateFailed                                // a fetch failed or the subscription broke; no entries
+	// IncrementalUpdate holds changed entries only.
+	IncrementalUpdate EndpointUpdateKind = iota // incremental
+	// FullUpdate holds the whole list; workers that it lacks are gone.
+	FullUpdate // full
+	// CachedUpdate holds the whole list as last known, possibly out of date.
+	CachedUpdate // cached
+	// UpdateFailed: a fetch failed or the subscription broke; it has no entries.
+	UpdateFailed // failed
 )
 
-// String returns the kind's name for logs.
-func (k EndpointUpdateKind) String() string {
-	return enumName(uint8(k), "incremental", "full", "cached", "failed")
-}
-
 // Event is something that happened at the router. Only this package's types are events.
 type Event interface{ event() }
 
--- /dev/null
+++ b/policy/functions.go
@@ -0,0 +1,62 @@
+package policy
+
+import (
+	"math"
+	"time"
+)
+
+// rateMemory is the time over which rates are remembered: those of a function's requests and of the work that
+// is served. Each decays by the factor e in it. Longer, and a function that has become popular gets its
+// replicas late; shorter, and a router that sees few requests takes chance for a rate.
+const rateMemory = 10 * time.Second
+
+// function is what our requests for one function have shown.
+type function struct {
+	id             FunctionID
+	loadTime       time.Duration // usual time of a load, by the latest request's hint
+	lastRequest    time.Duration // when the latest request came
+	runTime        runTimeEstimate
+	served         bool    // some worker has served it
+	saturation     float64 // replicas wanted beyond the first, by answers that were late or overloaded
+	recentRequests float64 // before the latest one, decaying over rateMemory
+}
+
+// requestedFunction returns the function that a request is for, and records the request's time and hint.
+func (p *Policy) requestedFunction(e RequestArrived) *function {
+	c := &p.classes[e.Class]
+	f := p.functions[e.Function]
+	if f == nil {
+		f = &function{id: e.Function, runTime: runTimeEstimate{mean: c.runTime.mean}}
+		p.functions[e.Function] = f
+	}
+	f.recentRequests *= math.Exp(-float64(p.now-f.lastRequest) / float64(rateMemory))
+	f.lastRequest = p.now
+	f.loadTime = e.LoadTime
+	if unknown := f.loadTime <= 0 || f.loadTime > longestPlausibleTime; unknown {
+		f.loadTime = c.settings.LatencyObjective // as long as an answer may take
+	}
+	return f
+}
+
+// recordSaturation counts an answer that was late or overloaded although the function was loaded: one replica
+// more is wanted, up to most.
+func (f *function) recordSaturation(most int) { f.saturation = min(f.saturation+1, float64(most)) }
+
+// class is a class of requests, with what its requests have shown.
+type class struct {
+	settings   Class
+	runTime    runTimeEstimate
+	actualWork nanoseconds // recent run times of requests with a work hint, decaying
+	hintedWork nanoseconds // their hints; equal at first, so that hints are believed
+}
+
+// newClass returns a class whose estimates are guesses until answers come.
+func newClass(settings Class) class {
+	mean := initialRunTimeShare * nanoseconds(settings.LatencyObjective)
+	return class{
+		settings:   settings,
+		runTime:    runTimeEstimate{mean: mean},
+		actualWork: runTimePrior * mean,
+		hintedWork: runTimePrior * mean,
+	}
+}
--- /dev/null
+++ b/policy/learning.go
@@ -0,0 +1,191 @@
+package policy
+
+const (
+	// leastRunShare is the least part of an answer's time that counts as run time, whatever queueing is
+	// predicted. An estimate of the queue that is too high would else make the run time vanish.
+	leastRunShare = 0.25
+
+	// lateLoadShare is the part of a load by which an answer must be late to show that it waited for a load,
+	// where answers do not say so.
+	lateLoadShare = 0.5
+
+	// The standing delay follows a rise slowly, over about 20 answers, and a fall fast, over 4: it is what
+	// most answers exceed, and sheds load only while that goes on.
+	standingDelayRise = 20
+	standingDelayFall = 4
+)
+
+// learnFromOutcome learns from the end of an attempt what it says of its worker and its function.
+func (p *Policy) learnFromOutcome(a *attempt, e AttemptEnded) {
+	switch e.Outcome {
+	case Served:
+		p.recordAlive(a.worker)
+		p.recordUnserved(a, 0)
+		a.request.function.served = true
+		p.estimates.servedWork += p.classOf(a.request).runTime.mean
+		p.learnFromAnswer(a, e)
+	case Errored, WorkerOverloaded, FunctionNotLoaded:
+		p.recordAlive(a.worker)
+		p.learnFromRejection(a, e)
+	case Cancelled, TimedOut:
+		// The attempt was unanswered to its end, though the worker may serve other classes well.
+		muchLate := e.Duration > outlierClip*a.expectedLatency
+		if !a.neededLoad && p.outOfTime(a.request) && muchLate {
+			p.recordUnserved(a, 1)
+		}
+	case ConnectionReset:
+		p.learnFromReset(a)
+	case Unreachable:
+		p.eject(a.worker)
+	}
+}
+
+// recordUnserved counts an attempt of its class at its worker as unserved (1) or served (0).
+func (p *Policy) recordUnserved(a *attempt, unserved float64) {
+	a.worker.health.unserved[a.request.arrived.Class].observe(p.now, unserved)
+}
+
+// learnFromAnswer learns from an answer with a result: where the function is loaded, how long loads, queues
+// and runs take.
+func (p *Policy) learnFromAnswer(a *attempt, e AttemptEnded) {
+	r := a.request
+	p.observeLoadReport(a.worker, e.LoadReport)
+	took := nanoseconds(e.Duration)
+	runTime := p.predictedRunTime(r)
+	queueing := p.queueingDelay(a.worker, a.inFlightBefore)
+	waitedForLoad := p.waitedForLoad(e, runTime+queueing, r.function)
+	p.learnPlacement(a, e, took-runTime)
+	if waitedForLoad || a.neededLoad && p.cfg.MissWhenNotLoaded {
+		if p.beganLoad(a, e, waitedForLoad) {
+			p.loadSucceeded(took-runTime-queueing, r.function)
+		}
+		return // its time tells nothing of queues and runs
+	}
+	p.learnQueueing(a, e, runTime, queueing)
+	p.learnRunTime(r, max(took-queueing, took*leastRunShare), runTime)
+}
+
+// waitedForLoad reports whether an answer waited for a load: as it says, or where answers do not, as its time
+// tells beside what was expected of a warm instance.
+func (p *Policy) waitedForLoad(e AttemptEnded, expected nanoseconds, f *function) bool {
+	if p.cfg.InstanceStatusInAnswers || p.cfg.MissWhenNotLoaded {
+		return e.InstanceStatus == LoadStarted || e.InstanceStatus == LoadAwaited
+	}
+	return nanoseconds(e.Duration) > expected+p.predictedLoadTime(f)*lateLoadShare
+}
+
+// beganLoad reports whether an answered attempt began the load itself, so that its time is that of a whole
+// load.
+func (p *Policy) beganLoad(a *attempt, e AttemptEnded, waitedForLoad bool) bool {
+	if e.InstanceStatus == InstanceUnknown {
+		return a.neededLoad && waitedForLoad
+	}
+	return e.InstanceStatus == LoadStarted
+}
+
+// learnPlacement learns that the function is loaded at the worker, and whether its answers are late there.
+// delay is the answer's time beyond the run time.
+func (p *Policy) learnPlacement(a *attempt, e AttemptEnded, delay nanoseconds) {
+	i := a.instance
+	f := a.request.function
+	objective := p.classOf(a.request).settings.LatencyObjective
+	withoutLoad := e.InstanceStatus == InstanceUnknown || e.InstanceStatus == InstanceWarm
+	if !a.neededLoad && withoutLoad {
+		p.observeStandingDelay(delay, outlierClip*nanoseconds(objective))
+	}
+	i.warmUntil = p.now + p.cfg.InstanceKeepAlive
+	i.loadEndsAt = 0
+	i.concurrency = max(i.concurrency, i.inFlight+1) // with this one, which has just ended
+	p.announce(i, f)
+	if e.Duration < objective {
+		f.saturation *= ratioRetention
+	} else if a.expectedWarm() && withoutLoad {
+		f.recordSaturation(p.readyWorkers)
+	}
+}
+
+// observeStandingDelay moves the standing delay towards that of an answer, which counts as most at the most.
+func (p *Policy) observeStandingDelay(delay, most nanoseconds) {
+	answers := nanoseconds(standingDelayRise)
+	if delay < p.estimates.standingDelay {
+		answers = standingDelayFall
+	}
+	p.estimates.standingDelay += (min(delay, most) - p.estimates.standingDelay) / answers
+}
+
+// learnQueueing learns how long requests queue at the worker: over our requests in flight, and beyond them.
+func (p *Policy) learnQueueing(a *attempt, e AttemptEnded, runTime, queueing nanoseconds) {
+	queue := &a.worker.queue
+	inFlight := float64(a.inFlightBefore)
+	delay := nanoseconds(e.Duration) - runTime
+	most := outlierClip * p.objective(a.request)
+	ours := queueing - max(0, queue.excess(p.now)) // what our requests in flight explain of the delay
+	queue.observeExcess(p.now, min(delay, most)-ours)
+	delay = clamp(delay, -runTime, outlierClip*(runTime+queueing))
+	queue.slope.observe(inFlight, float64(delay))
+	p.estimates.queueSlope.observe(inFlight, float64(delay))
+	if queued := p.estimates.reportedQueue(e.LoadReport); queued >= 0 {
+		p.estimates.delayPerQueued.observe(queued, float64(max(delay-ours, 0)))
+	}
+}
+
+// observeLoadReport counts a load report as one answer that was delayed by the queue that it tells.
+func (p *Policy) observeLoadReport(w *worker, report []float64) {
+	queued := p.estimates.reportedQueue(report)
+	if queued < 0 {
+		return
+	}
+	most := outlierClip * nanoseconds(p.classes[0].settings.LatencyObjective)
+	w.queue.observeExcess(p.now, min(nanoseconds(p.estimates.delayPerQueued.predict(queued)), most))
+}
+
+// learnRunTime learns from a run time: the mean of r's function and class, and what work hints are worth.
+// predicted is what was expected.
+func (p *Policy) learnRunTime(r *request, ran, predicted nanoseconds) {
+	c := p.classOf(r)
+	if hint := r.arrived.WorkHint; hint > 0 {
+		c.actualWork += min(ran, outlierClip*predicted) - c.actualWork/runTimeMemory
+		c.hintedWork += nanoseconds(min(hint, longestPlausibleTime)) - c.hintedWork/runTimeMemory
+	}
+	r.function.runTime.observe(ran)
+	c.runTime.observe(ran)
+}
+
+// learnFromRejection learns from an answer without a result.
+func (p *Policy) learnFromRejection(a *attempt, e AttemptEnded) {
+	i := a.instance
+	if e.Outcome == FunctionNotLoaded || e.InstanceStatus == LoadFailed {
+		i.forget()
+	} else if e.Outcome == WorkerOverloaded && i.inFlight == 0 && !i.loadCommandPending {
+		i.loadEndsAt = 0 // the worker began no load for it
+	}
+	switch {
+	case e.InstanceStatus == LoadFailed:
+		p.loadBackoff.extend(p.now, 1)
+	case e.Outcome == Errored && a.request.function.served: // else the request may be to blame
+		p.recordUnserved(a, 1)
+	case e.Outcome == WorkerOverloaded && a.expectedWarm():
+		p.learnFromOverload(a, e)
+	}
+}
+
+// learnFromOverload learns that the worker has no room for a function that it has loaded: one replica more is
+// wanted, and the delay there counts as far beyond a run time.
+func (p *Policy) learnFromOverload(a *attempt, e AttemptEnded) {
+	queue := &a.worker.queue
+	a.request.function.recordSaturation(p.readyWorkers)
+	p.observeLoadReport(a.worker, e.LoadReport)
+	queue.observeExcess(p.now, max(outlierClip*p.predictedRunTime(a.request), queue.excess(p.now)))
+}
+
+// learnFromReset takes the first reset of a turn as the sign of a broken connection, on which more attempts
+// may end. A health check tells whether the worker failed; where none may be sent, the next dial does.
+func (p *Policy) learnFromReset(a *attempt) {
+	w := a.worker
+	if w.health.checkPending || w.health.lastReset == p.now {
+		return
+	}
+	w.health.lastReset = p.now
+	p.recordUnserved(a, 1)
+	p.checkHealth(w)
+}
--- /dev/null
+++ b/policy/load_backoff.go
@@ -0,0 +1,47 @@
+package policy
+
+import "time"
+
+const (
+	// firstLoadPause is the pause after a load was begun beside failures; each failure doubles it.
+	firstLoadPause = housekeepingInterval
+
+	// maxLoadPauseDoublings bounds the pause: 50 ms doubled five times, 1.6 s. Longer, and loads begin late
+	// once the store serves again; shorter, and many routers together keep a store down.
+	maxLoadPauseDoublings = 5
+)
+
+// loadBackoff slows the loads down while they fail, at whatever worker: they begin one at a time, and ever
+// more slowly, to spare the store that functions are loaded from.
+type loadBackoff struct {
+	failures int           // since a load succeeded
+	until    time.Duration // no load begins before
+}
+
+// isActive reports whether no load may begin at now.
+func (b *loadBackoff) isActive(now time.Duration) bool { return now < b.until }
+
+// pauseEnded reports whether loads have failed and one may begin at now to try whether they succeed again.
+func (b *loadBackoff) pauseEnded(now time.Duration) bool { return b.failures > 0 && now >= b.until }
+
+// extend counts further failures and begins the pause that follows from all of them.
+func (b *loadBackoff) extend(now time.Duration, failures int) {
+	b.failures += failures
+	b.until = now + firstLoadPause<<min(b.failures, maxLoadPauseDoublings)
+}
+
+const (
+	// loadRatioGain is the weight of one load in the ratio of the real to the hinted load time.
+	loadRatioGain = 0.2
+
+	// The bounds of the ratio that one load can show.
+	minLoadRatio = 0.2
+	maxLoadRatio = 10
+)
+
+// loadSucceeded learns from a whole load of f, which ends the backoff.
+func (p *Policy) loadSucceeded(took nanoseconds, f *function) {
+	p.loadBackoff = loadBackoff{}
+	ratio := clamp(float64(took)/float64(f.loadTime), minLoadRatio, maxLoadRatio)
+	p.estimates.loadRatio += loadRatioGain * (ratio - p.estimates.loadRatio)
+}
--- /dev/null
+++ b/policy/load_commands.go
@@ -0,0 +1,141 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// loadedAlreadyDivisor tells a load command that found the function loaded, or nearly so, from one that
+// waited for a whole load: it took less than this part of the hinted load time.
+const loadedAlreadyDivisor = 5
+
+// loadCommandBudget bounds the load commands within a window: an allowance, and more for the requests that
+// came in it.
+type loadCommandBudget struct {
+	window     time.Duration   // 0: no bound
+	allowance  float64         // load commands that are always allowed
+	perRequest float64         // further ones for each request
+	commands   []time.Duration // when those within the window were sent
+	requests   []time.Duration // when those within the window came
+}
+
+func newLoadCommandBudget(cfg *Config) loadCommandBudget {
+	return loadCommandBudget{
+		window:     cfg.LoadCommandWindow,
+		allowance:  cfg.LoadCommandAllowance,
+		perRequest: cfg.LoadCommandsPerRequest,
+	}
+}
+
+// recordRequest counts a request that came at now.
+func (b *loadCommandBudget) recordRequest(now time.Duration) {
+	if b.window > 0 {
+		b.requests = append(dropBefore(now-b.window, b.requests), now)
+	}
+}
+
+// recordCommand counts a load command that is sent at now.
+func (b *loadCommandBudget) recordCommand(now time.Duration) {
+	if b.window > 0 {
+		b.commands = append(b.commands, now)
+	}
+}
+
+// allowsAnother reports whether one more load command at now stays within the budget. Requests must have come
+// after the start of the window to count, commands at its start count too: at the edge the budget is the
+// smaller one.
+func (b *loadCommandBudget) allowsAnother(now time.Duration) bool {
+	if b.window <= 0 {
+		return true
+	}
+	b.commands = dropBefore(now-b.window, b.commands)
+	b.requests = dropBefore(now-b.window+1, b.requests)
+	budget := b.allowance + b.perRequest*float64(len(b.requests))
+	return float64(len(b.commands)+1) <= budget
+}
+
+// dropBefore removes the times before earliest, in place.
+func dropBefore(earliest time.Duration, times []time.Duration) []time.Duration {
+	return slices.DeleteFunc(times, func(t time.Duration) bool { return t < earliest })
+}
+
+// loadCommandAllowed reports whether a load command may be sent: to a ready worker within the budget, while
+// one that only asks for the number of instances costs nothing.
+func (p *Policy) loadCommandAllowed(a LoadInstance) bool {
+	w := p.workers[a.Worker]
+	if w == nil || !p.cfg.AllowLoadCommands {
+		return false
+	}
+	if a.Instances <= 0 {
+		return true
+	}
+	return w.endpoint.State == Ready && p.loadCommands.allowsAnother(p.now)
+}
+
+// waitForLoad has r, whose function i's worker lacks, wait for a load there, which it commands if that is not
+// done. It returns false if the rules or the budget forbid the command.
+func (p *Policy) waitForLoad(r *request, i *instance) bool {
+	if !i.loadCommandPending && !p.commandLoad(i, r.function) {
+		return false
+	}
+	i.waiting = append(i.waiting, r)
+	r.triedWorkers = slices.DeleteFunc(r.triedWorkers, func(w *worker) bool { return w == i.worker })
+	return true
+}
+
+// commandLoad commands i's worker to load f, and reports whether it was allowed to.
+func (p *Policy) commandLoad(i *instance, f *function) bool {
+	if !p.emit(LoadInstance{Worker: i.worker.id(), Function: f.id, Instances: 1}) {
+		return false
+	}
+	i.worker.loadCommands++
+	i.loadCommandPending = true
+	i.loadEndsAt = p.now + p.predictedLoadTime(f).duration()
+	return true
+}
+
+// loadCommandEnded takes the result of a load command and places the requests that waited for it.
+func (p *Policy) loadCommandEnded(e LoadCommandEnded) {
+	w := p.workers[e.Worker]
+	f := p.functions[e.Function]
+	if w == nil || f == nil || !w.instance(f.id).loadCommandPending {
+		return
+	}
+	i := w.instance(f.id)
+	i.loadCommandPending = false
+	i.loadEndsAt = 0
+	w.loadCommands--
+	p.learnFromLoadCommand(i, f, e)
+	waiting := i.waiting
+	i.waiting = nil
+	mayStay := e.Outcome == Served || e.Outcome == ConnectionReset
+	for _, r := range waiting {
+		if !mayStay {
+			r.triedWorkers = append(r.triedWorkers, w)
+		}
+		p.place(r)
+	}
+}
+
+// learnFromLoadCommand learns from the result of a load command.
+func (p *Policy) learnFromLoadCommand(i *instance, f *function, e LoadCommandEnded) {
+	w := i.worker
+	switch e.Outcome {
+	case Served:
+		p.recordAlive(w)
+		i.warmUntil = p.now + p.cfg.InstanceKeepAlive
+		p.announce(i, f)
+		if wholeLoad := e.Duration > f.loadTime/loadedAlreadyDivisor; wholeLoad {
+			p.loadSucceeded(nanoseconds(e.Duration), f)
+		}
+	case Errored:
+		p.loadBackoff.extend(p.now, 1)
+	case Unreachable:
+		p.eject(w)
+	case ConnectionReset:
+		// A connection may break alone: a health check tells, where one may be sent.
+		if !w.health.checkPending && !p.checkHealth(w) {
+			p.eject(w)
+		}
+	}
+}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -5,111 +5,137 @@
 	"time"
 )
 
-const maxEjectionTime = 8 * time.Second // no worker is ejected for longer without a new look
+const (
+	// firstEjectionTime is how long a worker is ejected at first; each further failure in a row doubles it.
+	firstEjectionTime = time.Second
 
+	// maxEjectionTime bounds the time of an ejection: a worker that is well again is noticed at most this
+	// late.
+	maxEjectionTime = 8 * time.Second
+
+	// maxEjectionDoublings keeps the doubled time from overflowing; maxEjectionTime is reached long before.
+	maxEjectionDoublings = 10
+
+	// minHealthCheckInterval is the least time between two health checks of a worker that is silent. Shorter,
+	// and a slow worker is asked for nothing; longer, and a dead one keeps its attempts.
+	minHealthCheckInterval = 4 * housekeepingInterval
+
+	// cancelTicks is how many ticks pass at most until a cancelled attempt's request is sent elsewhere: one
+	// until the attempt's end is known, one until the next attempt is at its worker.
+	cancelTicks = 2
+
+	// silenceFactor is how many times the expected latency, and an interval of housekeeping, a worker with
+	// attempts in flight may be silent before its health is checked.
+	silenceFactor = 2
+)
+
+// health is what the policy knows of whether a worker serves.
 type health struct {
-	lastHeard, lastHealthCheck, lastReset, ejectedUntil time.Duration
-	checkingHealth                                      bool
-	consecutiveFailures                                 int
-	unserved                                            []decayingMean // by class: share of attempts
+	lastHeard           time.Duration // when it last answered anything
+	lastHealthCheck     time.Duration // when its health was last checked
+	checkPending        bool          // that health check has no result yet
+	lastReset           time.Duration // when a connection to it last broke under an attempt
+	consecutiveFailures int           // ejections since it last answered
+	ejectedUntil        time.Duration
+	unserved            []decayingMean // by class: the share of attempts that it left unserved
 }
 
-func (w *worker) silentSince() time.Duration { return max(w.lastHeard, w.inFlight[0].sentAt) }
+// silentSince is when w last answered anything, or when the oldest attempt in flight was sent if that is
+// later. There must be one.
+func (w *worker) silentSince() time.Duration { return max(w.health.lastHeard, w.inFlight[0].sentAt) }
 
+// recordAlive records that w has answered: it is not ejected any more.
 func (p *Policy) recordAlive(w *worker) {
-	w.lastHeard, w.consecutiveFailures, w.ejectedUntil = p.now, 0, 0
+	w.health.lastHeard = p.now
+	w.health.consecutiveFailures = 0
+	w.health.ejectedUntil = 0
 }
 
-func (p *Policy) eject(w *worker) { // for longer each time
-	if p.now >= w.ejectedUntil {
-		w.ejectedUntil = p.now + min(sweepInterval<<min(w.consecutiveFailures, 10), maxEjectionTime)
-		w.consecutiveFailures++
+// eject keeps requests off w, for longer each time in a row. A failure while it is ejected already counts for
+// nothing.
+func (p *Policy) eject(w *worker) {
+	h := &w.health
+	if p.now < h.ejectedUntil {
+		return
 	}
+	doublings := min(h.consecutiveFailures, maxEjectionDoublings)
+	h.ejectedUntil = p.now + min(firstEjectionTime<<doublings, maxEjectionTime)
+	h.consecutiveFailures++
 }
 
-// isEjected reports whether w must answer a health check first or, without health checks, serve one attempt at a time.
+// isEjected reports whether w takes no requests: it must answer a health check first or, where none may be
+// sent, its time must be over and one attempt at a time may try it.
 func (p *Policy) isEjected(w *worker) bool {
-	return w.consecutiveFailures > 0 && (p.cfg.AllowHealthChecks || p.now < w.ejectedUntil || len(w.inFlight) > 0)
+	if w.health.consecutiveFailures == 0 {
+		return false
+	}
+	return p.cfg.AllowHealthChecks || p.now < w.health.ejectedUntil || len(w.inFlight) > 0
 }
 
+// checkSuspects checks the health of workers that are silent for too long, and of those whose ejection is
+// over.
 func (p *Policy) checkSuspects() {
 	for _, w := range p.fleet {
-		silent := len(w.inFlight) > 0 && p.now-w.lastHealthCheck > 4*housekeepingInterval &&
-			p.now-w.silentSince() > 2*(w.inFlight[0].expectedLatency+housekeepingInterval)
-		mayReturn := w.consecutiveFailures > 0 && p.now >= w.ejectedUntil
-		if w.State != Gone && !w.checkingHealth && (silent || mayReturn) {
+		if w.endpoint.State == Gone || w.health.checkPending {
+			continue
+		}
+		if p.isSilent(w) || p.mayReturn(w) {
 			p.checkHealth(w)
 		}
 	}
 }
 
+// isSilent reports whether w has had attempts in flight for suspiciously long without any answer, and was not
+// checked lately.
+func (p *Policy) isSilent(w *worker) bool {
+	if len(w.inFlight) == 0 || p.now-w.health.lastHealthCheck <= minHealthCheckInterval {
+		return false
+	}
+	expected := w.inFlight[0].expectedLatency + housekeepingInterval
+	return p.now-w.silentSince() > silenceFactor*expected
+}
+
+// mayReturn reports whether w's ejection is over, so that a health check may end it.
+func (p *Policy) mayReturn(w *worker) bool {
+	return w.health.consecutiveFailures > 0 && p.now >= w.health.ejectedUntil
+}
+
+// checkHealth sends w a health check, and reports whether the settings allowed one.
 func (p *Policy) checkHealth(w *worker) bool {
-	w.checkingHealth, w.lastHealthCheck = p.emit(CheckHealth{Worker: w.Worker}), p.now
-	return w.checkingHealth
+	w.health.checkPending = p.emit(CheckHealth{Worker: w.id()})
+	w.health.lastHealthCheck = p.now
+	return w.health.checkPending
 }
 
+// healthCheckEnded takes the result of a health check. A worker that answered nothing since it was sent is
+// ejected, and its attempts are cancelled where their requests may go elsewhere.
 func (p *Policy) healthCheckEnded(e HealthCheckEnded) {
 	w := p.workers[e.Worker]
 	if w == nil {
 		return
 	}
-	w.checkingHealth = false
-	if e.Outcome != TimedOut && e.Outcome != Unreachable && e.Outcome != ConnectionReset {
+	w.health.checkPending = false
+	switch e.Outcome {
+	case TimedOut, Unreachable, ConnectionReset:
+		if w.health.lastHeard < w.health.lastHealthCheck {
+			p.eject(w)
+			p.cancelRepeatableAttempts(w)
+		}
+	default:
 		p.recordAlive(w)
 		p.observeLoadReport(w, e.LoadReport)
-	} else if w.lastHeard < w.lastHealthCheck {
-		p.eject(w)
-		for _, a := range slices.Clone(w.inFlight) { // what may be sent elsewhere is cancelled
-			if r := a.request; !r.finished && !r.responseStarted && !a.cancelled &&
-				p.classes[r.Class].repeatableAt(p.now+2*p.cfg.Tick, a.sentAt) {
-				a.cancelled = p.emit(CancelAttempt{Request: r.Request, Attempt: a.number})
-			}
-		}
 	}
 }
 
-func (p *Policy) learnFromOutcome(a *attempt, e AttemptEnded) {
-	w, unserved := a.worker, &a.worker.unserved[a.request.Class]
-	switch e.Outcome {
-	case Served:
-		p.recordAlive(w)
-		unserved.observe(p.now, 0)
-		a.request.function.served = true
-		p.servedWork += p.classes[a.request.Class].runTime.mean
-		p.learnFromAnswer(a, e)
-	case Errored, WorkerOverloaded, FunctionNotLoaded:
-		p.recordAlive(w)
-		p.learnFromRejection(a, e)
-	case Cancelled, TimedOut: // unanswered to its end; the worker may serve other classes well
-		if !a.neededLoad && p.outOfTime(a.request) && e.Duration > outlierClip*a.expectedLatency {
-			unserved.observe(p.now, 1)
+// cancelRepeatableAttempts cancels the attempts at w whose requests may still be sent elsewhere once they
+// have ended.
+func (p *Policy) cancelRepeatableAttempts(w *worker) {
+	repeatedAt := p.now + cancelTicks*p.cfg.Tick
+	for _, a := range slices.Clone(w.inFlight) {
+		r := a.request
+		open := !r.finished && !r.responseStarted
+		if open && p.classOf(r).settings.repeatableAt(repeatedAt, a.sentAt) {
+			p.cancelAttempt(a)
 		}
-	case ConnectionReset: // a health check tells whether the worker failed or the connection, else the next dial
-		if !w.checkingHealth && w.lastReset != p.now { // one sign for all attempts on the connection
-			w.lastReset = p.now
-			unserved.observe(p.now, 1)
-			p.checkHealth(w)
-		}
-	case Unreachable:
-		p.eject(w)
-	}
-}
-
-func (p *Policy) learnFromRejection(a *attempt, e AttemptEnded) {
-	r, w, i := a.request, a.worker, a.instance
-	if e.Outcome == FunctionNotLoaded || e.InstanceStatus == LoadFailed {
-		i.forget()
-	} else if e.Outcome == WorkerOverloaded && i.inFlight == 0 && !i.loadCommandPending { // it began no load
-		i.loadEndsAt = 0
-	}
-	switch {
-	case e.InstanceStatus == LoadFailed:
-		p.loadBackoff.extend(p.now, 1)
-	case e.Outcome == Errored && r.function.served: // else the request may be to blame
-		w.unserved[r.Class].observe(p.now, 1)
-	case e.Outcome == WorkerOverloaded && a.expectedWarm():
-		r.function.recordSaturation(p.readyWorkers)
-		p.observeLoadReport(w, e.LoadReport)
-		w.excessDelay.observe(p.now, max(outlierClip*p.predictedRunTime(r), w.excessDelay.value(p.now)))
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -34,7 +34,7 @@
 			id := h.sentToWarm(classIdempotent, w)
 			h.now += 10 * ms
 			sharerActions := h.reset(sharer, w)
-			unserved := &h.policy.workers[w].unserved[classIdempotent]
+			unserved := &h.policy.workers[w].health.unserved[classIdempotent]
 			before := unserved.count
 			actions := h.reset(id, w)
 			if retry, ok := firstAction[SendAttempt](actions); !ok || retry.Worker != w {
@@ -67,11 +67,11 @@
 	}
 	h.now += 10 * ms
 	w := h.policy.workers[warm]
-	before := w.unserved[classNotIdempotent].count
+	before := w.health.unserved[classNotIdempotent].count
 	for _, id := range ids[1:] {
 		h.reset(id, warm)
 	}
-	if n := w.unserved[classNotIdempotent].count; n > before+1 {
+	if n := w.health.unserved[classNotIdempotent].count; n > before+1 {
 		t.Errorf("one broken connection counts as %.1f failures", n-before)
 	}
 	if h.policy.isEjected(w) {
@@ -133,16 +133,16 @@
 	if healthChecks > 4 {
 		t.Errorf("%d health checks of 4 workers in one turn", healthChecks)
 	}
-	if actions := h.handle(TimerFired{Token: deadlineTokenBase + uint64(due)}); !hasAction[FailRequest](actions) {
+	if actions := h.handle(TimerFired{Token: timer{kind: deadlineTimer, request: due}.token()}); !hasAction[FailRequest](actions) {
 		t.Errorf("a request that may have run is not failed when due: %v", actions)
 	}
 	h.answer(id, warm, InstanceWarm, 100*ms)
 	for _, w := range h.policy.fleet {
-		if w.checkingHealth {
-			h.handle(HealthCheckEnded{Worker: w.Worker, Duration: 2 * ms})
+		if w.health.checkPending {
+			h.handle(HealthCheckEnded{Worker: w.id(), Duration: 2 * ms})
 		}
 		if h.policy.isEjected(w) {
-			t.Errorf("worker %d is ejected", w.Worker)
+			t.Errorf("worker %d is ejected", w.id())
 		}
 	}
 	if got := h.serve(7, 100*ms, InstanceWarm); got != warm {
@@ -196,8 +196,8 @@
 		}
 	}
 	for _, w := range h.policy.fleet {
-		if share := w.unserved[classIdempotent].value(h.now); share > 0 {
-			t.Errorf("%.0f%% of requests are thought to go unserved at worker %d", 100*share, w.Worker)
+		if share := w.health.unserved[classIdempotent].value(h.now); share > 0 {
+			t.Errorf("%.0f%% of requests are thought to go unserved at worker %d", 100*share, w.id())
 		}
 	}
 	id, w := h.arriveAndSend(classIdempotent, 7)
@@ -205,7 +205,7 @@
 		t.Errorf("the warm worker %d is left for %d", warm, w)
 	}
 	h.handle(AttemptEnded{Request: id, Worker: warm, Outcome: Errored, Duration: ms})
-	if h.policy.workers[warm].unserved[classIdempotent].value(h.now) == 0 {
+	if h.policy.workers[warm].health.unserved[classIdempotent].value(h.now) == 0 {
 		t.Error("an error to a request of a function that was served counts for nothing")
 	}
 }
@@ -234,7 +234,7 @@
 				h.handle(ClientCancelled{Request: id})
 			} else {
 				h.now = start + 4*time.Second - 2*cfg.Tick
-				h.handle(TimerFired{Token: deadlineTokenBase + uint64(id)})
+				h.handle(TimerFired{Token: timer{kind: deadlineTimer, request: id}.token()})
 			}
 			h.handle(AttemptEnded{Request: id, Worker: warm, Outcome: Cancelled, RequestClosed: true,
 				Duration: h.now - start})
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -6,127 +6,114 @@
 	"time"
 )
 
-const likelyWarmChance = 0.5 // chance of an instance that is counted on where a wrong guess costs little
+// target is a worker that a request may be sent to.
+type target struct {
+	worker     *worker
+	score      nanoseconds // the lowest of all candidates, with the bonus of the preferred worker
+	latency    nanoseconds // predicted there
+	likelyWarm bool        // not known to have the function loaded, but likely, for another router
+}
 
+// place sends r to the worker with the lowest score, has it wait, or ends it unserved:
+//
+//  1. The candidates are the workers that the rules allow and that have not failed r before.
+//  2. The preferred worker is where r's function should be loaded if it must be.
+//  3. While loads fail, workers where r would begin one are no candidates.
+//  4. With a candidate left, admission decides on the one with the lowest score.
+//  5. With none, r waits if a worker may take it in time, else it is refused.
 func (p *Policy) place(r *request) {
-	if r.finished || r.outstanding > 0 {
+	if r.finished || r.attemptsInFlight > 0 {
 		return
 	}
-	candidates := slices.DeleteFunc(slices.Clone(p.fleet), func(w *worker) bool {
-		return p.isEjected(w) || slices.Contains(r.triedWorkers, w) || !p.sendAllowed(r, w)
-	})
-	preferred, chance := p.preferredWorker(r, candidates)
-	likelyWarm := func(w *worker) bool { return w == preferred && chance >= likelyWarmChance }
+	candidates := p.candidates(r)
+	preference := p.preferredWorker(r, candidates)
 	earliest := p.now
-	if p.now < p.loadBackoff.until && len(candidates) > 0 {
+	if p.loadBackoff.isActive(p.now) && len(candidates) > 0 {
 		earliest = p.loadBackoff.until
-		candidates = slices.DeleteFunc(candidates, func(w *worker) bool {
-			return p.needsLoad(w, r) && (!likelyWarm(w) || len(r.attempts) > 0)
-		})
+		candidates = p.withoutNewLoads(r, candidates, preference)
 	}
-	switch {
-	case len(candidates) > 0:
-		w, score := p.lowestScore(r, candidates, preferred, chance*p.predictedLoadTime(r.function))
-		latency := p.predictLatency(w, r)
-		if p.admit(r, w, score, latency, likelyWarm(w)) {
-			p.sendAttempt(r, w, time.Duration(latency), likelyWarm(w))
-		}
-	case float64(r.deadline-earliest) > p.predictedRunTime(r) && p.mayBePlacedLater(r):
-		p.waiting = append(p.waiting, r)
-	default:
-		p.giveUp(r, float64(earliest-p.now), NoWorkerAvailable)
-	}
-}
-
-func (p *Policy) lowestScore(r *request, among []*worker, favored *worker, bonus float64) (*worker, float64) {
-	scores, lowest := make([]float64, len(among)), math.Inf(1)
-	for i, w := range among {
-		scores[i] = p.predictLatency(w, r)
-		if w == favored {
-			scores[i] -= bonus
-		}
-		lowest = min(lowest, scores[i])
+	if len(candidates) == 0 {
+		p.waitOrRefuse(r, earliest)
+		return
 	}
-	best, ties := 0, 0
-	for i := range among {
-		if scores[i] <= lowest+float64(p.cfg.Tick) { // closer than the clock tells is a tie
-			if ties++; p.rng.IntN(ties) == 0 {
-				best = i
-			}
-		}
+	to := p.lowestScore(r, candidates, preference)
+	if p.admit(r, to) {
+		p.sendAttempt(r, to)
 	}
-	return among[best], lowest
 }
 
-func (p *Policy) mayBePlacedLater(r *request) bool { // by one now ejected, warming up or not listed
-	mayTake := func(w *worker) bool {
-		return w.State == Ready && !slices.Contains(r.triedWorkers, w) && p.attemptAllowed(r, w)
-	}
-	return p.readyWorkers == 0 && p.attemptAllowed(r, nil) || slices.ContainsFunc(p.fleet, mayTake)
+// candidates returns the workers that r may go to now, in the fleet's order.
+func (p *Policy) candidates(r *request) []*worker {
+	return slices.DeleteFunc(slices.Clone(p.fleet), func(w *worker) bool {
+		return p.isEjected(w) || slices.Contains(r.triedWorkers, w) || !p.sendAllowed(r, w)
+	})
 }
 
-// preferredWorker is where r's function should be loaded, and the chance that another router had it loaded.
-func (p *Policy) preferredWorker(r *request, candidates []*worker) (preferred *worker, chance float64) {
-	key, replicas := p.replica(r)
-	weight := func(w *worker) uint64 { return rendezvousWeight(key, w.Worker) }
-	var first *worker
-	for _, w := range candidates {
-		if first == nil || weight(w) > weight(first) {
-			first = w
-		}
-		if p.needsLoad(w, r) && (preferred == nil || weight(w) > weight(preferred)) {
-			preferred = w
-		}
-	}
-	chance = min(likelyWarmChance, 0.2*float64(p.cfg.RouterCount+1)) // a lone router may have lost one
-	if preferred != nil && preferred == first {
-		others := r.function.recentRequests * float64(p.cfg.RouterCount-1) / float64(replicas)
-		chance = max(chance, 1-math.Exp(-others*float64(p.cfg.InstanceKeepAlive)/float64(rateMemory)))
-	} else if first != nil && p.remainingLoadTime(first, r) > 0 { // others wait for that load too
-		chance = 0
-	}
-	return preferred, chance
+// withoutNewLoads removes the candidates at which r would begin a load. The preferred worker stays for a
+// first attempt if another router has probably had the function loaded there.
+func (p *Policy) withoutNewLoads(r *request, candidates []*worker, preference preference) []*worker {
+	isRetry := len(r.attempts) > 0
+	return slices.DeleteFunc(candidates, func(w *worker) bool {
+		return p.needsLoad(w, r) && (isRetry || !preference.isLikelyWarm(w))
+	})
 }
 
-// replica returns the key that ranks workers for our replica of r's function, and the number of replicas.
-func (p *Policy) replica(r *request) (key FunctionID, replicas int) {
-	f, run, own := r.function, p.predictedRunTime(r), 0
-	share := f.recentRequests * run * float64(p.readyWorkers) / max(p.servedWork, run)
-	replicas = 1 + int(p.otherRoutersShare()*max(share, f.saturation))
-	weight := func(n int) uint64 { return rendezvousWeight(f.id+FunctionID(n), WorkerID(p.identity)) }
-	for n := 1; n < min(replicas, p.readyWorkers); n++ {
-		if weight(n) > weight(own) {
-			own = n
-		}
+// waitOrRefuse has r wait for a worker if one may take it at earliest or later, in time; else it refuses r.
+func (p *Policy) waitOrRefuse(r *request, earliest time.Duration) {
+	enoughTime := nanoseconds(r.deadline-earliest) > p.predictedRunTime(r)
+	if enoughTime && p.mayBePlacedLater(r) {
+		p.waiting = append(p.waiting, r)
+		return
 	}
-	return f.id ^ FunctionID(own)<<48, replicas
+	p.endUnserved(r, nanoseconds(earliest-p.now), NoWorkerAvailable)
 }
 
-func rendezvousWeight(f FunctionID, w WorkerID) uint64 { // Thaler and Ravishankar, 1998
-	x := uint64(f)*0x9e3779b97f4a7c15 ^ uint64(w)*0xc2b2ae3d27d4eb4f
-	x ^= x >> 31
-	x *= 0xbf58476d1ce4e5b9
-	return x ^ x>>29
+// mayBePlacedLater reports whether a worker that takes nothing now may take r later: one that is ejected or
+// warming up, or, where none is ready, one that is not listed yet.
+func (p *Policy) mayBePlacedLater(r *request) bool {
+	if p.readyWorkers == 0 && p.attemptAllowed(r, nil) {
+		return true
+	}
+	return slices.ContainsFunc(p.fleet, func(w *worker) bool {
+		return w.endpoint.State == Ready && !slices.Contains(r.triedWorkers, w) && p.attemptAllowed(r, w)
+	})
 }
 
-func (p *Policy) learnPlacement(a *attempt, e AttemptEnded, delay float64) {
-	i, f, objective := a.instance, a.request.function, p.classes[a.request.Class].LatencyObjective
-	noLoad := e.InstanceStatus <= InstanceWarm
-	if !a.neededLoad && noLoad {
-		answers := 20.0 // it follows a rise slowly and a fall fast
-		if delay < p.standingDelay {
-			answers = 4
+// lowestScore returns the candidate with the lowest score, of which the preferred worker's is lower by the
+// load that it may not need. Scores that are closer than a tick, which the clock can't tell apart, are a tie,
+// drawn at random.
+func (p *Policy) lowestScore(r *request, candidates []*worker, preference preference) target {
+	bonus := nanoseconds(preference.warmChance) * p.predictedLoadTime(r.function)
+	scores := make([]nanoseconds, len(candidates))
+	lowest := nanoseconds(math.Inf(1))
+	for i, w := range candidates {
+		scores[i] = p.predictLatency(w, r)
+		if w == preference.worker {
+			scores[i] -= bonus
 		}
-		p.standingDelay += (min(delay, outlierClip*float64(objective)) - p.standingDelay) / answers
+		lowest = min(lowest, scores[i])
 	}
-	i.warmUntil, i.loadEndsAt = p.now+p.cfg.InstanceKeepAlive, 0
-	i.concurrency = max(i.concurrency, i.inFlight+1)
-	p.announce(i, f)
-	if e.Duration < objective {
-		f.saturation *= ratioRetention
-	} else if a.expectedWarm() && noLoad {
-		f.recordSaturation(p.readyWorkers)
+	best := candidates[p.drawTie(scores, lowest+nanoseconds(p.cfg.Tick))]
+	return target{
+		worker:     best,
+		score:      lowest,
+		latency:    p.predictLatency(best, r),
+		likelyWarm: preference.isLikelyWarm(best),
 	}
 }
 
-func (f *function) recordSaturation(most int) { f.saturation = min(f.saturation+1, float64(most)) }
+// drawTie returns the index of one of the scores that are at most highest, each with the same chance.
+func (p *Policy) drawTie(scores []nanoseconds, highest nanoseconds) int {
+	chosen := 0
+	ties := 0
+	for i, score := range scores {
+		if score > highest {
+			continue
+		}
+		ties++
+		if p.rng.IntN(ties) == 0 {
+			chosen = i
+		}
+	}
+	return chosen
+}
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -36,7 +36,7 @@
 	h := newHarness(t, testConfig(), 2)
 	for _, w := range []WorkerID{1, 2} { // both have an instance; queueing at 2 looks a little worse
 		h.policy.workers[w].instance(7).warmUntil = h.now + 10*time.Second
-		h.policy.workers[w].excessDelay.observe(h.now, float64(w-1)*float64(20*ms))
+		h.policy.workers[w].queue.excessDelay.observe(h.now, float64(w-1)*float64(20*ms))
 	}
 	first, atFirst := h.sendSingle()
 	second, atSecond := h.sendSingle()
@@ -48,7 +48,7 @@
 	h.now += 80 * ms
 	h.answer(second, atSecond, InstanceWarm, 80*ms)
 	h.policy.workers[1].instance(7).concurrency = 2 // two were served at a time
-	h.policy.workers[2].excessDelay.observe(h.now, float64(100*ms))
+	h.policy.workers[2].queue.excessDelay.observe(h.now, float64(100*ms))
 	if _, w := h.sendSingle(); w != 1 {
 		t.Fatalf("sent to %d", w)
 	}
@@ -68,7 +68,7 @@
 		cfg := testConfig()
 		cfg.RouterCount = routers
 		h := newHarness(t, cfg, 6)
-		h.policy.servedWork = 6 * float64(rateMemory) // all are at work, so one function deserves one worker
+		h.policy.estimates.servedWork = 6 * nanoseconds(rateMemory) // all are at work, so one function deserves one worker
 		sends := map[WorkerID]int{}
 		for range 4 { // as many as an instance runs at a time
 			_, w := h.arriveAndSend(classIdempotent, 7)
@@ -88,7 +88,7 @@
 	hot, rare := map[WorkerID]bool{}, map[WorkerID]bool{}
 	for n := range uint64(50) {
 		h := newHarness(t, cfg, 20)
-		h.policy.identity, h.policy.rng = n, rand.New(rand.NewPCG(n, 2))
+		h.policy.replicaSeed, h.policy.rng = n, rand.New(rand.NewPCG(n, 2))
 		for k := range 30 {
 			f := FunctionID(1000 + k)
 			if k%3 == 0 {
@@ -127,7 +127,7 @@
 	fleet := &routerFleet{sends: map[WorkerID]int{}}
 	for n := range uint64(routers) {
 		h := newHarness(t, cfg, workers)
-		h.policy.identity, h.policy.rng = n, rand.New(rand.NewPCG(n, 9))
+		h.policy.replicaSeed, h.policy.rng = n, rand.New(rand.NewPCG(n, 9))
 		fleet.routers = append(fleet.routers, h)
 	}
 	return fleet
@@ -142,7 +142,7 @@
 		for k := range 24 {
 			f := FunctionID(7)
 			if k > 0 {
-				f = FunctionID(1000 + k + int(h.policy.identity)*24)
+				f = FunctionID(1000 + k + int(h.policy.replicaSeed)*24)
 			}
 			h.now += 500 * ms
 			h.housekeep()
@@ -229,7 +229,7 @@
 			cfg.RouterCount = 40
 			h := newHarness(t, cfg, 5)
 			h.serve(7, 100*ms, InstanceWarm)
-			h.policy.lastTrial = h.now
+			h.policy.lastExploration = h.now
 			actions := h.handle(RequestArrived{Request: 99, Function: 8, LoadTime: time.Second, TimeLeft: left})
 			if hasAction[SendAttempt](actions) != want {
 				t.Errorf("answered with %v", actions)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,40 +1,54 @@
 package policy
 
 import (
-	"fmt"
 	"maps"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
 )
 
 const (
-	housekeepingInterval = 50 * time.Millisecond // far below any latency objective, yet cheap
-	sweepInterval        = time.Second           // also between trials, and the time of a first ejection
-	functionMemory       = 2 * time.Minute       // after its last request a function is forgotten
+	// housekeepingInterval is the time between two runs of the periodic work. It bounds how late a waiting
+	// request, a silent worker or a pending gossip message is noticed: far below any latency objective, and
+	// cheap. Requests that wait for a worker are placed at most this late; a shorter interval costs time, a
+	// longer one latency.
+	housekeepingInterval = 50 * time.Millisecond
 
-	housekeepingToken, resubscribeToken = 0, 1    // of timers
-	deadlineTokenBase                   = 1 << 32 // plus the request's id
+	// sweepInterval is the time between two sweeps, which decay the served work and forget what is unused.
+	sweepInterval = time.Second
+
+	// functionMemory is how long after its last request a function is remembered. It bounds the memory for
+	// functions that are requested once; a function that comes back later starts from its class's estimates.
+	functionMemory = 2 * time.Minute
+
+	// rngStream is the second half of the random generator's seed: any fixed number, the same at all routers.
+	rngStream = 0x7468796d65
 )
 
 // Policy takes the decisions of one router. It is not safe for concurrent use.
 type Policy struct {
-	now, lastTrial, lastSweep time.Duration
-	cfg                       Config
-	rng                       *rand.Rand
-	identity                  uint64   // has routers keep to different replicas of a function
-	actions                   []Action // of the event being handled
-	fleetEstimates
+	cfg Config
+	rng *rand.Rand // draws every random choice
+	// replicaSeed differs between routers, so that they prefer different replicas of a function; see replica.
+	replicaSeed uint64
+
+	now             time.Duration // of the event that is being handled
+	actions         []Action      // that answer it so far
+	lastSweep       time.Duration
+	lastExploration time.Duration // when a request was last admitted against the estimates; see admit
+
 	workers      map[WorkerID]*worker
-	fleet        []*worker // the same, in the order of their first listing
-	readyWorkers int
-	subscribed   bool
-	requests     map[RequestID]*request
-	waiting      []*request // no worker may take them now; each housekeeping tries again
-	functions    map[FunctionID]*function
-	classes      []class
-	tenants      []tokenBucket
+	fleet        []*worker // the same workers, in the order of their first listing
+	readyWorkers int       // workers in the state Ready
+	subscribed   bool      // a subscription to the endpoint list is in force
+
+	requests  map[RequestID]*request
+	waiting   []*request // no worker may take them now; housekeeping places them again
+	functions map[FunctionID]*function
+	classes   []class       // by RequestArrived.Class
+	quotas    []tokenBucket // by RequestArrived.Tenant
+
+	estimates    fleetEstimates
 	loadBackoff  loadBackoff
 	loadCommands loadCommandBudget
 	gossip       gossipOutbox
@@ -46,66 +60,44 @@
 		return nil, err
 	}
 	cfg.RouterCount = max(cfg.RouterCount, 1)
-	p := &Policy{cfg: cfg, identity: seed, rng: rand.New(rand.NewPCG(seed, 0x7468796d65)),
-		fleetEstimates: fleetEstimates{loadRatio: 1, queueField: slices.Index(cfg.LoadReportFields, "queue")},
-		workers:        map[WorkerID]*worker{},
-		requests:       map[RequestID]*request{}, functions: map[FunctionID]*function{}}
-	for _, c := range cfg.Classes {
-		mean := initialRunTimeShare * float64(c.LatencyObjective)
-		p.classes = append(p.classes, class{Class: c, runTime: runTimeEstimate{mean: mean},
-			actualWork: runTimePrior * mean, hintedWork: runTimePrior * mean})
+	p := &Policy{
+		cfg:          cfg,
+		rng:          rand.New(rand.NewPCG(seed, rngStream)),
+		replicaSeed:  seed,
+		workers:      map[WorkerID]*worker{},
+		requests:     map[RequestID]*request{},
+		functions:    map[FunctionID]*function{},
+		estimates:    newFleetEstimates(cfg.LoadReportFields),
+		loadCommands: newLoadCommandBudget(&cfg),
+	}
+	for _, settings := range cfg.Classes {
+		p.classes = append(p.classes, newClass(settings))
 	}
-	for _, t := range cfg.Tenants {
-		rate := clamp(t.QuotaPerSecond, 0, 1e9) / float64(cfg.RouterCount)
-		p.tenants = append(p.tenants, tokenBucket{tokens: rate + 1, refillPerSecond: rate})
+	for _, tenant := range cfg.Tenants {
+		p.quotas = append(p.quotas, newTokenBucket(tenant, cfg.RouterCount))
 	}
-	p.emit(SetTimer{After: housekeepingInterval, Token: housekeepingToken}) // with the first event's actions
+	// These actions leave with those of the first event.
+	p.setTimer(housekeepingInterval, timer{kind: housekeepingTimer})
 	p.emit(Subscribe{On: true})
 	return p, nil
 }
 
-func validate(cfg *Config) error {
-	if len(cfg.Classes) == 0 {
-		return &ConfigError{"Classes", "empty"}
-	}
-	for i, c := range cfg.Classes {
-		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DedupWindow < 0 ||
-			c.Idempotency > NotIdempotent || c.DedupScope > DedupCell {
-			return &ConfigError{fmt.Sprintf("Classes[%d]", i), fmt.Sprintf("impossible: %+v", c)}
-		}
-	}
-	for field, v := range map[string]float64{
-		"MaxAttempts": float64(cfg.MaxAttempts), "Tick": float64(cfg.Tick),
-		"SlowStartCapacity": cfg.SlowStartCapacity, "SlowStartDuration": float64(cfg.SlowStartDuration),
-		"OverloadMultiple": cfg.OverloadMultiple, "OverloadWindow": float64(cfg.OverloadWindow),
-		"InstanceKeepAlive": float64(cfg.InstanceKeepAlive), "LoadCommandWindow": float64(cfg.LoadCommandWindow),
-		"LoadCommandAllowance": cfg.LoadCommandAllowance, "LoadCommandsPerRequest": cfg.LoadCommandsPerRequest,
-	} {
-		if math.IsNaN(v) || math.IsInf(v, 1) || v < 0 || field == "SlowStartCapacity" && v > 1 {
-			return &ConfigError{field, fmt.Sprintf("impossible: %v", v)}
-		}
-	}
-	return nil
-}
-
-// Handle takes an event, which happened at now, and appends the actions that answer it to actions.
+// Handle takes an event, which happened at now, and appends the actions that answer it to actions. A now that
+// is earlier than that of the event before counts as the same time.
 func (p *Policy) Handle(now time.Duration, event Event, actions []Action) []Action {
-	p.now, p.actions = max(now, p.now), append(actions, p.actions...)
+	p.now = max(now, p.now)
+	p.actions = append(actions, p.actions...)
 	switch e := event.(type) {
 	case EndpointUpdate:
 		p.endpointsUpdated(e)
 	case RequestArrived:
 		p.requestArrived(e)
 	case ResponseStarted:
-		if r := p.requests[e.Request]; r != nil {
-			r.responseStarted = true
-		}
+		p.responseStarted(e)
 	case AttemptEnded:
 		p.attemptEnded(e)
 	case ClientCancelled:
-		if r := p.requests[e.Request]; r != nil {
-			p.closeRequest(r)
-		}
+		p.clientCancelled(e)
 	case LoadCommandEnded:
 		p.loadCommandEnded(e)
 	case HealthCheckEnded:
@@ -113,42 +105,42 @@
 	case GossipReceived:
 		p.gossipReceived(e.Data)
 	case TimerFired:
-		if r := p.requests[RequestID(e.Token-deadlineTokenBase)]; e.Token == housekeepingToken {
-			p.housekeeping()
-		} else if e.Token == resubscribeToken {
-			p.emit(Subscribe{On: true})
-		} else if e.Token >= deadlineTokenBase && r != nil && !r.responseStarted {
-			p.giveUp(r, 0, DeadlineExceeded)
-		}
+		p.timerFired(e)
 	}
-	actions, p.actions = p.actions, nil
+	actions = p.actions
+	p.actions = nil
 	return actions
 }
 
+// housekeeping does the periodic work and sets the timer of the next run.
 func (p *Policy) housekeeping() {
-	p.emit(SetTimer{After: housekeepingInterval, Token: housekeepingToken})
+	p.setTimer(housekeepingInterval, timer{kind: housekeepingTimer})
 	p.checkSuspects()
 	p.sendGossip()
+	p.placeWaiting()
+	if p.now-p.lastSweep >= sweepInterval {
+		p.sweep()
+	}
+}
+
+// placeWaiting tries again to place the requests that no worker could take. Those that still find none wait
+// on.
+func (p *Policy) placeWaiting() {
 	waiting := p.waiting
 	p.waiting = nil
 	for _, r := range waiting {
 		p.place(r)
 	}
-	if p.now-p.lastSweep >= sweepInterval {
-		p.lastSweep = p.now
-		p.servedWork -= p.servedWork * float64(sweepInterval) / float64(rateMemory)
-		p.sweep()
-	}
 }
 
-func (p *Policy) sweep() { // what is no longer used
-	unused := func(w *worker) bool { return w.State == Gone && len(w.inFlight) == 0 && w.loadCommands == 0 }
-	p.fleet = slices.DeleteFunc(p.fleet, unused)
-	maps.DeleteFunc(p.workers, func(_ WorkerID, w *worker) bool { return unused(w) })
+// sweep decays the served work and forgets workers, instances and functions that are no longer used.
+func (p *Policy) sweep() {
+	p.lastSweep = p.now
+	p.estimates.decayServedWork()
+	p.fleet = slices.DeleteFunc(p.fleet, (*worker).isUnused)
+	maps.DeleteFunc(p.workers, func(_ WorkerID, w *worker) bool { return w.isUnused() })
 	for _, w := range p.fleet {
-		maps.DeleteFunc(w.instances, func(_ FunctionID, i *instance) bool {
-			return i.inFlight == 0 && !i.loadCommandPending && p.now > i.warmUntil && p.now > i.loadEndsAt
-		})
+		maps.DeleteFunc(w.instances, func(_ FunctionID, i *instance) bool { return i.isUnused(p.now) })
 	}
 	oldest := p.now - functionMemory
 	maps.DeleteFunc(p.functions, func(_ FunctionID, f *function) bool { return f.lastRequest < oldest })
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -131,9 +131,10 @@
 	}
 	for _, w := range h.policy.fleet {
 		p := h.policy
-		v := w.queueSlope.numerator + p.classes[classIdempotent].runTime.mean + p.loadRatio + p.standingDelay
+		v := w.queue.slope.sumY + float64(p.classes[classIdempotent].runTime.mean) + p.estimates.loadRatio +
+			float64(p.estimates.standingDelay)
 		if math.IsNaN(v) || math.IsInf(v, 0) {
-			t.Errorf("worker %d: an estimate is %v", w.Worker, v)
+			t.Errorf("worker %d: an estimate is %v", w.id(), v)
 		}
 	}
 }
--- a/policy/scoring_test.go
+++ b/policy/prediction_test.go
@@ -7,7 +7,9 @@
 )
 
 // queueing returns the queueing delay that is predicted at an otherwise idle worker.
-func (h *harness) queueing(w WorkerID) float64 { return h.policy.queueingDelay(h.policy.workers[w], 0) }
+func (h *harness) queueing(w WorkerID) nanoseconds {
+	return h.policy.queueingDelay(h.policy.workers[w], 0)
+}
 
 // Our requests in flight say nothing of what other routers queue at a worker: its answers do.
 func TestScoreShowsOtherRoutersQueues(t *testing.T) {
@@ -20,11 +22,11 @@
 	h.serve(7, 900*ms, InstanceWarm)
 	other := h.policy.workers[w%6+1]
 	other.instance(7).warmUntil = h.now + time.Minute // a second instance
-	if got := h.serve(7, 100*ms, InstanceWarm); got != other.Worker {
+	if got := h.serve(7, 100*ms, InstanceWarm); got != other.id() {
 		t.Errorf("sent to %d again after two late answers", got)
 	}
 	before := h.queueing(w)
-	if idle := h.queueing(other.Worker); before < idle+float64(50*ms) {
+	if idle := h.queueing(other.id()); before < idle+nanoseconds(50*ms) {
 		t.Errorf("late answers predict %v, nothing known %v", before, idle)
 	}
 	h.now += 20 * time.Second
@@ -53,7 +55,7 @@
 	h.now += time.Minute
 	h.handle(HealthCheckEnded{Worker: 1, LoadReport: []float64{33, 30}})
 	h.handle(HealthCheckEnded{Worker: 2, LoadReport: []float64{3, 0}})
-	if full, idle := h.queueing(1), h.queueing(2); full < idle+float64(150*ms) {
+	if full, idle := h.queueing(1), h.queueing(2); full < idle+nanoseconds(150*ms) {
 		t.Errorf("a queue of 30 predicts %v, of 0 %v", full, idle)
 	}
 	before := h.queueing(3)
@@ -64,12 +66,12 @@
 		t.Errorf("implausible reports predict %v", got)
 	}
 	h.handle(HealthCheckEnded{Worker: 3, LoadReport: []float64{1e300, 1e300}})
-	if got := h.queueing(3); got > outlierClip*float64(400*ms) {
+	if got := h.queueing(3); got > outlierClip*nanoseconds(400*ms) {
 		t.Errorf("a report far off predicts %v", got)
 	}
 	h.now += time.Minute
 	h.handle(HealthCheckEnded{Worker: 3, LoadReport: []float64{3, 0}})
-	if got := h.queueing(3); got > float64(50*ms) {
+	if got := h.queueing(3); got > nanoseconds(50*ms) {
 		t.Errorf("a report far off is still believed after a minute: %v", got)
 	}
 }
@@ -79,9 +81,9 @@
 	h := newHarness(t, testConfig(), 3)
 	h.handle(RequestArrived{Request: 99, Function: 7, LoadTime: time.Second, WorkHint: ms, TimeLeft: 4 * time.Second})
 	r := h.policy.requests[99]
-	h.answer(99, r.attempts[0].worker.Worker, InstanceWarm, 150*ms)
-	hinted := &request{RequestArrived: RequestArrived{WorkHint: 100 * ms}, function: r.function}
-	if got := h.policy.predictedRunTime(hinted); got > float64(200*ms) {
+	h.answer(99, r.attempts[0].worker.id(), InstanceWarm, 150*ms)
+	hinted := &request{arrived: RequestArrived{WorkHint: 100 * ms}, function: r.function}
+	if got := h.policy.predictedRunTime(hinted); got > nanoseconds(200*ms) {
 		t.Errorf("a hint of 100 ms counts as %v", time.Duration(got))
 	}
 }
@@ -92,7 +94,7 @@
 	for range 200 {
 		h.serve(7, 280*ms, InstanceWarm) // of an objective of 400 ms
 	}
-	if d := time.Duration(h.policy.standingDelay); d > 100*ms { // a quarter of the objective: where shedding begins
+	if d := time.Duration(h.policy.estimates.standingDelay); d > 100*ms { // a quarter of the objective: where shedding begins
 		t.Errorf("a standing delay of %v is seen where nothing queues", d)
 	}
 }
--- /dev/null
+++ b/policy/quotas.go
@@ -0,0 +1,55 @@
+package policy
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// maxQuotaPerSecond bounds a quota, in requests a second, so that no arithmetic on it overflows.
+	maxQuotaPerSecond = 1e9
+
+	// quotaChanceFactor is how many standard deviations of a second's arrivals a bucket holds beside the
+	// second's worth: a tenant within its quota must not look beyond it by chance.
+	quotaChanceFactor = 3
+)
+
+// tokenBucket is this router's part of a tenant's quota. A request whose first attempt is sent takes a token.
+type tokenBucket struct {
+	tokens          float64
+	refillPerSecond float64
+	refilledAt      time.Duration
+}
+
+// newTokenBucket returns the bucket of a router that shares the tenant's quota with the others evenly.
+func newTokenBucket(tenant Tenant, routers int) tokenBucket {
+	rate := clamp(tenant.QuotaPerSecond, 0, maxQuotaPerSecond) / float64(routers)
+	return tokenBucket{tokens: rate + 1, refillPerSecond: rate}
+}
+
+// refill adds the tokens of the time since the last refill, up to a second's worth and some for chance.
+func (b *tokenBucket) refill(now time.Duration) {
+	most := b.refillPerSecond + quotaChanceFactor*math.Sqrt(b.refillPerSecond) + 1
+	b.tokens = min(b.tokens+b.refillPerSecond*(now-b.refilledAt).Seconds(), most)
+	b.refilledAt = now
+}
+
+// checkQuota finds the quota of a new request's tenant, and whether the request is beyond it.
+func (p *Policy) checkQuota(r *request) {
+	tenant := r.arrived.Tenant
+	if tenant < 0 || tenant >= len(p.quotas) {
+		return
+	}
+	r.quota = &p.quotas[tenant]
+	r.quota.refill(p.now)
+	r.overQuota = r.quota.tokens < 1
+}
+
+// chargeQuota takes a token for r's first attempt. It is not taken on arrival: a refused request that comes
+// back is the same one, and would pay twice.
+func chargeQuota(r *request) {
+	firstAttempt := len(r.attempts) == 0
+	if firstAttempt && r.quota != nil && !r.overQuota {
+		r.quota.tokens--
+	}
+}
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -1,161 +1,130 @@
 package policy
 
-import (
-	"math"
-	"slices"
-	"time"
+import "time"
+
+const (
+	// longestPlausibleTime bounds the times that clients and workers name: a longer load time or work hint
+	// counts as unknown, a longer duration as this one.
+	longestPlausibleTime = time.Hour
+
+	// answerMarginTicks is how many ticks before a request's deadline its final answer leaves. One tick may
+	// pass until the timer fires, and one on the way out.
+	answerMarginTicks = 2
+
+	// retryJitter is the part of a Retry-After that is drawn at random. Higher, and some clients come back
+	// too early; lower, and all that were refused together come back together.
+	retryJitter = 0.5
 )
 
-type function struct { // what our requests of it have shown
-	id                    FunctionID
-	loadTime, lastRequest time.Duration // loadTime: usual, as hinted
-	runTime               runTimeEstimate
-	served                bool    // by any worker
-	saturation            float64 // answers that were late or overloaded, less those that were not
-	recentRequests        float64 // before the last one, decaying over rateMemory
+// request is a request that has no final answer yet, or has attempts in flight.
+type request struct {
+	arrived          RequestArrived // as it came, with a TimeLeft of at least 0
+	function         *function
+	deadline         time.Duration
+	quota            *tokenBucket // of its tenant; nil: the tenant has none
+	attempts         []*attempt   // in the order of their sends
+	attemptsInFlight int
+	mayHaveRun       *attempt  // the first attempt that may have run; nil: none
+	triedWorkers     []*worker // workers that rejected or failed it
+	overQuota        bool      // its tenant's quota was used up when it came
+	responseStarted  bool      // part of the response has reached the client
+	finished         bool      // it has its final answer, or is owed none
 }
 
-type request struct { // without a final answer, or with attempts in flight
-	RequestArrived
-	function                             *function
-	deadline                             time.Duration
-	quota                                *tokenBucket // nil: its tenant has none
-	attempts                             []*attempt
-	outstanding                          int       // attempts in flight
-	mayHaveRun                           *attempt  // the first that may have
-	triedWorkers                         []*worker // rejected or failed it
-	overQuota, responseStarted, finished bool
-}
+func (r *request) id() RequestID { return r.arrived.Request }
 
-type attempt struct { // one send of a request
-	request                 *request
-	worker                  *worker
-	instance                *instance
-	sentAt, expectedLatency time.Duration
-	number, inFlightBefore  int  // inFlightBefore: our requests at the worker then
-	neededLoad, likelyWarm  bool // not known to be loaded there, but likely, for another router
-	cancelled, ended        bool // cancelled: by us
+// classOf returns the class of r.
+func (p *Policy) classOf(r *request) *class { return &p.classes[r.arrived.Class] }
+
+// objective returns r's latency objective.
+func (p *Policy) objective(r *request) nanoseconds {
+	return nanoseconds(p.classOf(r).settings.LatencyObjective)
 }
 
-func (a *attempt) expectedWarm() bool { return !a.neededLoad || a.likelyWarm }
+// timeLeft returns the time until r's client gives up.
+func (p *Policy) timeLeft(r *request) nanoseconds { return nanoseconds(r.deadline - p.now) }
+
+// answerMargin is how long before its deadline a request gets its final answer.
+func (p *Policy) answerMargin() time.Duration { return answerMarginTicks * p.cfg.Tick }
+
+// outOfTime reports whether r's final answer is due.
+func (p *Policy) outOfTime(r *request) bool { return p.now >= r.deadline-p.answerMargin() }
 
+// requestArrived registers a new request, sets the timer of its deadline and places it. One of an unknown
+// class or with an id that is in use is ignored.
 func (p *Policy) requestArrived(e RequestArrived) {
 	if e.Class < 0 || e.Class >= len(p.classes) || p.requests[e.Request] != nil {
 		return
 	}
-	p.loadCommands.requests = append(p.within(p.cfg.LoadCommandWindow, p.loadCommands.requests), p.now)
-	p.gossip.budget = min(p.gossip.budget+gossipBudgetPerRequest, float64(p.cfg.RouterCount))
+	p.loadCommands.recordRequest(p.now)
+	p.gossip.earn(p.cfg.RouterCount)
 	e.TimeLeft = max(e.TimeLeft, 0)
-	r := &request{RequestArrived: e, function: p.requestedFunction(e), deadline: p.now + e.TimeLeft}
+	r := &request{arrived: e, function: p.requestedFunction(e), deadline: p.now + e.TimeLeft}
 	p.requests[e.Request] = r
-	if e.Tenant >= 0 && e.Tenant < len(p.tenants) {
-		r.quota = &p.tenants[e.Tenant]
-		r.quota.refill(p.now)
-		r.overQuota = r.quota.tokens < 1
-	}
-	p.emit(SetTimer{After: max(e.TimeLeft-2*p.cfg.Tick, 0), Token: deadlineTokenBase + uint64(e.Request)})
+	p.checkQuota(r)
+	p.setTimer(max(e.TimeLeft-p.answerMargin(), 0), timer{kind: deadlineTimer, request: e.Request})
 	p.place(r)
 	r.function.recentRequests++
 }
 
-func (p *Policy) requestedFunction(e RequestArrived) *function {
-	f, c := p.functions[e.Function], &p.classes[e.Class]
-	if f == nil {
-		f = &function{id: e.Function, runTime: runTimeEstimate{mean: c.runTime.mean}}
-		p.functions[e.Function] = f
-	}
-	f.recentRequests *= math.Exp(-float64(p.now-f.lastRequest) / float64(rateMemory))
-	f.lastRequest, f.loadTime = p.now, e.LoadTime
-	if f.loadTime <= 0 || f.loadTime > time.Hour { // unknown: as long as an answer may take
-		f.loadTime = c.LatencyObjective
+// responseStarted records that part of a response has reached the client: another attempt would add a second
+// one.
+func (p *Policy) responseStarted(e ResponseStarted) {
+	if r := p.requests[e.Request]; r != nil {
+		r.responseStarted = true
 	}
-	return f
 }
 
-func (p *Policy) sendAttempt(r *request, w *worker, latency time.Duration, warm bool) {
-	load, i := p.remainingLoadTime(w, r), w.instance(r.function.id)
-	if !p.emit(SendAttempt{Request: r.Request, Worker: w.Worker}) {
-		return
-	}
-	a := &attempt{request: r, worker: w, instance: i, number: len(r.attempts), sentAt: p.now,
-		expectedLatency: latency, inFlightBefore: len(w.inFlight), neededLoad: load > 0, likelyWarm: warm}
-	if a.number == 0 && r.quota != nil && !r.overQuota {
-		r.quota.tokens-- // not on arrival: a refused request that comes back is the same one
-	}
-	r.attempts = append(r.attempts, a)
-	w.inFlight = append(w.inFlight, a)
-	r.outstanding++
-	i.inFlight++
-	if p.warmingCapacity(w) < 1 {
-		w.recentSends = append(w.recentSends, a)
-	}
-	if a.neededLoad && i.loadEndsAt == 0 && !p.cfg.MissWhenNotLoaded {
-		i.loadEndsAt = p.now + time.Duration(load)
-	}
-	if a.neededLoad && p.loadBackoff.failures > 0 && p.now >= p.loadBackoff.until {
-		p.loadBackoff.extend(p.now, 0)
+// clientCancelled ends a request that is owed no answer any more.
+func (p *Policy) clientCancelled(e ClientCancelled) {
+	if r := p.requests[e.Request]; r != nil {
+		p.closeRequest(r)
 	}
 }
 
-func (p *Policy) attemptEnded(e AttemptEnded) {
-	r := p.requests[e.Request]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
-		return
-	}
-	a := r.attempts[e.Attempt]
-	a.ended = true
-	a.instance.inFlight--
-	a.worker.inFlight = slices.DeleteFunc(a.worker.inFlight, func(other *attempt) bool { return other == a })
-	r.outstanding--
-	if !e.Outcome.NeverRan() && r.mayHaveRun == nil {
-		r.mayHaveRun = a
-	}
-	if e.Outcome != ConnectionReset || a.number > 0 { // a connection may break alone: w has the instance
-		r.triedWorkers = append(r.triedWorkers, a.worker)
-	}
-	e.Duration = min(max(e.Duration, 0), time.Hour)
-	p.learnFromOutcome(a, e)
-	if e.RequestClosed {
-		p.closeRequest(r)
-	}
-	switch {
-	case r.finished || r.outstanding > 0:
-	case e.Outcome == FunctionNotLoaded && p.requestLoad(r, a.instance):
-	case e.Outcome == NotSent || e.Outcome == TimedOut && p.outOfTime(r):
-		p.giveUp(r, 0, DeadlineExceeded)
-	default:
-		p.place(r)
+// deadlineReached ends a request whose time has run out. One whose response is on its way gets that as its
+// answer.
+func (p *Policy) deadlineReached(id RequestID) {
+	if r := p.requests[id]; r != nil && !r.responseStarted {
+		p.endUnserved(r, 0, DeadlineExceeded)
 	}
-	p.forgetIfSettled(r)
 }
 
-func (p *Policy) objective(r *request) float64 { return float64(p.classes[r.Class].LatencyObjective) }
-
-func (p *Policy) outOfTime(r *request) bool { return p.now >= r.deadline-2*p.cfg.Tick }
-
-func (p *Policy) giveUp(r *request, wait float64, reason UnservedReason) { // wait: in nanoseconds
-	refusal := RefuseRequest{Request: r.Request, Reason: reason}
-	if most := float64(p.cfg.MaxRetryAfter); p.cfg.AllowRetryAfter && most > 0 {
-		wait = clamp(wait, float64(housekeepingInterval), most)
-		refusal.RetryAfter = time.Duration(wait * (1 - p.rng.Float64()/2)) // not all at once
-	}
+// endUnserved gives r its final answer without a result, at once: a refusal, which the rules turn into a
+// failure if r may have run. wait is the time after which a repeat may fare better.
+func (p *Policy) endUnserved(r *request, wait nanoseconds, reason UnservedReason) {
+	refusal := RefuseRequest{Request: r.id(), RetryAfter: p.retryAfter(wait), Reason: reason}
 	if !r.finished && p.emit(refusal) {
 		p.closeRequest(r)
 	}
 }
 
+// retryAfter returns the advice when to come back: wait within the settings' limit, less a random part. It is
+// 0 where the settings allow no advice.
+func (p *Policy) retryAfter(wait nanoseconds) time.Duration {
+	most := nanoseconds(p.cfg.MaxRetryAfter)
+	if !p.cfg.AllowRetryAfter || most <= 0 {
+		return 0
+	}
+	wait = clamp(wait, nanoseconds(housekeepingInterval), most)
+	kept := nanoseconds(1 - p.rng.Float64()*retryJitter)
+	return (wait * kept).duration()
+}
+
+// closeRequest marks r as finished and cancels its attempts in flight, where the settings allow that.
 func (p *Policy) closeRequest(r *request) {
 	r.finished = true
 	for _, a := range r.attempts {
-		if !a.ended && !a.cancelled {
-			a.cancelled = p.emit(CancelAttempt{Request: r.Request, Attempt: a.number})
+		if !a.ended {
+			p.cancelAttempt(a)
 		}
 	}
 	p.forgetIfSettled(r)
 }
 
+// forgetIfSettled forgets r if nothing about it is open.
 func (p *Policy) forgetIfSettled(r *request) {
-	if r.finished && r.outstanding == 0 {
-		delete(p.requests, r.Request)
+	if r.finished && r.attemptsInFlight == 0 {
+		delete(p.requests, r.id())
 	}
 }
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -2,58 +2,118 @@
 
 import "time"
 
-// emit appends an action unless a rule forbids it. All actions pass here: no mistake elsewhere breaks a rule.
-func (p *Policy) emit(action Action) bool {
-	allowed := true
+// emit appends an action to the answer if the rules allow it, and reports whether they did. Every action
+// passes here, so that no mistake elsewhere breaks a rule. Callers that keep books of an action change them
+// only if it was emitted.
+func (p *Policy) emit(action Action) (emitted bool) {
+	if !p.allowed(action) {
+		return false
+	}
+	if load, ok := action.(LoadInstance); ok && load.Instances > 0 {
+		p.loadCommands.recordCommand(p.now)
+	}
+	if refusal, ok := action.(RefuseRequest); ok && !p.repeatIsHarmless(p.requests[refusal.Request]) {
+		action = FailRequest{Request: refusal.Request, Reason: refusal.Reason}
+	}
+	p.actions = append(p.actions, action)
+	return true
+}
+
+// allowed reports whether the settings and the rules allow an action now. It changes nothing that a decision
+// depends on.
+func (p *Policy) allowed(action Action) bool {
 	switch a := action.(type) {
 	case SendAttempt:
-		r, w := p.requests[a.Request], p.workers[a.Worker]
-		allowed = r != nil && w != nil && p.sendAllowed(r, w)
+		r := p.requests[a.Request]
+		w := p.workers[a.Worker]
+		return r != nil && w != nil && p.sendAllowed(r, w)
 	case RefuseRequest:
 		r := p.requests[a.Request]
-		allowed = r != nil && !r.finished
-		if allowed && !p.repeatHarmless(r) {
-			action = FailRequest{Request: a.Request, Reason: a.Reason}
-		}
+		return r != nil && !r.finished
 	case LoadInstance:
-		w := p.workers[a.Worker]
-		allowed = w != nil && p.cfg.AllowLoadCommands && (a.Instances <= 0 || w.State == Ready && p.takeLoadCommand())
+		return p.loadCommandAllowed(a)
 	case Subscribe:
-		allowed = p.cfg.RequiresSubscription && !p.subscribed
+		return p.cfg.RequiresSubscription && !p.subscribed
 	case CheckHealth:
-		allowed = p.cfg.AllowHealthChecks
+		return p.cfg.AllowHealthChecks
 	case CancelAttempt:
-		allowed = p.cfg.AllowCancel
+		return p.cfg.AllowCancel
+	default:
+		return true
 	}
-	if allowed {
-		p.actions = append(p.actions, action)
+}
+
+// sendAllowed reports whether r may go to w now: one attempt at a time, as hedged requests are not used, to a
+// worker that is ready, in time, within the rules on repeats and on slow start.
+func (p *Policy) sendAllowed(r *request, w *worker) bool {
+	answered := r.finished || r.responseStarted
+	if answered || r.attemptsInFlight > 0 {
+		return false
 	}
-	return allowed
+	if w.endpoint.State != Ready || p.now >= r.deadline {
+		return false
+	}
+	return p.attemptAllowed(r, w) && p.slowStartAdmits(w, r.arrived.Class)
 }
 
-// repeatHarmless reports whether the client may repeat r, at whatever worker that ends.
-func (p *Policy) repeatHarmless(r *request) bool {
-	c := &p.classes[r.Class]
-	return r.mayHaveRun == nil && r.outstanding == 0 || c.Idempotency == Idempotent ||
-		c.Idempotency == IdempotentWithKey && c.DedupScope == DedupFleet
+// attemptAllowed reports whether r may have another attempt at w, or with nil at some worker that is not
+// listed yet.
+func (p *Policy) attemptAllowed(r *request, w *worker) bool {
+	if p.cfg.MaxAttempts > 0 && len(r.attempts) >= p.cfg.MaxAttempts {
+		return false
+	}
+	return r.mayHaveRun == nil || p.repeatAllowed(r, w)
 }
 
-// sendAllowed reports whether r may go to w now: not beside another attempt, as hedging is not used.
-func (p *Policy) sendAllowed(r *request, w *worker) bool {
-	return !r.finished && !r.responseStarted && r.outstanding == 0 && w.State == Ready &&
-		p.now < r.deadline && p.attemptAllowed(r, w) && p.slowStartAdmits(w, r.Class)
+// repeatAllowed reports whether r, which may have run, may run again at w (nil: at a worker that is not
+// listed yet).
+func (p *Policy) repeatAllowed(r *request, w *worker) bool {
+	settings := &p.classOf(r).settings
+	switch settings.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentWithKey:
+		ran := r.mayHaveRun
+		arrivesAt := p.now + p.cfg.Tick
+		keyIsKnown := w == nil || settings.shareDedupScope(ran.worker, w)
+		return settings.repeatableAt(arrivesAt, ran.sentAt) && keyIsKnown
+	default:
+		return false
+	}
 }
 
-// attemptAllowed reports whether r may have another attempt at w, or with nil at a worker yet to be listed.
-func (p *Policy) attemptAllowed(r *request, w *worker) bool {
-	c, ran := &p.classes[r.Class], r.mayHaveRun
-	left := p.cfg.MaxAttempts <= 0 || len(r.attempts) < p.cfg.MaxAttempts
-	return left && (ran == nil || c.Idempotency == Idempotent ||
-		c.repeatableAt(p.now+p.cfg.Tick, ran.sentAt) && (w == nil || c.DedupScope == DedupFleet ||
-			c.DedupScope == DedupZone && w.Zone == ran.worker.Zone ||
-			c.DedupScope == DedupCell && w.Cell == ran.worker.Cell))
+// repeatIsHarmless reports whether the client may repeat r at whatever worker that ends: nothing ran, or a
+// repeat has no effect anywhere.
+func (p *Policy) repeatIsHarmless(r *request) bool {
+	neverRan := r.mayHaveRun == nil && r.attemptsInFlight == 0
+	settings := &p.classOf(r).settings
+	detectedEverywhere := settings.Idempotency == IdempotentWithKey && settings.DedupScope == DedupFleet
+	return neverRan || settings.Idempotency == Idempotent || detectedEverywhere
 }
 
-func (c *class) repeatableAt(at, sentAt time.Duration) bool { // where its key is known
-	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && at < sentAt+c.DedupWindow
+// repeatableAt reports whether a request that was sent at sentAt may run again at the time at, where its key
+// is known.
+func (c *Class) repeatableAt(at, sentAt time.Duration) bool {
+	switch c.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentWithKey:
+		return at < sentAt+c.DedupWindow
+	default:
+		return false
+	}
+}
+
+// shareDedupScope reports whether two workers share the memory of idempotency keys.
+func (c *Class) shareDedupScope(a, b *worker) bool {
+	switch c.DedupScope {
+	case DedupFleet:
+		return true
+	case DedupZone:
+		return a.endpoint.Zone == b.endpoint.Zone
+	case DedupCell:
+		return a.endpoint.Cell == b.endpoint.Cell
+	default:
+		return false
+	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -28,7 +28,7 @@
 	h := newHarness(t, testConfig(), 2)
 	id, w := h.arriveAndSend(classNotIdempotent, 7)
 	r := h.policy.requests[id]
-	r.outstanding, r.mayHaveRun = 0, r.attempts[0]
+	r.attemptsInFlight, r.mayHaveRun = 0, r.attempts[0]
 	if h.policy.emit(SendAttempt{Request: id, Worker: 3 - w}) {
 		t.Error("a repeat of a request that is not idempotent was emitted")
 	}
--- /dev/null
+++ b/policy/timers.go
@@ -0,0 +1,74 @@
+package policy
+
+import "time"
+
+// timerKind says what a timer is for.
+type timerKind uint8
+
+// The kinds of timers.
+const (
+	housekeepingTimer timerKind = iota // the periodic work
+	resubscribeTimer                   // subscribe to the endpoint list again
+	deadlineTimer                      // a request must get its final answer
+)
+
+// The tokens of the timers, as SetTimer and TimerFired carry them. A deadline's is an offset plus the
+// request's id, which has 32 bits.
+const (
+	housekeepingToken   = 0
+	resubscribeToken    = 1
+	deadlineTokenOffset = 1 << 32
+)
+
+// timer is a timer of the policy.
+type timer struct {
+	kind    timerKind
+	request RequestID // of a deadlineTimer
+}
+
+// token returns the number that stands for t outside this package.
+func (t timer) token() uint64 {
+	switch t.kind {
+	case housekeepingTimer:
+		return housekeepingToken
+	case resubscribeTimer:
+		return resubscribeToken
+	default:
+		return deadlineTokenOffset + uint64(t.request)
+	}
+}
+
+// timerOfToken returns the timer whose token this is, or false if no timer has it.
+func timerOfToken(token uint64) (t timer, ok bool) {
+	switch {
+	case token == housekeepingToken:
+		return timer{kind: housekeepingTimer}, true
+	case token == resubscribeToken:
+		return timer{kind: resubscribeTimer}, true
+	case token >= deadlineTokenOffset:
+		return timer{kind: deadlineTimer, request: RequestID(token - deadlineTokenOffset)}, true
+	default:
+		return timer{}, false
+	}
+}
+
+// setTimer asks the router for a TimerFired of t after a time.
+func (p *Policy) setTimer(after time.Duration, t timer) {
+	p.emit(SetTimer{After: after, Token: t.token()})
+}
+
+// timerFired does what a timer was set for.
+func (p *Policy) timerFired(e TimerFired) {
+	t, ok := timerOfToken(e.Token)
+	if !ok {
+		return
+	}
+	switch t.kind {
+	case housekeepingTimer:
+		p.housekeeping()
+	case resubscribeTimer:
+		p.emit(Subscribe{On: true})
+	case deadlineTimer:
+		p.deadlineReached(t.request)
+	}
+}
