--- a/policy/prediction.go
+++ b/policy/prediction.go
@@ -18,16 +18,16 @@
 //
 //	score = D(w, n) + R(r) + L(w, r) + U(w, r) + X(w, r) + O(w)
 //
-//	D  the queueing delay behind our n requests in flight at w. The paper knows the running batch and computes
-//	   its latency; we see our own requests alone and fit the delay online: see queueingDelay.
+//	D  the queueing delay behind our n requests in flight at w. The paper knows the running batch and
+//	   computes its latency; we see our own requests alone and fit the delay online: see queueingDelay.
 //	R  the run time of r, the paper's estimated computation latency: see predictedRunTime.
 //	L  the time until the function is loaded at w, 0 if it is. The paper's cost ignores where a template is
 //	   held, so this term is ours: see remainingLoadTime.
-//	U  the share of r's class that w has left unserved, times the time that r has left. Ours: a request that is
-//	   not served waits in vain, and the rest of its time is what it loses.
+//	U  the share of r's class that w has left unserved, times the time that r has left. Ours: a request that
+//	   is not served waits in vain, and the rest of its time is what it loses.
 //	X  extraInstanceShare of a load where the instances at w are all busy: w may load a further one. Ours.
-//	O  how much longer than predicted w's oldest attempt has gone without any answer from w. Ours: an overdue
-//	   answer takes at least as much longer.
+//	O  how much longer than predicted w's oldest attempt has gone without any answer from w. Ours: an
+//	   overdue answer takes at least as much longer.
 func (p *Policy) predictLatency(w *worker, r *request) nanoseconds {
 	i := w.instances[r.function.id]
 	score := p.queueingDelay(w, len(w.inFlight)) +
