--- a/policy/admission.go
+++ b/policy/admission.go
@@ -64,10 +64,10 @@
 //
 //	chance = min(shedSlope * (delay/objective - start), maxShedChance)
 //
-//	delay      the standing delay of all workers or, if longer, the part of w's queue that other routers make up
+//	delay      the standing delay of all workers or, if longer, the part of w's queue that others make up
 //	objective  r's latency objective, or the shortest of the classes that have more value for their work
-//	start      the ratio at which shedding begins: lowest for requests beyond their tenant's quota and for those
-//	           that are late at best, then for classes of less value than another
+//	start      the ratio at which shedding begins: lowest for requests beyond their tenant's quota and for
+//	           those that are late at best, then for classes of less value than another
 func (p *Policy) shouldShed(r *request, w *worker, latency nanoseconds) (shed bool, drain nanoseconds) {
 	start, objective := p.shedThreshold(r, latency)
 	delay := max(p.estimates.standingDelay, nanoseconds(p.otherRoutersShare())*w.queue.excess(p.now))
