--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,9 +3,8 @@
 import "time"
 
 const (
-	// The ratios of the delay to the latency objective at which load shedding begins. They were chosen on the
-	// simulator's days. Higher, and queues eat the objective; lower, and requests are shed that would have
-	// been served.
+	// The ratios of the delay to the latency objective at which load shedding begins. Higher, and queues eat
+	// the objective; lower, and requests are shed that would have been served in time.
 	shedStart       = 0.5
 	shedStartBehind = 0.25 // where a class of more value is served too
 	shedStartFirst  = 0.15 // for requests beyond their quota, or late at best
@@ -14,13 +13,15 @@
 	// objective later.
 	shedSlope = 2
 
-	// maxShedChance leaves some requests to show that the delay is gone.
+	// maxShedChance bounds the chance to be shed: the requests that are left show when the delay is gone.
 	maxShedChance = 0.9
 
-	// moreValuable is how many times the value for its work a class must have to go before another.
+	// moreValuable is how many times the value for its work a class must have to go before another. Higher,
+	// and classes of nearly the same value share the shedding; lower, and an estimate's noise decides.
 	moreValuable = 1.5
 
 	// explorationInterval is the least time between two requests that are admitted against the estimates.
+	// Longer, and a wrong estimate stays; shorter, and more requests are late.
 	explorationInterval = time.Second
 )
 
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -38,6 +38,12 @@
 //
 // Clock readings are offsets on the router's monotonic clock. They, the settings and what enters or leaves
 // the policy are of type time.Duration; estimates are floating-point nanoseconds.
+//
+// # Constants
+//
+// Each constant says what it bounds and what a higher or lower value would do. Where it names no source (the
+// settings, a page, a paper), it is a default of this project and no measured optimum; the simulator's score
+// tells what another value is worth.
 package policy
 
 //go:generate go tool -modfile=../tools/go.mod stringer -linecomment -output=enum_string.go -type=Idempotency,DedupScope,WorkerState,EndpointUpdateKind,UnservedReason,Outcome,InstanceStatus,timerKind
--- a/policy/load_commands_test.go
+++ b/policy/load_commands_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestMissOrdersOneLoadAndRequestFollows(t *testing.T) {
+func TestMissCommandsOneLoadAndRequestFollows(t *testing.T) {
 	h := newHarness(t, loadCommandConfig(), 4)
 	id, w := h.arriveAndSend(classIdempotent, 7)
 	actions := h.fail(id, 0, w, FunctionNotLoaded)
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -16,7 +16,14 @@
 	retryJitter = 0.5
 )
 
-// request is a request that has no final answer yet, or has attempts in flight.
+// request is a request that has no final answer yet, or has attempts in flight. It is in one of these states:
+//
+//	placed again soon  in Policy.waiting: no worker may take it now
+//	awaiting a load    in instance.waiting: a load command has no answer yet
+//	in flight          attemptsInFlight is 1
+//	finished           it has its answer, but an attempt has not ended: the worker may still run it
+//
+// It is forgotten once it is finished and no attempt is in flight.
 type request struct {
 	arrived          RequestArrived // as it came, with a TimeLeft of at least 0
 	function         *function
