--- a/policy/doc.go
+++ b/policy/doc.go
@@ -28,8 +28,8 @@
 //   - load_commands.go, load_backoff.go: where workers do not load by themselves they are commanded to,
 //     within a budget; while loads fail, they begin one at a time and ever more slowly.
 //   - gossip.go: routers tell each other which instances are loaded, where the settings allow it.
-//   - endpoints.go, functions.go, instances.go: what is known of a worker, a function, and a function at a
-//     worker.
+//   - endpoints.go, classes.go, functions.go, instances.go: what is known of a worker, of a class of requests,
+//     of a function, and of a function at a worker.
 //   - config_check.go: which settings are refused at the start.
 //
 // The types that enter and leave are in config.go, events.go, actions.go and outcome.go.
--- a/policy/functions.go
+++ b/policy/functions.go
@@ -41,22 +41,3 @@
 // recordSaturation counts an answer that was late or overloaded although the function was loaded: one replica
 // more is wanted, up to most.
 func (f *function) recordSaturation(most int) { f.saturation = min(f.saturation+1, float64(most)) }
-
-// class is a class of requests, with what its requests have shown.
-type class struct {
-	settings   Class
-	runTime    runTimeEstimate
-	actualWork nanoseconds // recent run times of requests with a work hint, decaying
-	hintedWork nanoseconds // their hints; equal at first, so that hints are believed
-}
-
-// newClass returns a class whose estimates are guesses until answers come.
-func newClass(settings Class) class {
-	mean := initialRunTimeShare * nanoseconds(settings.LatencyObjective)
-	return class{
-		settings:   settings,
-		runTime:    runTimeEstimate{mean: mean},
-		actualWork: runTimePrior * mean,
-		hintedWork: runTimePrior * mean,
-	}
-}
--- a/policy/learning.go
+++ b/policy/learning.go
@@ -13,6 +13,13 @@
 	// most answers exceed, and sheds load only while that goes on.
 	standingDelayRise = 20
 	standingDelayFall = 4
+
+	// loadRatioGain is the weight of one load in the ratio of the real to the hinted load time.
+	loadRatioGain = 0.2
+
+	// The bounds of the ratio that one load can show.
+	minLoadRatio = 0.2
+	maxLoadRatio = 10
 )
 
 // learnFromOutcome learns from the end of an attempt what it says of its worker and its function.
@@ -189,3 +196,10 @@
 	p.recordUnserved(a, 1)
 	p.checkHealth(w)
 }
+
+// loadSucceeded learns from a whole load of f, which ends the backoff.
+func (p *Policy) loadSucceeded(took nanoseconds, f *function) {
+	p.loadBackoff = loadBackoff{}
+	ratio := clamp(float64(took)/float64(f.loadTime), minLoadRatio, maxLoadRatio)
+	p.estimates.loadRatio += loadRatioGain * (ratio - p.estimates.loadRatio)
+}
--- a/policy/load_backoff.go
+++ b/policy/load_backoff.go
@@ -29,19 +29,3 @@
 	b.failures += failures
 	b.until = now + firstLoadPause<<min(b.failures, maxLoadPauseDoublings)
 }
-
-const (
-	// loadRatioGain is the weight of one load in the ratio of the real to the hinted load time.
-	loadRatioGain = 0.2
-
-	// The bounds of the ratio that one load can show.
-	minLoadRatio = 0.2
-	maxLoadRatio = 10
-)
-
-// loadSucceeded learns from a whole load of f, which ends the backoff.
-func (p *Policy) loadSucceeded(took nanoseconds, f *function) {
-	p.loadBackoff = loadBackoff{}
-	ratio := clamp(float64(took)/float64(f.loadTime), minLoadRatio, maxLoadRatio)
-	p.estimates.loadRatio += loadRatioGain * (ratio - p.estimates.loadRatio)
-}
