--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// maxBufferedBytes is how much of the log may wait for a reader that is slow. What comes beyond is dropped.
+	// maxBufferedBytes is how many bytes of the log may wait for a slow destination. Lines beyond it are dropped.
 	maxBufferedBytes = 256 << 10
 
 	// writePeriod is the least time between two writes, so that lines that come together are written together.
 	writePeriod = time.Millisecond
 )
 
-// Writer hands what is written to it to another writer on a goroutine of its own. Write never blocks: a log that nobody
-// reads must not hold up what is logged about. Lines that find the buffer full are dropped, and their number is written
-// once there is room. It is safe for concurrent use.
+// Writer buffers log lines and writes them to its destination on a goroutine of its own. Write never blocks on the
+// destination: a log that nobody reads must not delay the work that is logged. Lines that do not fit into the buffer are
+// dropped, and their number is written with the next lines. It is safe for concurrent use.
 type Writer struct {
-	destination io.Writer
+	destination io.Writer     // used by the goroutine of run alone
 	wake        chan struct{} // holds one token while there is something to write
 	stop        chan struct{} // closed by Close
-	done        chan struct{} // closed once the goroutine has ended
+	done        chan struct{} // closed when the goroutine of run has ended
 
-	mu       sync.Mutex
-	buffered []byte
-	dropped  int // writes since the buffer was full
+	mu       sync.Mutex // guards the fields below
+	buffered []byte     // lines that have yet to be written
+	dropped  int        // lines dropped since the last write to the destination
 }
 
-// NewWriter returns a Writer to destination. Close must be called at the end.
+// NewWriter returns a Writer to destination and starts its goroutine. Until Close has returned, destination belongs to
+// the Writer. Close must be called once, at the end.
 func NewWriter(destination io.Writer) *Writer {
 	w := &Writer{
 		destination: destination,
@@ -41,7 +42,8 @@
 	return w
 }
 
-// Write takes a line of the log. It never fails.
+// Write buffers or drops one line of the log, which it copies. It never fails: a dropped line counts as written. Lines
+// that are written after Close stay in the buffer.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if len(w.buffered)+len(line) > maxBufferedBytes {
@@ -52,13 +54,13 @@
 	w.mu.Unlock()
 	select {
 	case w.wake <- struct{}{}:
-	default: // a token is there already
+	default: // the goroutine has a token already
 	}
 	return len(line), nil
 }
 
-// Close writes what is buffered and ends the goroutine. It waits for that for no longer than timeout: the reader may have
-// stalled.
+// Close writes what is buffered and ends the goroutine. It returns after timeout at the latest, although the goroutine
+// may still be writing: the destination may have stalled. A second call panics.
 func (w *Writer) Close(timeout time.Duration) {
 	close(w.stop)
 	select {
@@ -67,6 +69,7 @@
 	}
 }
 
+// run writes what is buffered whenever it is woken, at most once in writePeriod, until Close.
 func (w *Writer) run() {
 	defer close(w.done)
 	for {
@@ -81,11 +84,14 @@
 	}
 }
 
-// writeBuffered writes what is buffered. An error is dropped with the lines: there is nowhere to report it.
+// writeBuffered writes what is buffered, and the number of lines that were dropped meanwhile. An error of the destination
+// is ignored and costs these lines: there is nowhere else to report it.
 func (w *Writer) writeBuffered() {
 	w.mu.Lock()
-	batch, dropped := w.buffered, w.dropped
-	w.buffered, w.dropped = nil, 0
+	batch := w.buffered
+	dropped := w.dropped
+	w.buffered = nil
+	w.dropped = 0
 	w.mu.Unlock()
 	if dropped > 0 {
 		batch = fmt.Appendf(batch, "level=WARN msg=\"log lines dropped\" lines=%d\n", dropped)
