--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -28,8 +28,8 @@
 		closeDescriptor(fd)
 		return
 	}
-	c := &Conn{loop: l, fd: fd, remoteAddr: peer, isAccepted: true}
-	if err := c.startPolling(unix.EPOLLIN | unix.EPOLLRDHUP); err != nil {
+	c := &Conn{loop: l, socket: socket{fd: fd}, remoteAddr: peer, isAccepted: true, state: stateOpen}
+	if err := c.socket.register(l.poll, unix.EPOLLIN|unix.EPOLLRDHUP, c); err != nil {
 		slog.Error("accepted connection can't be polled", "address", peer, "error", err)
 		l.Closed[OverLimit]++
 		closeDescriptor(fd)
@@ -38,9 +38,9 @@
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // answers may wait for a while without it
 	l.Accepted++
 	l.accepted[c] = struct{}{}
-	c.connected = true
 	c.activity.lastActivity = l.now
-	c.handler = ln.accept(c)
+	c.acceptedHandler = ln.accept(c)
+	c.handler = c.acceptedHandler
 }
 
 // AcceptedConnections returns how many accepted connections are open.
@@ -77,7 +77,7 @@
 func (l *Loop) evictionCandidate(eligible func(*Conn) bool, without []*Conn) *Conn {
 	var victim *Conn
 	for c := range l.accepted {
-		if c.closed || c.owesAnswer() || !eligible(c) || slices.Contains(without, c) {
+		if c.owesAnswer() || !eligible(c) || slices.Contains(without, c) {
 			continue
 		}
 		if victim == nil || c.activity.evictsBefore(&victim.activity, l.now) {
@@ -102,16 +102,6 @@
 	}
 }
 
-// owesAnswer reports whether an accepted connection has a request without an answer, or an answer that has
-// yet to leave: closing drops what is queued, and with it the only answer to a request.
-func (c *Conn) owesAnswer() bool {
-	return c.hasOpenRequests() || c.hasUnwritten()
-}
-
-func (c *Conn) hasOpenRequests() bool {
-	return c.handler.(AcceptedHandler).HasOpenRequests()
-}
-
 // logRefusals logs how many connections were refused since the last line, if any.
 func (l *Loop) logRefusals() {
 	if count, due := l.refusals.Ready(l.now); due {
--- a/internal/eventloop/accept_test.go
+++ b/internal/eventloop/accept_test.go
@@ -68,8 +68,8 @@
 	now := l.now
 	add := func(openRequests bool, activity messageActivity) *Conn {
 		h := &echoHandler{openRequests: openRequests}
-		c := &Conn{loop: l, fd: noDescriptor, isAccepted: true, handler: h, connected: true, activity: activity}
-		l.accepted[c] = struct{}{}
+		c := newAcceptedConn(l, h)
+		c.activity = activity
 		return c
 	}
 	evictable := []struct {
@@ -93,11 +93,11 @@
 	unreadAnswer.setUnsent([]byte("a"))
 
 	for _, c := range evictable {
-		if !l.evict(anyConnection) || !c.conn.closed {
+		if !l.evict(anyConnection) || c.conn.state != stateClosed {
 			t.Fatalf("the connection %q was not the next to be evicted", c.name)
 		}
 	}
-	if l.evict(anyConnection) || openRequests.closed || pendingAnswer.closed || unreadAnswer.closed {
+	if l.evict(anyConnection) || openRequests.state != stateOpen || pendingAnswer.state != stateOpen || unreadAnswer.state != stateOpen {
 		t.Error("a connection that owes an answer was evicted")
 	}
 	if pendingAnswer.activity.lastActivity != now {
--- a/internal/eventloop/activity.go
+++ b/internal/eventloop/activity.go
@@ -112,7 +112,7 @@
 func (l *Loop) sweep() {
 	l.lastSweep = l.now
 	for c := range l.accepted {
-		if c.closing && l.now-c.activity.lastActivity > closeTimeout {
+		if c.state == stateFlushing && l.now-c.activity.lastActivity > closeTimeout {
 			c.closeFor(PeerNotReading)
 			continue
 		}
@@ -133,7 +133,7 @@
 // end has not.
 func (l *Loop) HasPartialMessages() bool {
 	for c := range l.accepted {
-		if c.activity.partialSince > 0 && !c.closed {
+		if c.activity.partialSince > 0 {
 			return true
 		}
 	}
--- a/internal/eventloop/activity_test.go
+++ b/internal/eventloop/activity_test.go
@@ -52,8 +52,8 @@
 func playUntilClosed(step, end time.Duration, receive func(h *echoHandler, at time.Duration) bool) time.Duration {
 	l := New(Config{})
 	h := &echoHandler{}
-	conn := &Conn{loop: l, fd: noDescriptor, isAccepted: true, handler: h, connected: true, activity: messageActivity{lastActivity: l.now}}
-	l.accepted[conn] = struct{}{}
+	conn := newAcceptedConn(l, h)
+	conn.activity.lastActivity = l.now
 	start := l.now
 	for at := time.Duration(0); at < end; at += step {
 		l.now = start + at
@@ -61,7 +61,7 @@
 			conn.handleData(nil)
 		}
 		l.sweep()
-		if conn.closed {
+		if conn.state == stateClosed {
 			return at
 		}
 	}
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -8,73 +8,58 @@
 	"golang.org/x/sys/unix"
 )
 
-// noDescriptor stands for a descriptor that is not open.
-const noDescriptor = -1
-
-// Conn is a TCP connection, accepted or dialed. Its methods must be called on the loop's goroutine.
+// Conn is a TCP connection, accepted or dialed. Its methods must be called on the loop's goroutine. They may be called at
+// any time, also by the Conn's own handler and after the connection has closed.
 type Conn struct {
 	loop       *Loop
-	fd         int // noDescriptor: none is open
-	token      token
-	interest   uint32  // the events that the descriptor is registered for
-	handler    Handler // an AcceptedHandler or a DialHandler
-	isAccepted bool
+	socket     socket
 	remoteAddr netip.AddrPort
-	dial       *dial // while it is being dialed
+	isAccepted bool // or else it was dialed
+
+	handler         Handler
+	acceptedHandler AcceptedHandler // the handler of an accepted connection; nil for a dialed one
+	dial            *dial           // nil once the dial has ended, and for an accepted connection
+
+	state connState // changed by transition alone
 
-	connected  bool  // the handler has been told that the connection is open
-	calledOff  bool  // the handler has closed it
-	closed     bool  // nothing is read or written any more
-	inputEnded bool  // the peer has sent its last byte; it may still read
-	closing    bool  // it closes once all is written, and is not read any more
-	writeError error // it is read once more, and then closed
+	// writeError is why the connection can't be written to any more; nil while it can. It is no connState: the direction
+	// to the peer may break in any of its states, and what the peer sent before is still read in the next turn if the
+	// state wants input. The connection closes after that.
+	writeError error
 
 	pending  [][]byte      // written in this turn
 	unsent   []byte        // written in earlier turns; the kernel has yet to take it
-	takenAt  time.Duration // when the kernel last took some of unsent, or it began
+	takenAt  time.Duration // when the kernel last took some of unsent, or unsent began
 	activity messageActivity
 }
 
 // RemoteAddr returns the peer's address, or the zero AddrPort if it is not known.
 func (c *Conn) RemoteAddr() netip.AddrPort { return c.remoteAddr }
 
-// startPolling registers the descriptor for events.
-func (c *Conn) startPolling(events uint32) error {
-	t, err := c.loop.poll.add(c.fd, events, c)
-	if err != nil {
-		return err
-	}
-	c.token = t
-	c.interest = events
-	return nil
-}
-
-// updateInterest registers the descriptor for what the connection waits for.
+// updateInterest registers the socket for the events that the connection waits for.
 func (c *Conn) updateInterest() {
 	var events uint32
-	if !c.inputEnded && !c.closing {
+	if c.state.wantsInput() {
 		events |= unix.EPOLLIN | unix.EPOLLRDHUP
 	}
 	if len(c.unsent) > 0 {
 		events |= unix.EPOLLOUT
 	}
-	if c.closed || events == c.interest {
+	if c.state.isClosed() || events == c.socket.interest {
 		return
 	}
-	if err := c.loop.poll.modify(c.fd, c.token, events); err != nil {
+	if err := c.socket.setInterest(c.loop.poll, events); err != nil {
 		c.failWrite(err)
-		return
 	}
-	c.interest = events
 }
 
 func (c *Conn) ofClient() bool { return c.isAccepted }
 
-// onEvents handles what the poller reports. A connection that broke is read all the same: what came before is in the
-// socket, and the read tells why it broke.
+// onEvents handles what the poller reports. A connection that broke is read all the same: what the peer sent before is in
+// the socket, and the read returns the error that broke it.
 func (c *Conn) onEvents(events uint32) {
 	const ended = unix.EPOLLERR | unix.EPOLLHUP
-	if c.dial != nil {
+	if c.state.isDialing() {
 		c.finishConnect()
 		return
 	}
@@ -82,14 +67,14 @@
 		c.writeUnsent()
 	}
 	switch {
-	case c.closed || c.writeError != nil:
-	case c.inputEnded || c.closing:
+	case c.state.isClosed() || c.writeError != nil:
+	case !c.state.wantsInput():
 		if events&ended != 0 {
 			c.end(c.pendingError())
 		}
 	case events&(unix.EPOLLRDHUP|ended) != 0:
 		// To the end, so that what the peer sent before it is never handled in a turn of its own: a request whose client
-		// has gone is not to be sent on.
+		// has gone must not be forwarded to a worker.
 		c.readUpTo(maxReadsAtEnd, true)
 	case events&unix.EPOLLIN != 0:
 		c.readUpTo(maxReadsPerTurn, false)
@@ -98,71 +83,82 @@
 
 // pendingError returns the error with which the connection broke.
 func (c *Conn) pendingError() error {
-	if err := c.loop.calls.connectResult(c.fd); err != nil {
+	if err := c.loop.calls.connectResult(c.socket.fd); err != nil {
 		return err
 	}
 	return io.EOF
 }
 
-// end closes a connection that the peer or the network has ended, and tells the handler at once. It must not be called
-// while a handler runs.
+// end closes a connection that the peer or the network has ended, and calls the handler's OnClose at once. It must not be
+// called while a handler runs.
 func (c *Conn) end(err error) {
 	c.shut(causeOfError(err, ReadFailed), err)
 	c.handler.OnClose(err)
 }
 
-// endLater is end for the time in which handlers run or the turn is over: the handler is told in the next turn.
+// endLater closes a connection while a handler may be running, or at the end of a turn: OnClose is called in the next
+// turn, if the connection was connected.
 func (c *Conn) endLater(cause CloseCause, err error) {
+	wasConnected := c.state.isConnected()
 	c.shut(cause, err)
-	if c.connected {
+	if wasConnected {
 		c.loop.later(func() { c.handler.OnClose(err) })
 	}
 }
 
-// shut closes the descriptor and drops what is not written.
+// shut counts the end of an accepted connection and closes the socket. The caller calls the handler.
 func (c *Conn) shut(cause CloseCause, err error) {
 	if c.isAccepted {
 		c.loop.recordClose(c, cause, err)
 	}
-	c.closed = true
+	c.transition(eventClosed)
+	c.release()
+}
+
+// release closes the socket, drops what is not written and takes the connection out of the loop.
+func (c *Conn) release() {
 	c.dial = nil
 	c.dropPending()
 	c.setUnsent(nil)
-	c.closeDescriptor()
+	c.socket.close(c.loop.poll)
 	delete(c.loop.accepted, c)
 	delete(c.loop.dialing, c)
 	delete(c.loop.dialed, c)
 }
 
-func (c *Conn) closeDescriptor() {
-	if c.fd == noDescriptor {
-		return
-	}
-	c.loop.poll.remove(c.token)
-	closeDescriptor(c.fd)
-	c.fd = noDescriptor
-}
-
-// CloseAfterFlush closes the connection once all that was written has left, or the peer has had its time for it. No more
-// is read.
+// CloseAfterFlush closes the connection when the kernel has taken everything that was written. Nothing more is read, and
+// later writes are dropped. An accepted connection whose peer does not read is closed after closeTimeout. The handler's
+// OnClose is called in a later turn.
 func (c *Conn) CloseAfterFlush() {
-	if c.closed || c.closing {
-		return
+	if c.transition(eventCloseAfterFlush) {
+		c.loop.unflushed = append(c.loop.unflushed, c)
 	}
-	c.closing = true
-	c.loop.unflushed = append(c.loop.unflushed, c)
 }
 
-// Close closes the connection and drops its pending writes. Its handler's OnClose is called in a later turn, if
-// the connection was ever open.
+// Close closes the connection and drops its pending writes. Its handler's OnClose is called in a later turn if
+// the connection was ever open; else the handler gets no further call. A second Close does nothing.
 func (c *Conn) Close() {
-	c.calledOff = true
+	if c.state == stateDialFailed {
+		c.transition(eventClosed) // the failure is not reported any more
+		return
+	}
 	c.closeFor(ClosedByHandler)
 }
 
-// closeFor is Close with the cause that is counted.
+// closeFor closes the connection with the cause that is counted.
 func (c *Conn) closeFor(cause CloseCause) {
-	if !c.closed {
+	if !c.state.isClosed() {
 		c.endLater(cause, nil)
 	}
 }
+
+// owesAnswer reports whether an accepted connection has a request without an answer, or an answer that has
+// yet to be sent: a close drops what is queued, and with it the only answer to a request.
+func (c *Conn) owesAnswer() bool {
+	return c.hasOpenRequests() || c.hasUnwritten()
+}
+
+// hasOpenRequests reports whether requests of an accepted connection have no answer yet.
+func (c *Conn) hasOpenRequests() bool {
+	return c.acceptedHandler.HasOpenRequests()
+}
--- a/internal/eventloop/conn_lifecycle_test.go
+++ b/internal/eventloop/conn_lifecycle_test.go
@@ -132,6 +132,14 @@
 	}
 }
 
+// inState checks the state of the connection under test.
+func (m *manualLoop) inState(want connState) {
+	m.t.Helper()
+	if m.conn.state != want {
+		m.t.Errorf("the connection is %v, want %v", m.conn.state, want)
+	}
+}
+
 // peerReceives reads what the peer receives until the end of the connection.
 func (m *manualLoop) peerReceives() string {
 	m.t.Helper()
@@ -184,14 +192,21 @@
 
 var dialedScenarios = []dialedScenario{
 	{"closed while dialing", func(m *manualLoop, _ *dialCallRecorder) {
+		m.inState(stateDialing)
 		m.conn.Close()
+		m.inState(stateClosed)
 	}, nil},
 	{"closed after flush while dialing", func(m *manualLoop, _ *dialCallRecorder) {
 		m.conn.CloseAfterFlush()
+		m.inState(stateDialingToClose)
 		m.flush()
+		m.inState(stateClosed)
 	}, nil},
 	{"closed after flush in the turn that connects", func(m *manualLoop, h *dialCallRecorder) {
-		h.onOpen = func() { m.conn.Write([]byte("dropped")) }
+		h.onOpen = func() {
+			m.inState(stateFlushing)
+			m.conn.Write([]byte("dropped"))
+		}
 		m.conn.CloseAfterFlush()
 		m.turns()
 		if got := m.peerReceives(); got != "" {
@@ -200,6 +215,7 @@
 	}, []string{"open", "close"}},
 	{"connected", func(m *manualLoop, _ *dialCallRecorder) {
 		m.turn()
+		m.inState(stateOpen)
 	}, []string{"open"}},
 	{"refused", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
@@ -207,16 +223,22 @@
 	{"refused, and closed before the report", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
 		m.turn()
+		m.inState(stateDialFailed)
 		m.conn.Close()
+		m.inState(stateClosed)
 	}, nil},
 	{"refused, and closed by the report", func(m *manualLoop, h *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
-		h.onOpen = func() { m.conn.Close() }
+		h.onOpen = func() {
+			m.inState(stateClosed)
+			m.conn.Close()
+		}
 	}, []string{"open: ECONNREFUSED"}},
 	{"refused, and closed after flush before the report", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
 		m.turn()
 		m.conn.CloseAfterFlush()
+		m.inState(stateDialFailed)
 	}, []string{"open: ECONNREFUSED"}},
 	{"closed after flush in the turn that is refused", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
@@ -225,6 +247,7 @@
 	{"timed out", func(m *manualLoop, _ *dialCallRecorder) {
 		m.now += 2 * time.Second
 		m.checkDials()
+		m.inState(stateDialFailed)
 	}, []string{"open: deadline exceeded"}},
 	{"ended by the peer", func(m *manualLoop, _ *dialCallRecorder) {
 		m.turn()
@@ -267,7 +290,9 @@
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
 		m.flush()
+		m.inState(stateOpen)
 		m.conn.CloseAfterFlush()
+		m.inState(stateFlushing)
 	}, []string{"open", "close: EPIPE"}},
 	{"write failed, then closed", func(m *manualLoop, _ *dialCallRecorder) {
 		m.turn()
@@ -310,6 +335,7 @@
 		h.openRequests = true
 		m.peerSends("request", true)
 		m.turn()
+		m.inState(stateHalfClosed)
 		m.conn.Write([]byte("answer"))
 		h.openRequests = false
 		m.turns()
@@ -334,7 +360,9 @@
 		h.openRequests = true
 		m.peerSends("request", true)
 		m.turn()
+		m.inState(stateHalfClosed)
 		m.conn.CloseAfterFlush()
+		m.inState(stateFlushing)
 	}, []string{"data request", "end of input", "close"}, ClosedByHandler},
 	{"end of input, then a write fails", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.openRequests = true
@@ -363,6 +391,7 @@
 		m.conn.CloseAfterFlush()
 		m.peerSends("not read any more", true)
 		m.turn()
+		m.inState(stateFlushing)
 		m.now += closeTimeout + time.Millisecond
 		m.sweep()
 	}, []string{"close"}, PeerNotReading},
--- /dev/null
+++ b/internal/eventloop/conn_state_test.go
@@ -0,0 +1,66 @@
+package eventloop
+
+import "testing"
+
+// All states and events, in the order of their values.
+var (
+	allConnStates = []connState{
+		stateDialing, stateDialingToClose, stateOpen, stateHalfClosed, stateFlushing, stateDialFailed, stateClosed,
+	}
+	allConnEvents = []connEvent{
+		eventConnected, eventDialFailed, eventEndOfInput, eventCloseAfterFlush, eventClosed,
+	}
+)
+
+// Guards the table of connState's documentation: every state with every event.
+func TestConnTransitions(t *testing.T) {
+	want := map[connState][]connState{ // in the order of allConnEvents; the state itself where nothing changes
+		stateDialing:        {stateOpen, stateDialFailed, stateDialing, stateDialingToClose, stateClosed},
+		stateDialingToClose: {stateFlushing, stateDialFailed, stateDialingToClose, stateDialingToClose, stateClosed},
+		stateOpen:           {stateOpen, stateOpen, stateHalfClosed, stateFlushing, stateClosed},
+		stateHalfClosed:     {stateHalfClosed, stateHalfClosed, stateHalfClosed, stateFlushing, stateClosed},
+		stateFlushing:       {stateFlushing, stateFlushing, stateFlushing, stateFlushing, stateClosed},
+		stateDialFailed:     {stateDialFailed, stateDialFailed, stateDialFailed, stateDialFailed, stateClosed},
+		stateClosed:         {stateClosed, stateClosed, stateClosed, stateClosed, stateClosed},
+	}
+	if len(connTransitions) != len(allConnStates) || len(want) != len(allConnStates) {
+		t.Fatalf("the table has %d states, the test %d, want %d", len(connTransitions), len(want), len(allConnStates))
+	}
+	for _, state := range allConnStates {
+		for i, event := range allConnEvents {
+			c := &Conn{state: state}
+			changed := c.transition(event)
+			if c.state != want[state][i] || changed != (want[state][i] != state) {
+				t.Errorf("%v, %v: got %v, changed %v; want %v", state, event, c.state, changed, want[state][i])
+			}
+		}
+	}
+}
+
+// Guards what each state stands for: each was once a combination of flags.
+func TestConnStateProperties(t *testing.T) {
+	type properties struct {
+		dialing, connected, closed, wantsInput, acceptsWrites, closesAfterFlush bool
+	}
+	for state, want := range map[connState]properties{
+		stateDialing:        {dialing: true, wantsInput: true, acceptsWrites: true},
+		stateDialingToClose: {dialing: true, closesAfterFlush: true},
+		stateOpen:           {connected: true, wantsInput: true, acceptsWrites: true},
+		stateHalfClosed:     {connected: true, acceptsWrites: true},
+		stateFlushing:       {connected: true, closesAfterFlush: true},
+		stateDialFailed:     {closed: true},
+		stateClosed:         {closed: true},
+	} {
+		got := properties{
+			dialing:          state.isDialing(),
+			connected:        state.isConnected(),
+			closed:           state.isClosed(),
+			wantsInput:       state.wantsInput(),
+			acceptsWrites:    state.acceptsWrites(),
+			closesAfterFlush: state.closesAfterFlush(),
+		}
+		if got != want {
+			t.Errorf("%v: got %+v, want %+v", state, got, want)
+		}
+	}
+}
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -22,6 +22,7 @@
 
 // dial is the state of a connection that is not open yet.
 type dial struct {
+	handler   DialHandler
 	addr      string // as asked for
 	deadline  time.Duration
 	retryAt   time.Duration // when the next socket is tried; 0: one is connecting, or the address is being resolved
@@ -35,7 +36,13 @@
 // While this machine lacks what a socket needs, as descriptors, ports or buffers, the dial is tried again until timeout:
 // such an error says nothing of the peer.
 func (l *Loop) Dial(addr string, timeout time.Duration, h DialHandler) *Conn {
-	c := &Conn{loop: l, fd: noDescriptor, handler: h, dial: &dial{addr: addr, deadline: noDeadline}}
+	c := &Conn{
+		loop:    l,
+		socket:  socket{fd: noDescriptor},
+		handler: h,
+		dial:    &dial{handler: h, addr: addr, deadline: noDeadline},
+		state:   stateDialing,
+	}
 	if timeout > 0 {
 		c.dial.deadline = l.now + timeout
 	}
@@ -53,7 +60,7 @@
 }
 
 func (c *Conn) handleResolved(addr netip.AddrPort, err error) {
-	if c.dial == nil { // called off, or timed out
+	if !c.state.isDialing() { // closed or timed out in the meantime
 		return
 	}
 	if err != nil {
@@ -74,38 +81,39 @@
 		c.handleConnectError(err)
 		return
 	}
-	c.fd = fd
+	c.socket.fd = fd
 	err = c.loop.calls.connect(fd, sockaddr)
 	if isOneOf(err, unix.EINPROGRESS, unix.EINTR) {
 		err = nil // the poller tells how it ends
 	}
 	if err == nil {
-		err = c.startPolling(unix.EPOLLOUT)
+		err = c.socket.register(c.loop.poll, unix.EPOLLOUT, c)
 	}
 	if err != nil {
-		c.closeDescriptor()
+		c.socket.close(c.loop.poll)
 		c.handleConnectError(err)
 	}
 }
 
 // finishConnect handles the end of a connect that was in progress.
 func (c *Conn) finishConnect() {
-	err := c.loop.calls.connectResult(c.fd)
+	err := c.loop.calls.connectResult(c.socket.fd)
 	if err == nil && c.isConnectedToItself() {
 		err = unix.ECONNREFUSED
 	}
 	if err != nil {
-		c.closeDescriptor()
+		c.socket.close(c.loop.poll)
 		c.handleConnectError(err)
 		return
 	}
-	_ = unix.SetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // calls may wait for a while without it
+	_ = unix.SetsockoptInt(c.socket.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // calls may wait for a while without it
+	handler := c.dial.handler
 	c.dial = nil
-	c.connected = true
+	c.transition(eventConnected)
 	delete(c.loop.dialing, c)
 	c.loop.dialed[c] = struct{}{}
 	c.updateInterest()
-	c.handler.(DialHandler).OnOpen(nil)
+	handler.OnOpen(nil)
 }
 
 // isConnectedToItself reports whether the kernel has joined the socket to itself. That happens where nobody listens at a
@@ -114,7 +122,7 @@
 	if !c.remoteAddr.Addr().IsLoopback() {
 		return false
 	}
-	local, err := unix.Getsockname(c.fd)
+	local, err := unix.Getsockname(c.socket.fd)
 	return err == nil && addrPortOf(local) == c.remoteAddr
 }
 
@@ -135,13 +143,16 @@
 		unix.EADDRINUSE, unix.EAGAIN, unix.ENETUNREACH, unix.ENETDOWN)
 }
 
-// failDial ends the dial. The handler hears of it in the next turn.
+// failDial ends the dial. OnOpen reports it in the next turn, unless the handler closes the connection before that.
 func (c *Conn) failDial(err error) {
+	handler := c.dial.handler
 	wrapped := fmt.Errorf("dial %s: %w", c.dial.addr, err)
-	c.shut(ClosedByHandler, wrapped)
+	c.transition(eventDialFailed)
+	c.release()
 	c.loop.later(func() {
-		if !c.calledOff {
-			c.handler.(DialHandler).OnOpen(wrapped)
+		if c.state == stateDialFailed {
+			c.transition(eventClosed)
+			handler.OnOpen(wrapped)
 		}
 	})
 }
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -223,8 +223,8 @@
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	check(t, err)
 	h := &recordingHandler{received: make(chan string, 10)}
-	c := &Conn{loop: l, fd: fds[0], handler: h, connected: true}
-	check(t, c.startPolling(unix.EPOLLIN))
+	c := &Conn{loop: l, socket: socket{fd: fds[0]}, handler: h, state: stateOpen}
+	check(t, c.socket.register(l.poll, unix.EPOLLIN, c))
 	l.dialed[c] = struct{}{}
 	_, err = unix.Write(fds[1], []byte("answer"))
 	check(t, err)
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -35,6 +35,20 @@
 func (h *echoHandler) HasOpenRequests() bool        { return h.openRequests }
 func (h *echoHandler) MessageProgress() (int, bool) { return h.completeMessages, h.partialMessage }
 
+// newAcceptedConn returns an open accepted connection of l that has no descriptor.
+func newAcceptedConn(l *Loop, h AcceptedHandler) *Conn {
+	c := &Conn{
+		loop:            l,
+		socket:          socket{fd: noDescriptor},
+		isAccepted:      true,
+		handler:         h,
+		acceptedHandler: h,
+		state:           stateOpen,
+	}
+	l.accepted[c] = struct{}{}
+	return c
+}
+
 // startLoop runs a loop until the test ends. It listens on a free port and accepts maxAccepted connections.
 func startLoop(t *testing.T, maxAccepted int, accept func(*Conn) AcceptedHandler) *Loop {
 	t.Helper()
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -37,8 +37,7 @@
 	addr   string // as asked for, a "host:port"
 	accept acceptFunc
 
-	fd       int // -1 while closed
-	token    token
+	socket   socket
 	failures int           // accepts that have failed in a row
 	paused   bool          // it is not polled, since accepting fails
 	resumeAt time.Duration // when it is polled again
@@ -48,14 +47,14 @@
 // Listen registers a listener on addr, a "host:port"; accept returns the handler of each of its connections.
 // Listen must be called before Start, which opens the listener.
 func (l *Loop) Listen(addr string, accept func(*Conn) AcceptedHandler) {
-	l.listeners = append(l.listeners, &listener{loop: l, addr: addr, accept: accept, fd: -1})
+	l.listeners = append(l.listeners, &listener{loop: l, addr: addr, accept: accept, socket: socket{fd: noDescriptor}})
 }
 
 // Addrs returns the addresses that the loop listens on.
 func (l *Loop) Addrs() []string {
 	var addrs []string
 	for _, listener := range l.listeners {
-		if bound, err := unix.Getsockname(listener.fd); err == nil {
+		if bound, err := unix.Getsockname(listener.socket.fd); err == nil {
 			addrs = append(addrs, addrPortOf(bound).String())
 		}
 	}
@@ -71,7 +70,7 @@
 	if err := ln.bind(addr); err != nil {
 		return fmt.Errorf("listen on %s: %w", ln.addr, err)
 	}
-	if ln.token, err = ln.loop.poll.add(ln.fd, unix.EPOLLIN, ln); err != nil {
+	if err := ln.socket.register(ln.loop.poll, unix.EPOLLIN, ln); err != nil {
 		ln.close()
 		return fmt.Errorf("poll the listener on %s: %w", ln.addr, err)
 	}
@@ -101,24 +100,18 @@
 		closeDescriptor(fd)
 		return err
 	}
-	ln.fd = fd
+	ln.socket.fd = fd
 	return nil
 }
 
-func (ln *listener) close() {
-	if ln.fd >= 0 {
-		ln.loop.poll.remove(ln.token)
-		closeDescriptor(ln.fd)
-		ln.fd = -1
-	}
-}
+func (ln *listener) close() { ln.socket.close(ln.loop.poll) }
 
 func (ln *listener) ofClient() bool { return false }
 
 // onEvents accepts what waits, up to a bound. What is left makes the poller return at once.
 func (ln *listener) onEvents(uint32) {
 	for range maxAcceptsPerTurn {
-		fd, peer, err := ln.loop.calls.accept(ln.fd)
+		fd, peer, err := ln.loop.calls.accept(ln.socket.fd)
 		if err == nil {
 			ln.failures = 0
 			ln.loop.admit(ln, fd, addrPortOf(peer))
@@ -164,7 +157,7 @@
 		ln.loggedAt = now
 		slog.Error("accept failed", "address", ln.addr, "error", err)
 	}
-	if err := ln.loop.poll.modify(ln.fd, ln.token, 0); err != nil {
+	if err := ln.socket.setInterest(ln.loop.poll, 0); err != nil {
 		return // it stays polled, and is tried again in the next turn
 	}
 	ln.paused = true
@@ -174,7 +167,7 @@
 // resumeAccepting polls the listeners again whose pause is over.
 func (l *Loop) resumeAccepting() {
 	for _, ln := range l.listeners {
-		if ln.paused && l.now >= ln.resumeAt && l.poll.modify(ln.fd, ln.token, unix.EPOLLIN) == nil {
+		if ln.paused && l.now >= ln.resumeAt && ln.socket.setInterest(l.poll, unix.EPOLLIN) == nil {
 			ln.paused = false
 		}
 	}
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -34,7 +34,7 @@
 // readOnce reads one buffer and handles it. It reports whether there may be more, and whether the buffer was filled.
 func (c *Conn) readOnce() (more, full bool) {
 	buffer := c.loop.readBuffer
-	n, err := c.loop.calls.read(c.fd, buffer)
+	n, err := c.loop.calls.read(c.socket.fd, buffer)
 	switch {
 	case errors.Is(err, unix.EINTR):
 		return true, true
@@ -48,27 +48,26 @@
 		return false, false
 	}
 	c.handleData(buffer[:n])
-	return !c.closed && !c.closing, n == len(buffer)
+	return c.state.wantsInput(), n == len(buffer)
 }
 
 func (c *Conn) handleData(data []byte) {
 	c.handler.OnData(data)
-	if h, ok := c.handler.(AcceptedHandler); ok {
-		complete, partial := h.MessageProgress()
+	if c.acceptedHandler != nil {
+		complete, partial := c.acceptedHandler.MessageProgress()
 		c.activity.recordProgress(complete, partial, c.loop.now)
 	}
 }
 
 // handleEndOfInput handles the peer's last byte. A client may still read: it is written what it is owed.
 func (c *Conn) handleEndOfInput() {
-	h, ok := c.handler.(AcceptedHandler)
-	if !ok || c.writeError != nil {
+	if !c.isAccepted || c.writeError != nil {
 		c.end(io.EOF)
 		return
 	}
-	c.inputEnded = true
-	h.OnEndOfInput()
-	if c.closed {
+	c.transition(eventEndOfInput)
+	c.acceptedHandler.OnEndOfInput()
+	if c.state.isClosed() {
 		return
 	}
 	if !c.owesAnswer() {
@@ -80,6 +79,6 @@
 
 // hasInput reports whether bytes have come that are not read.
 func (c *Conn) hasInput() bool {
-	n, err := c.loop.calls.peek(c.fd, c.loop.readBuffer[:1])
+	n, err := c.loop.calls.peek(c.socket.fd, c.loop.readBuffer[:1])
 	return err == nil && n > 0
 }
--- a/internal/eventloop/udp.go
+++ b/internal/eventloop/udp.go
@@ -15,8 +15,7 @@
 // UDPConn is a connected UDP socket. Its methods must be called on the loop's goroutine.
 type UDPConn struct {
 	loop    *Loop
-	fd      int // noDescriptor: none is open
-	token   token
+	socket  socket
 	handler DialHandler
 	opened  bool // the handler has been told
 	closed  bool
@@ -25,7 +24,7 @@
 // DialUDP opens a connected UDP socket to addr, a "host:port", and returns at once; h.OnOpen gets the result in a later
 // turn. Closing the UDPConn before that calls the dial off: h hears no more of it.
 func (l *Loop) DialUDP(addr string, h DialHandler) *UDPConn {
-	c := &UDPConn{loop: l, fd: noDescriptor, handler: h}
+	c := &UDPConn{loop: l, socket: socket{fd: noDescriptor}, handler: h}
 	if literal, err := netip.ParseAddrPort(addr); err == nil {
 		l.later(func() { c.open(literal, nil) })
 		return c
@@ -64,15 +63,15 @@
 	if err != nil {
 		return fmt.Errorf("open a UDP socket: %w", err)
 	}
+	c.socket.fd = fd
 	if err := c.loop.calls.connect(fd, sockaddr); err != nil {
-		closeDescriptor(fd)
+		c.socket.close(c.loop.poll)
 		return fmt.Errorf("connect a UDP socket to %s: %w", addr, err)
 	}
-	if c.token, err = c.loop.poll.add(fd, unix.EPOLLIN, c); err != nil {
-		closeDescriptor(fd)
+	if err := c.socket.register(c.loop.poll, unix.EPOLLIN, c); err != nil {
+		c.socket.close(c.loop.poll)
 		return fmt.Errorf("poll the UDP socket to %s: %w", addr, err)
 	}
-	c.fd = fd
 	c.loop.datagram[c] = struct{}{}
 	return nil
 }
@@ -83,15 +82,14 @@
 func (c *UDPConn) onEvents(uint32) {
 	buffer := c.loop.readBuffer
 	for range maxDatagramsPerTurn {
-		n, err := c.loop.calls.read(c.fd, buffer)
+		n, err := c.loop.calls.read(c.socket.fd, buffer)
 		switch {
 		case errors.Is(err, unix.EINTR):
 			continue
 		case err != nil && isTransient(err):
 			return
 		case err != nil:
-			c.closed = true
-			c.closeDescriptor()
+			c.shut()
 			c.handler.OnClose(err)
 			return
 		}
@@ -109,7 +107,7 @@
 		return
 	}
 	for _, b := range bufs {
-		_, _ = c.loop.calls.write(c.fd, [][]byte{b}) // lost
+		_, _ = c.loop.calls.write(c.socket.fd, [][]byte{b}) // lost
 	}
 }
 
@@ -118,19 +116,15 @@
 	if c.closed {
 		return
 	}
-	c.closed = true
-	c.closeDescriptor()
+	c.shut()
 	if c.opened {
 		c.loop.later(func() { c.handler.OnClose(net.ErrClosed) })
 	}
 }
 
-func (c *UDPConn) closeDescriptor() {
-	if c.fd == noDescriptor {
-		return
-	}
-	c.loop.poll.remove(c.token)
-	closeDescriptor(c.fd)
-	c.fd = noDescriptor
+// shut closes the socket and takes it out of the loop.
+func (c *UDPConn) shut() {
+	c.closed = true
+	c.socket.close(c.loop.poll)
 	delete(c.loop.datagram, c)
 }
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -22,7 +22,7 @@
 // Write queues buffers until the end of the turn; the caller must not change them before. On a closed
 // connection they are dropped.
 func (c *Conn) Write(bufs ...[]byte) {
-	if c.closed || c.closing || c.writeError != nil {
+	if !c.state.acceptsWrites() || c.writeError != nil {
 		return
 	}
 	if len(c.pending) == 0 {
@@ -35,7 +35,7 @@
 // flush writes what the turn has queued on all connections.
 func (l *Loop) flush() {
 	for _, c := range l.unflushed {
-		if !c.closed {
+		if !c.state.isClosed() {
 			c.flush()
 		}
 	}
@@ -45,7 +45,7 @@
 
 // flush writes what is pending, and closes a connection whose last bytes have left.
 func (c *Conn) flush() {
-	if c.connected && c.writeError == nil {
+	if c.state.isConnected() && c.writeError == nil {
 		c.writePending()
 	}
 	c.dropPending()
@@ -64,10 +64,10 @@
 // closeIfDone closes the connection if it only waited for its last bytes to leave.
 func (c *Conn) closeIfDone() {
 	switch {
-	case c.closed || c.hasUnwritten():
-	case c.closing:
+	case c.state.isClosed() || c.hasUnwritten():
+	case c.state.closesAfterFlush():
 		c.closeFor(ClosedByHandler)
-	case c.inputEnded && !c.hasOpenRequests():
+	case c.state == stateHalfClosed && !c.hasOpenRequests():
 		c.endLater(ClosedByPeer, io.EOF)
 	}
 }
@@ -122,7 +122,7 @@
 // the slice, not the bytes.
 func (c *Conn) writeBuffers(bufs [][]byte) (rest [][]byte, err error) {
 	for len(bufs) > 0 {
-		n, err := c.loop.calls.write(c.fd, bufs[:min(len(bufs), maxWriteVectors)])
+		n, err := c.loop.calls.write(c.socket.fd, bufs[:min(len(bufs), maxWriteVectors)])
 		if errors.Is(err, unix.EINTR) {
 			continue
 		}
@@ -151,7 +151,7 @@
 
 // writeUnsent writes what earlier turns have left.
 func (c *Conn) writeUnsent() {
-	if c.closed || c.writeError != nil || len(c.unsent) == 0 {
+	if c.state.isClosed() || c.writeError != nil || len(c.unsent) == 0 {
 		return
 	}
 	rest, err := c.writeBuffers([][]byte{c.unsent})
@@ -180,7 +180,7 @@
 // failWrite ends a connection that can't be written to. Its peer may have sent something before it went, as a worker its
 // answers: that is read first, in the next turn.
 func (c *Conn) failWrite(err error) {
-	if c.closed || c.writeError != nil {
+	if c.state.isClosed() || c.writeError != nil {
 		return
 	}
 	c.writeError = err
@@ -189,13 +189,13 @@
 }
 
 func (c *Conn) endAfterWriteError() {
-	if c.closed {
+	if c.state.isClosed() {
 		return
 	}
-	if !c.inputEnded && !c.closing {
+	if c.state.wantsInput() {
 		c.readUpTo(maxReadsAtEnd, true)
 	}
-	if !c.closed {
+	if !c.state.isClosed() {
 		c.shut(causeOfError(c.writeError, WriteFailed), c.writeError)
 		c.handler.OnClose(c.writeError)
 	}
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	h := &echoHandler{times: copies, completeMessages: 1, closed: make(chan error, 1)}
 	l := startLoop(t, 10, func(c *Conn) AcceptedHandler {
-		if err := unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 4<<10); err != nil {
+		if err := unix.SetsockoptInt(c.socket.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 4<<10); err != nil {
 			t.Error(err)
 		}
 		h.conn = c
@@ -64,7 +64,7 @@
 	handlers := make(chan *echoHandler, peers+1)
 	l := New(Config{MaxAcceptedConnections: peers + 1, MaxUnreadBytes: 5 * answerSize})
 	l.Listen("127.0.0.1:0", func(c *Conn) AcceptedHandler {
-		if err := unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 4<<10); err != nil {
+		if err := unix.SetsockoptInt(c.socket.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 4<<10); err != nil {
 			t.Error(err)
 		}
 		h := &echoHandler{conn: c, completeMessages: 1, closed: make(chan error, 1)}
