--- a/internal/eventloop/close_cause.go
+++ b/internal/eventloop/close_cause.go
@@ -2,62 +2,64 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"os"
 	"syscall"
 )
 
-// CloseCause says why an accepted connection ended.
+// CloseCause is why an accepted connection ended. Its String is the name of the counter in the log.
 type CloseCause uint8
 
 // The causes.
 const (
-	ClosedByPeer    CloseCause = iota // end of file
-	ResetByPeer                       // the connection broke: a reset, or a network that no longer carries it
-	ReadFailed                        // any other error of a read
-	WriteFailed                       // any other error of a write
-	PeerNotReading                    // the peer left too many bytes unread
-	IdleTimeout                       // no message in idleTimeout
-	MessageTimeout                    // no complete message in messageTimeout
-	Evicted                           // closed to make room for a new connection
-	OverLimit                         // refused: no room for it, and none could be made
-	ClosedByHandler                   // by the protocol's handler, which has its own log of the reason
-	closeCauseCount
-)
+	// ClosedByPeer: the client has ended the connection (end of file).
+	ClosedByPeer CloseCause = iota // closed_by_peer
 
-var closeCauseNames = [closeCauseCount]string{
-	ClosedByPeer:    "closed_by_peer",
-	ResetByPeer:     "reset_by_peer",
-	ReadFailed:      "read_failed",
-	WriteFailed:     "write_failed",
-	PeerNotReading:  "peer_not_reading",
-	IdleTimeout:     "idle_timeout",
-	MessageTimeout:  "message_timeout",
-	Evicted:         "evicted",
-	OverLimit:       "over_limit",
-	ClosedByHandler: "closed_by_handler",
-}
+	// ResetByPeer: the connection broke by a reset, or a network that no longer carries it.
+	ResetByPeer // reset_by_peer
 
-// String returns the cause's name, as the logs give it.
-func (c CloseCause) String() string {
-	if c < closeCauseCount {
-		return closeCauseNames[c]
-	}
-	return fmt.Sprintf("CloseCause(%d)", uint8(c))
-}
+	// ReadFailed: any other error of a read.
+	ReadFailed // read_failed
+
+	// WriteFailed: any other error of a write.
+	WriteFailed // write_failed
+
+	// PeerNotReading: the peer left too many bytes unread, or did not read its last answers in closeTimeout.
+	PeerNotReading // peer_not_reading
+
+	// IdleTimeout: no message in idleTimeout.
+	IdleTimeout // idle_timeout
+
+	// MessageTimeout: no complete message in messageTimeout.
+	MessageTimeout // message_timeout
+
+	// Evicted: closed to make room for a new connection.
+	Evicted // evicted
+
+	// OverLimit: refused, because the limit on accepted connections was reached and none could be evicted, or because the
+	// poller could not take it.
+	OverLimit // over_limit
+
+	// ClosedByHandler: closed by the protocol's handler, which has its own log of the reason.
+	ClosedByHandler // closed_by_handler
+)
+
+// closeCauseCount is the number of causes.
+const closeCauseCount = ClosedByHandler + 1
 
-// CloseCounts is how many accepted connections ended for each cause.
+// CloseCounts is how many accepted connections ended for each cause; the index is the CloseCause.
 type CloseCounts [closeCauseCount]uint64
 
-// brokenConnectionErrors are the errors by which Linux reports that the peer or the way to it is gone.
+// brokenConnectionErrors are the errors by which Linux reports that the peer is gone or can't be reached any more: a reset
+// (ECONNRESET; EPIPE for a write after it), no acknowledgment for too long (ETIMEDOUT), and the network's errors.
 var brokenConnectionErrors = []error{
 	syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENETDOWN,
 	syscall.ENOTCONN,
 }
 
-// causeOfError maps the error with which a connection ended; other is the cause where the error tells nothing.
+// causeOfError returns the cause for the error with which a connection ended; it is other for all errors that no cause
+// stands for.
 func causeOfError(err error, other CloseCause) CloseCause {
 	switch {
 	case errors.Is(err, io.EOF):
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func (c *Conn) ofClient() bool { return c.isAccepted }
+func (c *Conn) isClientConnection() bool { return c.isAccepted }
 
 // onEvents handles what the poller reports. A connection that broke is read all the same: what the peer sent before is in
 // the socket, and the read returns the error that broke it.
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -10,37 +10,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// dialRetryInterval is the time between two attempts to open a socket while this machine can't.
+// dialRetryInterval is the time between two attempts to open a socket while this machine lacks resources for it.
 const dialRetryInterval = 10 * time.Millisecond
 
-// ErrLocalFault is in the error of a dial that failed for want of something on this machine, as descriptors or ports. It
-// says nothing of the peer.
+// ErrLocalFault is in the error of a dial that failed because this machine lacked resources, such as descriptors or ports.
+// It does not mean that the peer is at fault.
 var ErrLocalFault = errors.New("this machine can't open a connection")
 
-// noDeadline stands for a time that never comes.
-const noDeadline = time.Duration(1<<63 - 1)
-
-// dial is the state of a connection that is not open yet.
+// dial is what a connection needs until it is connected. It may take several sockets, one after another.
 type dial struct {
 	handler   DialHandler
-	addr      string // as asked for
-	deadline  time.Duration
+	addr      string        // the "host:port" that Dial was given
+	deadline  time.Duration // when the dial times out; never: it does not
 	retryAt   time.Duration // when the next socket is tried; 0: one is connecting, or the address is being resolved
-	lastError error         // of the socket before
+	lastError error         // why the last socket failed; nil while one is connecting
 }
 
-// Dial opens a TCP connection to addr, a "host:port", and returns at once; h.OnOpen gets the result in a later turn. What
-// is written before that is dropped. Closing the Conn before that calls the dial off: h hears no more of it. A timeout of
-// 0 is none.
+// Dial opens a TCP connection to addr, a "host:port", and returns at once; h.OnOpen gets the result in a later turn. The
+// Conn must not be written to before that: the bytes are dropped, and the dial may not end in time. If the Conn is closed
+// before that, h gets no call. A timeout of 0 is none.
 //
-// While this machine lacks what a socket needs, as descriptors, ports or buffers, the dial is tried again until timeout:
-// such an error says nothing of the peer.
+// While this machine lacks a resource for the socket, such as descriptors, ports or buffers, the dial is retried until
+// timeout: such an error does not mean that the peer is at fault.
 func (l *Loop) Dial(addr string, timeout time.Duration, h DialHandler) *Conn {
 	c := &Conn{
 		loop:    l,
 		socket:  socket{fd: noDescriptor},
 		handler: h,
-		dial:    &dial{handler: h, addr: addr, deadline: noDeadline},
+		dial:    &dial{handler: h, addr: addr, deadline: never},
 		state:   stateDialing,
 	}
 	if timeout > 0 {
@@ -59,6 +56,7 @@
 	return c
 }
 
+// handleResolved begins to connect to the address that a host name was resolved to, or ends the dial with err.
 func (c *Conn) handleResolved(addr netip.AddrPort, err error) {
 	if !c.state.isDialing() { // closed or timed out in the meantime
 		return
@@ -71,7 +69,8 @@
 	c.connect()
 }
 
-// connect begins to connect a new socket.
+// connect begins to connect a new socket. A non-blocking connect goes on after EINPROGRESS, and also after EINTR: to begin
+// it again would fail. The poller reports EPOLLOUT when it has ended, in success or failure.
 func (c *Conn) connect() {
 	c.dial.retryAt = 0
 	c.dial.lastError = nil
@@ -84,7 +83,7 @@
 	c.socket.fd = fd
 	err = c.loop.calls.connect(fd, sockaddr)
 	if isOneOf(err, unix.EINPROGRESS, unix.EINTR) {
-		err = nil // the poller tells how it ends
+		err = nil
 	}
 	if err == nil {
 		err = c.socket.register(c.loop.poll, unix.EPOLLOUT, c)
@@ -95,7 +94,7 @@
 	}
 }
 
-// finishConnect handles the end of a connect that was in progress.
+// finishConnect handles the end of a connect that was in progress: it calls OnOpen, or ends or retries the dial.
 func (c *Conn) finishConnect() {
 	err := c.loop.calls.connectResult(c.socket.fd)
 	if err == nil && c.isConnectedToItself() {
@@ -106,7 +105,7 @@
 		c.handleConnectError(err)
 		return
 	}
-	_ = unix.SetsockoptInt(c.socket.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // calls may wait for a while without it
+	disableNagle(c.socket.fd)
 	handler := c.dial.handler
 	c.dial = nil
 	c.transition(eventConnected)
@@ -116,8 +115,9 @@
 	handler.OnOpen(nil)
 }
 
-// isConnectedToItself reports whether the kernel has joined the socket to itself. That happens where nobody listens at a
-// port of this machine that is in the range of those it gives to sockets that dial.
+// isConnectedToItself reports whether the kernel has connected the socket to itself. Linux does so if the dialed port of
+// this machine has no listener and the kernel picks the same port as the socket's own, out of its ephemeral ports (TCP
+// simultaneous open).
 func (c *Conn) isConnectedToItself() bool {
 	if !c.remoteAddr.Addr().IsLoopback() {
 		return false
@@ -126,7 +126,7 @@
 	return err == nil && addrPortOf(local) == c.remoteAddr
 }
 
-// handleConnectError tries again later after a fault of this machine, and ends the dial after any other.
+// handleConnectError schedules a retry after a fault of this machine, and ends the dial after any other error.
 func (c *Conn) handleConnectError(err error) {
 	retryAt := c.loop.now + dialRetryInterval
 	if !isLocalFault(err) {
@@ -137,7 +137,8 @@
 	c.dial.retryAt = min(retryAt, c.dial.deadline)
 }
 
-// isLocalFault reports whether a dial failed for want of something on this machine.
+// isLocalFault reports whether a dial failed because of this machine: no descriptors (EMFILE, ENFILE), memory (ENOBUFS,
+// ENOMEM, ENOSPC) or local ports (EADDRNOTAVAIL, EADDRINUSE, EAGAIN), or no network (ENETUNREACH, ENETDOWN).
 func isLocalFault(err error) bool {
 	return isOneOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EADDRNOTAVAIL,
 		unix.EADDRINUSE, unix.EAGAIN, unix.ENETUNREACH, unix.ENETDOWN)
@@ -157,7 +158,7 @@
 	})
 }
 
-// timeoutError returns why the dial has not come up in time.
+// timeoutError returns why the dial has not succeeded in time.
 func (d *dial) timeoutError() error {
 	if d.lastError != nil {
 		return fmt.Errorf("%w: %w", ErrLocalFault, d.lastError)
@@ -165,7 +166,7 @@
 	return os.ErrDeadlineExceeded
 }
 
-// checkDials tries those dials again whose pause is over, and ends those whose time is.
+// checkDials ends the dials that have timed out, and retries those whose retry is due.
 func (l *Loop) checkDials() {
 	for c := range l.dialing {
 		switch {
@@ -176,20 +177,3 @@
 		}
 	}
 }
-
-// nextCheck returns when a dial or a listener needs a turn.
-func (l *Loop) nextCheck() time.Duration {
-	next := noDeadline
-	for c := range l.dialing {
-		next = min(next, c.dial.deadline)
-		if c.dial.retryAt > 0 {
-			next = min(next, c.dial.retryAt)
-		}
-	}
-	for _, ln := range l.listeners {
-		if ln.paused {
-			next = min(next, ln.resumeAt)
-		}
-	}
-	return next
-}
--- a/internal/eventloop/interrupted_log.go
+++ b/internal/eventloop/interrupted_log.go
@@ -11,20 +11,23 @@
 // interruptedLogInterval is the least time between two log lines on connections that ended with open requests.
 const interruptedLogInterval = time.Second
 
-// interruptedLog gathers the accepted connections that ended before their requests were answered. One such end is a
-// client that gave up; many at once, or from clients that say they did not close, point at a fault here.
+// interruptedLog collects the accepted connections that ended before their requests were answered, for one log line. A
+// single one is a client that no longer waits; many at once, or ends of clients that did not close, point to a fault of the
+// router or the network.
 type interruptedLog struct {
-	throttle  logging.Throttle
+	throttle  logging.Throttle // counts the connections
 	lastAddr  netip.AddrPort
 	lastCause CloseCause
 	lastError error
 }
 
+// newInterruptedLog returns an interruptedLog without connections.
 func newInterruptedLog() interruptedLog {
 	return interruptedLog{throttle: logging.Throttle{Interval: interruptedLogInterval}}
 }
 
-// recordClose counts the end of an accepted connection, before its handler hears of it.
+// recordClose counts the end of an accepted connection. It must be called before the handler's OnClose, after which no
+// request counts as open.
 func (l *Loop) recordClose(c *Conn, cause CloseCause, err error) {
 	l.Closed[cause]++
 	if !c.hasOpenRequests() {
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// listenBacklog is how many connections may wait to be accepted. The kernel takes less where
-	// /proc/sys/net/core/somaxconn says so.
+	// listenBacklog is how many connections may wait to be accepted. Linux limits it to /proc/sys/net/core/somaxconn.
 	listenBacklog = 4096
 
 	// maxAcceptsPerTurn is how many connections one turn accepts at most: a flood of them must not keep the loop from
-	// the ones that are open.
+	// the open ones.
 	maxAcceptsPerTurn = 64
 
-	// A failed accept is tried again at once. While further ones fail, the listener rests between them, from
-	// minAcceptPause on and twice as long each time, up to maxAcceptPause.
+	// A failed accept is retried at once. While further ones fail, the listener pauses between them, first for
+	// minAcceptPause and twice as long each time, up to maxAcceptPause.
 	minAcceptPause = time.Millisecond
 	maxAcceptPause = 20 * time.Millisecond
 
+	// maxAcceptDoublings keeps the shift of pauseAfter from overflowing. The pause has reached maxAcceptPause long before.
+	maxAcceptDoublings = 8
+
 	// acceptLogInterval is the least time between two log lines on failed accepts.
 	acceptLogInterval = time.Second
 )
@@ -34,23 +36,27 @@
 // listener is a socket that accepts connections.
 type listener struct {
 	loop   *Loop
-	addr   string // as asked for, a "host:port"
+	addr   string // the "host:port" that Listen was given
 	accept acceptFunc
 
 	socket   socket
 	failures int           // accepts that have failed in a row
-	paused   bool          // it is not polled, since accepting fails
-	resumeAt time.Duration // when it is polled again
+	paused   bool          // it is not polled, because accept fails
+	resumeAt time.Duration // when the pause ends
 	loggedAt time.Duration // when a failed accept was last logged; 0: never
 }
 
-// Listen registers a listener on addr, a "host:port"; accept returns the handler of each of its connections.
-// Listen must be called before Start, which opens the listener.
+// Listen registers a listener on addr, a "host:port"; without a host it listens on all addresses, IPv4 and IPv6. Listen
+// must be called before Start, which opens the listener.
+//
+// The loop calls accept for each new connection, on its own goroutine. accept returns the connection's handler. It may call
+// Write and CloseAfterFlush of the Conn, but not Close.
 func (l *Loop) Listen(addr string, accept func(*Conn) AcceptedHandler) {
 	l.listeners = append(l.listeners, &listener{loop: l, addr: addr, accept: accept, socket: socket{fd: noDescriptor}})
 }
 
-// Addrs returns the addresses that the loop listens on.
+// Addrs returns the addresses that the loop listens on, with the ports that the kernel has chosen. It returns none before
+// Start.
 func (l *Loop) Addrs() []string {
 	var addrs []string
 	for _, listener := range l.listeners {
@@ -61,7 +67,7 @@
 	return addrs
 }
 
-// open binds the socket and has it polled.
+// open opens the listening socket and registers it with the poller.
 func (ln *listener) open() error {
 	addr, err := resolveTCP(ln.addr)
 	if err != nil {
@@ -77,6 +83,8 @@
 	return nil
 }
 
+// bind opens a socket that listens on addr. SO_REUSEADDR lets it have the port while connections of a process before this
+// one are still in TIME_WAIT. A socket on all IPv6 addresses takes IPv4 too (IPV6_V6ONLY off).
 func (ln *listener) bind(addr netip.AddrPort) error {
 	if !addr.Addr().IsValid() { // no host: all addresses, of both families
 		addr = netip.AddrPortFrom(netip.IPv6Unspecified(), addr.Port())
@@ -106,9 +114,10 @@
 
 func (ln *listener) close() { ln.socket.close(ln.loop.poll) }
 
-func (ln *listener) ofClient() bool { return false }
+func (ln *listener) isClientConnection() bool { return false }
 
-// onEvents accepts what waits, up to a bound. What is left makes the poller return at once.
+// onEvents accepts the connections that wait, up to a bound. The poller is level-triggered: while some are left, the next
+// wait returns at once.
 func (ln *listener) onEvents(uint32) {
 	for range maxAcceptsPerTurn {
 		fd, peer, err := ln.loop.calls.accept(ln.socket.fd)
@@ -123,17 +132,16 @@
 	}
 }
 
-// handleError handles a failed accept. It returns whether the next one may be tried at once.
+// handleError handles a failed accept. It reports whether the next one may be tried at once.
 //
-// Some errors are of the one connection, which has ended while it waited (accept(2), "Error handling"). All others are
-// of this process or machine, as when descriptors run out: the listener rests for a while, and its connections wait.
-// Where this process has used up its own descriptors, a client that has long been silent makes room.
+// After an error of the one connection it may. All other errors are of this process or machine, as when descriptors run
+// out: the listener pauses, and the connections wait in the backlog. If this process has used up its own descriptors
+// (EMFILE), a client that is silent or idle for long is evicted first.
 func (ln *listener) handleError(err error) (again bool) {
-	if isOneOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
-		unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ECONNRESET, unix.ETIMEDOUT) {
+	if isOfOneConnection(err) {
 		return true
 	}
-	if isOneOf(err, unix.EMFILE) && ln.loop.evict((*Conn).isAbandoned) {
+	if isOneOf(err, unix.EMFILE) && ln.loop.evict((*Conn).isLongIdle) {
 		return true
 	}
 	ln.failures++
@@ -144,13 +152,21 @@
 	return false
 }
 
-// pauseAfter returns how long the listener rests after so many failures in a row.
+// isOfOneConnection reports whether an accept failed because of the connection that it would have returned, or was
+// interrupted (EINTR). The connection was aborted while it waited (ECONNABORTED), or has a pending network error, which
+// Linux returns from accept instead of from the connection's first read (accept(2), "Error handling").
+func isOfOneConnection(err error) bool {
+	return isOneOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN,
+		unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ECONNRESET, unix.ETIMEDOUT)
+}
+
+// pauseAfter returns how long the listener pauses after so many failures in a row.
 func pauseAfter(failures int) time.Duration {
-	doublings := min(max(failures-2, 0), 8) // the first pause is after the second failure
+	doublings := min(max(failures-2, 0), maxAcceptDoublings) // the first pause is after the second failure
 	return min(minAcceptPause<<doublings, maxAcceptPause)
 }
 
-// pause stops polling the listener for a while.
+// pause stops polling the listener until resumeAt, and logs err, which made accept fail.
 func (ln *listener) pause(err error) {
 	now := ln.loop.now
 	if ln.loggedAt == 0 || now-ln.loggedAt >= acceptLogInterval {
@@ -158,13 +174,13 @@
 		slog.Error("accept failed", "address", ln.addr, "error", err)
 	}
 	if err := ln.socket.setInterest(ln.loop.poll, 0); err != nil {
-		return // it stays polled, and is tried again in the next turn
+		return // it stays polled, so that the next turn tries to accept again
 	}
 	ln.paused = true
 	ln.resumeAt = now + pauseAfter(ln.failures)
 }
 
-// resumeAccepting polls the listeners again whose pause is over.
+// resumeAccepting polls those listeners again whose pause has ended.
 func (l *Loop) resumeAccepting() {
 	for _, ln := range l.listeners {
 		if ln.paused && l.now >= ln.resumeAt && ln.socket.setInterest(l.poll, unix.EPOLLIN) == nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -6,20 +6,18 @@
 	"functionrouter/internal/logging"
 )
 
-// sweepInterval is how often connections are checked for timeouts, and the longest that the loop sleeps.
-const sweepInterval = 200 * time.Millisecond
-
-// pauseThreshold is how much longer than it should a turn or a wait takes before the process counts as paused meanwhile.
+// pauseThreshold is how much longer than expected a turn or a wait may take. Beyond it the machine is taken to have paused
+// the process meanwhile.
 const pauseThreshold = 50 * time.Millisecond
 
 // Config bounds a Loop.
 type Config struct {
-	MaxAcceptedConnections int // accepted connections at once
-	MaxUnreadBytes         int // bytes that all peers together may leave unread
+	MaxAcceptedConnections int // accepted connections that are open at once
+	MaxUnreadBytes         int // bytes that all peers, accepted and dialed, may leave unread together
 }
 
-// Loop owns the poller, the listeners and the connections. Create one with New. Post may be called on any goroutine,
-// Listen and Start before Run, and all other methods on the loop's goroutine.
+// Loop owns the poller, the listeners and the connections. Create one with New, call Listen for each address, then Start
+// and Run. Post may be called on any goroutine after Start, all other methods on the loop's goroutine alone.
 type Loop struct {
 	cfg   Config
 	clock clock
@@ -30,27 +28,26 @@
 	listeners []*listener
 	accepted  map[*Conn]struct{}
 	dialing   map[*Conn]struct{}
-	dialed    map[*Conn]struct{} // open ones
+	dialed    map[*Conn]struct{} // connected ones
 	datagram  map[*UDPConn]struct{}
 
 	now         time.Duration // of the present turn
 	inputTime   time.Duration // see InputTime
 	stopped     bool
-	deferred    []func() // for the next turn
-	running     []func() // the deferred calls of this turn; the array is reused
-	unflushed   []*Conn  // with pending writes, or with an end that follows their last write
-	totalUnread int      // bytes that all peers have yet to take
-	readBuffer  []byte   // shared by all sockets
-	lastSweep   time.Duration
-	refusals    logging.Throttle // connections refused for the limit on them
+	deferred    []func()         // the calls for the next turn
+	running     []func()         // the deferred calls of this turn; both arrays are reused
+	unflushed   []*Conn          // with pending writes, or to be closed after their last write
+	totalUnread int              // bytes that all peers have yet to take; Conn.setUnsent keeps it
+	readBuffer  []byte           // shared by all sockets
+	lastSweep   time.Duration    // when sweep last ran
+	refusals    logging.Throttle // connections refused because of Config.MaxAcceptedConnections
 	interrupted interruptedLog
 
-	// Counters of accepted connections since the start.
-	Accepted uint64
-	Closed   CloseCounts
+	Accepted uint64      // connections accepted since the start
+	Closed   CloseCounts // accepted connections closed since the start
 }
 
-// New returns a Loop that listens nowhere yet.
+// New returns a Loop without listeners and descriptors.
 func New(cfg Config) *Loop {
 	c := clock{start: time.Now()}
 	return &Loop{
@@ -69,7 +66,8 @@
 	}
 }
 
-// Start opens the listeners. The error says which address can't be listened on.
+// Start opens the poller and the listeners. If it fails, nothing is open, and the error says which address can't be
+// listened on.
 func (l *Loop) Start() error {
 	poll, err := newPoller(l.calls)
 	if err != nil {
@@ -97,11 +95,12 @@
 	l.posts.add(call, l.poll)
 }
 
-// later schedules call for the next turn, on the loop's goroutine.
+// later defers call to the next turn. It must be called on the loop's goroutine.
 func (l *Loop) later(call func()) { l.deferred = append(l.deferred, call) }
 
-// Run handles events until Stop, and then closes all descriptors. In each turn it calls beginTurn with the time, then the
-// handlers of what has happened, then endTurn, which returns the time at which it wants to be called again at the latest.
+// Run handles events until Stop, and then closes all descriptors without a call of their handlers. In each turn it calls
+// beginTurn with the time, then the handlers of what has happened, then endTurn, which returns the time at which it wants to
+// be called again at the latest. The loop also turns when there are events, and every sweepInterval.
 func (l *Loop) Run(beginTurn func(now time.Duration), endTurn func(now time.Duration) time.Duration) {
 	var posted []func()
 	next := l.now
@@ -140,8 +139,8 @@
 	}
 }
 
-// InputTime returns the earliest time at which what is read in this turn may have come: the present turn's, unless the
-// machine has paused the process before it. The peers' time has run on meanwhile.
+// InputTime returns the earliest time at which the input that is read in this turn may have arrived: the present turn's,
+// unless the machine has paused the process before it. The peers' deadlines went on during the pause.
 func (l *Loop) InputTime() time.Duration { return l.inputTime }
 
 // timeUntil returns how long the poller may wait for a turn that is due at next.
@@ -152,9 +151,12 @@
 	return max(next-l.clock.now(), 0)
 }
 
-// runDeferred makes the calls that were deferred to this turn. What they defer waits for the next one.
+// runDeferred makes the calls that were deferred to this turn. What they defer waits for the next one: the two arrays
+// change places.
 func (l *Loop) runDeferred() {
-	l.running, l.deferred = l.deferred, l.running[:0]
+	spare := l.running[:0]
+	l.running = l.deferred
+	l.deferred = spare
 	for i, call := range l.running {
 		call()
 		l.running[i] = nil
@@ -174,7 +176,24 @@
 // Stop makes Run return after the present turn.
 func (l *Loop) Stop() { l.stopped = true }
 
-// closeDescriptors closes all that the loop has open.
+// nextCheck returns when a dial or a listener needs a turn at the latest: a timeout, a retry, or the end of a pause.
+func (l *Loop) nextCheck() time.Duration {
+	next := never
+	for c := range l.dialing {
+		next = min(next, c.dial.deadline)
+		if c.dial.retryAt > 0 {
+			next = min(next, c.dial.retryAt)
+		}
+	}
+	for _, ln := range l.listeners {
+		if ln.paused {
+			next = min(next, ln.resumeAt)
+		}
+	}
+	return next
+}
+
+// closeDescriptors closes all sockets and the poller.
 func (l *Loop) closeDescriptors() {
 	for _, listener := range l.listeners {
 		listener.close()
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -10,14 +10,14 @@
 )
 
 // maxPollEvents is how many events one wait returns at most. It is as many as a router has descriptors, so that after a
-// pause of the machine one turn learns of all that happened.
+// pause of the machine one turn handles everything that happened meanwhile.
 const maxPollEvents = 1024
 
 // maxInterruptions is how often in a row a wait may be interrupted before its turn begins without events.
 const maxInterruptions = 10
 
-// token names the registration of one descriptor at the poller. No token is used twice, although descriptors are: an
-// event of a registration that has ended finds nobody.
+// token identifies one registration of a descriptor with the poller. No token is used twice, although descriptor numbers
+// are: an event of a registration that has ended finds no receiver.
 type token uint64
 
 // wakeToken is the token of the descriptor that wakes the poller.
@@ -27,21 +27,29 @@
 type pollable interface {
 	// onEvents handles events, a mask of unix.EPOLL*.
 	onEvents(events uint32)
-	// ofClient reports whether the descriptor is a client's connection.
-	ofClient() bool
-}
-
-// poller waits for events on descriptors (epoll(7), level-triggered). Only wake may be called on another goroutine than
-// the loop's.
+	// isClientConnection reports whether the descriptor is a connection that a client has opened.
+	isClientConnection() bool
+}
+
+// poller waits for events on descriptors by epoll(7). Only wake may be called on another goroutine than the loop's.
+//
+// It is level-triggered, which is epoll's default: each wait reports a descriptor for as long as its condition lasts. So a
+// handler may leave input unread, and the next turn gets the event again. The events that this package uses:
+//
+//   - EPOLLIN: there is input, or a connection to accept. The end of the input counts as input.
+//   - EPOLLOUT: the send buffer has space. On a connecting socket: the connect has ended.
+//   - EPOLLRDHUP: the peer has ended its direction (a FIN) or the connection broke.
+//   - EPOLLHUP: both directions have ended. EPOLLERR: the socket has a pending error. These two are reported always.
 type poller struct {
 	calls     systemCalls
 	epollFD   int
-	wakeFD    int
+	wakeFD    int // an eventfd(2), which wake makes readable
 	lastToken token
-	polled    map[token]pollable
-	events    []unix.EpollEvent
+	polled    map[token]pollable // the receivers of the registrations; wakeToken has none
+	events    []unix.EpollEvent  // the result of the last wait
 }
 
+// newPoller returns a poller that polls its own wake-up descriptor alone. The caller has to close it.
 func newPoller(calls systemCalls) (*poller, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -86,9 +94,11 @@
 	return p.control(unix.EPOLL_CTL_MOD, fd, t, events)
 }
 
-// remove ends a registration. The caller closes the descriptor next, which takes it out of the kernel's set.
+// remove ends a registration. The caller closes the descriptor next, by which the kernel stops polling it.
 func (p *poller) remove(t token) { delete(p.polled, t) }
 
+// control changes the kernel's registration of fd. The token travels in the event's user data, which the unix package
+// splits into Fd and Pad.
 func (p *poller) control(operation, fd int, t token, events uint32) error {
 	event := unix.EpollEvent{Events: events, Fd: int32(t), Pad: int32(t >> 32)}
 	return unix.EpollCtl(p.epollFD, operation, fd, &event)
@@ -98,8 +108,9 @@
 	return token(uint32(event.Fd)) | token(uint32(event.Pad))<<32
 }
 
-// wait waits for events for at most timeout. A wait that a signal interrupts ends with the events that there are: a process
-// that goes on after a pause must learn of them in its first turn.
+// wait waits for events for at most timeout, which is rounded up to milliseconds. The result is valid until the next wait. A
+// wait that a signal interrupts ends with the events that there are: a process that goes on after a pause must handle them
+// in its first turn.
 func (p *poller) wait(timeout time.Duration) []unix.EpollEvent {
 	timeoutMs := int(max((timeout+time.Millisecond-1)/time.Millisecond, 0))
 	for range maxInterruptions {
@@ -107,21 +118,22 @@
 		if err == nil {
 			return p.events[:n]
 		}
-		timeoutMs = 0 // EINTR; the descriptor and the arguments are valid
+		timeoutMs = 0 // it was EINTR: no other error is possible with a valid descriptor and buffer
 	}
 	return nil
 }
 
-// dispatch hands the events to their receivers, and drops those whose registration has ended meanwhile. Those of clients
-// come first: one that has gone must not have its call sent over a connection to a worker that opens in the same turn.
+// dispatch gives the events to their receivers, and drops those whose registration has ended in the meantime. Events of
+// clients come first: the request of a client that has gone must not be sent over a connection to a worker that opens in the
+// same turn.
 func (p *poller) dispatch(events []unix.EpollEvent) {
-	for _, ofClients := range []bool{true, false} {
+	for _, clientsTurn := range []bool{true, false} {
 		for i := range events {
 			t := tokenOf(&events[i])
-			if t == wakeToken && ofClients {
+			if t == wakeToken && clientsTurn {
 				p.clearWake()
 			}
-			if receiver := p.polled[t]; receiver != nil && receiver.ofClient() == ofClients {
+			if receiver := p.polled[t]; receiver != nil && receiver.isClientConnection() == clientsTurn {
 				receiver.onEvents(events[i].Events)
 			}
 		}
@@ -132,26 +144,27 @@
 func (p *poller) wake() {
 	one := [8]byte{1}
 	for {
-		// EAGAIN: the counter is full, so that the poller is awake.
+		// EAGAIN: the eventfd's counter is full, so that the poller is awake.
 		if _, err := unix.Write(p.wakeFD, one[:]); !errors.Is(err, unix.EINTR) {
 			return
 		}
 	}
 }
 
+// clearWake makes the wake-up descriptor unreadable again.
 func (p *poller) clearWake() {
 	var count [8]byte
-	_, _ = unix.Read(p.wakeFD, count[:]) // EINTR and EAGAIN: the wait returns at once, or was woken by another
+	_, _ = unix.Read(p.wakeFD, count[:]) // after EINTR the next wait returns at once; EAGAIN: it is unreadable already
 }
 
-// postQueue holds calls that other goroutines want made on the loop's. It is safe for concurrent use.
+// postQueue holds the calls that other goroutines have posted to the loop's. It is safe for concurrent use.
 type postQueue struct {
 	mu     sync.Mutex
 	calls  []func()
-	closed bool // nobody will make them
+	closed bool // no more calls are made
 }
 
-// add queues call, and wakes the poller for the first one. The poller is not closed meanwhile.
+// add queues call, and wakes the poller for the first one. It holds the lock meanwhile, so that the poller is not closed.
 func (q *postQueue) add(call func(), p *poller) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -173,7 +186,7 @@
 	return batch
 }
 
-// close drops what is queued and whatever is added later. The poller may be closed then.
+// close drops what is queued and whatever is added later. The poller may be closed afterwards.
 func (q *postQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/eventloop/poller_test.go
+++ b/internal/eventloop/poller_test.go
@@ -15,7 +15,7 @@
 	client  bool
 }
 
-func (p *countingPollable) ofClient() bool { return p.client }
+func (p *countingPollable) isClientConnection() bool { return p.client }
 
 func (p *countingPollable) onEvents(uint32) {
 	p.events++
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -15,13 +15,13 @@
 	// loop from the others.
 	maxReadsPerTurn = 4
 
-	// maxReadsAtEnd is how often a connection is read in one turn that its peer has ended, or that can't be written to
-	// any more.
+	// maxReadsAtEnd is how often a connection is read in one turn if its peer has ended it or it can't be written to any
+	// more.
 	maxReadsAtEnd = 64
 )
 
-// readUpTo reads what has come, with so many reads at most. A read that does not fill the buffer is the last one, unless
-// the connection is read toEnd. What it leaves, the poller reports again.
+// readUpTo reads what has arrived, with so many reads at most. A read that does not fill the buffer is the last one, unless
+// the connection is read toEnd. The poller is level-triggered: it reports what is left in the next turn.
 func (c *Conn) readUpTo(reads int, toEnd bool) {
 	for range reads {
 		more, full := c.readOnce()
@@ -31,7 +31,8 @@
 	}
 }
 
-// readOnce reads one buffer and handles it. It reports whether there may be more, and whether the buffer was filled.
+// readOnce reads one buffer and handles it. It reports whether there may be more to read, and whether the buffer was
+// filled. An interrupted read counts as both, so that it is repeated.
 func (c *Conn) readOnce() (more, full bool) {
 	buffer := c.loop.readBuffer
 	n, err := c.loop.calls.read(c.socket.fd, buffer)
@@ -51,6 +52,7 @@
 	return c.state.wantsInput(), n == len(buffer)
 }
 
+// handleData gives data to the handler, and records the messages of an accepted connection.
 func (c *Conn) handleData(data []byte) {
 	c.handler.OnData(data)
 	if c.acceptedHandler != nil {
@@ -59,7 +61,8 @@
 	}
 }
 
-// handleEndOfInput handles the peer's last byte. A client may still read: it is written what it is owed.
+// handleEndOfInput handles the end of the peer's input (a FIN). A dialed connection ends with it. A client may have closed
+// one direction only, and still read: its connection ends when all answers are written.
 func (c *Conn) handleEndOfInput() {
 	if !c.isAccepted || c.writeError != nil {
 		c.end(io.EOF)
@@ -77,7 +80,7 @@
 	c.updateInterest()
 }
 
-// hasInput reports whether bytes have come that are not read.
+// hasInput reports whether bytes have arrived that are not read yet.
 func (c *Conn) hasInput() bool {
 	n, err := c.loop.calls.peek(c.socket.fd, c.loop.readBuffer[:1])
 	return err == nil && n > 0
--- a/internal/eventloop/udp.go
+++ b/internal/eventloop/udp.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxDatagramsPerTurn is how many datagrams one socket is read in one turn.
+// maxDatagramsPerTurn is how many datagrams of one socket are read in one turn.
 const maxDatagramsPerTurn = 16
 
 // UDPConn is a connected UDP socket. Its methods must be called on the loop's goroutine.
@@ -17,12 +17,12 @@
 	loop    *Loop
 	socket  socket
 	handler DialHandler
-	opened  bool // the handler has been told
-	closed  bool
+	opened  bool // OnOpen(nil) has been called
+	closed  bool // the socket is closed for good, or could not be opened
 }
 
 // DialUDP opens a connected UDP socket to addr, a "host:port", and returns at once; h.OnOpen gets the result in a later
-// turn. Closing the UDPConn before that calls the dial off: h hears no more of it.
+// turn. If the UDPConn is closed before that, h gets no call. The socket receives datagrams of addr alone.
 func (l *Loop) DialUDP(addr string, h DialHandler) *UDPConn {
 	c := &UDPConn{loop: l, socket: socket{fd: noDescriptor}, handler: h}
 	if literal, err := netip.ParseAddrPort(addr); err == nil {
@@ -40,9 +40,9 @@
 	return c
 }
 
-// open opens the socket, unless its address could not be resolved, and tells the handler.
+// open opens the socket, unless err says that its address could not be resolved, and calls the handler's OnOpen.
 func (c *UDPConn) open(addr netip.AddrPort, err error) {
-	if c.closed { // called off in the meantime
+	if c.closed { // by Close, in the meantime
 		return
 	}
 	if err == nil {
@@ -57,6 +57,8 @@
 	c.handler.OnOpen(nil)
 }
 
+// connect opens the socket, connects it to addr and registers it with the poller. To connect a UDP socket sends nothing: it
+// sets the peer's address, and has the kernel report ICMP errors of that peer.
 func (c *UDPConn) connect(addr netip.AddrPort) error {
 	domain, sockaddr := socketAddress(addr)
 	fd, err := c.loop.calls.socket(domain, unix.SOCK_DGRAM)
@@ -76,9 +78,10 @@
 	return nil
 }
 
-func (c *UDPConn) ofClient() bool { return false }
+func (c *UDPConn) isClientConnection() bool { return false }
 
-// onEvents reads what has come. An error, as an ICMP message of a port without a listener, ends the socket.
+// onEvents reads the datagrams that have arrived, up to a bound. An error closes the socket, such as ECONNREFUSED, by which
+// Linux reports an ICMP message that the peer's port has no listener.
 func (c *UDPConn) onEvents(uint32) {
 	buffer := c.loop.readBuffer
 	for range maxDatagramsPerTurn {
@@ -100,8 +103,8 @@
 	}
 }
 
-// Write sends each buffer as one datagram. An error is not reported: a datagram that can't be sent is lost, as any may
-// be on its way.
+// Write sends each buffer as one datagram, at once; the caller may reuse the buffers afterwards. An error is not reported: a
+// datagram that can't be sent is lost, as any datagram may be on the network. Before OnOpen and after Close nothing is sent.
 func (c *UDPConn) Write(bufs ...[]byte) {
 	if c.closed || !c.opened {
 		return
@@ -111,7 +114,8 @@
 	}
 }
 
-// Close closes the socket. The handler's OnClose is called in a later turn, if the socket was ever open.
+// Close closes the socket. The handler's OnClose gets net.ErrClosed in a later turn if the socket was ever open; else the
+// handler gets no further call.
 func (c *UDPConn) Close() {
 	if c.closed {
 		return
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -7,20 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-const (
-	// maxWriteVectors is the most buffers in one gathered write. The kernel takes 1,024 (IOV_MAX).
-	maxWriteVectors = 512
+// maxWriteVectors is the most buffers in one gathered write. The kernel takes 1,024 (IOV_MAX).
+const maxWriteVectors = 512
 
-	// maxConnUnreadBytes is how much is kept for one peer that reads slowly: 32 answers of 16 KiB and their heads. A
-	// connection on which more is written is closed.
-	maxConnUnreadBytes = 640 << 10
-)
-
-// errPeerNotReading closes a connection whose peer leaves too many bytes unread, by itself or with all others.
-var errPeerNotReading = errors.New("peer does not read")
-
-// Write queues buffers until the end of the turn; the caller must not change them before. On a closed
-// connection they are dropped.
+// Write queues buffers until the end of the turn; the caller must not change them before that. They are dropped if the
+// connection is closed, can't be written to any more, or is not connected yet, and after CloseAfterFlush. A peer that
+// leaves too many bytes unread is disconnected: the handler's OnClose gets the error in a later turn.
 func (c *Conn) Write(bufs ...[]byte) {
 	if !c.state.acceptsWrites() || c.writeError != nil {
 		return
@@ -43,7 +35,7 @@
 	l.unflushed = l.unflushed[:0]
 }
 
-// flush writes what is pending, and closes a connection whose last bytes have left.
+// flush writes what is pending, and closes a connection that only waited for that.
 func (c *Conn) flush() {
 	if c.state.isConnected() && c.writeError == nil {
 		c.writePending()
@@ -55,13 +47,13 @@
 	}
 }
 
-// dropPending forgets what is pending, and keeps its array for the next turn.
+// dropPending removes what is pending, and keeps the array for the next turn.
 func (c *Conn) dropPending() {
 	clear(c.pending)
 	c.pending = c.pending[:0]
 }
 
-// closeIfDone closes the connection if it only waited for its last bytes to leave.
+// closeIfDone closes the connection if it only waited for the kernel to take its last bytes.
 func (c *Conn) closeIfDone() {
 	switch {
 	case c.state.isClosed() || c.hasUnwritten():
@@ -72,10 +64,10 @@
 	}
 }
 
-// hasUnwritten reports whether bytes wait to be taken by the kernel.
+// hasUnwritten reports whether there are bytes that the kernel has not taken.
 func (c *Conn) hasUnwritten() bool { return len(c.pending) > 0 || len(c.unsent) > 0 }
 
-// writePending writes what is pending, and keeps what the kernel does not take.
+// writePending writes what is pending, and copies what the kernel does not take to unsent.
 func (c *Conn) writePending() {
 	rest := c.pending
 	if len(c.unsent) == 0 {
@@ -99,27 +91,8 @@
 	c.loop.limitUnread()
 }
 
-// limitUnread closes the connections whose peers have taken nothing for longest until all together keep to the limit. The
-// one that is being written to is the last of them: its peer may be reading.
-func (l *Loop) limitUnread() {
-	for l.totalUnread > l.cfg.MaxUnreadBytes {
-		var stalled *Conn
-		for _, connections := range []map[*Conn]struct{}{l.accepted, l.dialed} {
-			for c := range connections {
-				if len(c.unsent) > 0 && (stalled == nil || c.takenAt < stalled.takenAt) {
-					stalled = c
-				}
-			}
-		}
-		if stalled == nil {
-			return
-		}
-		stalled.failWrite(errPeerNotReading)
-	}
-}
-
-// writeBuffers writes bufs in as few system calls as possible, and returns those that the kernel did not take. It changes
-// the slice, not the bytes.
+// writeBuffers writes bufs in as few system calls as possible, and returns those that the kernel did not take because the
+// socket's send buffer is full. It changes the slice, not the bytes.
 func (c *Conn) writeBuffers(bufs [][]byte) (rest [][]byte, err error) {
 	for len(bufs) > 0 {
 		n, err := c.loop.calls.write(c.socket.fd, bufs[:min(len(bufs), maxWriteVectors)])
@@ -149,7 +122,7 @@
 	return bufs
 }
 
-// writeUnsent writes what earlier turns have left.
+// writeUnsent writes what earlier turns could not. The poller calls for it by EPOLLOUT: the send buffer has space again.
 func (c *Conn) writeUnsent() {
 	if c.state.isClosed() || c.writeError != nil || len(c.unsent) == 0 {
 		return
@@ -168,17 +141,8 @@
 	c.closeIfDone()
 }
 
-// setUnsent sets the bytes that the kernel has yet to take.
-func (c *Conn) setUnsent(unsent []byte) {
-	if len(c.unsent) == 0 || len(unsent) < len(c.unsent) {
-		c.takenAt = c.loop.now
-	}
-	c.loop.totalUnread += len(unsent) - len(c.unsent)
-	c.unsent = unsent
-}
-
-// failWrite ends a connection that can't be written to. Its peer may have sent something before it went, as a worker its
-// answers: that is read first, in the next turn.
+// failWrite ends a connection that can't be written to. The peer may have sent something before the connection broke, such
+// as a worker its answers: endAfterWriteError reads that first, in the next turn.
 func (c *Conn) failWrite(err error) {
 	if c.state.isClosed() || c.writeError != nil {
 		return
@@ -188,6 +152,8 @@
 	c.loop.later(c.endAfterWriteError)
 }
 
+// endAfterWriteError reads what the peer of a failed write has sent, and closes the connection. The read itself may end it
+// with an error of its own.
 func (c *Conn) endAfterWriteError() {
 	if c.state.isClosed() {
 		return
@@ -200,15 +166,3 @@
 		c.handler.OnClose(c.writeError)
 	}
 }
-
-// UnreadBytes returns how many bytes the peers of accepted connections have yet to take, pending writes included.
-func (l *Loop) UnreadBytes() int {
-	sum := 0
-	for c := range l.accepted {
-		sum += len(c.unsent)
-		for _, b := range c.pending {
-			sum += len(b)
-		}
-	}
-	return sum
-}
