--- /dev/null
+++ b/internal/eventloop/accepted_conn_test.go
@@ -0,0 +1,188 @@
+package eventloop
+
+import (
+	"net"
+	"slices"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// acceptedCallRecorder is the handler of an accepted connection that records its calls in order.
+type acceptedCallRecorder struct {
+	calls        []string
+	openRequests bool
+	onData       func() // called by OnData, where set
+	onEndOfInput func() // called by OnEndOfInput, where set
+}
+
+func (r *acceptedCallRecorder) OnData(b []byte) {
+	r.calls = append(r.calls, "data "+string(b))
+	if r.onData != nil {
+		r.onData()
+	}
+}
+
+func (r *acceptedCallRecorder) OnEndOfInput() {
+	r.calls = append(r.calls, "end of input")
+	if r.onEndOfInput != nil {
+		r.onEndOfInput()
+	}
+}
+
+func (r *acceptedCallRecorder) OnClose(err error) {
+	r.calls = append(r.calls, describeCall("close", err))
+}
+
+func (r *acceptedCallRecorder) HasOpenRequests() bool { return r.openRequests }
+
+func (r *acceptedCallRecorder) MessageProgress() (int, bool) { return 0, false }
+
+// acceptedScenario is what happens to an accepted connection, the calls that its handler gets and the counted cause.
+type acceptedScenario struct {
+	name  string
+	run   func(m *manualLoop, h *acceptedCallRecorder)
+	want  []string
+	cause CloseCause
+}
+
+var acceptedScenarios = []acceptedScenario{
+	{"end of input, nothing owed", func(m *manualLoop, _ *acceptedCallRecorder) {
+		m.peerSends("request", true)
+	}, []string{"data request", "end of input", "close: EOF"}, ClosedByPeer},
+	{"end of input, answered", func(m *manualLoop, h *acceptedCallRecorder) {
+		h.openRequests = true
+		m.peerSends("request", true)
+		m.turn()
+		m.inState(stateHalfClosed)
+		m.conn.Write([]byte("answer"))
+		h.openRequests = false
+		m.turns()
+		if got := m.peerReceives(); got != "answer" {
+			m.t.Errorf("the client received %q", got)
+		}
+	}, []string{"data request", "end of input", "close: EOF"}, ClosedByPeer},
+	{"end of input, closed by its handler", func(m *manualLoop, h *acceptedCallRecorder) {
+		h.onEndOfInput = func() { m.conn.Close() }
+		m.peerSends("request", true)
+	}, []string{"data request", "end of input", "close"}, ClosedByHandler},
+	{"end of input, closed after flush, nothing owed", func(m *manualLoop, h *acceptedCallRecorder) {
+		h.onEndOfInput = func() { m.conn.CloseAfterFlush() }
+		m.peerSends("request", true)
+	}, []string{"data request", "end of input", "close: EOF"}, ClosedByPeer},
+	{"end of input, closed after flush, answer owed", func(m *manualLoop, h *acceptedCallRecorder) {
+		h.openRequests = true
+		h.onEndOfInput = func() { m.conn.CloseAfterFlush() }
+		m.peerSends("request", true)
+	}, []string{"data request", "end of input", "close"}, ClosedByHandler},
+	{"end of input, closed after flush later", func(m *manualLoop, h *acceptedCallRecorder) {
+		h.openRequests = true
+		m.peerSends("request", true)
+		m.turn()
+		m.inState(stateHalfClosed)
+		m.conn.CloseAfterFlush()
+		m.inState(stateFlushing)
+	}, []string{"data request", "end of input", "close"}, ClosedByHandler},
+	{"end of input, then a write fails", func(m *manualLoop, h *acceptedCallRecorder) {
+		h.openRequests = true
+		m.peerSends("request", true)
+		m.turn()
+		m.calls.writeError = unix.EPIPE
+		m.conn.Write([]byte("answer"))
+		m.flush()
+	}, []string{"data request", "end of input", "close: EPIPE"}, ResetByPeer},
+	{"end of input, then a write fails and it is closed", func(m *manualLoop, h *acceptedCallRecorder) {
+		h.openRequests = true
+		m.peerSends("request", true)
+		m.turn()
+		m.calls.writeError = unix.EPIPE
+		m.conn.Write([]byte("answer"))
+		m.flush()
+		m.conn.CloseAfterFlush()
+	}, []string{"data request", "end of input", "close: EPIPE"}, ResetByPeer},
+	{"closed after flush while data arrives", func(m *manualLoop, h *acceptedCallRecorder) {
+		h.onData = func() { m.conn.CloseAfterFlush() }
+		m.peerSends("request", true)
+	}, []string{"data request", "close"}, ClosedByHandler},
+	{"closed after flush, peer does not read", func(m *manualLoop, _ *acceptedCallRecorder) {
+		m.calls.writeError = unix.EAGAIN
+		m.conn.Write([]byte("answer"))
+		m.conn.CloseAfterFlush()
+		m.peerSends("not read any more", true)
+		m.turn()
+		m.inState(stateFlushing)
+		m.now += closeTimeout + time.Millisecond
+		m.sweep()
+	}, []string{"close"}, PeerNotReading},
+	{"closed after flush, then reset", func(m *manualLoop, _ *acceptedCallRecorder) {
+		m.calls.writeError = unix.EAGAIN
+		m.conn.Write([]byte("answer"))
+		m.conn.CloseAfterFlush()
+		m.turn()
+		check(m.t, m.peer.(*net.TCPConn).SetLinger(0))
+		check(m.t, m.peer.Close())
+	}, []string{"close: ECONNRESET"}, ResetByPeer},
+	{"closed after flush, then a write fails", func(m *manualLoop, _ *acceptedCallRecorder) {
+		m.peerSends("not read any more", false)
+		m.calls.writeError = unix.EPIPE
+		m.conn.Write([]byte("answer"))
+		m.conn.CloseAfterFlush()
+		m.flush()
+	}, []string{"close: EPIPE"}, ResetByPeer},
+	{"write failed behind a request", func(m *manualLoop, _ *acceptedCallRecorder) {
+		m.peerSends("request", false)
+		m.calls.writeError = unix.EPIPE
+		m.conn.Write([]byte("answer"))
+		m.flush()
+	}, []string{"data request", "close: EPIPE"}, ResetByPeer},
+	{"write failed behind the end of input", func(m *manualLoop, _ *acceptedCallRecorder) {
+		m.peerSends("request", true)
+		m.calls.writeError = unix.EPIPE
+		m.conn.Write([]byte("answer"))
+		m.flush()
+	}, []string{"data request", "close: EOF"}, ClosedByPeer},
+	{"write failed, and closed after flush by what is read then", func(m *manualLoop, h *acceptedCallRecorder) {
+		h.onData = func() { m.conn.CloseAfterFlush() }
+		m.peerSends("request", true)
+		m.calls.writeError = unix.EPIPE
+		m.conn.Write([]byte("answer"))
+		m.flush()
+	}, []string{"data request", "close: EPIPE"}, ResetByPeer},
+	{"write failed, and the time to close is over", func(m *manualLoop, _ *acceptedCallRecorder) {
+		m.calls.writeError = unix.EPIPE
+		m.conn.Write([]byte("answer"))
+		m.flush()
+		m.conn.CloseAfterFlush()
+		m.now += closeTimeout + time.Millisecond
+		m.sweep()
+	}, []string{"close"}, PeerNotReading},
+	{"closed", func(m *manualLoop, _ *acceptedCallRecorder) {
+		m.peerSends("not read any more", true)
+		m.conn.Close()
+		m.conn.CloseAfterFlush()
+		m.conn.Close()
+	}, []string{"close"}, ClosedByHandler},
+}
+
+// Guards which calls the handler of an accepted connection gets, in which order, and the counted cause, whatever ends the
+// connection and when.
+func TestCallsOfAnAcceptedConnection(t *testing.T) {
+	for _, test := range acceptedScenarios {
+		t.Run(test.name, func(t *testing.T) {
+			m := newManualLoop(t)
+			h := &acceptedCallRecorder{}
+			m.accept(h)
+			test.run(m, h)
+			m.turns()
+			if !slices.Equal(h.calls, test.want) {
+				t.Errorf("the handler got the calls %q, want %q", h.calls, test.want)
+			}
+			var wantCounts CloseCounts
+			wantCounts[test.cause] = 1
+			if m.Closed != wantCounts {
+				t.Errorf("the causes were counted %v, want one %v", m.Closed, test.cause)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/eventloop/dialed_conn_test.go
@@ -0,0 +1,162 @@
+package eventloop
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// dialCallRecorder is the handler of a dialed connection that records its calls in order.
+type dialCallRecorder struct {
+	calls  []string
+	onOpen func() // called by OnOpen, where set
+}
+
+func (r *dialCallRecorder) OnOpen(err error) {
+	r.calls = append(r.calls, describeCall("open", err))
+	if r.onOpen != nil {
+		r.onOpen()
+	}
+}
+
+func (r *dialCallRecorder) OnData(b []byte) { r.calls = append(r.calls, "data "+string(b)) }
+
+func (r *dialCallRecorder) OnClose(err error) { r.calls = append(r.calls, describeCall("close", err)) }
+
+// dialedScenario is what happens to a connection that is being dialed, and the calls that its handler gets.
+type dialedScenario struct {
+	name string
+	run  func(m *manualLoop, h *dialCallRecorder)
+	want []string
+}
+
+var dialedScenarios = []dialedScenario{
+	{"closed while dialing", func(m *manualLoop, _ *dialCallRecorder) {
+		m.inState(stateDialing)
+		m.conn.Close()
+		m.inState(stateClosed)
+	}, nil},
+	{"closed after flush while dialing", func(m *manualLoop, _ *dialCallRecorder) {
+		m.conn.CloseAfterFlush()
+		m.inState(stateDialingToClose)
+		m.flush()
+		m.inState(stateClosed)
+	}, nil},
+	{"closed after flush in the turn that connects", func(m *manualLoop, h *dialCallRecorder) {
+		h.onOpen = func() {
+			m.inState(stateFlushing)
+			m.conn.Write([]byte("dropped"))
+		}
+		m.conn.CloseAfterFlush()
+		m.turns()
+		if got := m.peerReceives(); got != "" {
+			m.t.Errorf("the peer received %q", got)
+		}
+	}, []string{"open", "close"}},
+	{"connected", func(m *manualLoop, _ *dialCallRecorder) {
+		m.turn()
+		m.inState(stateOpen)
+	}, []string{"open"}},
+	{"refused", func(m *manualLoop, _ *dialCallRecorder) {
+		m.calls.connectResultError = unix.ECONNREFUSED
+	}, []string{"open: ECONNREFUSED"}},
+	{"refused, and closed before the report", func(m *manualLoop, _ *dialCallRecorder) {
+		m.calls.connectResultError = unix.ECONNREFUSED
+		m.turn()
+		m.inState(stateDialFailed)
+		m.conn.Close()
+		m.inState(stateClosed)
+	}, nil},
+	{"refused, and closed by the report", func(m *manualLoop, h *dialCallRecorder) {
+		m.calls.connectResultError = unix.ECONNREFUSED
+		h.onOpen = func() {
+			m.inState(stateClosed)
+			m.conn.Close()
+		}
+	}, []string{"open: ECONNREFUSED"}},
+	{"refused, and closed after flush before the report", func(m *manualLoop, _ *dialCallRecorder) {
+		m.calls.connectResultError = unix.ECONNREFUSED
+		m.turn()
+		m.conn.CloseAfterFlush()
+		m.inState(stateDialFailed)
+	}, []string{"open: ECONNREFUSED"}},
+	{"closed after flush in the turn that is refused", func(m *manualLoop, _ *dialCallRecorder) {
+		m.calls.connectResultError = unix.ECONNREFUSED
+		m.conn.CloseAfterFlush()
+	}, []string{"open: ECONNREFUSED"}},
+	{"timed out", func(m *manualLoop, _ *dialCallRecorder) {
+		m.now += 2 * time.Second
+		m.checkDials()
+		m.inState(stateDialFailed)
+	}, []string{"open: deadline exceeded"}},
+	{"ended by the peer", func(m *manualLoop, _ *dialCallRecorder) {
+		m.turn()
+		m.peerSends("answer", true)
+	}, []string{"open", "data answer", "close: EOF"}},
+	{"closed", func(m *manualLoop, _ *dialCallRecorder) {
+		m.turn()
+		m.peerSends("answer", true)
+		m.conn.Close()
+		m.conn.Close()
+	}, []string{"open", "close"}},
+	{"closed after flush", func(m *manualLoop, _ *dialCallRecorder) {
+		m.turn()
+		m.conn.Write([]byte("last"))
+		m.conn.CloseAfterFlush()
+		m.conn.CloseAfterFlush()
+		m.conn.Write([]byte("dropped"))
+		m.turns()
+		if got := m.peerReceives(); got != "last" {
+			m.t.Errorf("the peer received %q", got)
+		}
+	}, []string{"open", "close"}},
+	{"write failed behind an answer", func(m *manualLoop, _ *dialCallRecorder) {
+		m.turn()
+		m.peerSends("answer", false)
+		m.calls.writeError = unix.EPIPE
+		m.conn.Write([]byte("request"))
+		m.flush()
+	}, []string{"open", "data answer", "close: EPIPE"}},
+	{"write failed behind the end of input", func(m *manualLoop, _ *dialCallRecorder) {
+		m.turn()
+		m.peerSends("answer", true)
+		m.calls.writeError = unix.EPIPE
+		m.conn.Write([]byte("request"))
+		m.flush()
+	}, []string{"open", "data answer", "close: EOF"}},
+	{"write failed, then closed after flush", func(m *manualLoop, _ *dialCallRecorder) {
+		m.turn()
+		m.peerSends("answer", false)
+		m.calls.writeError = unix.EPIPE
+		m.conn.Write([]byte("request"))
+		m.flush()
+		m.inState(stateOpen)
+		m.conn.CloseAfterFlush()
+		m.inState(stateFlushing)
+	}, []string{"open", "close: EPIPE"}},
+	{"write failed, then closed", func(m *manualLoop, _ *dialCallRecorder) {
+		m.turn()
+		m.calls.writeError = unix.EPIPE
+		m.conn.Write([]byte("request"))
+		m.flush()
+		m.conn.Close()
+	}, []string{"open", "close"}},
+}
+
+// Guards which calls the handler of a dialed connection gets, in which order, whatever ends the connection and when.
+func TestCallsOfADialedConnection(t *testing.T) {
+	for _, test := range dialedScenarios {
+		t.Run(test.name, func(t *testing.T) {
+			m := newManualLoop(t)
+			h := &dialCallRecorder{}
+			m.startDial(h)
+			test.run(m, h)
+			m.turns()
+			if !slices.Equal(h.calls, test.want) {
+				t.Errorf("the handler got the calls %q, want %q", h.calls, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/eventloop/eviction_test.go
@@ -0,0 +1,81 @@
+package eventloop
+
+import (
+	"errors"
+	"io"
+	"testing"
+)
+
+// Guards clients with requests against connections that are opened by hundreds and stay silent: those are
+// evicted first, the oldest first. One that has only just come may have its request on the way, one
+// that has sent half of a request may have the rest there, and one whose answer is pending or unread would
+// lose it.
+func TestSilentConnectionsAreEvictedFirst(t *testing.T) {
+	l := New(Config{})
+	now := l.now
+	add := func(openRequests bool, activity messageActivity) *Conn {
+		h := &echoHandler{openRequests: openRequests}
+		c := newAcceptedConn(l, h)
+		c.activity = activity
+		return c
+	}
+	evictable := []struct {
+		name string
+		conn *Conn
+	}{
+		{"silent for long", add(false, messageActivity{lastActivity: now - 2*silenceGrace})},
+		{"silent", add(false, messageActivity{lastActivity: now - silenceGrace - 1})},
+		{"idle for long", add(false, messageActivity{completeMessages: 1, lastActivity: now - 1000*silenceGrace})},
+		{"idle", add(false, messageActivity{completeMessages: 3, lastActivity: now - 2})},
+		{"second message begun", add(false, messageActivity{
+			completeMessages: 1, lastActivity: now - 9*silenceGrace, partialSince: now})},
+		{"first message begun", add(false, messageActivity{lastActivity: now - 2*silenceGrace, partialSince: now})},
+		{"new", add(false, messageActivity{lastActivity: now - silenceGrace})},
+		{"newest", add(false, messageActivity{lastActivity: now})},
+	}
+	openRequests := add(true, messageActivity{})
+	pendingAnswer := add(false, messageActivity{completeMessages: 1})
+	pendingAnswer.Write([]byte("answer"))
+	unreadAnswer := add(false, messageActivity{completeMessages: 1})
+	unreadAnswer.setUnsent([]byte("a"))
+
+	for _, c := range evictable {
+		if !l.evict(anyConnection) || c.conn.state != stateClosed {
+			t.Fatalf("the connection %q was not the next to be evicted", c.name)
+		}
+	}
+	if l.evict(anyConnection) || openRequests.state != stateOpen || pendingAnswer.state != stateOpen || unreadAnswer.state != stateOpen {
+		t.Error("a connection that owes an answer was evicted")
+	}
+	if pendingAnswer.activity.lastActivity != now {
+		t.Error("a connection counts as idle though it was just answered")
+	}
+}
+
+// A request that has come and is not read yet keeps its connection: another one makes room.
+func TestConnectionWithUnreadInputIsNotEvicted(t *testing.T) {
+	handlers := make(chan *echoHandler, 3)
+	l := startLoop(t, 2, func(c *Conn) AcceptedHandler {
+		h := &echoHandler{conn: c, times: 1, completeMessages: 1, closed: make(chan error, 1)}
+		handlers <- h
+		return h
+	})
+	first, second := dialLoop(t, l), dialLoop(t, l)
+	<-handlers
+	<-handlers
+	call(l, func() { // the loop reads nothing meanwhile
+		if _, err := first.Write([]byte("request")); err != nil {
+			t.Error(err)
+		}
+		if !l.evict(anyConnection) {
+			t.Error("nothing was evicted")
+		}
+	})
+	got := make([]byte, len("request|"))
+	if _, err := io.ReadFull(first, got); err != nil || string(got) != "request|" {
+		t.Errorf("the client with a request read %q, %v", got, err)
+	}
+	if _, err := second.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("the idle client: %v", err)
+	}
+}
--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/read_test.go
@@ -14,10 +14,14 @@
 
 const closeRecord = "closed"
 
-func (h *recordingHandler) OnData(b []byte)              { h.received <- string(b) }
-func (h *recordingHandler) OnClose(error)                { h.received <- closeRecord }
-func (h *recordingHandler) OnEndOfInput()                {}
-func (h *recordingHandler) HasOpenRequests() bool        { return false }
+func (h *recordingHandler) OnData(b []byte) { h.received <- string(b) }
+
+func (h *recordingHandler) OnClose(error) { h.received <- closeRecord }
+
+func (h *recordingHandler) OnEndOfInput() {}
+
+func (h *recordingHandler) HasOpenRequests() bool { return false }
+
 func (h *recordingHandler) MessageProgress() (int, bool) { return 1, false }
 
 // next returns what h received next.
@@ -123,34 +127,6 @@
 	}
 }
 
-// A request that has come and is not read yet keeps its connection: another one makes room.
-func TestConnectionWithUnreadInputIsNotEvicted(t *testing.T) {
-	handlers := make(chan *echoHandler, 3)
-	l := startLoop(t, 2, func(c *Conn) AcceptedHandler {
-		h := &echoHandler{conn: c, times: 1, completeMessages: 1, closed: make(chan error, 1)}
-		handlers <- h
-		return h
-	})
-	first, second := dialLoop(t, l), dialLoop(t, l)
-	<-handlers
-	<-handlers
-	call(l, func() { // the loop reads nothing meanwhile
-		if _, err := first.Write([]byte("request")); err != nil {
-			t.Error(err)
-		}
-		if !l.evict(anyConnection) {
-			t.Error("nothing was evicted")
-		}
-	})
-	got := make([]byte, len("request|"))
-	if _, err := io.ReadFull(first, got); err != nil || string(got) != "request|" {
-		t.Errorf("the client with a request read %q, %v", got, err)
-	}
-	if _, err := second.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle client: %v", err)
-	}
-}
-
 // turnRecorder records the turns in which a client's data and the end of its input were handled.
 type turnRecorder struct {
 	echoHandler
@@ -160,6 +136,7 @@
 }
 
 func (h *turnRecorder) OnData([]byte) { h.dataAt = h.loop.now }
+
 func (h *turnRecorder) OnEndOfInput() { h.endOfInputAt <- h.loop.now }
 
 // A client sends a request and goes while the machine pauses: both are handled in one turn, at whose end nothing is sent on
--- a/internal/eventloop/activity_test.go
+++ b/internal/eventloop/sweep_test.go
@@ -1,7 +1,6 @@
 package eventloop
 
 import (
-	"io"
 	"testing"
 	"time"
 )
@@ -67,44 +66,3 @@
 	}
 	return end
 }
-
-// Guards the last answers of a program that shuts down: what a turn has queued counts as unread before the
-// turn's flush, and a message of which only the beginning has come is known of.
-func TestUnreadBytesAndPartialMessagesAreKnown(t *testing.T) {
-	h := &echoHandler{times: 1, partialMessage: true, closed: make(chan error, 1)}
-	accepted := make(chan struct{})
-	l := startLoop(t, 10, func(c *Conn) AcceptedHandler {
-		h.conn = c
-		close(accepted)
-		return h
-	})
-	client := dialLoop(t, l)
-	<-accepted
-	queued := 0
-	call(l, func() {
-		before := l.UnreadBytes()
-		h.conn.Write([]byte("answer"), nil, []byte("|"))
-		queued = l.UnreadBytes() - before
-	})
-	if queued != 7 {
-		t.Errorf("%d bytes of 7 count as unread in the turn that queued them", queued)
-	}
-	if _, err := io.ReadFull(client, make([]byte, 7)); err != nil {
-		t.Fatal(err)
-	}
-	write(t, client, []byte("half"))
-	if _, err := io.ReadFull(client, make([]byte, 5)); err != nil {
-		t.Fatal(err)
-	}
-	hasPartial := false
-	call(l, func() { hasPartial = l.HasPartialMessages() })
-	if !hasPartial {
-		t.Error("the partial message is not known of")
-	}
-	check(t, client.Close())
-	t.Logf("closed with %v", <-h.closed)
-	call(l, func() { hasPartial = l.HasPartialMessages() })
-	if hasPartial {
-		t.Error("the partial message of a closed connection counts")
-	}
-}
