--- a/internal/eventloop/accept_test.go
+++ b/internal/eventloop/accept_test.go
@@ -49,7 +49,7 @@
 	h := <-accepted
 	_, err := dialLoop(t, l).Read(make([]byte, 1))
 	if !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a second connection beside a busy one: %v", err)
+		t.Errorf("a second connection while the first is busy: %v", err)
 	}
 	call(l, func() { h.openRequests = false })
 	dialLoop(t, l)
--- a/internal/eventloop/accepted_conn_test.go
+++ b/internal/eventloop/accepted_conn_test.go
@@ -130,13 +130,13 @@
 		m.conn.CloseAfterFlush()
 		m.flush()
 	}, []string{"close: EPIPE"}, ResetByPeer},
-	{"write failed behind a request", func(m *manualLoop, _ *acceptedCallRecorder) {
+	{"write failed after a request", func(m *manualLoop, _ *acceptedCallRecorder) {
 		m.peerSends("request", false)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("answer"))
 		m.flush()
 	}, []string{"data request", "close: EPIPE"}, ResetByPeer},
-	{"write failed behind the end of input", func(m *manualLoop, _ *acceptedCallRecorder) {
+	{"write failed after the end of input", func(m *manualLoop, _ *acceptedCallRecorder) {
 		m.peerSends("request", true)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("answer"))
--- a/internal/eventloop/dialed_conn_test.go
+++ b/internal/eventloop/dialed_conn_test.go
@@ -112,14 +112,14 @@
 			m.t.Errorf("the peer received %q", got)
 		}
 	}, []string{"open", "close"}},
-	{"write failed behind an answer", func(m *manualLoop, _ *dialCallRecorder) {
+	{"write failed after an answer", func(m *manualLoop, _ *dialCallRecorder) {
 		m.turn()
 		m.peerSends("answer", false)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
 		m.flush()
 	}, []string{"open", "data answer", "close: EPIPE"}},
-	{"write failed behind the end of input", func(m *manualLoop, _ *dialCallRecorder) {
+	{"write failed after the end of input", func(m *manualLoop, _ *dialCallRecorder) {
 		m.turn()
 		m.peerSends("answer", true)
 		m.calls.writeError = unix.EPIPE
--- a/internal/eventloop/eviction_test.go
+++ b/internal/eventloop/eviction_test.go
@@ -7,8 +7,8 @@
 )
 
 // Guards clients with requests against connections that are opened by hundreds and stay silent: those are
-// evicted first, the oldest first. One that has only just come may have its request on the way, one
-// that has sent half of a request may have the rest there, and one whose answer is pending or unread would
+// evicted first, the oldest first. A new one may have its request on the way, one that has sent part of a
+// request may have the rest on the way, and one whose answer is pending or unread would
 // lose it.
 func TestSilentConnectionsAreEvictedFirst(t *testing.T) {
 	l := New(Config{})
@@ -52,7 +52,7 @@
 	}
 }
 
-// A request that has come and is not read yet keeps its connection: another one makes room.
+// A connection whose request has arrived and is not read yet is not evicted; another one is.
 func TestConnectionWithUnreadInputIsNotEvicted(t *testing.T) {
 	handlers := make(chan *echoHandler, 3)
 	l := startLoop(t, 2, func(c *Conn) AcceptedHandler {
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -61,8 +61,8 @@
 	return f.kernelCalls.wait(poller, events, timeoutMs)
 }
 
-// passingError returns an error for one call in four, and nil for the others.
-func (f *faultyCalls) passingError() error {
+// transientError returns an error for one call in four, and nil for the others.
+func (f *faultyCalls) transientError() error {
 	if f.random == nil {
 		return nil
 	}
@@ -70,7 +70,7 @@
 }
 
 func (f *faultyCalls) read(fd int, b []byte) (int, error) {
-	if err := f.passingError(); err != nil {
+	if err := f.transientError(); err != nil {
 		return -1, err
 	}
 	if f.random != nil {
@@ -80,7 +80,7 @@
 }
 
 func (f *faultyCalls) write(fd int, bufs [][]byte) (int, error) {
-	if err := f.passingError(); err != nil {
+	if err := f.transientError(); err != nil {
 		return -1, err
 	}
 	if f.random != nil {
@@ -120,7 +120,7 @@
 	}
 }
 
-// A dial that fails for want of something on this machine is tried again; the peer is not blamed.
+// A dial that fails because this machine lacks a resource is retried; it is no fault of the peer.
 func TestDialIsRetriedAfterLocalFaults(t *testing.T) {
 	for _, err := range []unix.Errno{
 		unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN, unix.ENETUNREACH,
@@ -155,7 +155,7 @@
 	}
 }
 
-// An interrupted connect goes on; it must not be begun again.
+// A connect that a signal interrupts goes on in the kernel; it must not be begun again.
 func TestInterruptedConnect(t *testing.T) {
 	l := New(Config{})
 	check(t, l.Start())
@@ -240,8 +240,8 @@
 	}
 }
 
-// A fault that passes at once costs no time: connections must not wait for a listener that rests. One that lasts makes it
-// rest for longer and longer, up to a bound.
+// A single failure of accept causes no pause: connections must not wait for it. While accept goes on failing, the pauses
+// grow, up to a bound.
 func TestAcceptPauses(t *testing.T) {
 	l := New(Config{MaxAcceptedConnections: 10, MaxUnreadBytes: 1 << 20})
 	calls := &faultyCalls{}
@@ -252,12 +252,12 @@
 	check(t, l.Start())
 	t.Cleanup(l.closeDescriptors)
 	ln := l.listeners[0]
-	for range 5 { // each connection meets one failure
+	for range 5 { // accept fails once for each connection
 		dialLoop(t, l)
 		calls.acceptErrors = []error{unix.ENFILE}
 		ln.onEvents(0)
 		if ln.paused {
-			t.Fatal("the listener rests after a single failure")
+			t.Fatal("the listener pauses after a single failure")
 		}
 	}
 	if len(l.accepted) != 5 {
@@ -267,7 +267,7 @@
 		calls.acceptErrors = []error{unix.ENFILE, unix.ENFILE}
 		ln.onEvents(0)
 		if got := ln.resumeAt - l.now; got != want*time.Millisecond {
-			t.Errorf("the listener rests for %v, want %v", got, want*time.Millisecond)
+			t.Errorf("the listener pauses for %v, want %v", got, want*time.Millisecond)
 		}
 		calls.acceptErrors = nil
 	}
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -109,7 +109,7 @@
 }
 
 // wait waits for events for at most timeout, which is rounded up to milliseconds. The result is valid until the next wait. A
-// wait that a signal interrupts ends with the events that there are: a process that goes on after a pause must handle them
+// wait that a signal interrupts ends with the events that there are: a process that continues after a pause must handle them
 // in its first turn.
 func (p *poller) wait(timeout time.Duration) []unix.EpollEvent {
 	timeoutMs := int(max((timeout+time.Millisecond-1)/time.Millisecond, 0))
--- a/internal/eventloop/poller_test.go
+++ b/internal/eventloop/poller_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// What clients did comes before all else in a batch, in whatever order the kernel reports it.
+// The events of clients are handled before all others of a batch, in whatever order the kernel reports them.
 func TestEventsOfClientsComeFirst(t *testing.T) {
 	p, err := newPoller(kernelCalls{})
 	check(t, err)
@@ -95,7 +95,7 @@
 }
 
 // A call that is posted while the loop ends is not made, and touches no descriptor that is closed by then.
-func TestPostAfterTheEnd(t *testing.T) {
+func TestPostAfterRunHasReturned(t *testing.T) {
 	l := New(Config{})
 	check(t, l.Start())
 	l.Post(l.Stop)
@@ -103,7 +103,7 @@
 	l.Post(func() { t.Error("called") })
 }
 
-// What is read after a pause may have come when the pause began; else it has come just now.
+// Input that is read after a pause may have arrived when the pause began; without a pause it has arrived in this turn.
 func TestInputTimeAfterPauses(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	for _, test := range []struct {
--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/read_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// recordingHandler passes on what it receives, in order.
+// recordingHandler sends what it receives to a channel, in order.
 type recordingHandler struct{ received chan string }
 
 const closeRecord = "closed"
@@ -37,8 +37,8 @@
 }
 
 // While the loop is busy no connection is read. A close in the meantime, of the connection that has sent much or of
-// another, is reported as soon as the loop goes on, behind what was sent before it.
-func TestCloseIsReportedBehindItsData(t *testing.T) {
+// another, is reported as soon as the loop goes on, after the data that was sent before it.
+func TestCloseIsReportedAfterItsData(t *testing.T) {
 	handlers := []*recordingHandler{{make(chan string, 1000)}, {make(chan string, 1000)}}
 	accepted := make(chan struct{})
 	count := 0
--- a/internal/eventloop/sweep_test.go
+++ b/internal/eventloop/sweep_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// playUntilClosed plays an accepted connection, step by step, and returns when the loop closed it, or end.
+// playUntilClosed simulates an accepted connection in steps of time, and returns when the loop closed it, or end.
 func playUntilClosed(step, end time.Duration, receive func(h *echoHandler, at time.Duration) bool) time.Duration {
 	l := New(Config{})
 	h := &echoHandler{}
--- a/internal/eventloop/syscalls.go
+++ b/internal/eventloop/syscalls.go
@@ -13,8 +13,8 @@
 type systemCalls interface {
 	// socket opens a non-blocking socket that is closed on exec.
 	socket(domain, socketType int) (fd int, err error)
-	// connect begins to connect a socket. EINPROGRESS and EINTR leave it connecting; the poller reports EPOLLOUT at the
-	// end, whatever that is.
+	// connect begins to connect a socket. EINPROGRESS and EINTR leave it connecting; the poller reports EPOLLOUT when
+	// it has succeeded or failed.
 	connect(fd int, addr unix.Sockaddr) error
 	// connectResult returns how a connect that was in progress ended, and later the error that broke a connection. It
 	// takes the socket's pending error (SO_ERROR), so that the next call returns nil.
--- a/internal/eventloop/unread_test.go
+++ b/internal/eventloop/unread_test.go
@@ -9,8 +9,8 @@
 )
 
 // Guards the last answers of a program that shuts down: what a turn has queued counts as unread before the
-// turn's flush, and a message of which only the beginning has come is known of.
-func TestUnreadBytesAndPartialMessagesAreKnown(t *testing.T) {
+// turn's flush, and a message of which only the beginning has arrived is reported.
+func TestUnreadBytesAndPartialMessagesAreReported(t *testing.T) {
 	h := &echoHandler{times: 1, partialMessage: true, closed: make(chan error, 1)}
 	accepted := make(chan struct{})
 	l := startLoop(t, 10, func(c *Conn) AcceptedHandler {
@@ -39,7 +39,7 @@
 	hasPartial := false
 	call(l, func() { hasPartial = l.HasPartialMessages() })
 	if !hasPartial {
-		t.Error("the partial message is not known of")
+		t.Error("the partial message is not reported")
 	}
 	check(t, client.Close())
 	t.Logf("closed with %v", <-h.closed)
--- a/internal/logging/doc.go
+++ b/internal/logging/doc.go
@@ -1,5 +1,5 @@
-// Package logging holds what keeps the log from slowing down what it reports: a Writer that never blocks its callers,
-// and a Throttle that bounds the lines of one kind of event.
+// Package logging keeps the log from slowing down the program: a Writer never blocks its callers, and a Throttle limits
+// how often one kind of event is logged.
 //
 // A Writer is safe for concurrent use. A Throttle is not: it belongs to the goroutine that counts the events.
 package logging
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -11,7 +11,7 @@
 	// maxBufferedBytes is how many bytes of the log may wait for a slow destination. Lines beyond it are dropped.
 	maxBufferedBytes = 256 << 10
 
-	// writePeriod is the least time between two writes, so that lines that come together are written together.
+	// writePeriod is the least time between two writes, so that lines of the same moment are written together.
 	writePeriod = time.Millisecond
 )
 
@@ -29,8 +29,8 @@
 	dropped  int        // lines dropped since the last write to the destination
 }
 
-// NewWriter returns a Writer to destination and starts its goroutine. Until Close has returned, destination belongs to
-// the Writer. Close must be called once, at the end.
+// NewWriter returns a Writer to destination and starts its goroutine, which alone may use destination from then on. Close
+// must be called once, at the end.
 func NewWriter(destination io.Writer) *Writer {
 	w := &Writer{
 		destination: destination,
@@ -84,7 +84,7 @@
 	}
 }
 
-// writeBuffered writes what is buffered, and the number of lines that were dropped meanwhile. An error of the destination
+// writeBuffered writes what is buffered, and the number of lines that were dropped since the last write. An error of the destination
 // is ignored and costs these lines: there is nowhere else to report it.
 func (w *Writer) writeBuffered() {
 	w.mu.Lock()
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -20,7 +20,7 @@
 	return w.text.Write(b)
 }
 
-// A reader that stalls holds up nobody. What the buffer does not hold is counted once the reader goes on.
+// A destination that stalls does not block Write. The lines that do not fit into the buffer are counted in the log.
 func TestWriterDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		destination := &stallingWriter{released: make(chan struct{})}
@@ -43,12 +43,12 @@
 			t.Errorf("%d lines of %d were written", written, lines)
 		}
 		if !strings.Contains(destination.text.String(), `msg="log lines dropped"`) {
-			t.Error("the log does not say that it lacks lines")
+			t.Error("the log does not say that lines were dropped")
 		}
 	})
 }
 
-// The end of the program waits for a reader that has stalled no longer than it was told to.
+// Close returns after its timeout although the destination has stalled.
 func TestWriterCloseTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		destination := &stallingWriter{released: make(chan struct{})}
@@ -71,8 +71,8 @@
 	return 0, errors.New("broken pipe")
 }
 
-// A reader that has gone costs its lines and nothing else.
-func TestWriterOutlivesItsReader(t *testing.T) {
+// An error of the destination costs the lines of that write and nothing else.
+func TestWriterGoesOnAfterWriteErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		destination := &failingWriter{}
 		w := NewWriter(destination)
