--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -20,7 +20,7 @@
 	acceptedHandler AcceptedHandler // the handler of an accepted connection; nil for a dialed one
 	dial            *dial           // nil once the dial has ended, and for an accepted connection
 
-	state connState // changed by transition alone
+	state connState // changed by connState.apply alone
 
 	// writeError is why the connection can't be written to any more; nil while it can. It is no connState: the direction
 	// to the peer may break in any of its states, and what the peer sent before is still read in the next turn if the
@@ -111,7 +111,7 @@
 	if c.isAccepted {
 		c.loop.recordClose(c, cause, err)
 	}
-	c.transition(eventClosed)
+	c.state.apply(eventClosed)
 	c.release()
 }
 
@@ -130,7 +130,7 @@
 // later writes are dropped. An accepted connection whose peer does not read is closed after closeTimeout. The handler's
 // OnClose is called in a later turn.
 func (c *Conn) CloseAfterFlush() {
-	if c.transition(eventCloseAfterFlush) {
+	if c.state.apply(eventCloseAfterFlush) {
 		c.loop.unflushed = append(c.loop.unflushed, c)
 	}
 }
@@ -139,7 +139,7 @@
 // the connection was ever open; else the handler gets no further call. A second Close does nothing.
 func (c *Conn) Close() {
 	if c.state == stateDialFailed {
-		c.transition(eventClosed) // the failure is not reported any more
+		c.state.apply(eventClosed) // the failure is not reported any more
 		return
 	}
 	c.closeFor(ClosedByHandler)
--- a/internal/eventloop/conn_state.go
+++ b/internal/eventloop/conn_state.go
@@ -1,7 +1,7 @@
 package eventloop
 
 // connState is the state of a Conn, from its dial or accept to its close. It says which calls the handler has yet to get
-// and whether input is read and writes are accepted. Conn.transition alone changes it, by connTransitions:
+// and whether input is read and writes are accepted. The method apply alone changes it, by connTransitions:
 //
 //	state           | connected | dial failed | end of input | close after flush | closed
 //	dialing         | open      | dial failed | -            | dialing to close  | closed
@@ -12,7 +12,7 @@
 //	dial failed     | -         | -           | -            | -                 | closed
 //
 // A "-" is an event that cannot occur in the state or that changes nothing. An accepted connection starts as open, a
-// dialed one as dialing; closed is final.
+// dialed one as dialing; closed is final. A UDPConn is only ever dialing, open or closed.
 type connState uint8
 
 const (
@@ -95,11 +95,11 @@
 	stateClosed: {},
 }
 
-// transition changes the state by event, and reports whether it is another one than before.
-func (c *Conn) transition(event connEvent) bool {
-	next, changes := connTransitions[c.state][event]
+// apply changes the state by event, and reports whether it is another one than before.
+func (s *connState) apply(event connEvent) bool {
+	next, changes := connTransitions[*s][event]
 	if changes {
-		c.state = next
+		*s = next
 	}
 	return changes
 }
--- a/internal/eventloop/conn_state_test.go
+++ b/internal/eventloop/conn_state_test.go
@@ -28,10 +28,10 @@
 	}
 	for _, state := range allConnStates {
 		for i, event := range allConnEvents {
-			c := &Conn{state: state}
-			changed := c.transition(event)
-			if c.state != want[state][i] || changed != (want[state][i] != state) {
-				t.Errorf("%v, %v: got %v, changed %v; want %v", state, event, c.state, changed, want[state][i])
+			got := state
+			changed := got.apply(event)
+			if got != want[state][i] || changed != (want[state][i] != state) {
+				t.Errorf("%v, %v: got %v, changed %v; want %v", state, event, got, changed, want[state][i])
 			}
 		}
 	}
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -108,7 +108,7 @@
 	disableNagle(c.socket.fd)
 	handler := c.dial.handler
 	c.dial = nil
-	c.transition(eventConnected)
+	c.state.apply(eventConnected)
 	delete(c.loop.dialing, c)
 	c.loop.dialed[c] = struct{}{}
 	c.updateInterest()
@@ -148,11 +148,11 @@
 func (c *Conn) failDial(err error) {
 	handler := c.dial.handler
 	wrapped := fmt.Errorf("dial %s: %w", c.dial.addr, err)
-	c.transition(eventDialFailed)
+	c.state.apply(eventDialFailed)
 	c.release()
 	c.loop.later(func() {
 		if c.state == stateDialFailed {
-			c.transition(eventClosed)
+			c.state.apply(eventClosed)
 			handler.OnOpen(wrapped)
 		}
 	})
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -127,13 +126,13 @@
 // clients come first: the request of a client that has gone must not be sent over a connection to a worker that opens in the
 // same turn.
 func (p *poller) dispatch(events []unix.EpollEvent) {
-	for _, clientsTurn := range []bool{true, false} {
+	for _, ofClients := range []bool{true, false} {
 		for i := range events {
 			t := tokenOf(&events[i])
-			if t == wakeToken && clientsTurn {
+			if t == wakeToken && ofClients {
 				p.clearWake()
 			}
-			if receiver := p.polled[t]; receiver != nil && receiver.isClientConnection() == clientsTurn {
+			if receiver := p.polled[t]; receiver != nil && receiver.isClientConnection() == ofClients {
 				receiver.onEvents(events[i].Events)
 			}
 		}
@@ -156,40 +155,3 @@
 	var count [8]byte
 	_, _ = unix.Read(p.wakeFD, count[:]) // after EINTR the next wait returns at once; EAGAIN: it is unreadable already
 }
-
-// postQueue holds the calls that other goroutines have posted to the loop's. It is safe for concurrent use.
-type postQueue struct {
-	mu     sync.Mutex
-	calls  []func()
-	closed bool // no more calls are made
-}
-
-// add queues call, and wakes the poller for the first one. It holds the lock meanwhile, so that the poller is not closed.
-func (q *postQueue) add(call func(), p *poller) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	if q.closed {
-		return
-	}
-	q.calls = append(q.calls, call)
-	if len(q.calls) == 1 {
-		p.wake()
-	}
-}
-
-// take returns the queued calls in order. The queue reuses the array of spare, a batch that is no longer needed.
-func (q *postQueue) take(spare []func()) []func() {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	batch := q.calls
-	q.calls = spare[:0]
-	return batch
-}
-
-// close drops what is queued and whatever is added later. The poller may be closed afterwards.
-func (q *postQueue) close() {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	q.calls = nil
-	q.closed = true
-}
--- /dev/null
+++ b/internal/eventloop/post_queue.go
@@ -0,0 +1,40 @@
+package eventloop
+
+import "sync"
+
+// postQueue holds the calls that other goroutines have posted to the loop's. It is safe for concurrent use.
+type postQueue struct {
+	mu     sync.Mutex
+	calls  []func()
+	closed bool // no more calls are made
+}
+
+// add queues call, and wakes the poller for the first one. It holds the lock meanwhile, so that the poller is not closed.
+func (q *postQueue) add(call func(), p *poller) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.closed {
+		return
+	}
+	q.calls = append(q.calls, call)
+	if len(q.calls) == 1 {
+		p.wake()
+	}
+}
+
+// take returns the queued calls in order. The queue reuses the array of spare, a batch that is no longer needed.
+func (q *postQueue) take(spare []func()) []func() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	batch := q.calls
+	q.calls = spare[:0]
+	return batch
+}
+
+// close drops what is queued and whatever is added later. The poller may be closed afterwards.
+func (q *postQueue) close() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.calls = nil
+	q.closed = true
+}
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -68,7 +68,7 @@
 		c.end(io.EOF)
 		return
 	}
-	c.transition(eventEndOfInput)
+	c.state.apply(eventEndOfInput)
 	c.acceptedHandler.OnEndOfInput()
 	if c.state.isClosed() {
 		return
--- a/internal/eventloop/udp.go
+++ b/internal/eventloop/udp.go
@@ -17,14 +17,13 @@
 	loop    *Loop
 	socket  socket
 	handler DialHandler
-	opened  bool // OnOpen(nil) has been called
-	closed  bool // the socket is closed for good, or could not be opened
+	state   connState // dialing, open or closed
 }
 
 // DialUDP opens a connected UDP socket to addr, a "host:port", and returns at once; h.OnOpen gets the result in a later
 // turn. If the UDPConn is closed before that, h gets no call. The socket receives datagrams of addr alone.
 func (l *Loop) DialUDP(addr string, h DialHandler) *UDPConn {
-	c := &UDPConn{loop: l, socket: socket{fd: noDescriptor}, handler: h}
+	c := &UDPConn{loop: l, socket: socket{fd: noDescriptor}, handler: h, state: stateDialing}
 	if literal, err := netip.ParseAddrPort(addr); err == nil {
 		l.later(func() { c.open(literal, nil) })
 		return c
@@ -42,18 +41,18 @@
 
 // open opens the socket, unless err says that its address could not be resolved, and calls the handler's OnOpen.
 func (c *UDPConn) open(addr netip.AddrPort, err error) {
-	if c.closed { // by Close, in the meantime
+	if c.state.isClosed() { // by Close, in the meantime
 		return
 	}
 	if err == nil {
 		err = c.connect(addr)
 	}
 	if err != nil {
-		c.closed = true
+		c.state.apply(eventClosed)
 		c.handler.OnOpen(err)
 		return
 	}
-	c.opened = true
+	c.state.apply(eventConnected)
 	c.handler.OnOpen(nil)
 }
 
@@ -97,7 +96,7 @@
 			return
 		}
 		c.handler.OnData(buffer[:n])
-		if c.closed {
+		if c.state.isClosed() {
 			return
 		}
 	}
@@ -106,7 +105,7 @@
 // Write sends each buffer as one datagram, at once; the caller may reuse the buffers afterwards. An error is not reported: a
 // datagram that can't be sent is lost, as any datagram may be on the network. Before OnOpen and after Close nothing is sent.
 func (c *UDPConn) Write(bufs ...[]byte) {
-	if c.closed || !c.opened {
+	if c.state != stateOpen {
 		return
 	}
 	for _, b := range bufs {
@@ -117,18 +116,19 @@
 // Close closes the socket. The handler's OnClose gets net.ErrClosed in a later turn if the socket was ever open; else the
 // handler gets no further call.
 func (c *UDPConn) Close() {
-	if c.closed {
+	if c.state.isClosed() {
 		return
 	}
+	wasOpen := c.state == stateOpen
 	c.shut()
-	if c.opened {
+	if wasOpen {
 		c.loop.later(func() { c.handler.OnClose(net.ErrClosed) })
 	}
 }
 
 // shut closes the socket and takes it out of the loop.
 func (c *UDPConn) shut() {
-	c.closed = true
+	c.state.apply(eventClosed)
 	c.socket.close(c.loop.poll)
 	delete(c.loop.datagram, c)
 }
