--- a/internal/eventloop/udp.go
+++ b/internal/eventloop/udp.go
@@ -9,23 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxDatagramsPerTurn is how many datagrams one socket is read in one turn.
+// maxDatagramsPerTurn is how many datagrams of one socket are read in one turn.
 const maxDatagramsPerTurn = 16
 
 // UDPConn is a connected UDP socket. Its methods must be called on the loop's goroutine.
 type UDPConn struct {
 	loop    *Loop
-	fd      int // noDescriptor: none is open
-	token   token
+	socket  socket
 	handler DialHandler
-	opened  bool // the handler has been told
-	closed  bool
+	state   connState // dialing, open or closed
 }
 
 // DialUDP opens a connected UDP socket to addr, a "host:port", and returns at once; h.OnOpen gets the result in a later
-// turn. Closing the UDPConn before that calls the dial off: h hears no more of it.
+// turn. If the UDPConn is closed before that, h gets no call. The socket receives datagrams of addr alone.
 func (l *Loop) DialUDP(addr string, h DialHandler) *UDPConn {
-	c := &UDPConn{loop: l, fd: noDescriptor, handler: h}
+	c := &UDPConn{loop: l, socket: socket{fd: noDescriptor}, handler: h, state: stateDialing}
 	if literal, err := netip.ParseAddrPort(addr); err == nil {
 		l.later(func() { c.open(literal, nil) })
 		return c
@@ -41,96 +39,96 @@
 	return c
 }
 
-// open opens the socket, unless its address could not be resolved, and tells the handler.
+// open opens the socket, unless err says that its address could not be resolved, and calls the handler's OnOpen.
 func (c *UDPConn) open(addr netip.AddrPort, err error) {
-	if c.closed { // called off in the meantime
+	if c.state.isClosed() { // by Close, in the meantime
 		return
 	}
 	if err == nil {
 		err = c.connect(addr)
 	}
 	if err != nil {
-		c.closed = true
+		c.state.apply(eventClosed)
 		c.handler.OnOpen(err)
 		return
 	}
-	c.opened = true
+	c.state.apply(eventConnected)
 	c.handler.OnOpen(nil)
 }
 
+// connect opens the socket, connects it to addr and registers it with the poller. To connect a UDP socket sends nothing: it
+// sets the peer's address, and has the kernel report ICMP errors of that peer.
 func (c *UDPConn) connect(addr netip.AddrPort) error {
 	domain, sockaddr := socketAddress(addr)
 	fd, err := c.loop.calls.socket(domain, unix.SOCK_DGRAM)
 	if err != nil {
 		return fmt.Errorf("open a UDP socket: %w", err)
 	}
+	c.socket.fd = fd
 	if err := c.loop.calls.connect(fd, sockaddr); err != nil {
-		closeDescriptor(fd)
+		c.socket.close(c.loop.poll)
 		return fmt.Errorf("connect a UDP socket to %s: %w", addr, err)
 	}
-	if c.token, err = c.loop.poll.add(fd, unix.EPOLLIN, c); err != nil {
-		closeDescriptor(fd)
+	if err := c.socket.register(c.loop.poll, unix.EPOLLIN, c); err != nil {
+		c.socket.close(c.loop.poll)
 		return fmt.Errorf("poll the UDP socket to %s: %w", addr, err)
 	}
-	c.fd = fd
 	c.loop.datagram[c] = struct{}{}
 	return nil
 }
 
-func (c *UDPConn) ofClient() bool { return false }
+func (c *UDPConn) isClientConnection() bool { return false }
 
-// onEvents reads what has come. An error, as an ICMP message of a port without a listener, ends the socket.
+// onEvents reads the datagrams that have arrived, up to a bound. An error closes the socket, such as ECONNREFUSED, by which
+// Linux reports an ICMP message that the peer's port has no listener.
 func (c *UDPConn) onEvents(uint32) {
 	buffer := c.loop.readBuffer
 	for range maxDatagramsPerTurn {
-		n, err := c.loop.calls.read(c.fd, buffer)
+		n, err := c.loop.calls.read(c.socket.fd, buffer)
 		switch {
 		case errors.Is(err, unix.EINTR):
 			continue
 		case err != nil && isTransient(err):
 			return
 		case err != nil:
-			c.closed = true
-			c.closeDescriptor()
+			c.shut()
 			c.handler.OnClose(err)
 			return
 		}
 		c.handler.OnData(buffer[:n])
-		if c.closed {
+		if c.state.isClosed() {
 			return
 		}
 	}
 }
 
-// Write sends each buffer as one datagram. An error is not reported: a datagram that can't be sent is lost, as any may
-// be on its way.
+// Write sends each buffer as one datagram, at once; the caller may reuse the buffers afterwards. An error is not reported: a
+// datagram that can't be sent is lost, as any datagram may be on the network. Before OnOpen and after Close nothing is sent.
 func (c *UDPConn) Write(bufs ...[]byte) {
-	if c.closed || !c.opened {
+	if c.state != stateOpen {
 		return
 	}
 	for _, b := range bufs {
-		_, _ = c.loop.calls.write(c.fd, [][]byte{b}) // lost
+		_, _ = c.loop.calls.write(c.socket.fd, [][]byte{b}) // lost
 	}
 }
 
-// Close closes the socket. The handler's OnClose is called in a later turn, if the socket was ever open.
+// Close closes the socket. The handler's OnClose gets net.ErrClosed in a later turn if the socket was ever open; else the
+// handler gets no further call.
 func (c *UDPConn) Close() {
-	if c.closed {
+	if c.state.isClosed() {
 		return
 	}
-	c.closed = true
-	c.closeDescriptor()
-	if c.opened {
+	wasOpen := c.state == stateOpen
+	c.shut()
+	if wasOpen {
 		c.loop.later(func() { c.handler.OnClose(net.ErrClosed) })
 	}
 }
 
-func (c *UDPConn) closeDescriptor() {
-	if c.fd == noDescriptor {
-		return
-	}
-	c.loop.poll.remove(c.token)
-	closeDescriptor(c.fd)
-	c.fd = noDescriptor
+// shut closes the socket and takes it out of the loop.
+func (c *UDPConn) shut() {
+	c.state.apply(eventClosed)
+	c.socket.close(c.loop.poll)
 	delete(c.loop.datagram, c)
 }
