--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -6,14 +6,15 @@
 	"functionrouter/policy"
 )
 
-// attempt is one try of a request at a worker.
+// attempt is one send of a request to one worker.
 type attempt struct {
 	worker policy.WorkerID
 	sentAt time.Duration
 	ended  bool
 }
 
-// startAttempt sends a request to a worker. If no time or no attempt is left, the attempt ends as policy.NotSent.
+// startAttempt sends a request to a worker. If the request is closed, or has no time or no attempt left, the attempt ends
+// as policy.NotSent.
 func (r *Router) startAttempt(a policy.SendAttempt) {
 	p := r.requests.byID[a.Request]
 	if p == nil {
@@ -26,8 +27,9 @@
 	if a.Timeout > 0 {
 		budget = min(budget, a.Timeout)
 	}
+	outOfTime := budget <= 0
 	outOfAttempts := r.limits.MaxAttempts > 0 && id.Number >= r.limits.MaxAttempts
-	if p.closed || budget <= 0 || outOfAttempts {
+	if p.closed || outOfTime || outOfAttempts {
 		r.AttemptEnded(id, policy.NotSent, policy.InstanceUnknown, nil, nil)
 		return
 	}
@@ -47,7 +49,7 @@
 	return p, &p.attempts[id.Number]
 }
 
-// cancelAttempt gives an attempt up and ends it with the outcome. The worker may run it all the same.
+// cancelAttempt ends an open attempt with the outcome, without waiting for its worker, which may still run it.
 func (r *Router) cancelAttempt(id AttemptID, outcome policy.Outcome) {
 	if _, a := r.openAttempt(id); a != nil {
 		r.workers.CancelAttempt(a.worker, id)
@@ -65,8 +67,8 @@
 	}
 }
 
-// AttemptEnded reports how an attempt ended, with the worker's result and load report where it gave them. A report
-// of an attempt that has ended already is ignored.
+// AttemptEnded reports how an attempt ended, with the worker's result and load report where it gave them. If the worker
+// served it and the request is open, the client gets the result. A report of an attempt that has ended already is ignored.
 func (r *Router) AttemptEnded(id AttemptID, outcome policy.Outcome, instance policy.InstanceStatus, body []byte, loadReport []float64) {
 	p, a := r.openAttempt(id)
 	if a == nil {
@@ -74,7 +76,7 @@
 	}
 	a.ended = true
 	p.openAttempts--
-	p.mayHaveRun = p.mayHaveRun || !outcome.NeverRan()
+	p.endedAttemptMayHaveRun = p.endedAttemptMayHaveRun || !outcome.NeverRan()
 	r.Counters.AttemptOutcomes[outcome]++
 	if outcome == policy.Served && !p.closed {
 		r.respond(id.Request, p, Response{Status: Served, Body: body, MayHaveRun: true})
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Guards against a worker's answer that arrives after the client cancelled: it is owed to nobody.
+// Guards against a worker's answer that arrives after the client cancelled: nobody waits for it.
 func TestResultAfterCancelIsDropped(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
@@ -46,8 +46,8 @@
 	}
 }
 
-// Guards against work for a client that is gone: an attempt that waits for a connection is withdrawn.
-func TestCancelWithdrawsQueuedAttempt(t *testing.T) {
+// Guards against work for a client that is gone: an attempt of which nothing has been sent is taken back.
+func TestCancelTakesBackUnsentAttempt(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
 	id, _ := submit(r, notIdempotentClass)
@@ -55,7 +55,7 @@
 	if len(workers.sent[id]) != 1 {
 		t.Fatal("the request was not sent")
 	}
-	workers.queued[workers.sent[id][0]] = true
+	workers.unsent[workers.sent[id][0]] = true
 	r.Cancel(testStart+ms, id, ClientInterrupted)
 	if len(workers.openAttempts) != 0 || r.Counters.AttemptOutcomes[policy.NotSent] != 1 || len(r.requests.byID) != 0 {
 		t.Errorf("%d attempts open, %d requests kept, outcomes %v", len(workers.openAttempts), len(r.requests.byID),
@@ -82,7 +82,7 @@
 }
 
 // Guards what is sent: no attempt leaves for a request that has ended, is out of time or out of attempts. The
-// events that follow are not given to the policy, which has not ordered these attempts.
+// events that follow are not given to the policy, which did not ask for these attempts.
 func TestAttemptThatMustNotLeaveEndsAsNotSent(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -1,7 +1,6 @@
 package router
 
 import (
-	"fmt"
 	"time"
 
 	"functionrouter/policy"
@@ -11,93 +10,84 @@
 type controlKind uint8
 
 const (
-	loadCommand controlKind = iota
-	healthCheck
+	loadCommand controlKind = iota // load command
+	healthCheck                    // health check
 )
 
-// String returns the kind's name.
-func (k controlKind) String() string {
-	switch k {
-	case loadCommand:
-		return "load command"
-	case healthCheck:
-		return "health check"
-	}
-	return fmt.Sprintf("controlKind(%d)", uint8(k))
-}
-
-// pendingControl is a control call that awaits its answer.
-type pendingControl struct {
+// controlCall is a control call that awaits its answer.
+type controlCall struct {
 	kind     controlKind
 	worker   policy.WorkerID
-	function policy.FunctionID // loadCommand: what to load
+	function policy.FunctionID // of a load command: what to load
 	sentAt   time.Duration
 }
 
-// controlTable holds the pending control calls by id.
+// controlTable holds the control calls that await their answers, by id.
 type controlTable struct {
-	byID   map[ControlID]pendingControl
+	byID   map[ControlID]controlCall
 	lastID ControlID
 }
 
-func newControlTable() controlTable { return controlTable{byID: map[ControlID]pendingControl{}} }
+func newControlTable() controlTable { return controlTable{byID: map[ControlID]controlCall{}} }
 
-// add stores c under a new id.
-func (t *controlTable) add(c pendingControl) ControlID {
+// add stores call under a new id.
+func (t *controlTable) add(call controlCall) ControlID {
 	t.lastID++
-	t.byID[t.lastID] = c
+	t.byID[t.lastID] = call
 	return t.lastID
 }
 
-// remove takes out the control call with the id if there is one of this kind.
-func (t *controlTable) remove(id ControlID, kind controlKind) (c pendingControl, ok bool) {
-	if c, ok = t.byID[id]; !ok || c.kind != kind {
-		return pendingControl{}, false
+// remove takes out the control call with the id. It returns false if none of this kind awaits an answer.
+func (t *controlTable) remove(id ControlID, kind controlKind) (call controlCall, ok bool) {
+	call, ok = t.byID[id]
+	if !ok || call.kind != kind {
+		return controlCall{}, false
 	}
 	delete(t.byID, id)
-	return c, true
+	return call, true
 }
 
 func (r *Router) sendLoadCommand(a policy.LoadInstance) {
 	r.Counters.LoadCommands++
-	command := pendingControl{kind: loadCommand, worker: a.Worker, function: a.Function}
-	control := r.awaitControl(command, r.limits.LoadCommandTimeout)
-	r.workers.LoadInstance(a.Worker, a.Function, a.Instances, control)
+	command := controlCall{kind: loadCommand, worker: a.Worker, function: a.Function}
+	id := r.addControlCall(command, r.limits.LoadCommandTimeout)
+	r.workers.LoadInstance(a.Worker, a.Function, a.Instances, id)
 }
 
 func (r *Router) sendHealthCheck(a policy.CheckHealth) {
 	r.Counters.HealthChecks++
-	control := r.awaitControl(pendingControl{kind: healthCheck, worker: a.Worker}, r.limits.HealthCheckTimeout)
-	r.workers.CheckHealth(a.Worker, control)
+	check := controlCall{kind: healthCheck, worker: a.Worker}
+	id := r.addControlCall(check, r.limits.HealthCheckTimeout)
+	r.workers.CheckHealth(a.Worker, id)
 }
 
-// awaitControl stores a control call that is about to be sent, and sets its timeout.
-func (r *Router) awaitControl(c pendingControl, timeout time.Duration) ControlID {
-	c.sentAt = r.now
-	control := r.controls.add(c)
-	r.timers.schedule(r.now+timeout, timer{kind: controlTimeout, control: control})
-	return control
+// addControlCall stores a control call that is about to be sent, and sets its timeout.
+func (r *Router) addControlCall(call controlCall, timeout time.Duration) ControlID {
+	call.sentAt = r.now
+	id := r.controls.add(call)
+	r.timers.schedule(r.now+timeout, timer{kind: controlTimeout, control: id})
+	return id
 }
 
-// timeOutControl ends a control call that is still unanswered.
-func (r *Router) timeOutControl(control ControlID) {
-	c, ok := r.controls.byID[control]
+// timeOutControlCall ends a control call as policy.TimedOut if it still awaits its answer.
+func (r *Router) timeOutControlCall(id ControlID) {
+	call, ok := r.controls.byID[id]
 	if !ok {
 		return
 	}
-	r.workers.CancelControl(c.worker, control)
-	switch c.kind {
+	r.workers.CancelControl(call.worker, id)
+	switch call.kind {
 	case loadCommand:
-		r.LoadCommandEnded(control, policy.TimedOut, 0)
+		r.LoadCommandEnded(id, policy.TimedOut, 0)
 	case healthCheck:
-		r.HealthCheckEnded(control, policy.TimedOut, nil)
+		r.HealthCheckEnded(id, policy.TimedOut, nil)
 	}
 }
 
 // LoadCommandEnded reports how a load command ended, and how many instances the worker has loaded. A report of a
 // command that has ended already is ignored.
-func (r *Router) LoadCommandEnded(control ControlID, outcome policy.Outcome, instances int) {
-	command, ok := r.controls.remove(control, loadCommand)
+func (r *Router) LoadCommandEnded(id ControlID, outcome policy.Outcome, instances int) {
+	command, ok := r.controls.remove(id, loadCommand)
 	if !ok {
 		return
 	}
@@ -113,8 +103,8 @@
 
 // HealthCheckEnded reports how a health check ended, with the worker's load report where it gave one. A report of a
 // check that has ended already is ignored.
-func (r *Router) HealthCheckEnded(control ControlID, outcome policy.Outcome, loadReport []float64) {
-	check, ok := r.controls.remove(control, healthCheck)
+func (r *Router) HealthCheckEnded(id ControlID, outcome policy.Outcome, loadReport []float64) {
+	check, ok := r.controls.remove(id, healthCheck)
 	if !ok {
 		return
 	}
--- a/internal/router/control_test.go
+++ b/internal/router/control_test.go
@@ -6,8 +6,8 @@
 	"functionrouter/policy"
 )
 
-// Guards the timeouts of health checks and load commands: what nobody answers ends, and a later answer is ignored.
-func TestUnansweredControlRequestsTimeOut(t *testing.T) {
+// Guards the timeouts of health checks and load commands: an unanswered one ends, and a later answer is ignored.
+func TestUnansweredControlCallsTimeOut(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	r.execute(policy.CheckHealth{Worker: 1})
 	r.execute(policy.LoadInstance{Worker: 1, Function: 2, Instances: 1})
@@ -29,11 +29,11 @@
 // Guards the ids: the answer to a load command does not end a health check, nor the reverse.
 func TestControlAnswerOfTheOtherKindIsIgnored(t *testing.T) {
 	r, _ := newTestRouter(t, 1)
-	check := r.controls.add(pendingControl{kind: healthCheck, worker: 1})
-	command := r.controls.add(pendingControl{kind: loadCommand, worker: 1})
+	check := r.controls.add(controlCall{kind: healthCheck, worker: 1})
+	command := r.controls.add(controlCall{kind: loadCommand, worker: 1})
 	r.LoadCommandEnded(check, policy.Served, 1)
 	r.HealthCheckEnded(command, policy.Served, nil)
 	if len(r.controls.byID) != 2 || !r.events.empty() {
-		t.Errorf("%d control requests pending, want 2; events %v", len(r.controls.byID), r.events.pending)
+		t.Errorf("%d control calls pending, want 2; events %v", len(r.controls.byID), r.events.pending)
 	}
 }
--- a/internal/router/deadline.go
+++ b/internal/router/deadline.go
@@ -27,25 +27,26 @@
 // is not late. An answer that early still means that the time ran out.
 const deadlineTolerance = 10 * time.Millisecond
 
-// enforceDeadline answers a request whose deadline has come. The policy ends every request before that. Should it
-// not, the client still gets its one answer in time: a refusal if it is proven that nothing ran, else a failure.
+// enforceDeadline ends a request at its deadline: its open attempts time out, and the client gets its one answer, a
+// refusal if it is proven that nothing ran, else a failure. The policy ends every request earlier, so that this answers
+// a request only if the policy is at fault or the machine stalled.
 func (r *Router) enforceDeadline(id policy.RequestID) {
 	p := r.requests.byID[id]
 	if p == nil {
 		return
 	}
 	for n := range p.attempts {
-		r.cancelAttempt(AttemptID{id, n}, policy.TimedOut)
+		r.cancelAttempt(AttemptID{Request: id, Number: n}, policy.TimedOut)
 	}
 	if p.closed {
 		return
 	}
 	status := Refused
-	if p.mayHaveRun {
+	if p.mayHaveRun() {
 		status = Failed
 	}
 	r.Counters.Overdue++
-	r.endLog.record(r.now, p, status.outcome(), overdueCause)
+	r.noResultLog.record(r.now, p, status.outcome(), deadlineGuardCause)
 	r.respondUnserved(id, p, Response{Status: status, RetryAfter: r.limits.RetryAfter})
 	r.events.add(policy.ClientCancelled{Request: id})
 }
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -106,7 +106,7 @@
 		t.Errorf("answer %+v, %d overdue", resp, r.Counters.Overdue)
 	}
 	if r.Counters.UnservedByReason[policy.DeadlineExceeded] != 1 {
-		t.Errorf("given up: %v", r.Counters.UnservedByReason)
+		t.Errorf("unserved by reason: %v", r.Counters.UnservedByReason)
 	}
 }
 
--- /dev/null
+++ b/internal/router/example_test.go
@@ -0,0 +1,79 @@
+package router_test
+
+import (
+	"fmt"
+	"time"
+
+	"functionrouter/internal/router"
+	"functionrouter/policy"
+)
+
+// printingPool prints the attempts that it is given. The test ends them, as a worker's answer would.
+type printingPool struct {
+	router.WorkerPool // nil: the example's policy sends no other message
+	sent              []router.AttemptID
+}
+
+func (p *printingPool) StartAttempt(worker policy.WorkerID, id router.AttemptID, req *router.Request, budget time.Duration) {
+	p.sent = append(p.sent, id)
+	fmt.Printf("attempt %d of request %s to worker %d, budget %v: %s\n", id.Number, req.ID, worker, budget, req.Body)
+}
+
+// printingResponder prints the final answer, as a frontend would write it to the client.
+type printingResponder struct{}
+
+func (printingResponder) Respond(response router.Response) {
+	fmt.Printf("answer: %v, %s\n", response.Status, response.Body)
+}
+
+// One request on its way: a frontend submits it, the policy chooses a worker, the worker answers, the client gets the
+// answer.
+func Example() {
+	decisions, err := policy.New(policy.Config{
+		RouterCount: 1,
+		Tick:        4 * time.Millisecond,
+		Classes: []policy.Class{
+			{LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
+		},
+	}, 1)
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	pool := &printingPool{}
+	r := router.New(router.Config{
+		Policy:        decisions,
+		Limits:        router.Limits{MaxOpenRequests: 10, MaxBodyBytes: 1 << 20},
+		NewWorkerPool: func(*router.Router) router.WorkerPool { return pool },
+		OnRequestEnd: func(_ time.Duration, req *router.Request, outcome router.RequestOutcome) {
+			fmt.Printf("request %s ended: %v\n", req.ID, outcome)
+		},
+	})
+	r.UpdateEndpoints(policy.EndpointUpdate{
+		Kind:      policy.FullUpdate,
+		Endpoints: []policy.Endpoint{{Worker: 3, State: policy.Ready}},
+	})
+
+	now := time.Second
+	r.Submit(now, router.Request{
+		Frontend:  router.Thrift,
+		Responder: printingResponder{},
+		ID:        "00000000000000a1",
+		Function:  7,
+		Body:      []byte("two and two"),
+		Deadline:  now + router.AnswerBudget(2*time.Second),
+	})
+	r.Process(now) // gives the policy the two events, and carries out its actions
+
+	now += 20 * time.Millisecond
+	r.SetNow(now)
+	r.AttemptEnded(pool.sent[0], policy.Served, policy.InstanceWarm, []byte("four"), nil)
+	r.Process(now) // the policy learns from the answer
+	fmt.Printf("%d requests open, %d served\n", r.OpenRequests(), r.Counters.Served[router.Thrift])
+
+	// Output:
+	// attempt 0 of request 00000000000000a1 to worker 3, budget 1.96s: two and two
+	// answer: served, four
+	// request 00000000000000a1 ended: served
+	// 0 requests open, 1 served
+}
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -28,7 +28,7 @@
 type fakeWorkerPool struct {
 	router       *Router
 	openAttempts map[AttemptID]policy.WorkerID
-	queued       map[AttemptID]bool // attempts of which nothing has been sent
+	unsent       map[AttemptID]bool // attempts of which nothing has been sent
 	sent         map[policy.RequestID][]AttemptID
 	loadCommands map[ControlID]bool
 	healthChecks map[ControlID]bool
@@ -38,7 +38,7 @@
 	return &fakeWorkerPool{
 		router:       r,
 		openAttempts: map[AttemptID]policy.WorkerID{},
-		queued:       map[AttemptID]bool{},
+		unsent:       map[AttemptID]bool{},
 		sent:         map[policy.RequestID][]AttemptID{},
 		loadCommands: map[ControlID]bool{},
 		healthChecks: map[ControlID]bool{},
@@ -55,27 +55,27 @@
 }
 
 func (w *fakeWorkerPool) CancelUnsent(id AttemptID) bool {
-	if !w.queued[id] {
+	if !w.unsent[id] {
 		return false
 	}
-	delete(w.queued, id)
+	delete(w.unsent, id)
 	delete(w.openAttempts, id)
 	return true
 }
 
 func (w *fakeWorkerPool) CancelAttempt(_ policy.WorkerID, id AttemptID) { delete(w.openAttempts, id) }
 
-func (w *fakeWorkerPool) LoadInstance(_ policy.WorkerID, _ policy.FunctionID, _ int, control ControlID) {
-	w.loadCommands[control] = true
+func (w *fakeWorkerPool) LoadInstance(_ policy.WorkerID, _ policy.FunctionID, _ int, id ControlID) {
+	w.loadCommands[id] = true
 }
 
-func (w *fakeWorkerPool) CheckHealth(_ policy.WorkerID, control ControlID) {
-	w.healthChecks[control] = true
+func (w *fakeWorkerPool) CheckHealth(_ policy.WorkerID, id ControlID) {
+	w.healthChecks[id] = true
 }
 
-func (w *fakeWorkerPool) CancelControl(_ policy.WorkerID, control ControlID) {
-	delete(w.loadCommands, control)
-	delete(w.healthChecks, control)
+func (w *fakeWorkerPool) CancelControl(_ policy.WorkerID, id ControlID) {
+	delete(w.loadCommands, id)
+	delete(w.healthChecks, id)
 }
 
 func (w *fakeWorkerPool) UnloadInstance(policy.WorkerID, policy.FunctionID) {}
@@ -95,7 +95,7 @@
 	return r.responses[0]
 }
 
-// newTestRouter returns a router with both test classes and every ability that the policy has use of.
+// newTestRouter returns a router with both test classes and every capability that the policy uses.
 func newTestRouter(t interface{ Fatal(...any) }, seed uint64) (*Router, *fakeWorkerPool) {
 	p, err := policy.New(policy.Config{
 		RouterCount:             1,
--- a/internal/router/ids.go
+++ b/internal/router/ids.go
@@ -19,6 +19,7 @@
 	return id, true
 }
 
+// hexDigit returns the value of a hexadecimal digit. It returns false for any other character, upper-case digits included.
 func hexDigit(c byte) (value byte, ok bool) {
 	switch {
 	case c >= '0' && c <= '9':
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -10,16 +10,15 @@
 // Submit returns.
 func (r *Router) Submit(now time.Duration, req Request) policy.RequestID {
 	r.SetNow(now)
-	if r.admissionStopped || r.requests.open >= r.limits.MaxOpenRequests ||
-		r.requests.bodyBytes+len(req.Body) > r.limits.MaxBodyBytes {
-		// This bounds the memory, and lets a shutdown end although clients go on sending.
+	if r.admissionStopped || !r.hasRoomFor(&req) {
+		// A shutdown must end although clients go on sending, and the memory is bounded.
 		r.RefuseAtOnce(now, req)
 		return 0
 	}
 	r.Counters.Received[req.Frontend]++
 	if r.requests.hasClientID(req.ID) {
-		// Workers know a request by its id: with two of one id they would answer one request's body to the
-		// other. Which of the two the client means is unknown, so the later one fails.
+		// Workers identify a request by this id: of two requests with one id, a worker could answer one with the
+		// result of the other. Which of the two the client means is unknown, so the later one fails.
 		r.Counters.Failed[req.Frontend]++
 		r.respondAtOnce(req, Response{Status: Failed})
 		return 0
@@ -41,7 +40,13 @@
 	return id
 }
 
-// RefuseAtOnce refuses a request that the limits or a shutdown leave no room for. The policy does not learn of it.
+// hasRoomFor reports whether the limits allow one more open request, with its body.
+func (r *Router) hasRoomFor(req *Request) bool {
+	return r.requests.open < r.limits.MaxOpenRequests &&
+		r.requests.bodyBytes+len(req.Body) <= r.limits.MaxBodyBytes
+}
+
+// RefuseAtOnce refuses a request because of a limit or a shutdown, without an event for the policy.
 func (r *Router) RefuseAtOnce(now time.Duration, req Request) {
 	r.SetNow(now)
 	r.Counters.Received[req.Frontend]++
@@ -56,7 +61,8 @@
 	req.Responder.Respond(resp)
 }
 
-// Cancel ends a request whose client no longer waits for the answer. It does nothing if the request has ended.
+// Cancel ends a request without an answer, because its client no longer waits for one. It does nothing if the request
+// has ended.
 func (r *Router) Cancel(now time.Duration, id policy.RequestID, cause CancelCause) {
 	r.SetNow(now)
 	p := r.requests.findOpen(id)
@@ -66,21 +72,25 @@
 	r.Counters.ClientCancelled[p.Frontend]++
 	if cause == ClientDisconnected {
 		r.Counters.ClientDisconnected[p.Frontend]++
-		r.endLog.record(r.now, p, RequestCancelled, cause.String())
+		r.noResultLog.record(r.now, p, RequestCancelled, cause.String())
 	}
 	r.close(id, p, RequestCancelled)
 	r.events.add(policy.ClientCancelled{Request: id})
 }
 
-// Disconnect ends a request whose client sends nothing more. The client may have gone, so that nothing is done for it any
-// more; or it may still read, so that it is answered all the same.
+// Disconnect ends a request whose client has ended its side of the connection. Whether the client still reads is unknown:
+// it gets an answer in case it does, and the request is cancelled as if it did not.
 func (r *Router) Disconnect(now time.Duration, id policy.RequestID) {
 	r.SetNow(now)
 	p := r.requests.findOpen(id)
 	if p == nil {
 		return
 	}
-	resp := Response{Status: Refused, RetryAfter: r.limits.RetryAfter, MayHaveRun: p.mayHaveRun || p.openAttempts > 0}
+	resp := Response{
+		Status:     Refused,
+		RetryAfter: r.limits.RetryAfter,
+		MayHaveRun: p.mayHaveRun(),
+	}
 	if resp.MayHaveRun {
 		resp.Status = Failed
 	}
@@ -96,14 +106,14 @@
 	}
 	r.Counters.UnservedByReason[reason]++
 	if resp.Status == Failed {
-		r.endLog.record(r.now, p, RequestFailed, reason.String())
+		r.noResultLog.record(r.now, p, RequestFailed, reason.String())
 	}
 	r.respondUnserved(id, p, resp)
 }
 
 // respondUnserved answers a request that no worker served, and closes it.
 func (r *Router) respondUnserved(id policy.RequestID, p *pendingRequest, resp Response) {
-	resp.MayHaveRun = p.mayHaveRun || p.openAttempts > 0
+	resp.MayHaveRun = p.mayHaveRun()
 	resp.DeadlineExceeded = r.now >= p.Deadline-deadlineTolerance
 	r.respond(id, p, resp)
 }
@@ -125,6 +135,7 @@
 	r.requests.removeIfDone(id, p)
 }
 
+// reportEnd calls Config.OnRequestEnd where it is set.
 func (r *Router) reportEnd(req *Request, outcome RequestOutcome) {
 	if r.onRequestEnd != nil {
 		r.onRequestEnd(r.now, req, outcome)
--- a/internal/router/lifecycle_test.go
+++ b/internal/router/lifecycle_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards the graceful shutdown: clients that go on sending get a refusal each, and don't hold it up.
-func TestDrainingRouterRefusesNewRequests(t *testing.T) {
+func TestRouterRefusesNewRequestsAfterStopAdmitting(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
 	r.StopAdmitting()
@@ -117,7 +117,7 @@
 	}
 }
 
-// Guards the memory: beyond either limit a request is rejected, with advice, until another has ended.
+// Guards the memory: beyond either limit a request is refused at once, with a Retry-After, until another has ended.
 func TestLimitsBoundOpenRequests(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -138,16 +138,16 @@
 			}
 			first, _ := submitNext()
 			second, _ := submitNext()
-			rejected, responder := submitNext()
-			if first == 0 || second == 0 || rejected != 0 {
-				t.Fatalf("requests got the ids %d, %d and %d, want the third one rejected", first, second, rejected)
+			third, responder := submitNext()
+			if first == 0 || second == 0 || third != 0 {
+				t.Fatalf("requests got the ids %d, %d and %d, want the third one refused at once", first, second, third)
 			}
 			if resp := responder.only(t); resp.Status != Refused || resp.RetryAfter != 50*ms || r.Counters.RefusedAtOnce[Thrift] != 1 {
 				t.Errorf("answer %+v, counters %+v", resp, r.Counters)
 			}
 			r.Cancel(testStart, first, ClientInterrupted)
 			if id, _ := submitNext(); id == 0 {
-				t.Error("a request was rejected although another has ended")
+				t.Error("a request was refused at once although another has ended")
 			}
 		})
 	}
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -82,12 +82,12 @@
 		m.requests[id] = req
 		return
 	}
-	// Refused at once for want of room.
+	// The limits had no room for it.
 	if len(req.responder.responses) != 1 || req.responder.responses[0].Status != Refused {
-		t.Fatal("a request was rejected without a refusal")
+		t.Fatal("a request did not enter the table and was not refused")
 	}
 	if m.ends[req.clientID] != 1 {
-		t.Fatalf("the end of a rejected request was reported %d times", m.ends[req.clientID])
+		t.Fatalf("the end of a request that was refused at once was reported %d times", m.ends[req.clientID])
 	}
 }
 
--- /dev/null
+++ b/internal/router/no_result_log_test.go
@@ -0,0 +1,46 @@
+package router
+
+import (
+	"bytes"
+	"log/slog"
+	"strings"
+	"testing"
+
+	"functionrouter/policy"
+)
+
+// A request whose client disconnected is in the log with its id and age; a second one within the interval is not.
+func TestNoResultLogNamesDisconnectedRequests(t *testing.T) {
+	log := captureLog(t)
+	l := newNoResultLog()
+	p := &pendingRequest{Request: Request{ID: "00000000000000a1", ReceivedAt: testStart, Deadline: testStart + 50*ms}}
+	l.record(testStart+20*ms, p, RequestCancelled, ClientDisconnected.String())
+	l.record(testStart+21*ms, p, RequestCancelled, ClientDisconnected.String())
+	want := `requests=1 id=00000000000000a1 class=0 outcome=cancelled cause=client_disconnected age=20ms time_left=30ms attempts=0`
+	if got := log.String(); strings.Count(got, "\n") != 1 || !strings.HasSuffix(got, want+"\n") {
+		t.Errorf("logged %s, want %s", got, want)
+	}
+}
+
+// A request that its client interrupted, and one that was refused, are not in the log.
+func TestNoResultLogOmitsInterruptedAndRefusedRequests(t *testing.T) {
+	log := captureLog(t)
+	r, _ := newTestRouter(t, 1)
+	interrupted, _ := submit(r, idempotentClass)
+	r.Cancel(testStart+ms, interrupted, ClientInterrupted)
+	refused, responder := submit(r, idempotentClass)
+	r.execute(policy.RefuseRequest{Request: refused, Reason: policy.LoadShed})
+	if resp := responder.only(t); resp.Status != Refused || log.String() != "" {
+		t.Errorf("answer %+v, logged %s", resp, log)
+	}
+}
+
+// captureLog returns what the default logger writes until the test ends.
+func captureLog(t *testing.T) *bytes.Buffer {
+	t.Helper()
+	log := &bytes.Buffer{}
+	previous := slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
+	t.Cleanup(func() { slog.SetDefault(previous) })
+	return log
+}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -1,7 +1,6 @@
 package router
 
 import (
-	"fmt"
 	"net/netip"
 	"time"
 
@@ -13,26 +12,16 @@
 
 // The frontends.
 const (
-	Thrift Frontend = iota
-	Webhook
-	frontendCount
+	Thrift  Frontend = iota // thrift
+	Webhook                 // webhook
 )
 
-// String returns the frontend's name.
-func (f Frontend) String() string {
-	switch f {
-	case Thrift:
-		return "thrift"
-	case Webhook:
-		return "webhook"
-	}
-	return fmt.Sprintf("Frontend(%d)", uint8(f))
-}
+const frontendCount = Webhook + 1
 
 // UnknownTenant is the Tenant of a request that names none that the settings know.
 const UnknownTenant = -1
 
-// Request is a call as a frontend read it.
+// Request is what a client asks for, as a frontend read it.
 type Request struct {
 	Frontend        Frontend
 	Responder       Responder
--- a/internal/router/response.go
+++ b/internal/router/response.go
@@ -1,33 +1,20 @@
 package router
 
-import (
-	"fmt"
-	"time"
-)
+import "time"
 
 // Status is the kind of a final answer.
 type Status uint8
 
 // The statuses.
 const (
-	Served  Status = iota // a worker ran the request and gave a result
-	Refused               // a retry is harmless
-	Failed                // no promise: the request may have run, and a retry may run it again
+	// Served: a worker ran the request and gave a result.
+	Served Status = iota // served
+	// Refused: a retry by the client is harmless.
+	Refused // refused
+	// Failed: no promise. The request may have run, and a retry may run it again.
+	Failed // failed
 )
 
-// String returns the status's name.
-func (s Status) String() string {
-	switch s {
-	case Served:
-		return "served"
-	case Refused:
-		return "refused"
-	case Failed:
-		return "failed"
-	}
-	return fmt.Sprintf("Status(%d)", uint8(s))
-}
-
 // Response is the final answer to a request.
 type Response struct {
 	Status           Status
@@ -45,29 +32,18 @@
 // clients are owed no answer any more.
 type RequestOutcome uint8
 
-// The outcomes of a request.
+// The outcomes of a request. Their names stand in the log and in webhook notices.
 const (
-	RequestServed    RequestOutcome = iota // answered with Served
-	RequestRefused                         // answered with Refused
-	RequestFailed                          // answered with Failed
-	RequestCancelled                       // cancelled by its client before it was answered
+	// RequestServed: answered with Served.
+	RequestServed RequestOutcome = iota // served
+	// RequestRefused: answered with Refused.
+	RequestRefused // refused
+	// RequestFailed: answered with Failed.
+	RequestFailed // failed
+	// RequestCancelled: cancelled by its client before it was answered.
+	RequestCancelled // cancelled
 )
 
-// String returns the outcome's name for logs.
-func (o RequestOutcome) String() string {
-	switch o {
-	case RequestServed:
-		return "served"
-	case RequestRefused:
-		return "refused"
-	case RequestFailed:
-		return "failed"
-	case RequestCancelled:
-		return "cancelled"
-	}
-	return fmt.Sprintf("RequestOutcome(%d)", uint8(o))
-}
-
 // outcome returns the outcome of a request that was answered with s.
 func (s Status) outcome() RequestOutcome {
 	switch s {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -2,12 +2,15 @@
 // frontends submit requests, a WorkerPool carries messages to workers, and the caller passes in the time.
 //
 // Every decision is made by policy.Policy. The Router gathers what happens as events for the policy, executes the
-// actions that the policy returns, keeps attempts, timers and counters, and gives each request exactly one final
-// answer: when a worker served it, when the policy gave it up, or at its deadline at the latest.
+// actions that the policy returns, keeps attempts, control calls, timers and counters, and gives each request exactly
+// one final answer: when a worker served it, when the policy refused or failed it, or at its deadline at the latest.
+// A request whose client cancelled it gets none.
 //
 // Times are durations since a fixed start that the event loop chooses; they never run backwards.
 package router
 
+//go:generate go tool -modfile=../../tools/go.mod stringer -linecomment -output=enum_string.go -type=CancelCause,Frontend,RequestOutcome,Status,controlKind,timerKind
+
 import (
 	"time"
 
@@ -24,7 +27,7 @@
 	RetryAfter         time.Duration // advice in the answer to a request that is refused at once; 0: none
 	MaxAttempts        int           // attempts of one request; 0: no limit
 	LoadCommandTimeout time.Duration // after which an unanswered load command ends as policy.TimedOut
-	HealthCheckTimeout time.Duration // after which an unanswered health check does
+	HealthCheckTimeout time.Duration // after which an unanswered health check ends as policy.TimedOut
 }
 
 // Config is what a Router is built from.
@@ -50,12 +53,13 @@
 	timers   timerQueue
 	requests requestTable
 	controls controlTable
-	endLog   endLog
-	// latestDeadline bounds the deadlines of all requests; 0: it does not. See BeginShutdown.
-	latestDeadline time.Duration
-
+	// noResultLog logs requests that ended without a result.
+	noResultLog noResultLog
+	// latestDeadline bounds the deadlines of all requests; 0: no bound. See BeginShutdown.
+	latestDeadline   time.Duration
 	admissionStopped bool // see StopAdmitting
-	onRequestEnd     func(now time.Duration, req *Request, outcome RequestOutcome)
+
+	onRequestEnd func(now time.Duration, req *Request, outcome RequestOutcome)
 
 	// Counters may be read between two calls of Router's methods.
 	Counters Counters
@@ -68,7 +72,7 @@
 		limits:       cfg.Limits,
 		requests:     newRequestTable(),
 		controls:     newControlTable(),
-		endLog:       newEndLog(),
+		noResultLog:  newNoResultLog(),
 		onRequestEnd: cfg.OnRequestEnd,
 	}
 	r.workers = cfg.NewWorkerPool(r)
@@ -116,7 +120,7 @@
 	case policy.SendAttempt:
 		r.startAttempt(a)
 	case policy.CancelAttempt:
-		r.cancelAttempt(AttemptID{a.Request, a.Attempt}, policy.Cancelled)
+		r.cancelAttempt(AttemptID{Request: a.Request, Number: a.Attempt}, policy.Cancelled)
 	case policy.RefuseRequest:
 		r.endUnserved(a.Request, a.Reason, Response{Status: Refused, RetryAfter: a.RetryAfter})
 	case policy.FailRequest:
@@ -135,7 +139,7 @@
 	}
 }
 
-// eventQueue gathers events for the policy. Two slices serve in turn, so that steady traffic allocates none.
+// eventQueue gathers events for the policy. It uses two slices in turn, so that steady traffic allocates nothing.
 type eventQueue struct {
 	pending  []policy.Event
 	recycled []policy.Event
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// BeginShutdown makes latest the deadline of all requests that would have a later one, open ones and those that are yet
-// to come: the process may be killed soon after.
+// BeginShutdown moves the deadline of every request to latest if it is later than that, of open requests and of those
+// that are submitted from now on: the process may be killed soon after.
 func (r *Router) BeginShutdown(now, latest time.Duration) {
 	r.SetNow(now)
 	r.latestDeadline = latest
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -2,22 +2,26 @@
 
 import "functionrouter/policy"
 
-// pendingRequest is a request that is not answered yet, or whose attempts have not all ended.
+// pendingRequest is a request that is still open, or whose attempts have not all ended.
 type pendingRequest struct {
-	Request      // without Body and Responder once it is closed
-	attempts     []attempt
-	openAttempts int  // attempts that have not ended
-	mayHaveRun   bool // an attempt ended without proof that it never ran
-	closed       bool // answered, or cancelled by the client
+	Request // without Body and Responder once it is closed
+
+	attempts               []attempt // by their numbers
+	openAttempts           int       // attempts that have not ended
+	endedAttemptMayHaveRun bool      // an attempt ended without proof that it never ran
+	closed                 bool      // answered, or cancelled by the client
 }
 
+// mayHaveRun reports whether an attempt that has ended may have run, or an open one may still run.
+func (p *pendingRequest) mayHaveRun() bool { return p.endedAttemptMayHaveRun || p.openAttempts > 0 }
+
 // requestTable holds the pending requests.
 type requestTable struct {
 	byID      map[policy.RequestID]*pendingRequest
 	clientIDs map[string]struct{} // the Request.ID of each
 	lastID    policy.RequestID
 	open      int // requests that are not closed
-	bodyBytes int // bytes of their bodies
+	bodyBytes int // size of the open requests' bodies
 }
 
 func newRequestTable() requestTable {
@@ -57,7 +61,7 @@
 	return ok
 }
 
-// release takes a request that was closed out of the counts and drops what only an open one needs.
+// release updates the counts after a request was closed, and drops the fields that only an open one needs.
 func (t *requestTable) release(p *pendingRequest) {
 	t.open--
 	t.bodyBytes -= len(p.Body)
@@ -65,7 +69,7 @@
 	p.Responder = nil
 }
 
-// removeIfDone forgets a request that is closed and whose attempts have all ended.
+// removeIfDone removes a request that is closed and whose attempts have all ended.
 func (t *requestTable) removeIfDone(id policy.RequestID, p *pendingRequest) {
 	if p.closed && p.openAttempts == 0 && t.byID[id] == p {
 		delete(t.byID, id)
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -2,7 +2,6 @@
 
 import (
 	"container/heap"
-	"fmt"
 	"time"
 
 	"functionrouter/policy"
@@ -12,32 +11,21 @@
 type timerKind uint8
 
 const (
-	policyTimer     timerKind = iota // the policy set it with policy.SetTimer
-	attemptTimeout                   // the time of an attempt is over
-	controlTimeout                   // the time of a load command or a health check is over
-	requestDeadline                  // the time of a request is over
+	// policyTimer: the policy set it with policy.SetTimer.
+	policyTimer timerKind = iota // policy timer
+	// attemptTimeout: the time of an attempt is over.
+	attemptTimeout // attempt timeout
+	// controlTimeout: the time of a control call is over.
+	controlTimeout // control timeout
+	// requestDeadline: the time of a request is over.
+	requestDeadline // request deadline
 )
 
-// String returns the kind's name.
-func (k timerKind) String() string {
-	switch k {
-	case policyTimer:
-		return "policy timer"
-	case attemptTimeout:
-		return "attempt timeout"
-	case controlTimeout:
-		return "control timeout"
-	case requestDeadline:
-		return "request deadline"
-	}
-	return fmt.Sprintf("timerKind(%d)", uint8(k))
-}
-
 // timer is a point in time at which something happens. Timers are never removed early: a timer whose subject has
 // ended meanwhile does nothing.
 type timer struct {
 	due     time.Duration
-	seq     uint64 // order of scheduling
+	seq     uint64 // counts the timers in the order of their scheduling
 	kind    timerKind
 	token   uint64    // policyTimer: the policy's token
 	control ControlID // controlTimeout: the control call
@@ -55,6 +43,7 @@
 	}
 }
 
+// fire does what the kind of the timer asks for.
 func (r *Router) fire(t timer) {
 	switch t.kind {
 	case policyTimer:
@@ -62,7 +51,7 @@
 	case attemptTimeout:
 		r.cancelAttempt(t.attempt, policy.TimedOut)
 	case controlTimeout:
-		r.timeOutControl(t.control)
+		r.timeOutControlCall(t.control)
 	case requestDeadline:
 		r.enforceDeadline(t.attempt.Request)
 	}
