--- /dev/null
+++ b/docs/pages_test.go
@@ -0,0 +1,158 @@
+// Package docs_test checks that the pages are true to the repository.
+package docs_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+const repositoryRoot = ".."
+
+// pages are the pages that follow the code. QUESTIONS.md and the incidents tell what was the case at their time.
+var pages = []string{"README.md", "docs/ARCHITECTURE.md", "docs/GLOSSARY.md", "docs/LOG.md", "docs/ON-CALL.md", "docs/OPEN.md"}
+
+var (
+	// codeReference is `name`, `name` (`path/file.go`).
+	codeReference = regexp.MustCompile("((?:`[A-Za-z]+`(?:, )?)+) \\(`([a-z/_]+\\.go)`\\)")
+	backquoted    = regexp.MustCompile("`([^`]+)`")
+	pathReference = regexp.MustCompile("`((?:cmd|deploy|docs|example|internal|journal|policy|tools)/[A-Za-z/_.-]*)`")
+	link          = regexp.MustCompile(`\]\(([^)#]*)(#[^)]*)?\)`)
+	heading       = regexp.MustCompile(`(?m)^#+ (.*)$`)
+	notInAnchors  = regexp.MustCompile(`[^a-z0-9 _-]`)
+)
+
+// Guards the on-call engineer's way from a page to the code: each name that a page gives with its file is declared there.
+func TestPagesNameDeclarationsOfTheirFiles(t *testing.T) {
+	for _, page := range pages {
+		for _, reference := range codeReference.FindAllStringSubmatch(readPage(t, page), -1) {
+			file := reference[2]
+			declared := declaredNames(t, file)
+			for _, name := range backquoted.FindAllStringSubmatch(reference[1], -1) {
+				if !declared[name[1]] {
+					t.Errorf("%s: %s declares no %s", page, file, name[1])
+				}
+			}
+		}
+	}
+}
+
+// Guards the paths and links of the pages.
+func TestPagesNameExistingPaths(t *testing.T) {
+	for _, page := range pages {
+		text := readPage(t, page)
+		for _, path := range pathReference.FindAllStringSubmatch(text, -1) {
+			if isAwaited(path[1]) {
+				continue
+			}
+			if _, err := os.Stat(filepath.Join(repositoryRoot, path[1])); err != nil {
+				t.Errorf("%s: %v", page, err)
+			}
+		}
+		for _, target := range link.FindAllStringSubmatch(text, -1) {
+			checkLink(t, page, target[1], strings.TrimPrefix(target[2], "#"))
+		}
+	}
+}
+
+// checkLink requires the target of a link, relative to its page, and the heading that the anchor names.
+func checkLink(t *testing.T, page, target, anchor string) {
+	t.Helper()
+	path := page
+	if target != "" {
+		path = filepath.Join(filepath.Dir(page), target)
+	}
+	if _, err := os.Stat(filepath.Join(repositoryRoot, path)); err != nil {
+		t.Errorf("%s: %v", page, err)
+		return
+	}
+	if anchor == "" {
+		return
+	}
+	for _, title := range heading.FindAllStringSubmatch(readPage(t, path), -1) {
+		if anchorOf(title[1]) == anchor {
+			return
+		}
+	}
+	t.Errorf("%s: %s has no heading #%s", page, path, anchor)
+}
+
+// anchorOf returns the anchor that a heading has on a rendered page.
+func anchorOf(title string) string {
+	return strings.ReplaceAll(notInAnchors.ReplaceAllString(strings.ToLower(title), ""), " ", "-")
+}
+
+func readPage(t *testing.T, page string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(repositoryRoot, page))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// declaredNames returns the functions, methods, types, constants and variables that a file declares at its top level.
+func declaredNames(t *testing.T, path string) map[string]bool {
+	t.Helper()
+	if isAwaited(path) {
+		return declaredInPolicy(t)
+	}
+	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(repositoryRoot, path), nil, parser.SkipObjectResolution)
+	if err != nil {
+		t.Error(err)
+		return nil
+	}
+	names := map[string]bool{}
+	for _, declaration := range file.Decls {
+		switch d := declaration.(type) {
+		case *ast.FuncDecl:
+			names[d.Name.Name] = true
+		case *ast.GenDecl:
+			for _, spec := range d.Specs {
+				switch s := spec.(type) {
+				case *ast.TypeSpec:
+					names[s.Name.Name] = true
+				case *ast.ValueSpec:
+					for _, name := range s.Names {
+						names[name.Name] = true
+					}
+				}
+			}
+		}
+	}
+	return names
+}
+
+// fileBeforeSplit exists until package policy is split into the files that the pages name. Until then a name that the
+// pages give with one of these files may stand in any file of the package.
+const fileBeforeSplit = "policy/scoring.go"
+
+// isAwaited reports whether the path is a file that the split of package policy has yet to make.
+func isAwaited(path string) bool {
+	return filepath.Dir(path) == "policy" && !exists(path) && exists(fileBeforeSplit)
+}
+
+func exists(path string) bool {
+	_, err := os.Stat(filepath.Join(repositoryRoot, path))
+	return err == nil
+}
+
+func declaredInPolicy(t *testing.T) map[string]bool {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(repositoryRoot, "policy", "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	names := map[string]bool{}
+	for _, file := range files {
+		for name := range declaredNames(t, filepath.Join("policy", filepath.Base(file))) {
+			names[name] = true
+		}
+	}
+	return names
+}
