--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -47,9 +47,6 @@
 	for _, page := range pages {
 		text := readPage(t, page)
 		for _, path := range pathReference.FindAllStringSubmatch(text, -1) {
-			if isAwaited(path[1]) {
-				continue
-			}
 			if _, err := os.Stat(filepath.Join(repositoryRoot, path[1])); err != nil {
 				t.Errorf("%s: %v", page, err)
 			}
@@ -99,9 +96,6 @@
 // declaredNames returns the functions, methods, types, constants and variables that a file declares at its top level.
 func declaredNames(t *testing.T, path string) map[string]bool {
 	t.Helper()
-	if isAwaited(path) {
-		return declaredInPolicy(t)
-	}
 	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(repositoryRoot, path), nil, parser.SkipObjectResolution)
 	if err != nil {
 		t.Error(err)
@@ -127,32 +121,3 @@
 	}
 	return names
 }
-
-// fileBeforeSplit exists until package policy is split into the files that the pages name. Until then a name that the
-// pages give with one of these files may stand in any file of the package.
-const fileBeforeSplit = "policy/scoring.go"
-
-// isAwaited reports whether the path is a file that the split of package policy has yet to make.
-func isAwaited(path string) bool {
-	return filepath.Dir(path) == "policy" && !exists(path) && exists(fileBeforeSplit)
-}
-
-func exists(path string) bool {
-	_, err := os.Stat(filepath.Join(repositoryRoot, path))
-	return err == nil
-}
-
-func declaredInPolicy(t *testing.T) map[string]bool {
-	t.Helper()
-	files, err := filepath.Glob(filepath.Join(repositoryRoot, "policy", "*.go"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	names := map[string]bool{}
-	for _, file := range files {
-		for name := range declaredNames(t, filepath.Join("policy", filepath.Base(file))) {
-			names[name] = true
-		}
-	}
-	return names
-}
