--- a/internal/frontend/thrift/connection_test.go
+++ b/internal/frontend/thrift/connection_test.go
@@ -20,9 +20,9 @@
 				}
 				c.OnData(executeFrame(again, "", validFields...))
 				c.OnData(executeFrame(5, "", validFields...))
-				if len(requests.submitted) != 1 || !transport.closed || c.HasOpenRequests() {
+				if len(requests.submitted) != 1 || !transport.Closed || c.HasOpenRequests() {
 					t.Errorf("%d submitted, closed %v, has open requests %v",
-						len(requests.submitted), transport.closed, c.HasOpenRequests())
+						len(requests.submitted), transport.Closed, c.HasOpenRequests())
 				}
 			})
 		}
@@ -37,10 +37,10 @@
 	for i := range uint32(calls) {
 		c.OnData(executeFrame(i+1, "", validFields...))
 	}
-	if len(requests.submitted) != maxOpenCalls || requests.rejected != calls-maxOpenCalls || transport.closed ||
+	if len(requests.submitted) != maxOpenCalls || requests.rejected != calls-maxOpenCalls || transport.Closed ||
 		len(c.openCalls) != maxOpenCalls {
 		t.Fatalf("%d submitted, %d rejected, %d open, closed %v",
-			len(requests.submitted), requests.rejected, len(c.openCalls), transport.closed)
+			len(requests.submitted), requests.rejected, len(c.openCalls), transport.Closed)
 	}
 	for i := range uint32(calls - maxOpenCalls) {
 		if sequenceID, field := readReply(t, transport); sequenceID != maxOpenCalls+1+i || field != resultBackoffID {
--- a/internal/frontend/thrift/fuzz_test.go
+++ b/internal/frontend/thrift/fuzz_test.go
@@ -25,13 +25,13 @@
 		if endsInput {
 			c.OnEndOfInput()
 		}
-		before := transport.written.Len()
+		before := transport.Written.Len()
 		c.OnClose(nil)
 		for _, r := range requests.submitted {
 			r.Responder.Respond(router.Response{Status: router.Failed}) // late: nobody reads it
 		}
-		if c.HasOpenRequests() || transport.written.Len() != before {
-			t.Errorf("open requests: %v, %d bytes after the close", c.HasOpenRequests(), transport.written.Len()-before)
+		if c.HasOpenRequests() || transport.Written.Len() != before {
+			t.Errorf("open requests: %v, %d bytes after the close", c.HasOpenRequests(), transport.Written.Len()-before)
 		}
 	})
 }
--- a/internal/frontend/thrift/harness_test.go
+++ b/internal/frontend/thrift/harness_test.go
@@ -1,7 +1,6 @@
 package thrift
 
 import (
-	"bytes"
 	"encoding/binary"
 	"net/netip"
 	"slices"
@@ -10,26 +9,13 @@
 	"pgregory.net/rapid"
 
 	"functionrouter/internal/router"
+	"functionrouter/internal/testsupport"
 	"functionrouter/policy"
 )
 
 // testNow is what the tests' clock shows.
 const testNow = time.Hour
 
-// fakeTransport keeps what is written to it.
-type fakeTransport struct {
-	written bytes.Buffer
-	closed  bool
-}
-
-func (f *fakeTransport) Write(bufs ...[]byte) {
-	for _, b := range bufs {
-		f.written.Write(b)
-	}
-}
-
-func (f *fakeTransport) CloseAfterFlush() { f.closed = true }
-
 // fakeRouter keeps the requests that it is handed. The ID of a submitted request is its position, counted from 1.
 type fakeRouter struct {
 	submitted []router.Request
@@ -57,8 +43,9 @@
 }
 
 // newTestConnection returns the connection of a client between a fake router and a fake transport.
-func newTestConnection() (*connection, *fakeRouter, *fakeTransport) {
-	requests, transport := &fakeRouter{}, &fakeTransport{}
+func newTestConnection() (*connection, *fakeRouter, *testsupport.Transport) {
+	requests := &fakeRouter{}
+	transport := &testsupport.Transport{}
 	now := func() time.Duration { return testNow }
 	server := New(requests, []string{"dim-level", "repair-order"}, []string{"north", "south"}, now, now,
 		func() bool { return true })
@@ -123,9 +110,9 @@
 const noResultField = 99
 
 // readReply takes the first frame off what was written: its sequence ID and the field that its result sets.
-func readReply(t rapid.TB, transport *fakeTransport) (sequenceID uint32, resultField uint16) {
+func readReply(t rapid.TB, transport *testsupport.Transport) (sequenceID uint32, resultField uint16) {
 	t.Helper()
-	b := transport.written.Bytes()
+	b := transport.Written.Bytes()
 	if len(b) < frameHeaderBytes || len(b) < frameHeaderBytes+int(binary.BigEndian.Uint32(b)) {
 		t.Fatalf("wrote %x", b)
 	}
@@ -139,6 +126,6 @@
 	if err != nil {
 		t.Fatalf("wrote %x: %v", b, err)
 	}
-	transport.written.Next(end)
+	transport.Written.Next(end)
 	return header.sequenceID, resultField
 }
--- a/internal/frontend/thrift/model_test.go
+++ b/internal/frontend/thrift/model_test.go
@@ -8,13 +8,14 @@
 	"pgregory.net/rapid"
 
 	"functionrouter/internal/router"
+	"functionrouter/internal/testsupport"
 )
 
 // connectionModel plays random steps on a connection and knows what must come of each.
 type connectionModel struct {
 	connection     *connection
 	router         *fakeRouter
-	transport      *fakeTransport
+	transport      *testsupport.Transport
 	lastSequenceID uint32
 	open           map[uint32]int // the request of each open call, as its position in router.submitted
 }
@@ -125,8 +126,8 @@
 
 // checkInvariants finds answers that nobody is owed, and a connection that forgets its open calls.
 func (m *connectionModel) checkInvariants(t *rapid.T) {
-	if m.transport.written.Len() > 0 || m.transport.closed || m.connection.HasOpenRequests() != (len(m.open) > 0) {
+	if m.transport.Written.Len() > 0 || m.transport.Closed || m.connection.HasOpenRequests() != (len(m.open) > 0) {
 		t.Fatalf("wrote %x, closed %v, has open requests %v, want %d",
-			m.transport.written.Bytes(), m.transport.closed, m.connection.HasOpenRequests(), len(m.open))
+			m.transport.Written.Bytes(), m.transport.Closed, m.connection.HasOpenRequests(), len(m.open))
 	}
 }
--- a/internal/frontend/thrift/response_test.go
+++ b/internal/frontend/thrift/response_test.go
@@ -58,8 +58,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			c, requests, transport := newTestConnection()
 			test.play(c, requests)
-			if got := hex.EncodeToString(transport.written.Bytes()); got != test.want || transport.closed {
-				t.Errorf("wrote %s, want %s; closed %v", got, test.want, transport.closed)
+			if got := hex.EncodeToString(transport.Written.Bytes()); got != test.want || transport.Closed {
+				t.Errorf("wrote %s, want %s; closed %v", got, test.want, transport.Closed)
 			}
 		})
 	}
--- a/internal/frontend/thrift/violation_test.go
+++ b/internal/frontend/thrift/violation_test.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"functionrouter/internal/testsupport"
 )
 
 func TestAnyBytesCloseTheirConnectionAtMost(t *testing.T) {
@@ -22,7 +24,7 @@
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
 		}
 		c.OnData(b)
-		if len(requests.submitted) > 1 || transport.closed && c.partialFrame != nil {
+		if len(requests.submitted) > 1 || transport.Closed && c.partialFrame != nil {
 			t.Fatalf("%d submitted, %d bytes kept", len(requests.submitted), len(c.partialFrame))
 		}
 	}))
@@ -36,7 +38,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c, _, transport := newTestConnection()
 			c.OnData(test.frame)
-			if !transport.closed {
+			if !transport.Closed {
 				t.Error("the connection was not closed")
 			}
 		})
@@ -104,7 +106,7 @@
 	now := testNow
 	server := New(&fakeRouter{}, nil, nil, func() time.Duration { return now }, nil, nil)
 	violate := func() {
-		server.newConnection(&fakeTransport{}, netip.AddrPort{}).OnData([]byte{0, 0, 0x60, 0})
+		server.newConnection(&testsupport.Transport{}, netip.AddrPort{}).OnData([]byte{0, 0, 0x60, 0})
 	}
 	for _, step := range []struct {
 		name       string
--- a/internal/frontend/webhook/connection_test.go
+++ b/internal/frontend/webhook/connection_test.go
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 
 	"functionrouter/internal/router"
+	"functionrouter/internal/testsupport"
 )
 
 // expectedStatus returns the status that a first delivery gets, and whether its outcome is kept for redeliveries.
@@ -32,7 +33,7 @@
 // turn, with the status that the outcome maps to; a webhook-id runs once unless it was refused unrun.
 func TestConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		requests, transport := &fakeRouter{}, &fakeTransport{}
+		requests, transport := &fakeRouter{}, &testsupport.Transport{}
 		receiver, _ := newTestReceiver(t, requests, "")
 		c := receiver.serve(transport, netip.AddrPort{})
 		var want []int
@@ -68,8 +69,8 @@
 				requests.requests[len(requests.requests)-1].Responder.Respond(answer)
 			},
 			"": func(t *rapid.T) {
-				if got := transport.statuses(t); !slices.Equal(got, want) || c.HasOpenRequests() || transport.closed {
-					t.Fatalf("statuses %v, want %v; open requests %v, closed %v", got, want, c.HasOpenRequests(), transport.closed)
+				if got := statuses(t, transport); !slices.Equal(got, want) || c.HasOpenRequests() || transport.Closed {
+					t.Fatalf("statuses %v, want %v; open requests %v, closed %v", got, want, c.HasOpenRequests(), transport.Closed)
 				}
 			},
 		})
@@ -81,30 +82,30 @@
 func TestConnectionBoundsWhatItReads(t *testing.T) {
 	t.Run("behind a malformed request", func(t *testing.T) {
 		receiver, _ := newTestReceiver(t, &fakeRouter{}, "")
-		transport := &fakeTransport{}
+		transport := &testsupport.Transport{}
 		c := receiver.serve(transport, netip.AddrPort{})
 		c.OnData([]byte("\n"))
 		c.OnData(make([]byte, maxDiscardedBytes))
-		if transport.closed {
+		if transport.Closed {
 			t.Error("closed within the bound")
 		}
 		c.OnData([]byte("x"))
-		if got := transport.statuses(t); !transport.closed || !slices.Equal(got, []int{http.StatusBadRequest}) {
-			t.Errorf("closed %v, statuses %v", transport.closed, got)
+		if got := statuses(t, transport); !transport.Closed || !slices.Equal(got, []int{http.StatusBadRequest}) {
+			t.Errorf("closed %v, statuses %v", transport.Closed, got)
 		}
 	})
 	t.Run("while a response is owed", func(t *testing.T) {
 		receiver, _ := newTestReceiver(t, &fakeRouter{}, "")
-		transport := &fakeTransport{}
+		transport := &testsupport.Transport{}
 		c := receiver.serve(transport, netip.AddrPort{})
 		c.OnData(signedDelivery(activeSecret, "m", noon, callPayload("dim-level", "x", noon)))
 		c.OnData(make([]byte, maxHeadBytes+maxBodyBytes))
-		if transport.closed {
+		if transport.Closed {
 			t.Error("closed within the bound")
 		}
 		c.OnData([]byte("x"))
-		if got := transport.statuses(t); !transport.closed || len(got) > 0 {
-			t.Errorf("closed %v, statuses %v", transport.closed, got)
+		if got := statuses(t, transport); !transport.Closed || len(got) > 0 {
+			t.Errorf("closed %v, statuses %v", transport.Closed, got)
 		}
 	})
 }
--- a/internal/frontend/webhook/harness_test.go
+++ b/internal/frontend/webhook/harness_test.go
@@ -19,6 +19,7 @@
 	"pgregory.net/rapid"
 
 	"functionrouter/internal/router"
+	"functionrouter/internal/testsupport"
 	"functionrouter/policy"
 )
 
@@ -43,35 +44,19 @@
 // noonClock is the wall clock of all tests.
 func noonClock() time.Time { return noon }
 
-// fakeTransport keeps what is written to a connection.
-type fakeTransport struct {
-	written bytes.Buffer
-	closed  bool
-}
-
-func (t *fakeTransport) Write(bufs ...[]byte) {
-	for _, b := range bufs {
-		t.written.Write(b)
-	}
-}
-
-func (t *fakeTransport) Close() { t.closed = true }
-
-func (t *fakeTransport) CloseAfterFlush() { t.Close() }
-
 // statuses returns the status codes of the responses written so far.
-func (t *fakeTransport) statuses(tb rapid.TB) (codes []int) {
+func statuses(tb rapid.TB, transport *testsupport.Transport) (codes []int) {
 	tb.Helper()
-	for in := bufio.NewReader(bytes.NewReader(t.written.Bytes())); ; {
+	for in := bufio.NewReader(bytes.NewReader(transport.Written.Bytes())); ; {
 		if _, err := in.Peek(1); errors.Is(err, io.EOF) {
 			return codes
 		}
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
-			tb.Fatalf("%v in %q", err, t.written.String())
+			tb.Fatalf("%v in %q", err, transport.Written.String())
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			tb.Fatalf("%v in %q", err, t.written.String())
+			tb.Fatalf("%v in %q", err, transport.Written.String())
 		}
 		codes = append(codes, r.StatusCode)
 	}
@@ -118,8 +103,8 @@
 }
 
 // deliver sends bytes on a connection of their own.
-func deliver(r *Receiver, b []byte) *fakeTransport {
-	transport := &fakeTransport{}
+func deliver(r *Receiver, b []byte) *testsupport.Transport {
+	transport := &testsupport.Transport{}
 	r.serve(transport, netip.AddrPort{}).OnData(b)
 	return transport
 }
--- a/internal/frontend/webhook/ledger_format_test.go
+++ b/internal/frontend/webhook/ledger_format_test.go
@@ -129,11 +129,11 @@
 			if test.recorded {
 				(<-loopCalls)()
 			}
-			if got := transport.statuses(t); !slices.Equal(got, test.want) {
+			if got := statuses(t, transport); !slices.Equal(got, test.want) {
 				t.Errorf("statuses %v, want %v", got, test.want)
 			}
-			if !bytes.HasSuffix(transport.written.Bytes(), []byte(test.wantBody)) {
-				t.Errorf("got %q, want the body %q", transport.written.String(), test.wantBody)
+			if !bytes.HasSuffix(transport.Written.Bytes(), []byte(test.wantBody)) {
+				t.Errorf("got %q, want the body %q", transport.Written.String(), test.wantBody)
 			}
 		})
 	}
--- a/internal/frontend/webhook/ledger_test.go
+++ b/internal/frontend/webhook/ledger_test.go
@@ -122,7 +122,7 @@
 			for i := range 2 { // also the one after it
 				transport := deliver(receiver, orderDelivery(strconv.Itoa(i)))
 				(<-loopCalls)()
-				if got := transport.statuses(t); !slices.Equal(got, []int{http.StatusServiceUnavailable}) || len(requests.requests) > 0 {
+				if got := statuses(t, transport); !slices.Equal(got, []int{http.StatusServiceUnavailable}) || len(requests.requests) > 0 {
 					t.Errorf("order %d: statuses %v, %d calls", i, got, len(requests.requests))
 				}
 			}
--- a/internal/frontend/webhook/receiver_test.go
+++ b/internal/frontend/webhook/receiver_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"functionrouter/internal/router"
+	"functionrouter/internal/testsupport"
 )
 
 func TestRejectedDeliveriesHaveNoEffect(t *testing.T) {
@@ -53,7 +54,7 @@
 			requests := &fakeRouter{}
 			receiver, _ := newTestReceiver(t, requests, "")
 			transport := deliver(receiver, test.request)
-			if got := transport.statuses(t); !slices.Equal(got, []int{test.status}) || len(requests.requests) > 0 {
+			if got := statuses(t, transport); !slices.Equal(got, []int{test.status}) || len(requests.requests) > 0 {
 				t.Errorf("statuses %v, want one %d; %d calls", got, test.status, len(requests.requests))
 			}
 		})
@@ -67,7 +68,7 @@
 	defer closeReceiver(t, receiver)
 	payload := callPayload("repair-order", "x", noon.Add(-72*time.Hour))
 	transport := deliver(receiver, signedDelivery(activeSecret, "old", noon, payload))
-	if got := transport.statuses(t); !slices.Equal(got, []int{http.StatusBadRequest}) || len(requests.requests) > 0 {
+	if got := statuses(t, transport); !slices.Equal(got, []int{http.StatusBadRequest}) || len(requests.requests) > 0 {
 		t.Errorf("statuses %v, %d calls", got, len(requests.requests))
 	}
 }
@@ -84,7 +85,7 @@
 		defer closeReceiver(t, receiver)
 		transport := deliver(receiver, request)
 		(<-loopCalls)() // it is on the disk, and is handed to the router
-		if got := transport.statuses(t); len(requests.requests) != 1 || len(got) > 0 {
+		if got := statuses(t, transport); len(requests.requests) != 1 || len(got) > 0 {
 			t.Errorf("%d calls, statuses %v", len(requests.requests), got)
 		}
 	})
@@ -93,7 +94,7 @@
 		receiver, _ := newTestReceiver(t, requests, path)
 		defer closeReceiver(t, receiver)
 		transport := deliver(receiver, request)
-		if got := transport.statuses(t); len(requests.requests) != 0 || !slices.Equal(got, []int{http.StatusBadGateway}) {
+		if got := statuses(t, transport); len(requests.requests) != 0 || !slices.Equal(got, []int{http.StatusBadGateway}) {
 			t.Errorf("%d calls, statuses %v", len(requests.requests), got)
 		}
 	})
@@ -107,7 +108,7 @@
 	defer closeReceiver(t, receiver)
 	request := orderDelivery("m")
 
-	firstTransport := &fakeTransport{}
+	firstTransport := &testsupport.Transport{}
 	first := receiver.serve(firstTransport, netip.AddrPort{})
 	first.OnData(request)
 	whileRecorded := deliver(receiver, request)
@@ -120,14 +121,14 @@
 	requests.requests[0].Responder.Respond(router.Response{Status: router.Served, Body: []byte("done")})
 
 	for name, test := range map[string]struct {
-		transport *fakeTransport
+		transport *testsupport.Transport
 		want      []int
 	}{
 		"first, gone":    {firstTransport, nil},
 		"while recorded": {whileRecorded, []int{http.StatusOK}},
 		"while running":  {whileRunning, []int{http.StatusOK}},
 	} {
-		if got := test.transport.statuses(t); !slices.Equal(got, test.want) {
+		if got := statuses(t, test.transport); !slices.Equal(got, test.want) {
 			t.Errorf("%s: statuses %v, want %v", name, got, test.want)
 		}
 	}
--- a/internal/frontend/webhook/response_test.go
+++ b/internal/frontend/webhook/response_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"functionrouter/internal/router"
+	"functionrouter/internal/testsupport"
 )
 
 // What clients read is fixed byte for byte.
@@ -41,7 +42,7 @@
 			"HTTP/1.1 431 Request Header Fields Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			requests, transport := &fakeRouter{}, &fakeTransport{}
+			requests, transport := &fakeRouter{}, &testsupport.Transport{}
 			receiver, _ := newTestReceiver(t, requests, "")
 			c := receiver.serve(transport, netip.AddrPort{})
 			switch name {
@@ -57,11 +58,11 @@
 			if test.response != nil {
 				requests.requests[0].Responder.Respond(*test.response)
 			}
-			if got := transport.written.String(); got != test.want {
+			if got := transport.Written.String(); got != test.want {
 				t.Errorf("got %q, want %q", got, test.want)
 			}
-			if wantClosed := name == "close"; transport.closed != wantClosed {
-				t.Errorf("closed %v, want %v", transport.closed, wantClosed)
+			if wantClosed := name == "close"; transport.Closed != wantClosed {
+				t.Errorf("closed %v, want %v", transport.Closed, wantClosed)
 			}
 		})
 	}
--- a/internal/frontend/webhook/sender_test.go
+++ b/internal/frontend/webhook/sender_test.go
@@ -11,6 +11,7 @@
 
 	"functionrouter/internal/eventloop"
 	"functionrouter/internal/router"
+	"functionrouter/internal/testsupport"
 )
 
 // Guards the receivers of notices: the types are part of the wire, whatever the code calls an outcome.
@@ -35,7 +36,7 @@
 
 // fakeConnection is a connection of a sender, of which the test is the other end.
 type fakeConnection struct {
-	fakeTransport
+	testsupport.Transport
 	handler eventloop.DialHandler
 }
 
@@ -78,7 +79,7 @@
 func (c *fakeConnection) receiveNotice(t *testing.T, secret []byte) string {
 	t.Helper()
 	c.handler.OnOpen(nil)
-	r, err := http.ReadRequest(bufio.NewReader(&c.written))
+	r, err := http.ReadRequest(bufio.NewReader(&c.Written))
 	if err != nil || r.Host != "hooks.example.org" || r.URL.Path != "/n" {
 		t.Fatalf("request %v: %v", r, err)
 	}
@@ -101,7 +102,7 @@
 		c.handler.OnData([]byte{b})
 	}
 	c.handler.OnClose(nil)
-	if !c.closed {
+	if !c.Closed {
 		t.Error("the connection was left open")
 	}
 }
@@ -189,8 +190,8 @@
 				t.Fatalf("%d connections", len(connections))
 			}
 			test.end(t, s, connections[0])
-			if s.Sent != test.want || !connections[0].closed {
-				t.Errorf("counters %+v, want %+v; closed %v", s.Sent, test.want, connections[0].closed)
+			if s.Sent != test.want || !connections[0].Closed {
+				t.Errorf("counters %+v, want %+v; closed %v", s.Sent, test.want, connections[0].Closed)
 			}
 			if open := s.OpenNotices(); open != int(test.want.Retried) {
 				t.Errorf("%d open notices", open)
--- a/internal/ipfix/exporter_test.go
+++ b/internal/ipfix/exporter_test.go
@@ -12,6 +12,7 @@
 	"pgregory.net/rapid"
 
 	"functionrouter/internal/eventloop"
+	"functionrouter/internal/testsupport"
 )
 
 // What is added is what an independent decoder reads, in order, with the templates that it needs and sequence numbers
@@ -37,8 +38,8 @@
 				}
 				now += flushInterval
 				x.Process(now)
-				for transport.written.Len() > 0 {
-					collector.read(t, &transport.written)
+				for transport.Written.Len() > 0 {
+					collector.read(t, &transport.Written)
 				}
 				if got := collector.records; fmt.Sprint(got) != fmt.Sprint(added) {
 					t.Fatalf("read %d records, added %d; first %v", len(got), len(added), got[:min(1, len(got))])
@@ -112,7 +113,7 @@
 // What is kept for a collector that is away is bounded, and what is dropped is counted.
 func TestPendingRecordsAreBounded(t *testing.T) {
 	x := New(&Config{}, func() time.Time { return noon },
-		func(eventloop.DialHandler) Transport { return &fakeTransport{} })
+		func(eventloop.DialHandler) Transport { return &testsupport.Transport{} })
 	for range maxPendingRecords + 5 {
 		x.Add(testFlow("127.0.0.9:1", "127.0.0.1:2", 0, ""))
 	}
@@ -135,7 +136,7 @@
 func TestSocketIsOpenedAgain(t *testing.T) {
 	errRefused := errors.New("refused")
 	dials := 0
-	transport := &fakeTransport{}
+	transport := &testsupport.Transport{}
 	x := New(&Config{}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport {
 		dials++
 		return transport
@@ -164,7 +165,7 @@
 	x.Add(testFlow("127.0.0.9:1", "127.0.0.1:2", 0, ""))
 	now += flushInterval
 	x.Process(now)
-	if setID := transport.written.Bytes()[messageHeaderBytes+1]; setID != templateSetID {
+	if setID := transport.Written.Bytes()[messageHeaderBytes+1]; setID != templateSetID {
 		t.Errorf("the first message of a new socket begins with set %d", setID)
 	}
 }
--- a/internal/ipfix/harness_test.go
+++ b/internal/ipfix/harness_test.go
@@ -1,7 +1,6 @@
 package ipfix
 
 import (
-	"bytes"
 	"net/netip"
 	"testing"
 	"time"
@@ -18,20 +17,9 @@
 
 const testDomain = 7
 
-// fakeTransport keeps what is written to it.
-type fakeTransport struct{ written bytes.Buffer }
-
-func (f *fakeTransport) Write(bufs ...[]byte) {
-	for _, b := range bufs {
-		f.written.Write(b)
-	}
-}
-
-func (f *fakeTransport) Close() {}
-
 // newTestExporter returns an exporter whose socket is open since an event loop's clock of an hour.
-func newTestExporter() (*Exporter, *fakeTransport) {
-	transport := &fakeTransport{}
+func newTestExporter() (*Exporter, *testsupport.Transport) {
+	transport := &testsupport.Transport{}
 	x := New(&Config{Domain: testDomain}, func() time.Time { return noon },
 		func(eventloop.DialHandler) Transport { return transport })
 	x.Process(time.Hour)
--- a/internal/ipfix/message_test.go
+++ b/internal/ipfix/message_test.go
@@ -37,7 +37,7 @@
 			}
 			now += flushInterval
 			x.Process(now)
-			if got := hex.EncodeToString(transport.written.Next(transport.written.Len())); got != step.want {
+			if got := hex.EncodeToString(transport.Written.Next(transport.Written.Len())); got != step.want {
 				t.Errorf("wrote %s, want %s", got, step.want)
 			}
 		})
--- /dev/null
+++ b/internal/testsupport/transport.go
@@ -0,0 +1,23 @@
+package testsupport
+
+import "bytes"
+
+// Transport is a fake connection to a peer, for tests of what writes to an eventloop.Conn or eventloop.UDPConn. It
+// keeps what is written to it. Its zero value is an open connection.
+type Transport struct {
+	Written bytes.Buffer
+	Closed  bool // by Close or CloseAfterFlush
+}
+
+// Write appends bufs to Written.
+func (t *Transport) Write(bufs ...[]byte) {
+	for _, b := range bufs {
+		t.Written.Write(b)
+	}
+}
+
+// Close sets Closed.
+func (t *Transport) Close() { t.Closed = true }
+
+// CloseAfterFlush sets Closed.
+func (t *Transport) CloseAfterFlush() { t.Closed = true }
