--- a/internal/frontend/thrift/connection_test.go
+++ b/internal/frontend/thrift/connection_test.go
@@ -7,7 +7,7 @@
 	"functionrouter/internal/router"
 )
 
-// Guards against a sequence ID that is used again, whether its call is open or has been answered: an answer could be
+// Guards against a sequence ID that is used again, whether its call is open or has been replied to: a reply could be
 // taken for the other call's.
 func TestSequenceIDsMustGoUp(t *testing.T) {
 	for _, answered := range []bool{true, false} {
@@ -29,18 +29,18 @@
 	}
 }
 
-// Guards the capacity that other clients need: calls beyond the limit on one connection are rejected, each with an
-// answer, and those within it go on.
-func TestCallsBeyondTheLimitAreRejected(t *testing.T) {
+// Guards the capacity that other clients need: calls beyond the limit on one connection are refused, each with a
+// reply, and those within it go on.
+func TestCallsBeyondTheLimitAreRefused(t *testing.T) {
 	const calls = 200
 	c, requests, transport := newTestConnection()
 	for i := range uint32(calls) {
 		c.OnData(executeFrame(i+1, "", validFields...))
 	}
-	if len(requests.submitted) != maxOpenCalls || requests.rejected != calls-maxOpenCalls || transport.Closed ||
+	if len(requests.submitted) != maxOpenCalls || requests.refused != calls-maxOpenCalls || transport.Closed ||
 		len(c.openCalls) != maxOpenCalls {
-		t.Fatalf("%d submitted, %d rejected, %d open, closed %v",
-			len(requests.submitted), requests.rejected, len(c.openCalls), transport.Closed)
+		t.Fatalf("%d submitted, %d refused, %d open, closed %v",
+			len(requests.submitted), requests.refused, len(c.openCalls), transport.Closed)
 	}
 	for i := range uint32(calls - maxOpenCalls) {
 		if sequenceID, field := readReply(t, transport); sequenceID != maxOpenCalls+1+i || field != resultBackoffID {
@@ -50,7 +50,7 @@
 	requests.submitted[0].Responder.Respond(router.Response{})
 	c.OnData(executeFrame(calls+1, "", validFields...))
 	if len(requests.submitted) != maxOpenCalls+1 {
-		t.Error("a call after an answer was not submitted")
+		t.Error("a call after a reply was not submitted")
 	}
 }
 
--- a/internal/frontend/thrift/errors.go
+++ b/internal/frontend/thrift/errors.go
@@ -8,7 +8,7 @@
 // errProtocol is wrapped by every error that closes a client's connection.
 var errProtocol = errors.New("protocol violation")
 
-// The violations of the protocol, each of which closes the connection.
+// The violations of the protocol. They are compared with errors.Is; some are wrapped with what was received.
 var (
 	errFrameTooLarge     = violation("frame too large")
 	errTruncated         = violation("message truncated")
@@ -23,4 +23,5 @@
 	errSequenceID        = violation("sequence ID not above the last one")
 )
 
+// violation returns an error that wraps errProtocol.
 func violation(text string) error { return fmt.Errorf("%w: %s", errProtocol, text) }
--- a/internal/frontend/thrift/fuzz_test.go
+++ b/internal/frontend/thrift/fuzz_test.go
@@ -6,8 +6,8 @@
 	"functionrouter/internal/router"
 )
 
-// Whatever a client sends, in whatever pieces, the connection neither panics nor keeps more than a frame; and each call
-// that it submits is answered once, whichever way the connection ends.
+// Whatever a client sends, in whatever pieces, the connection neither panics nor keeps more than a frame. Each call that
+// it submits is replied to at most once, whichever way the connection ends.
 func FuzzConnection(f *testing.F) {
 	f.Add(executeFrame(1, "body", validFields...), uint8(7), true)
 	f.Add(append(checkFrame(1), interruptFrame(2)...), uint8(1), false)
--- a/internal/frontend/thrift/harness_test.go
+++ b/internal/frontend/thrift/harness_test.go
@@ -16,11 +16,11 @@
 // testNow is what the tests' clock shows.
 const testNow = time.Hour
 
-// fakeRouter keeps the requests that it is handed. The ID of a submitted request is its position, counted from 1.
+// fakeRouter records the requests that it gets. The ID of a submitted request is its position, counted from 1.
 type fakeRouter struct {
 	submitted []router.Request
 	cancelled []policy.RequestID
-	rejected  int
+	refused   int // at once
 }
 
 func (f *fakeRouter) Submit(_ time.Duration, r router.Request) policy.RequestID {
@@ -29,7 +29,7 @@
 }
 
 func (f *fakeRouter) RefuseAtOnce(_ time.Duration, r router.Request) {
-	f.rejected++
+	f.refused++
 	r.Responder.Respond(router.Response{Status: router.Refused})
 }
 
@@ -82,7 +82,7 @@
 	return closeFrame(b)
 }
 
-// interruptFrame returns the frame that gives up the call with the sequence ID.
+// interruptFrame returns the frame that interrupts the call with the sequence ID.
 func interruptFrame(sequenceID uint32) []byte {
 	b := appendFrame(nil, messageOneway, methodInterrupt, 0)
 	return closeFrame(appendUint32(appendFieldHeader(b, interruptSequenceID, typeI32), sequenceID))
--- a/internal/frontend/thrift/model_test.go
+++ b/internal/frontend/thrift/model_test.go
@@ -11,7 +11,7 @@
 	"functionrouter/internal/testsupport"
 )
 
-// connectionModel plays random steps on a connection and knows what must come of each.
+// connectionModel plays random steps on a connection and knows the expected result of each.
 type connectionModel struct {
 	connection     *connection
 	router         *fakeRouter
@@ -20,7 +20,7 @@
 	open           map[uint32]int // the request of each open call, as its position in router.submitted
 }
 
-// Whole calls reach the router however they are split, each open one gets its one answer, an interrupted one none.
+// Complete calls reach the router however they are split. Each open call gets exactly one reply, an interrupted one none.
 func TestConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &connectionModel{open: map[uint32]int{}}
@@ -36,7 +36,7 @@
 	})
 }
 
-// feed hands in the bytes in pieces of any size.
+// feed passes the bytes to the connection in pieces of any size.
 func (m *connectionModel) feed(t *rapid.T, b []byte) {
 	for len(b) > 0 {
 		n := rapid.IntRange(1, len(b)).Draw(t, "n")
@@ -106,7 +106,7 @@
 	delete(m.open, sequenceID)
 }
 
-// callWithInvalidField sends what is answered at once with a failure.
+// callWithInvalidField sends a call whose request fails at once.
 func (m *connectionModel) callWithInvalidField(t *rapid.T) {
 	positions := []int{classValue, idValue, waitValue, keyValue, propertiesValue}
 	position := rapid.SampledFrom(positions).Draw(t, "field")
@@ -124,7 +124,7 @@
 	}
 }
 
-// checkInvariants finds answers that nobody is owed, and a connection that forgets its open calls.
+// checkInvariants finds replies that no call is owed, and a connection that loses track of its open calls.
 func (m *connectionModel) checkInvariants(t *rapid.T) {
 	if m.transport.Written.Len() > 0 || m.transport.Closed || m.connection.HasOpenRequests() != (len(m.open) > 0) {
 		t.Fatalf("wrote %x, closed %v, has open requests %v, want %d",
--- a/internal/frontend/thrift/response.go
+++ b/internal/frontend/thrift/reply.go
@@ -3,8 +3,6 @@
 import (
 	"strconv"
 	"time"
-
-	"functionrouter/internal/router"
 )
 
 // The fields of a method's result: its return value and the exceptions that it declares.
@@ -22,10 +20,10 @@
 	exceptionFieldsID = 1
 )
 
-// What the fields of Backoff and Lost may hold.
+// The names in the maps of Backoff and Lost.
 const (
-	answerAfter  = "after"  // how long the client should stay away, in milliseconds
-	answerReason = "reason" // the field of the request that can't be used
+	backoffAfter = "after"  // Retry-After, in whole milliseconds
+	lostReason   = "reason" // the field of the request that can't be used
 )
 
 // The fields of Thrift's TApplicationException, and the type that says that the service has no such method.
@@ -35,29 +33,12 @@
 	unknownMethodType             = 1
 )
 
-// responseCapacity is enough for a response without its body, so that one allocation does.
-const responseCapacity = 64
-
-// Respond sends the final answer. A client that has interrupted the call or closed the connection is owed none.
-func (c *call) Respond(response router.Response) {
-	if c.finished {
-		return
-	}
-	c.finished = true
-	delete(c.connection.openCalls, c.sequenceID)
-	transport := c.connection.transport
-	switch response.Status {
-	case router.Served:
-		head, tail := encodeAnswer(methodExecute, c.sequenceID, len(response.Body), true)
-		transport.Write(head, response.Body, tail)
-	case router.Refused:
-		transport.Write(encodeBackoff(c.sequenceID, response.RetryAfter))
-	default:
-		transport.Write(encodeLost(c.sequenceID))
-	}
-}
+// replyCapacity is the initial size of a reply's buffer, in bytes. A reply without its body fits, so that one allocation
+// is enough.
+const replyCapacity = 64
 
-// encodeAnswer returns the frame of an Answer as the bytes before its body and those after it.
+// encodeAnswer returns the frame of an Answer as the bytes before its body and those after it, so that the body, of
+// bodyBytes bytes, need not be copied.
 func encodeAnswer(method string, sequenceID uint32, bodyBytes int, good bool) (head, tail []byte) {
 	tail = appendFieldHeader(nil, answerFieldsID, typeMap)
 	tail = appendStringMap(tail)
@@ -66,7 +47,7 @@
 	tail = append(tail, byte(typeStop)) // of the Answer
 	tail = append(tail, byte(typeStop)) // of the result
 
-	head = appendFrame(make([]byte, 0, responseCapacity), messageReply, method, sequenceID)
+	head = appendFrame(make([]byte, 0, replyCapacity), messageReply, method, sequenceID)
 	head = appendFieldHeader(head, resultSuccessID, typeStruct)
 	head = appendFieldHeader(head, answerBodyID, typeString)
 	head = appendUint32(head, uint32(bodyBytes))
@@ -74,21 +55,22 @@
 	return head, tail
 }
 
-// encodeBackoff returns the frame of a Backoff. The time is rounded up to whole milliseconds, so that a client that
-// keeps to it never comes back too early.
+// encodeBackoff returns the frame of a Backoff. Retry-After is rounded up to whole milliseconds, so that a client that
+// keeps to it never retries too early.
 func encodeBackoff(sequenceID uint32, retryAfter time.Duration) []byte {
 	roundedUp := (retryAfter + time.Millisecond - 1) / time.Millisecond
-	return encodeException(sequenceID, resultBackoffID, answerAfter, strconv.FormatInt(int64(roundedUp), 10))
+	return encodeException(sequenceID, resultBackoffID, backoffAfter, strconv.FormatInt(int64(roundedUp), 10))
 }
 
-// encodeLost returns the frame of a Lost.
+// encodeLost returns the frame of a Lost with the fields, given as names and values in turn.
 func encodeLost(sequenceID uint32, namesAndValues ...string) []byte {
 	return encodeException(sequenceID, resultLostID, namesAndValues...)
 }
 
-// encodeException returns the frame of a declared exception of execute.
+// encodeException returns the frame of an exception that execute declares, with the fields given as names and values in
+// turn. resultID is the exception's field in the result.
 func encodeException(sequenceID uint32, resultID uint16, namesAndValues ...string) []byte {
-	frame := appendFrame(make([]byte, 0, responseCapacity), messageReply, methodExecute, sequenceID)
+	frame := appendFrame(make([]byte, 0, replyCapacity), messageReply, methodExecute, sequenceID)
 	frame = appendFieldHeader(frame, resultID, typeStruct)
 	frame = appendFieldHeader(frame, exceptionFieldsID, typeMap)
 	frame = appendStringMap(frame, namesAndValues...)
--- a/internal/frontend/thrift/response_test.go
+++ b/internal/frontend/thrift/reply_test.go
@@ -8,7 +8,7 @@
 	"functionrouter/internal/router"
 )
 
-// Frames are compared byte for byte, because clients decode them with code that this module does not have.
+// Frames are compared byte for byte, because clients decode them with code that is not in this repository.
 func TestFramesOnTheWire(t *testing.T) {
 	respond := func(answer router.Response) func(*connection, *fakeRouter) {
 		return func(c *connection, requests *fakeRouter) {
--- a/internal/frontend/thrift/request.go
+++ b/internal/frontend/thrift/request.go
@@ -18,17 +18,18 @@
 	fieldTenant     = "tenant"
 	fieldID         = "id"    // 16 hex digits, new with every request
 	fieldKey        = "key"   // the function, 16 hex digits
-	fieldWait       = "wait"  // how long the client waits for the whole answer, in milliseconds
+	fieldWait       = "wait"  // how long the client waits for the whole reply, in milliseconds
 	fieldProperties = "props" // PROPERTY:NUMBER;PROPERTY:NUMBER...
 )
 
 // The properties in fieldProperties, as they are named on the wire.
 const (
-	propertyMemory      = "memory_mb"
-	propertyConcurrency = "lanes"
-	propertyLoadTime    = "load_ms"
+	propertyMemory      = "memory_mb" // of one instance, in MiB
+	propertyConcurrency = "lanes"     // requests that one instance runs at a time
+	propertyLoadTime    = "load_ms"   // usual time to load an instance, in milliseconds
 )
 
+// Why a field can't be used.
 var (
 	errUnknownClass = errors.New("unknown class")
 	errHexID        = errors.New("not 16 lower-case hex digits")
@@ -61,8 +62,8 @@
 	return fields, body, err
 }
 
-// parseRequest turns the fields of an execute call into a request, without its body, Responder and client address. An
-// error is an *invalidFieldError.
+// parseRequest turns the fields of an execute call into a request, without its body, Responder and client address. A
+// tenant that is missing or unknown is router.UnknownTenant. Each error is an *invalidFieldError.
 func (s *Server) parseRequest(fields map[string][]byte) (router.Request, error) {
 	class, known := s.classes[string(fields[fieldClass])]
 	if !known {
@@ -100,8 +101,8 @@
 	return request, nil
 }
 
-// parseProperties sets the request's figures from text. A property that is not known must be a number, too, but is
-// not used.
+// parseProperties sets the request's memory, concurrency and load time from the text of fieldProperties. A property
+// that is not known must be a number too, but is not used.
 func parseProperties(text string, request *router.Request) error {
 	for text != "" {
 		var property string
@@ -144,6 +145,7 @@
 	return value, nil
 }
 
+// milliseconds returns a duration that is given in milliseconds.
 func milliseconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Millisecond))
 }
--- a/internal/frontend/thrift/request_test.go
+++ b/internal/frontend/thrift/request_test.go
@@ -8,9 +8,9 @@
 	"functionrouter/internal/router"
 )
 
-// Guards tenants' quotas: a call counts against the tenant that it names, by the settings' names, and one that names
-// none against nobody's, not against the first's.
-func TestCallsHaveTheirTenant(t *testing.T) {
+// Guards tenants' quotas: a request counts against the tenant that it names, by the settings' names. One that names
+// none counts against no tenant, not against the first.
+func TestRequestsHaveTheirTenant(t *testing.T) {
 	c, requests, _ := newTestConnection()
 	for _, test := range []struct {
 		name, tenant string
@@ -34,8 +34,8 @@
 	}
 }
 
-// Guards the estimates: a figure that no worker could use, or that is no number, is answered with a failure, and the
-// request is routed nowhere.
+// Guards the estimates: a request with a figure that no worker could use, or that is no number, fails and is not
+// submitted.
 func TestInvalidFieldsAreAnsweredWithLost(t *testing.T) {
 	for _, test := range []struct {
 		position int
@@ -62,8 +62,8 @@
 	}
 }
 
-// Guards calls that wait hardly longer than their work takes: the margin for the way back leaves them most of their
-// time.
+// Guards requests whose client waits hardly longer than their work takes: the margin for the way back leaves them most
+// of their time.
 func TestShortWaitsKeepMostOfTheirTime(t *testing.T) {
 	for _, test := range []struct {
 		wait string
--- a/internal/frontend/thrift/server.go
+++ b/internal/frontend/thrift/server.go
@@ -11,53 +11,54 @@
 	"functionrouter/policy"
 )
 
-// violationLogInterval is the least time between two log lines about clients that broke the protocol: whoever can
-// connect could fill the log otherwise.
+// violationLogInterval is the minimum time between two log lines about clients that violated the protocol. Otherwise
+// anyone who can connect could fill the log.
 const violationLogInterval = time.Second
 
-// RequestRouter routes the requests that clients send. A *router.Router is one.
+// RequestRouter routes the requests that clients send. A *router.Router is one. now is the event loop's clock.
 type RequestRouter interface {
 	// Submit routes a request and returns its ID. The request's Responder may be called before Submit returns.
 	Submit(now time.Duration, r router.Request) policy.RequestID
 	// RefuseAtOnce refuses a request without routing it. Its Responder is called before RefuseAtOnce returns.
 	RefuseAtOnce(now time.Duration, r router.Request)
-	// Cancel gives up a request whose client no longer waits for the response.
+	// Cancel cancels a request whose client no longer waits for the response. Its Responder is not called.
 	Cancel(now time.Duration, id policy.RequestID, cause router.CancelCause)
-	// Disconnect gives up a request whose client sends nothing more. Its Responder is called before Disconnect returns.
+	// Disconnect ends a request whose client sends nothing more, as refused or failed. Its Responder is called before
+	// Disconnect returns.
 	Disconnect(now time.Duration, id policy.RequestID)
 }
 
 // Transport is the connection to a client. A *eventloop.Conn is one.
 type Transport interface {
-	// Write sends bufs in order and takes them over.
+	// Write queues bufs for sending, in order. They belong to the Transport from then on.
 	Write(bufs ...[]byte)
-	// CloseAfterFlush closes the connection once all that was written has left. No more is received.
+	// CloseAfterFlush closes the connection when everything written has been sent. Nothing more is received.
 	CloseAfterFlush()
 }
 
 // Server serves Thrift clients.
 type Server struct {
-	router  RequestRouter
-	classes map[string]int // position in the settings, by name
-	tenants map[string]int // position in the settings, by name
-	clock   func() time.Duration
-	// inputTime says when, at the earliest, what is being read came.
-	inputTime func() time.Duration
-	ready     func() bool
-
+	router       RequestRouter
+	classes      map[string]int       // index in the settings, by name
+	tenants      map[string]int       // index in the settings, by name
+	clock        func() time.Duration // the event loop's
+	inputTime    func() time.Duration // the earliest time at which the bytes being read may have arrived
+	ready        func() bool          // the reply to check
 	violationLog logging.Throttle
 }
 
-// New returns a Server that hands requests to requestRouter. classes and tenants are the names from the settings, in
-// their order: a request carries the position of its own. clock is the event loop's clock, and inputTime says when what is being
-// read may have come; ready says what the method check answers.
+// New returns a Server that hands requests to requestRouter.
+//
+// classes and tenants are the names from the settings, in their order: a request carries the index of its own. clock is
+// the event loop's clock. inputTime returns the earliest time, on that clock, at which the bytes being read may have
+// arrived; deadlines count from it. ready returns the reply to the method check.
 func New(
 	requestRouter RequestRouter, classes, tenants []string, clock, inputTime func() time.Duration, ready func() bool,
 ) *Server {
 	return &Server{
 		router:       requestRouter,
-		classes:      positionsByName(classes),
-		tenants:      positionsByName(tenants),
+		classes:      indexesByName(classes),
+		tenants:      indexesByName(tenants),
 		clock:        clock,
 		inputTime:    inputTime,
 		ready:        ready,
@@ -65,15 +66,16 @@
 	}
 }
 
-func positionsByName(names []string) map[string]int {
-	positions := make(map[string]int, len(names))
+// indexesByName returns the index of each name in names.
+func indexesByName(names []string) map[string]int {
+	indexes := make(map[string]int, len(names))
 	for i, name := range names {
-		positions[name] = i
+		indexes[name] = i
 	}
-	return positions
+	return indexes
 }
 
-// Accept returns the handler of a connection that a client has opened.
+// Accept returns the handler of a connection that a client has opened. The event loop owns both.
 func (s *Server) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
 	return s.newConnection(c, c.RemoteAddr())
 }
@@ -87,8 +89,8 @@
 	}
 }
 
-// logViolation counts a connection that is closed because its client broke the protocol, and logs the count and the
-// latest error when a line is due.
+// logViolation counts a connection that is closed because its client violated the protocol. At most once in
+// violationLogInterval it logs the count since the last line, with the latest error.
 func (s *Server) logViolation(err error) {
 	s.violationLog.Add()
 	if count, due := s.violationLog.Ready(s.clock()); due {
--- a/internal/frontend/thrift/violation_test.go
+++ b/internal/frontend/thrift/violation_test.go
@@ -16,6 +16,7 @@
 	"functionrouter/internal/testsupport"
 )
 
+// Changed bytes close their connection at most.
 func TestAnyBytesCloseTheirConnectionAtMost(t *testing.T) {
 	t.Run("changed bytes", rapid.MakeCheck(func(t *rapid.T) {
 		c, requests, transport := newTestConnection()
@@ -53,7 +54,7 @@
 	return closeFrame(b)
 }
 
-// Each violation of the protocol is told from the others, and all are known as violations.
+// Each violation of the protocol has an error of its own, and all of them wrap errProtocol.
 func TestViolationsHaveTheirErrors(t *testing.T) {
 	arguments := func(b ...byte) []byte { // of an execute call
 		return closeFrame(append(appendFrame(nil, messageCall, methodExecute, 1), b...))
@@ -92,10 +93,12 @@
 	}
 }
 
-// Guards the log: whoever can connect could fill it with violations otherwise.
+// Guards the log: otherwise anyone who can connect could fill it with violations.
 func TestViolationsAreLoggedOnceASecond(t *testing.T) {
 	var lines bytes.Buffer
-	previous, previousOutput, previousFlags := slog.Default(), log.Writer(), log.Flags()
+	previous := slog.Default()
+	previousOutput := log.Writer()
+	previousFlags := log.Flags()
 	t.Cleanup(func() {
 		slog.SetDefault(previous)
 		log.SetOutput(previousOutput)
