--- a/cmd/functionrouter/webhooks.go
+++ b/cmd/functionrouter/webhooks.go
@@ -45,9 +45,9 @@
 	var classes []webhook.Class
 	for i, class := range x.cfg.policy.Classes {
 		classes = append(classes, webhook.Class{
-			Name:    x.cfg.transport.Classes[i].Name,
-			Once:    class.Idempotency != policy.Idempotent,
-			Longest: class.Deadline,
+			Name:          x.cfg.transport.Classes[i].Name,
+			CarriesOrders: class.Idempotency != policy.Idempotent,
+			MaxWait:       class.Deadline,
 		})
 	}
 	receiver, err := webhook.NewReceiver(file, requestRouter, classes, x.cfg.scaleToMemory(maxWebhookResultBytes),
--- a/internal/frontend/webhook/attempt.go
+++ b/internal/frontend/webhook/attempt.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// maxReplyBytes of a reply are looked through for its status line.
+// maxReplyBytes is how much of a reply is searched for its status line.
 const maxReplyBytes = 8 << 10
 
 // Why an attempt ended without a status.
@@ -19,17 +19,18 @@
 	errNoReply        = errors.New("closed without an answer")
 )
 
-// attempt is one attempt to deliver a notice, on a connection of its own.
+// attempt is one attempt to deliver a notice, on a connection of its own. It is the event loop's handler of the
+// connection.
 type attempt struct {
 	sender    *Sender
 	notice    *notice
 	transport Transport
-	deadline  time.Duration // on the loop's clock
-	reply     []byte
-	ended     bool
+	deadline  time.Duration // on the event loop's clock
+	reply     []byte        // received so far, without interim replies
+	ended     bool          // reported to the Sender
 }
 
-// OnOpen sends the notice, signed with the time of this attempt.
+// OnOpen sends the notice, signed with the time of this attempt, or ends the attempt if the dial has failed.
 func (a *attempt) OnOpen(err error) {
 	if err != nil {
 		a.end(0, err)
@@ -43,15 +44,18 @@
 
 // requestHead returns the head of the HTTP request that carries the notice.
 func (a *attempt) requestHead() []byte {
-	s, n := a.sender, a.notice
-	timestamp := strconv.FormatInt(s.wallClock().Unix(), 10)
+	target := a.sender.url
+	id := a.notice.id
+	body := a.notice.body
+	timestamp := strconv.FormatInt(a.sender.wallClock().Unix(), 10)
+	signature := sign(a.sender.secret, id, timestamp, body)
 	return fmt.Appendf(nil, "POST %s %s\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n"+
 		"%s: %s\r\n%s: %s\r\n%s: %s\r\nConnection: close\r\n\r\n",
-		s.url.RequestURI(), protocolVersion, s.url.Host, len(n.body),
-		idField, n.id, timestampField, timestamp, signatureField, sign(s.secret, n.id, timestamp, n.body))
+		target.RequestURI(), protocolVersion, target.Host, len(body),
+		idField, id, timestampField, timestamp, signatureField, signature)
 }
 
-// OnData reads the reply's status line; nothing else of it matters.
+// OnData parses the reply's status line and ends the attempt with it. The rest of the reply has no meaning.
 func (a *attempt) OnData(b []byte) {
 	if a.ended {
 		return
@@ -72,7 +76,7 @@
 	a.end(status, nil)
 }
 
-// skipInterimReply drops an interim reply's head once it is complete; the reply that counts follows it (RFC 9110,
+// skipInterimReply discards the head of an interim reply once it is complete. The final reply follows it (RFC 9110,
 // section 15.2).
 func (a *attempt) skipInterimReply() {
 	_, rest, complete := bytes.Cut(a.reply, []byte("\r\n\r\n"))
@@ -83,7 +87,7 @@
 	a.OnData(rest)
 }
 
-// parseStatusLine returns the status code, 0 where the line is malformed.
+// parseStatusLine returns the status code, or 0 if the line is malformed.
 func parseStatusLine(line []byte) int {
 	words := bytes.SplitN(line, []byte{' '}, 3)
 	if len(words) < 2 || !bytes.HasPrefix(words[0], []byte("HTTP/1.")) || len(words[1]) != 3 {
@@ -104,7 +108,8 @@
 	a.end(0, err)
 }
 
-// end closes the connection and reports the attempt's status, 0 with an error where there is none, once.
+// end closes the connection and reports the attempt's end to the Sender, once: with the reply's HTTP status, or 0 and an
+// error.
 func (a *attempt) end(status int, err error) {
 	if a.ended {
 		return
--- a/internal/frontend/webhook/config.go
+++ b/internal/frontend/webhook/config.go
@@ -11,7 +11,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Config is the webhook file.
+// Config is what the webhook file sets (deploy/webhook.toml).
 type Config struct {
 	Receiver ReceiverConfig `toml:"receiver"`
 	Sender   SenderConfig   `toml:"sender"`
@@ -21,19 +21,19 @@
 type ReceiverConfig struct {
 	Enabled bool        `toml:"enabled"`
 	Listen  string      `toml:"listen"` // IP:PORT
-	Path    string      `toml:"path"`   // of the requests' target
-	Keys    []KeyConfig `toml:"keys"`
-	// Tolerance is how far a delivery's timestamp may be from now, either way.
+	Path    string      `toml:"path"`   // of deliveries' HTTP requests
+	Keys    []KeyConfig `toml:"keys"`   // that verify deliveries
+	// Tolerance is how far a delivery's timestamp may be from now, in either direction.
 	Tolerance time.Duration `toml:"tolerance"`
-	// DedupeFor is how long the outcome of a call other than a repair-order is remembered.
+	// DedupeFor is how long the outcome of a request that is not an order is remembered, counted from its end.
 	DedupeFor time.Duration `toml:"dedupe_for"`
 	Ledger    LedgerConfig  `toml:"ledger"`
 }
 
-// LedgerConfig is where the orders' ledger is. Without a path orders are not taken.
+// LedgerConfig sets the ledger of orders. Without a path orders are refused.
 type LedgerConfig struct {
 	Path     string `toml:"path"`
-	MaxBytes int64  `toml:"max_bytes"`
+	MaxBytes int64  `toml:"max_bytes"` // of the file
 	// Retention is how long an order is kept, counted from its event.
 	Retention time.Duration `toml:"retention"`
 }
@@ -41,33 +41,43 @@
 // SenderConfig turns the Sender on. Its fields are checked only where it is enabled.
 type SenderConfig struct {
 	Enabled bool   `toml:"enabled"`
-	URL     string `toml:"url"`
-	// Connect is the address to connect to, where it is not the URL's host.
+	URL     string `toml:"url"` // http://HOST/PATH
+	// Connect is the address to connect to, if it is not the URL's host.
 	Connect  string        `toml:"connect"`
-	Key      string        `toml:"key"`      // file
-	Queue    int           `toml:"queue"`    // notices that are open at once
-	Attempts int           `toml:"attempts"` // per notice
-	Backoff  time.Duration `toml:"backoff"`  // behind the first attempt; it grows from there
+	Key      string        `toml:"key"`      // path of the key file
+	Queue    int           `toml:"queue"`    // the most notices that are open at once
+	Attempts int           `toml:"attempts"` // the most for one notice
+	Backoff  time.Duration `toml:"backoff"`  // between the first attempt and the second; see retryDelay
 	Timeout  time.Duration `toml:"timeout"`  // of an attempt
 }
 
-// KeyConfig names a key file and, where the key is being retired, until when it is active.
+// KeyConfig names a key file, and the time at which the key is retired.
 type KeyConfig struct {
 	File  string    `toml:"file"`
-	Until time.Time `toml:"until"`
+	Until time.Time `toml:"until"` // zero: never retired
 }
 
-// Bounds of the settings.
+// signatureValidityInTolerances is how long a signature is valid: from one tolerance before its timestamp until one after
+// it. As long as that, a delivery may be sent again, and must be remembered.
+const signatureValidityInTolerances = 2
+
+// The bounds of the settings.
 const (
-	minTolerance          = time.Second
-	minLedgerBytes        = 1 << 17
-	minRetentionTolerance = 4 // tolerances
-	minDedupeTolerance    = 2 // tolerances
-	maxSenderQueue        = 1 << 16
-	maxSenderAttempts     = 20
+	minTolerance   = time.Second // timestamps are in whole seconds
+	minLedgerBytes = 1 << 17     // 128 KiB, twice the longest line of the ledger (maxLedgerLine)
+
+	// A shorter dedupe_for would forget an outcome while a redelivery may still be valid.
+	minDedupeInTolerances = signatureValidityInTolerances
+
+	// Orders are refused in the last signatureValidityInTolerances of the retention; see isWithinRetention. This minimum
+	// leaves a client two tolerances between an order's event and its last delivery.
+	minRetentionInTolerances = 4
+
+	maxSenderQueue    = 1 << 16 // notices
+	maxSenderAttempts = 20      // for one notice
 )
 
-// Why a webhook file is not taken.
+// Why a webhook file can't be used.
 var (
 	errUnknownSetting = errors.New("unknown setting")
 	errMissing        = errors.New("is missing")
@@ -76,7 +86,7 @@
 	errOutOfRange     = errors.New("out of range")
 )
 
-// settingError names the setting that is wrong.
+// settingError says which setting can't be used, and why.
 type settingError struct {
 	setting string // as in the file
 	reason  error
@@ -95,6 +105,7 @@
 	return parseConfig(path, string(text))
 }
 
+// defaultConfig returns the settings of an empty file.
 func defaultConfig() *Config {
 	return &Config{
 		Receiver: ReceiverConfig{
@@ -107,6 +118,7 @@
 	}
 }
 
+// parseConfig parses and checks the text of a webhook file. path is for its errors.
 func parseConfig(path, text string) (*Config, error) {
 	c := defaultConfig()
 	metadata, err := toml.Decode(text, c)
@@ -122,6 +134,7 @@
 	return c, nil
 }
 
+// check checks the parts that are enabled. Its errors are *settingErrors, as those of the checks below.
 func (c *Config) check() error {
 	if c.Receiver.Enabled {
 		if err := c.Receiver.check(); err != nil {
@@ -134,6 +147,7 @@
 	return nil
 }
 
+// check checks the receiver's settings. Keys and ledger are read by NewReceiver.
 func (r *ReceiverConfig) check() error {
 	if _, err := netip.ParseAddrPort(r.Listen); err != nil {
 		return &settingError{"receiver.listen", err}
@@ -145,16 +159,29 @@
 		return &settingError{"receiver.keys", errMissing}
 	case r.Tolerance < minTolerance:
 		return &settingError{"receiver.tolerance", fmt.Errorf("%w: at least %v", errOutOfRange, minTolerance)}
-	case r.DedupeFor < minDedupeTolerance*r.Tolerance:
-		return &settingError{"receiver.dedupe_for", fmt.Errorf("%w: at least %d tolerances", errOutOfRange, minDedupeTolerance)}
-	case r.Ledger.Path != "" && r.Ledger.Retention < minRetentionTolerance*r.Tolerance:
-		return &settingError{"receiver.ledger.retention", fmt.Errorf("%w: at least %d tolerances", errOutOfRange, minRetentionTolerance)}
-	case r.Ledger.Path != "" && r.Ledger.MaxBytes < minLedgerBytes:
+	case r.DedupeFor < minDedupeInTolerances*r.Tolerance:
+		reason := fmt.Errorf("%w: at least %d tolerances", errOutOfRange, minDedupeInTolerances)
+		return &settingError{"receiver.dedupe_for", reason}
+	}
+	if r.Ledger.Path == "" {
+		return nil
+	}
+	return r.Ledger.check(r.Tolerance)
+}
+
+// check checks the settings of a ledger that is used.
+func (l *LedgerConfig) check(tolerance time.Duration) error {
+	switch {
+	case l.Retention < minRetentionInTolerances*tolerance:
+		reason := fmt.Errorf("%w: at least %d tolerances", errOutOfRange, minRetentionInTolerances)
+		return &settingError{"receiver.ledger.retention", reason}
+	case l.MaxBytes < minLedgerBytes:
 		return &settingError{"receiver.ledger.max_bytes", fmt.Errorf("%w: at least %d", errOutOfRange, minLedgerBytes)}
 	}
 	return nil
 }
 
+// check checks the sender's settings. The key is read by NewSender.
 func (s *SenderConfig) check() error {
 	target, err := url.Parse(s.URL)
 	if err != nil {
--- a/internal/frontend/webhook/connection.go
+++ b/internal/frontend/webhook/connection.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// maxDiscardedBytes is how much is read and dropped after a request that could not be parsed, before the connection is
-// closed.
+// maxDiscardedBytes is how much is received and discarded after an HTTP request that could not be parsed, before the
+// connection is closed.
 const maxDiscardedBytes = 256 << 10
 
-// connection is a client's connection. It handles one request at a time; pipelined ones wait in buffered. It belongs to
-// the event loop's goroutine.
+// connection is a client's connection. It handles one HTTP request at a time; pipelined ones wait in buffered. It is the
+// event loop's handler of the connection.
 type connection struct {
-	receiver  *Receiver
-	transport Transport
-	peer      netip.AddrPort
+	receiver   *Receiver
+	transport  Transport
+	clientAddr netip.AddrPort
 
-	buffered         []byte
-	head             *requestHead // of the request whose body is still incomplete
-	requestsReceived int          // with their bodies
+	buffered             []byte       // received and not yet handled
+	head                 *requestHead // of the HTTP request whose body is still incomplete
+	httpRequestsReceived int          // complete ones
 
-	awaitingResponse bool // a request's response is owed
+	awaitingResponse bool // an HTTP request is owed a response
 	closesNext       bool // the next response is the last one
-	finished         bool // no further request is read
-	discardedBytes   int  // that came after finished was set
+	finished         bool // no further HTTP request is read
+	discardedBytes   int  // received after finished was set
 }
 
-// response answers a request.
+// response is the answer to an HTTP request.
 type response struct {
 	status     int // HTTP status code
 	body       []byte
-	retryAfter time.Duration // of 503
+	retryAfter time.Duration // of 503; 0: at least one second, see responseHead
 }
 
 // HasOpenRequests reports whether a response is owed.
 func (c *connection) HasOpenRequests() bool { return c.awaitingResponse }
 
-// MessageProgress returns how many requests have come with their bodies, and whether the beginning of another has;
-// what a client sends after the last response counts as no more than a beginning.
-func (c *connection) MessageProgress() (whole int, begun bool) {
-	return c.requestsReceived, c.finished || c.head != nil || len(c.buffered) > 0
+// MessageProgress returns how many complete HTTP requests have been received and whether the beginning of another has.
+// What a client sends after the last response counts as a beginning.
+func (c *connection) MessageProgress() (complete int, partial bool) {
+	return c.httpRequestsReceived, c.finished || c.head != nil || len(c.buffered) > 0
 }
 
-// OnData takes in requests, split in any way.
+// OnData decodes the HTTP requests in b, which may begin and end anywhere in one, and handles them.
 func (c *connection) OnData(b []byte) {
 	if c.finished {
 		c.discardedBytes += len(b)
@@ -61,20 +61,21 @@
 	c.handleBuffered()
 }
 
-// OnEndOfInput says that the client sends nothing more. The response that it is owed is written all the same.
+// OnEndOfInput makes the next response the last one. A response that is owed is still written: a client that has closed
+// its side may still read.
 func (c *connection) OnEndOfInput() { c.closesNext = true }
 
-// OnClose ends the connection. A pending call goes on: the sender of the delivery gets its outcome with a redelivery.
+// OnClose ends the connection. A pending request goes on: the client gets its outcome with a redelivery.
 func (c *connection) OnClose(error) { c.finish() }
 
-// finish has no further request read.
+// finish makes the connection discard what it receives from now on.
 func (c *connection) finish() {
 	c.finished = true
 	c.buffered = nil
 	c.head = nil
 }
 
-// handleBuffered handles the requests that are complete, up to the first whose response takes time.
+// handleBuffered handles the complete HTTP requests, up to the first whose response is not written at once.
 func (c *connection) handleBuffered() {
 	for !c.awaitingResponse && !c.finished && len(c.buffered) > 0 {
 		if c.head == nil && !c.readHead() {
@@ -83,18 +84,18 @@
 		if len(c.buffered) < c.head.contentLength {
 			return
 		}
-		head, body := c.takeRequest()
+		head, body := c.takeHTTPRequest()
 		c.receiver.handle(c, head, body)
 	}
 }
 
-// readHead reads the next request's head. It returns false where that is incomplete, or was rejected.
+// readHead parses the head of the next HTTP request. It returns false if the head is incomplete, or was refused.
 func (c *connection) readHead() bool {
 	head, size, err := parseRequestHead(c.buffered)
 	if err != nil {
 		c.receiver.Count.Malformed++
 		c.closesNext = true
-		c.reject(err)
+		c.refuse(err)
 		return false
 	}
 	if size == 0 {
@@ -108,24 +109,24 @@
 	return true
 }
 
-// takeRequest takes the first request, which is complete, out of what has come.
-func (c *connection) takeRequest() (*requestHead, []byte) {
-	head := c.head
-	body := c.buffered[:head.contentLength:head.contentLength]
-	c.buffered = append([]byte(nil), c.buffered[head.contentLength:]...) // head and body keep the bytes before
+// takeHTTPRequest removes the first HTTP request, which is complete, from buffered. The returned parts keep its bytes.
+func (c *connection) takeHTTPRequest() (head *requestHead, body []byte) {
+	head = c.head
+	body = c.buffered[:head.contentLength:head.contentLength]
+	c.buffered = append([]byte(nil), c.buffered[head.contentLength:]...) // head and body point into the old buffer
 	c.head = nil
 	c.closesNext = head.closeRequested
 	c.awaitingResponse = true
-	c.requestsReceived++
+	c.httpRequestsReceived++
 	return head, body
 }
 
-// reject answers the current request with the status that err maps to.
-func (c *connection) reject(err error) {
+// refuse answers the current HTTP request with the status that err maps to.
+func (c *connection) refuse(err error) {
 	c.respond(response{status: statusOf(err), retryAfter: defaultRetryAfter})
 }
 
-// respond writes the one response to the current request.
+// respond writes the response to the current HTTP request, and ends the connection after the last one.
 func (c *connection) respond(r response) {
 	requestComplete := c.awaitingResponse
 	c.awaitingResponse = false
@@ -141,6 +142,6 @@
 	if requestComplete {
 		c.transport.CloseAfterFlush()
 	}
-	// Otherwise the client may still be sending: closing now would reset the connection before the client has read
-	// the response (RFC 9112, section 9.6). The client closes it, or else maxDiscardedBytes or the idle limit does.
+	// Otherwise the client may still be sending: closing now would reset the connection before the client has read the
+	// response (RFC 9112, section 9.6). The client closes it, or else maxDiscardedBytes or the idle timeout does.
 }
--- a/internal/frontend/webhook/connection_test.go
+++ b/internal/frontend/webhook/connection_test.go
@@ -30,10 +30,12 @@
 }
 
 // The model of a connection: deliveries reach the router however they are split, and each is answered once and in
-// turn, with the status that the outcome maps to; a webhook-id runs once unless it was refused unrun.
+// sequence, with the status that the outcome maps to. The request of a webhook-id runs once, unless it was refused and
+// never ran.
 func TestConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		requests, transport := &fakeRouter{}, &testsupport.Transport{}
+		requests := &fakeRouter{}
+		transport := &testsupport.Transport{}
 		receiver, _ := newTestReceiver(t, requests, "")
 		c := receiver.serve(transport, netip.AddrPort{})
 		var want []int
@@ -41,7 +43,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"deliver": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
-				for b := signedDelivery(activeSecret, id, noon, callPayload("dim-level", id, noon)); len(b) > 0; {
+				for b := signedDelivery(activeSecret, id, noon, requestPayload("dim-level", id, noon)); len(b) > 0; {
 					n := rapid.IntRange(1, len(b)).Draw(t, "n")
 					c.OnData(bytes.Clone(b[:n]))
 					b = b[n:]
@@ -54,7 +56,7 @@
 					return
 				}
 				if !c.HasOpenRequests() || string(requests.requests[len(requests.requests)-1].Body) != id {
-					t.Fatal("the call did not reach the router")
+					t.Fatal("the request did not reach the router")
 				}
 				answer := router.Response{
 					Status:           router.Status(rapid.IntRange(0, 2).Draw(t, "status")),
@@ -77,8 +79,8 @@
 	})
 }
 
-// A client that sends on behind a request that can't be read is cut off in the end, and so is one that sends on
-// without waiting for a response.
+// The connection of a client that sends on after an HTTP request that can't be parsed is closed in the end, and so is
+// that of a client that sends on without waiting for a response.
 func TestConnectionBoundsWhatItReads(t *testing.T) {
 	t.Run("behind a malformed request", func(t *testing.T) {
 		receiver, _ := newTestReceiver(t, &fakeRouter{}, "")
@@ -98,7 +100,7 @@
 		receiver, _ := newTestReceiver(t, &fakeRouter{}, "")
 		transport := &testsupport.Transport{}
 		c := receiver.serve(transport, netip.AddrPort{})
-		c.OnData(signedDelivery(activeSecret, "m", noon, callPayload("dim-level", "x", noon)))
+		c.OnData(signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", "x", noon)))
 		c.OnData(make([]byte, maxHeadBytes+maxBodyBytes))
 		if transport.Closed {
 			t.Error("closed within the bound")
--- a/internal/frontend/webhook/deduplication.go
+++ b/internal/frontend/webhook/deduplication.go
@@ -5,27 +5,25 @@
 	"encoding/hex"
 	"net/http"
 	"time"
-
-	"functionrouter/internal/router"
 )
 
 const (
-	maxDeliveries         = 20000 // remembered at once; beyond it new ones are rejected
-	maxWaitingConnections = 16    // for the outcome of one delivery
+	maxDeliveries         = 20000 // remembered at once; beyond it new ones are refused, which bounds the memory
+	maxWaitingConnections = 16    // for the outcome of one delivery; beyond it redeliveries are refused
 	digestBytes           = 16    // of a payload's SHA-256 that are compared and stored
 )
 
-// delivery is what is known of a webhook-id: its call is pending, or its outcome is kept for redeliveries.
+// delivery is what is known of a webhook-id: its request is pending, or its outcome is kept for redeliveries.
 type delivery struct {
-	id        string
-	digest    string
-	isOrder   bool      // its call must never run twice: the ledger has it
+	id        string    // the webhook-id
+	digest    string    // of the payload, see payloadDigest
+	isOrder   bool      // its request must never run twice: the ledger records it
 	eventTime time.Time // of orders: their retention counts from it
 
-	waiting []*connection // for the outcome of the pending call
+	waiting []*connection // for the outcome, while the request is pending
 
-	completed   bool
-	completedAt time.Duration // on the loop's clock
+	completed   bool          // the request has ended; the rest is set
+	completedAt time.Duration // on the event loop's clock; 0 if the ledger had the outcome
 	outcome     response
 }
 
@@ -46,7 +44,8 @@
 	return e
 }
 
-// respondToWaiting answers all connections that wait for the delivery.
+// respondToWaiting answers all connections that wait for the delivery, in the sequence in which they arrived,
+// and handles what each has received meanwhile.
 func (d *delivery) respondToWaiting(r response) {
 	waiting := d.waiting
 	d.waiting = nil
@@ -59,10 +58,11 @@
 // deduplicator remembers deliveries by webhook-id, within bounds. It belongs to the event loop's goroutine.
 type deduplicator struct {
 	deliveries   map[string]*delivery
-	bodyBytes    int // of the outcomes kept
-	maxBodyBytes int
+	bodyBytes    int // of the outcomes that are kept
+	maxBodyBytes int // no delivery is added while bodyBytes is above it
 }
 
+// newDeduplicator returns a deduplicator that remembers nothing yet.
 func newDeduplicator(maxBodyBytes int) *deduplicator {
 	return &deduplicator{deliveries: map[string]*delivery{}, maxBodyBytes: maxBodyBytes}
 }
@@ -75,9 +75,10 @@
 	return len(d.deliveries) >= maxDeliveries || d.bodyBytes > d.maxBodyBytes
 }
 
+// add remembers a delivery, which replaces any other with its webhook-id.
 func (d *deduplicator) add(added *delivery) { d.deliveries[added.id] = added }
 
-// remove forgets a delivery. A later one with its webhook-id runs as a first one.
+// remove forgets a delivery. The next one with its webhook-id is a first one.
 func (d *deduplicator) remove(removed *delivery) {
 	delete(d.deliveries, removed.id)
 	d.bodyBytes -= len(removed.outcome.body)
@@ -91,8 +92,8 @@
 	d.bodyBytes += len(outcome.body)
 }
 
-// restore adds an order from the ledger. One that was in flight when the program ended may have run, and nothing is
-// known of how it ended: redeliveries are answered with 502, and it never runs again.
+// restore adds an order from the ledger. One that had begun but not ended when the process ended may have run:
+// redeliveries are answered with 502, and it never runs again.
 func (d *deduplicator) restore(e ledgerEntry) {
 	outcome := response{status: e.Status, body: e.Body}
 	if e.State == orderBegun {
@@ -103,7 +104,7 @@
 	d.complete(restored, 0, outcome)
 }
 
-// sweep forgets the orders whose event was before oldestEvent and the other calls that were completed before
+// sweep forgets the orders whose event was before oldestEvent, and the other deliveries that were completed before
 // oldestCompletion. Pending ones stay.
 func (d *deduplicator) sweep(oldestCompletion time.Duration, oldestEvent time.Time) {
 	for _, known := range d.deliveries {
@@ -116,52 +117,3 @@
 		}
 	}
 }
-
-// responder takes a call's final answer from the router.
-type responder struct {
-	receiver *Receiver
-	delivery *delivery
-}
-
-// Respond answers all connections that wait for the delivery. An answer after which the call may have run is kept for
-// redeliveries; where it is proven that the call never ran, the next delivery of the webhook-id runs it.
-func (r *responder) Respond(a router.Response) {
-	if a.Status == router.Refused && !a.MayHaveRun {
-		r.release(a)
-		return
-	}
-	r.complete(a)
-}
-
-func (r *responder) release(a router.Response) {
-	r.receiver.deliveries.remove(r.delivery)
-	if r.delivery.isOrder {
-		r.receiver.ledger.recordEnd(r.delivery.ledgerEntry(orderReleased))
-	}
-	if a.DeadlineExceeded {
-		r.delivery.respondToWaiting(response{status: http.StatusGatewayTimeout})
-		return
-	}
-	r.delivery.respondToWaiting(response{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
-}
-
-func (r *responder) complete(a router.Response) {
-	r.receiver.deliveries.complete(r.delivery, r.receiver.now(), outcomeOf(a))
-	if r.delivery.isOrder {
-		r.receiver.ledger.recordEnd(r.delivery.ledgerEntry(orderEnded))
-	}
-	r.delivery.respondToWaiting(r.delivery.outcome)
-}
-
-// outcomeOf returns how a call that may have run is answered, now and to redeliveries.
-func outcomeOf(a router.Response) response {
-	switch {
-	case a.Status == router.Served:
-		return response{status: http.StatusOK, body: a.Body}
-	case a.DeadlineExceeded:
-		return response{status: http.StatusGatewayTimeout}
-	default:
-		// Also a refusal of a call that may have run: a redelivery must not run it again.
-		return response{status: http.StatusBadGateway}
-	}
-}
--- a/internal/frontend/webhook/endtoend_test.go
+++ b/internal/frontend/webhook/endtoend_test.go
@@ -18,7 +18,7 @@
 // sentDelivery is a delivery with the status that it must get.
 type sentDelivery struct {
 	request []byte
-	order   string // the body of its call
+	order   string // the body of its request
 	want    int
 }
 
@@ -26,8 +26,9 @@
 // tampered with, and signed with a retired key.
 func hostileDeliveries(rng *rand.Rand, orders int) (all []sentDelivery) {
 	for i := range orders {
-		order, id := fmt.Sprintf("order-%d", i), fmt.Sprintf("msg_%d", i)
-		body := callPayload("repair-order", order, noon)
+		order := fmt.Sprintf("order-%d", i)
+		id := fmt.Sprintf("msg_%d", i)
+		body := requestPayload("repair-order", order, noon)
 		first := signedDelivery(activeSecret, id, noon, body)
 		want := http.StatusOK
 		if isLostOrder(order) {
@@ -95,7 +96,7 @@
 			}
 			notices.mu.Lock()
 			defer notices.mu.Unlock()
-			for _, notice := range notices.deliveries { // properly signed, but no call
+			for _, notice := range notices.deliveries { // properly signed, but not of payloadType
 				all = append(all, sentDelivery{notice, "notice", http.StatusBadRequest})
 			}
 		})
@@ -113,7 +114,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }() // the server has closed it, as the test has read
-	request := signedDelivery(retiredSecret, "m", noon, callPayload("repair-order", "x", noon))
+	request := signedDelivery(retiredSecret, "m", noon, requestPayload("repair-order", "x", noon))
 	if _, err := c.Write(bytes.Replace(request, []byte("Host:"), []byte("Connection: close\r\nHost:"), 1)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/webhook/harness_test.go
+++ b/internal/frontend/webhook/harness_test.go
@@ -29,8 +29,8 @@
 	retiredSecret = bytes.Repeat([]byte("retire"), 5)
 	testKeys      = []signingKey{{secret: activeSecret}, {secret: retiredSecret, retiredAt: noon}}
 	testClasses   = []Class{
-		{Name: "dim-level", Longest: 2 * time.Second},
-		{Name: "repair-order", Once: true, Longest: 3 * time.Second},
+		{Name: "dim-level", MaxWait: 2 * time.Second},
+		{Name: "repair-order", CarriesOrders: true, MaxWait: 3 * time.Second},
 	}
 )
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// fakeRouter keeps the requests that it is handed.
+// fakeRouter records the requests that it gets.
 type fakeRouter struct{ requests []router.Request }
 
 func (f *fakeRouter) Submit(_ time.Duration, r router.Request) policy.RequestID {
@@ -81,7 +81,7 @@
 	return c
 }
 
-// newTestReceiver returns a receiver; what it has run on the loop comes through the channel.
+// newTestReceiver returns a receiver. The functions that it posts to the event loop arrive on the channel.
 func newTestReceiver(tb rapid.TB, requests RequestRouter, ledgerPath string) (*Receiver, chan func()) {
 	tb.Helper()
 	loopCalls := make(chan func(), 100)
@@ -109,9 +109,9 @@
 	return transport
 }
 
-// callPayload returns the JSON of a call.
-func callPayload(class, body string, eventTime time.Time) []byte {
-	p := payload{Type: callType, Timestamp: eventTime, Data: callData{Class: class, Key: testFunctionKey, Body: []byte(body)}}
+// requestPayload returns the JSON of a delivery with a request.
+func requestPayload(class, body string, eventTime time.Time) []byte {
+	p := payload{Type: payloadType, Timestamp: eventTime, Data: requestData{Class: class, FunctionKey: testFunctionKey, Body: []byte(body)}}
 	text, err := json.Marshal(p)
 	if err != nil {
 		panic(err) // of strings, numbers and bytes: it can't fail
@@ -127,9 +127,9 @@
 	return append([]byte(head), body...)
 }
 
-// orderDelivery returns a delivery of an order that is of noon, as all that the tests send but for the expired ones.
+// orderDelivery returns a delivery of an order whose event was at noon.
 func orderDelivery(id string) []byte {
-	return signedDelivery(activeSecret, id, noon, callPayload("repair-order", "x", noon))
+	return signedDelivery(activeSecret, id, noon, requestPayload("repair-order", "x", noon))
 }
 
 // writeKeyFile returns the path of a key file.
--- a/internal/frontend/webhook/http.go
+++ b/internal/frontend/webhook/http_request.go
@@ -6,19 +6,23 @@
 	"fmt"
 	"net/http"
 	"strconv"
-	"time"
 )
 
+// protocolVersion is the only version that is accepted, and that of responses and notices.
+const protocolVersion = "HTTP/1.1"
+
+// The limits on an HTTP request. They bound what a connection keeps of it.
 const (
-	maxHeadBytes    = 8 << 10  // request line and header lines
-	maxHeaderFields = 64       // of a request
-	maxCallBytes    = 16 << 10 // a call's body, once decoded
-	maxBodyBytes    = 24 << 10 // a request's body: a call's body in base64 and the fields round it
-	protocolVersion = "HTTP/1.1"
+	maxHeadBytes    = 8 << 10  // the request line and the header lines
+	maxHeaderFields = 64       // header lines
+	maxBodyBytes    = 24 << 10 // a request of maxRequestBodyBytes in base64, which takes a third more, and its other fields
 )
 
-// Why a request can't be read. Where its body would end is then unknown, so that the connection can't be used any
-// further.
+// maxRequestBodyBytes bounds the body of a delivery's request, once it is decoded from base64.
+const maxRequestBodyBytes = 16 << 10
+
+// Why an HTTP request can't be parsed. The end of its body is then unknown, so that no further one can be read from the
+// connection.
 var (
 	errMalformedRequestLine = errors.New("malformed request line")
 	errMalformedField       = errors.New("malformed header field")
@@ -30,44 +34,29 @@
 	errBodyTooLarge         = errors.New("request body is too large")
 )
 
-// Why a request that could be read is no delivery.
+// Why an HTTP request that could be parsed is no delivery.
 var (
 	errUnknownPath      = errors.New("unknown path")
 	errMethodNotAllowed = errors.New("method is not POST")
 )
 
-// statusOf returns the status code (RFC 9110, section 15) that answers a request rejected with err.
-func statusOf(err error) int {
-	switch {
-	case errors.Is(err, errMalformedSignature), errors.Is(err, errStaleTimestamp), errors.Is(err, errNoMatchingKey):
-		return http.StatusUnauthorized
-	case errors.Is(err, errUnknownPath):
-		return http.StatusNotFound
-	case errors.Is(err, errMethodNotAllowed):
-		return http.StatusMethodNotAllowed
-	case errors.Is(err, errBodyTooLarge):
-		return http.StatusRequestEntityTooLarge
-	case errors.Is(err, errHeadTooLarge):
-		return http.StatusRequestHeaderFieldsTooLarge
-	case errors.Is(err, errOverloaded), errors.Is(err, errNoLedger):
-		return http.StatusServiceUnavailable
-	default:
-		return http.StatusBadRequest
-	}
-}
-
-// requestHead is an HTTP/1.1 request whose head has been read (RFC 9112). Its parts point into the bytes read.
+// requestHead is the parsed head of an HTTP/1.1 request (RFC 9112). Its parts point into the received bytes.
 type requestHead struct {
-	method, target  []byte
+	method          []byte
+	target          []byte
 	fields          []headerField
-	contentLength   int
+	contentLength   int  // bytes of the body, which follows the head
 	closeRequested  bool // the client asked for the connection to be closed
 	expectsContinue bool // the client waits for 100 Continue before it sends the body
 }
 
-type headerField struct{ name, value []byte }
+// headerField is a header line, without the space around the value.
+type headerField struct {
+	name  []byte
+	value []byte
+}
 
-// field returns the value of the last header field of that name, and how many there are.
+// field returns the value of the last header field with the name, in any case, and the count of such fields.
 func (h *requestHead) field(name string) (value []byte, count int) {
 	for _, f := range h.fields {
 		if len(f.name) == len(name) && bytes.EqualFold(f.name, []byte(name)) {
@@ -78,7 +67,7 @@
 	return value, count
 }
 
-// parseRequestHead reads the head at the front of b, in place. It returns the head's size in bytes, 0 while it is
+// parseRequestHead parses the head at the front of b, in place. It returns the head's size in bytes, 0 while the head is
 // incomplete.
 func parseRequestHead(b []byte) (head requestHead, size int, err error) {
 	end := bytes.Index(b[:min(len(b), maxHeadBytes)], []byte("\r\n\r\n"))
@@ -105,7 +94,7 @@
 	return head, end + len("\r\n\r\n"), nil
 }
 
-// checkIncompleteHead rejects bytes that no further ones can complete to a valid head.
+// checkIncompleteHead returns an error if no further bytes can complete b to a valid head.
 func checkIncompleteHead(b []byte) error {
 	if len(b) >= maxHeadBytes {
 		return errHeadTooLarge
@@ -118,19 +107,25 @@
 	return nil
 }
 
-// parseRequestLine reads METHOD SP TARGET SP VERSION (RFC 9112, section 3).
+// parseRequestLine parses METHOD SP TARGET SP VERSION (RFC 9112, section 3).
 func (h *requestHead) parseRequestLine(line []byte) error {
 	words := bytes.Split(line, []byte{' '})
-	if len(words) != 3 || string(words[2]) != protocolVersion || !isToken(words[0]) || !isRequestTarget(words[1]) {
+	if len(words) != 3 {
+		return errMalformedRequestLine
+	}
+	method := words[0]
+	target := words[1]
+	version := words[2]
+	if !isToken(method) || !isRequestTarget(target) || string(version) != protocolVersion {
 		return errMalformedRequestLine
 	}
-	h.method = words[0]
-	h.target = words[1]
+	h.method = method
+	h.target = target
 	return nil
 }
 
-// parseFields reads the header lines, each with its line end (RFC 9112, section 5). It rejects folded lines and
-// space before the colon, which servers are known to read in different ways.
+// parseFields parses the header lines, each with its line end (RFC 9112, section 5). Folded lines and space before the
+// colon are errors, since servers are known to read them in different ways.
 func (h *requestHead) parseFields(lines []byte) error {
 	var line []byte
 	for len(lines) > 0 {
@@ -148,8 +143,8 @@
 	return nil
 }
 
-// parseFraming finds the body's length. It rejects two lengths, and any transfer coding, rather than choose between
-// them: on such a choice rests request smuggling (RFC 9112, sections 6.3 and 11.2).
+// parseFraming finds the body's length. Two lengths and any transfer coding are errors: a choice between them would allow
+// request smuggling (RFC 9112, sections 6.3 and 11.2).
 func (h *requestHead) parseFraming() error {
 	if _, count := h.field("Transfer-Encoding"); count > 0 {
 		return errTransferEncoding
@@ -169,7 +164,7 @@
 	return nil
 }
 
-// parseContentLength takes digits only: no sign and no list.
+// parseContentLength parses the value of Content-Length: digits only, no sign and no list.
 func parseContentLength(text []byte) (int, error) {
 	if len(text) == 0 {
 		return 0, errContentLength
@@ -199,7 +194,7 @@
 	return len(b) > 0
 }
 
-// isRequestTarget reports whether b may stand as a request's target: visible ASCII, and not empty.
+// isRequestTarget reports whether b may be the target of an HTTP request: visible ASCII, and not empty.
 func isRequestTarget(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
@@ -209,8 +204,8 @@
 	return len(b) > 0
 }
 
-// isFieldValue reports whether b may stand as a header field's value (RFC 9110, section 5.5): no control characters
-// but tabs.
+// isFieldValue reports whether b may be the value of a header field (RFC 9110, section 5.5): no control characters
+// except tabs.
 func isFieldValue(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -219,41 +214,3 @@
 	}
 	return true
 }
-
-// reasonPhrase returns the status's name as RFC 9110 has it; net/http still has an older one for 413.
-func reasonPhrase(status int) string {
-	if status == http.StatusRequestEntityTooLarge {
-		return "Content Too Large"
-	}
-	return http.StatusText(status)
-}
-
-// continueResponse tells a client that waits for it to send its request's body (RFC 9110, section 15.2.1).
-const continueResponse = protocolVersion + " 100 Continue\r\n\r\n"
-
-// responseHead is what the head of a response is made of.
-type responseHead struct {
-	status        int
-	contentLength int
-	closes        bool          // the connection is closed behind it
-	retryAfter    time.Duration // of 503: sent in whole seconds, rounded up, at least one
-}
-
-// encode returns the head's bytes.
-func (h responseHead) encode() []byte {
-	b := make([]byte, 0, 192)
-	b = fmt.Appendf(b, "%s %d %s\r\nContent-Length: %d\r\n", protocolVersion, h.status, reasonPhrase(h.status), h.contentLength)
-	if h.contentLength > 0 {
-		b = append(b, "Content-Type: application/octet-stream\r\n"...)
-	}
-	if h.closes {
-		b = append(b, "Connection: close\r\n"...)
-	}
-	switch h.status {
-	case http.StatusServiceUnavailable:
-		b = fmt.Appendf(b, "Retry-After: %d\r\n", max(1, (h.retryAfter+time.Second-1)/time.Second))
-	case http.StatusMethodNotAllowed:
-		b = append(b, "Allow: POST\r\n"...)
-	}
-	return append(b, "\r\n"...)
-}
--- a/internal/frontend/webhook/ledger.go
+++ b/internal/frontend/webhook/ledger.go
@@ -18,24 +18,29 @@
 )
 
 const (
-	ledgerQueueLength  = 256         // entries that wait for the writer
-	compactionInterval = time.Minute // at least, between two compactions of a full ledger
-	ledgerFileMode     = 0o600
+	// ledgerQueueLength is how many entries may wait for the writer. While it is full, orders are refused.
+	ledgerQueueLength = 256
+
+	// compactionInterval is the minimum time between two compactions of a full ledger, each of which rewrites the file.
+	compactionInterval = time.Minute
+
+	// ledgerFileMode keeps the outcomes of orders from other users.
+	ledgerFileMode = 0o600
 )
 
 // ledger is the write-ahead log of orders, which must never run twice. It survives a restart: an order's "begun"
-// entry is on the disk before the order is first sent to a worker, so an order without an entry has never been
+// entry is on the disk before the order is first sent to a worker. So an order without an entry has never been
 // sent, and one whose last entry is "begun" may have run.
 //
-// One goroutine, the writer, owns the file from the end of openLedger until close returns. The loop's goroutine
+// One goroutine, the writer, owns the file from the end of openLedger until close returns. The event loop's goroutine
 // only puts entries into the queue, so that a slow disk delays no other request.
 type ledger struct {
-	pending    chan pendingWrite
+	queue      chan pendingWrite
 	writerDone chan struct{} // closed when the writer has written the last entry
 
-	// The rest is the writer's alone.
+	// The rest belongs to the writer.
 	path           string
-	maxBytes       int64
+	maxBytes       int64 // of the file
 	retention      time.Duration
 	wallClock      func() time.Time
 	file           *os.File
@@ -45,10 +50,11 @@
 	failed         bool // a write failed: what is on the disk is unknown, nothing more is written
 }
 
-// pendingWrite is an entry on its way to the disk.
+// pendingWrite is an entry that waits for the writer.
 type pendingWrite struct {
 	entry ledgerEntry
-	// onDurable, where set, is called on the writer's goroutine when the entry has been synced or has failed.
+	// onDurable is called on the writer's goroutine when the entry has been synced (nil) or has failed. An entry
+	// without it is written without a sync.
 	onDurable func(error)
 }
 
@@ -60,24 +66,25 @@
 		maxBytes:   maxBytes,
 		retention:  retention,
 		wallClock:  wallClock,
-		pending:    make(chan pendingWrite, ledgerQueueLength),
+		queue:      make(chan pendingWrite, ledgerQueueLength),
 		writerDone: make(chan struct{}),
 	}
-	var err error
-	if l.lockFile, err = lockLedger(path); err != nil {
+	lockFile, err := lockLedger(path)
+	if err != nil {
 		return nil, nil, err
 	}
+	l.lockFile = lockFile
 	entries, err := l.compact()
 	if err != nil {
-		_ = l.lockFile.Close() // the error that matters is the one returned
+		_ = lockFile.Close() // the error that matters is the one returned
 		return nil, nil, fmt.Errorf("ledger: %w", err)
 	}
 	go l.writeEntries()
 	return l, entries, nil
 }
 
-// lockLedger makes sure that no other program uses the ledger: two would not see each other's orders. The lock has a
-// file of its own, since a compaction replaces the ledger's.
+// lockLedger locks the ledger at path until the returned file is closed, or returns errLedgerInUse: two processes would
+// not see each other's orders. The lock has a file of its own, since a compaction replaces the ledger's.
 func lockLedger(path string) (*os.File, error) {
 	lockFile, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, ledgerFileMode)
 	if err != nil {
@@ -91,43 +98,43 @@
 }
 
 // recordStart records that an order is about to run. onDurable is called once, when the entry is on the disk or has
-// failed: on the writer's goroutine, or at once on the caller's where the queue is full.
+// failed: on the writer's goroutine, or on the caller's before recordStart returns if the queue is full.
 func (l *ledger) recordStart(e ledgerEntry, onDurable func(error)) {
 	e.State = orderBegun
 	select {
-	case l.pending <- pendingWrite{entry: e, onDurable: onDurable}:
+	case l.queue <- pendingWrite{entry: e, onDurable: onDurable}:
 	default:
 		onDurable(errLedgerFull)
 	}
 }
 
-// recordEnd records how an order ended, without waiting for the disk. If the entry is lost, the order counts as one that
-// may have run, and never runs again.
+// recordEnd records how an order ended, without a sync. If the entry is lost, the order counts as one that may have run,
+// and never runs again.
 func (l *ledger) recordEnd(e ledgerEntry) {
 	select {
-	case l.pending <- pendingWrite{entry: e}:
+	case l.queue <- pendingWrite{entry: e}:
 	default:
-		slog.Warn("ledger entry dropped", "webhook_id", e.ID, "state", e.State.String())
+		slog.Warn("ledger entry dropped", "webhook_id", e.ID, "state", string(e.State))
 	}
 }
 
 // writeEntries is the writer's goroutine. It writes the queued entries, with one sync for all that wait at the same time
-// (group commit), and returns when close has closed the queue.
+// (group commit), and returns when close has closed the queue and it is empty.
 func (l *ledger) writeEntries() {
 	defer close(l.writerDone)
 	var batch []pendingWrite
-	for first := range l.pending {
+	for first := range l.queue {
 		batch = append(batch[:0], first)
-		batch = l.appendPending(batch)
+		batch = l.appendQueued(batch)
 		l.writeBatch(batch)
 	}
 }
 
-// appendPending adds to batch what waits in the queue now.
-func (l *ledger) appendPending(batch []pendingWrite) []pendingWrite {
+// appendQueued adds the entries that are in the queue now to batch, without waiting for more.
+func (l *ledger) appendQueued(batch []pendingWrite) []pendingWrite {
 	for {
 		select {
-		case w, open := <-l.pending:
+		case w, open := <-l.queue:
 			if !open {
 				return batch
 			}
@@ -138,7 +145,8 @@
 	}
 }
 
-// writeBatch appends the entries, syncs the file where one of them must be durable, and then calls each onDurable.
+// writeBatch appends the entries, syncs the file if one of them must be durable, and then calls each onDurable. Errors
+// are logged.
 func (l *ledger) writeBatch(batch []pendingWrite) {
 	errs := make([]error, len(batch))
 	mustSync := false
@@ -166,13 +174,13 @@
 	}
 }
 
-// appendEntry writes an entry at the end of the file, and compacts the file first where it is full.
+// appendEntry writes an entry at the end of the file. If the file is full, it is compacted first.
 func (l *ledger) appendEntry(e ledgerEntry) error {
 	if l.failed {
 		return errLedgerFailed
 	}
 	line := encodeEntry(e)
-	if err := l.makeRoom(int64(len(line))); err != nil {
+	if err := l.ensureSpace(int64(len(line))); err != nil {
 		return err
 	}
 	if _, err := l.file.Write(line); err != nil {
@@ -183,9 +191,10 @@
 	return nil
 }
 
-// makeRoom returns errLedgerFull where there is no room for so many bytes, even after a compaction. A compaction
-// rewrites the whole file, so a ledger that stays full is compacted once in compactionInterval at most.
-func (l *ledger) makeRoom(needed int64) error {
+// ensureSpace makes sure that the file may grow by so many bytes, by a compaction if need be. It returns errLedgerFull if
+// that does not help. A compaction rewrites the file, so a ledger that stays full is compacted at most once in
+// compactionInterval.
+func (l *ledger) ensureSpace(needed int64) error {
 	if l.size+needed <= l.maxBytes {
 		return nil
 	}
@@ -202,10 +211,10 @@
 	return nil
 }
 
-// close waits until the writer has written all recorded entries and has ended, and releases the ledger's lock. Nothing
-// may be recorded after it.
+// close waits until the writer has written all recorded entries and has ended, syncs the file and releases the ledger's
+// lock. Nothing may be recorded after it.
 func (l *ledger) close() error {
-	close(l.pending)
+	close(l.queue)
 	<-l.writerDone
 	err := l.file.Sync()
 	return errors.Join(err, l.file.Close(), l.lockFile.Close())
--- a/internal/frontend/webhook/ledger_format_test.go
+++ b/internal/frontend/webhook/ledger_format_test.go
@@ -15,7 +15,7 @@
 // never written anew. appended.ledger has the lines as a running program appends them; compacted.ledger is what
 // opening that file at noon leaves of it.
 var (
-	storedDigest = "356101d9d2084545607e4c6b981c39c1" // of callPayload("repair-order", "x", noon)
+	storedDigest = "356101d9d2084545607e4c6b981c39c1" // of requestPayload("repair-order", "x", noon)
 
 	storedAt = time.Date(2026, 12, 1, 11, 59, 58, 123456789, time.FixedZone("", 2*60*60))
 
--- a/internal/frontend/webhook/ledger_test.go
+++ b/internal/frontend/webhook/ledger_test.go
@@ -36,7 +36,7 @@
 // write writes an entry in any state, and waits until it is on the disk.
 func (m *ledgerModel) write(t *rapid.T, e ledgerEntry) {
 	written := make(chan error, 1)
-	m.ledger.pending <- pendingWrite{entry: e, onDurable: func(err error) { written <- err }}
+	m.ledger.queue <- pendingWrite{entry: e, onDurable: func(err error) { written <- err }}
 	if err := <-written; err != nil {
 		t.Fatal(err)
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// The model of the ledger: whatever was entered before its write was acknowledged is there after a crash, and a
-// line cut short by it does no harm.
+// The model of the ledger: an entry whose write was acknowledged is there after a crash, and an incomplete line does no
+// harm.
 func TestLedgerKeepsWhatItAcknowledged(t *testing.T) {
 	dir := t.TempDir()
 	run := 0
@@ -99,7 +99,8 @@
 	})
 }
 
-func TestLedgerThatCannotWriteRejectsOrders(t *testing.T) {
+// An order that the ledger can't record is refused with 503 and not handed to the router, and so is the next one.
+func TestLedgerThatCannotWriteRefusesOrders(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger") // one failure leaves nothing behind for the next
 	for _, test := range []struct {
 		name          string
@@ -123,7 +124,7 @@
 				transport := deliver(receiver, orderDelivery(strconv.Itoa(i)))
 				(<-loopCalls)()
 				if got := statuses(t, transport); !slices.Equal(got, []int{http.StatusServiceUnavailable}) || len(requests.requests) > 0 {
-					t.Errorf("order %d: statuses %v, %d calls", i, got, len(requests.requests))
+					t.Errorf("order %d: statuses %v, %d requests", i, got, len(requests.requests))
 				}
 			}
 			if got := receiver.Count.LedgerRefused; got != 2 {
@@ -178,30 +179,31 @@
 	})
 }
 
-// Where the disk doesn't keep up, the loop's goroutine never waits for it: orders are rejected, and the ends of orders
-// are dropped.
+// If the disk is too slow, the event loop's goroutine never waits for it: orders are refused, and the ends of orders are
+// dropped.
 func TestLedgerQueueIsBounded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	l, _, err := openLedger(path, testLedgerBytes, time.Hour, noonClock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	writerStopped, writerMayGoOn := make(chan struct{}), make(chan struct{})
+	writerStopped := make(chan struct{})
+	writerMayContinue := make(chan struct{})
 	l.recordStart(ledgerEntry{ID: "first", EventTime: noon}, func(error) {
 		close(writerStopped)
-		<-writerMayGoOn
+		<-writerMayContinue
 	})
 	<-writerStopped
 	for i := range ledgerQueueLength {
 		l.recordEnd(ledgerEntry{ID: strconv.Itoa(i), EventTime: noon, State: orderEnded})
 	}
 	l.recordEnd(ledgerEntry{ID: "dropped", EventTime: noon, State: orderEnded})
-	var rejection error
-	l.recordStart(ledgerEntry{ID: "rejected", EventTime: noon}, func(err error) { rejection = err })
-	if !errors.Is(rejection, errLedgerFull) {
-		t.Errorf("with a full queue: %v", rejection)
+	var refusal error
+	l.recordStart(ledgerEntry{ID: "refused", EventTime: noon}, func(err error) { refusal = err })
+	if !errors.Is(refusal, errLedgerFull) {
+		t.Errorf("with a full queue: %v", refusal)
 	}
-	close(writerMayGoOn)
+	close(writerMayContinue)
 	if err := l.close(); err != nil {
 		t.Fatal(err)
 	}
@@ -211,7 +213,7 @@
 	}
 }
 
-// Damage leaves it open which orders ran: such a ledger must not be used.
+// With damage it is unknown which orders ran: such a ledger must not be used.
 func TestDamagedLedgerIsNotOpened(t *testing.T) {
 	sound := string(encodeEntry(ledgerEntry{ID: "m", EventTime: noon, State: orderBegun}))
 	for name, text := range map[string]string{
--- /dev/null
+++ b/internal/frontend/webhook/payload.go
@@ -0,0 +1,134 @@
+package webhook
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+
+	"functionrouter/internal/router"
+	"functionrouter/policy"
+)
+
+// payloadType is the type of the only event that the Receiver accepts.
+const payloadType = "call.requested"
+
+// Why a payload is refused.
+var (
+	errNotJSON             = errors.New("payload can't be decoded")
+	errUnknownType         = errors.New("type is not " + payloadType)
+	errUnknownClass        = errors.New("unknown class")
+	errRequestBodyTooLarge = errors.New("body is too long")
+	errMalformedKey        = errors.New("key is not 16 hex digits in lower case")
+	errFigureOutOfRange    = errors.New("a figure is out of range")
+	errOutsideRetention    = errors.New("the order's timestamp is outside the ledger's retention")
+)
+
+// payload is the JSON of a delivery. Everything that affects the request is in it, since nothing else is signed but the
+// webhook-id and the time.
+type payload struct {
+	Type      string      `json:"type"`
+	Timestamp time.Time   `json:"timestamp"` // of the event; the same in each redelivery
+	Data      requestData `json:"data"`
+}
+
+// requestData is the request that a payload carries. Its JSON names are part of the wire.
+type requestData struct {
+	Class       string  `json:"class"`
+	FunctionKey string  `json:"key"`
+	WaitMs      float64 `json:"wait_ms"`   // how long the client waits, in milliseconds; 0: as long as the class allows
+	MemoryMB    float64 `json:"memory_mb"` // of one instance, in MiB
+	Concurrency float64 `json:"lanes"`     // requests that one instance runs at a time
+	LoadMs      float64 `json:"load_ms"`   // usual time to load an instance, in milliseconds; 0: not given
+	Body        []byte  `json:"body"`      // base64 in the JSON
+}
+
+// deliveredRequest is the request of a delivery, without its Responder, client address and ClientReference.
+type deliveredRequest struct {
+	request   router.Request
+	eventTime time.Time
+	isOrder   bool // it must never run twice
+}
+
+// parsePayload parses a payload whose signature was verified.
+func (r *Receiver) parsePayload(body []byte) (deliveredRequest, error) {
+	var p payload
+	if err := json.Unmarshal(body, &p); err != nil {
+		return deliveredRequest{}, fmt.Errorf("%w: %w", errNotJSON, err)
+	}
+	class, known := r.classIndexes[p.Data.Class]
+	switch {
+	case p.Type != payloadType:
+		return deliveredRequest{}, errUnknownType
+	case !known:
+		return deliveredRequest{}, errUnknownClass
+	case len(p.Data.Body) > maxRequestBodyBytes:
+		return deliveredRequest{}, errRequestBodyTooLarge
+	}
+	function, valid := router.ParseHexID(p.Data.FunctionKey)
+	if !valid {
+		return deliveredRequest{}, errMalformedKey
+	}
+	if !p.Data.isInRange() {
+		return deliveredRequest{}, errFigureOutOfRange
+	}
+	isOrder := r.classes[class].CarriesOrders
+	if isOrder && !r.isWithinRetention(p.Timestamp) {
+		return deliveredRequest{}, errOutsideRetention
+	}
+	request := router.Request{
+		Frontend:    router.Webhook,
+		Class:       class,
+		Tenant:      router.UnknownTenant,
+		ID:          newRequestID(),
+		FunctionKey: p.Data.FunctionKey,
+		Function:    policy.FunctionID(function),
+		MemoryMB:    p.Data.MemoryMB,
+		Concurrency: p.Data.Concurrency,
+		LoadTime:    milliseconds(p.Data.LoadMs),
+		Body:        p.Data.Body,
+		Deadline:    r.now() + router.AnswerBudget(r.wait(class, p.Data.WaitMs)),
+	}
+	return deliveredRequest{request: request, eventTime: p.Timestamp, isOrder: isOrder}, nil
+}
+
+// isInRange reports whether every figure is a number within the bounds of package router.
+func (d *requestData) isInRange() bool {
+	waitInRange := router.InRange(d.WaitMs, router.MaxWaitMs)
+	memoryInRange := router.InRange(d.MemoryMB, router.MaxMemoryMB)
+	concurrencyInRange := router.InRange(d.Concurrency, router.MaxConcurrency)
+	loadTimeInRange := router.InRange(d.LoadMs, router.MaxLoadMs)
+	return waitInRange && memoryInRange && concurrencyInRange && loadTimeInRange
+}
+
+// isWithinRetention reports whether the ledger, if it ever recorded an order of this event, has it still and keeps it
+// for as long as the delivery's signature is valid. An older order may have run and been forgotten.
+func (r *Receiver) isWithinRetention(eventTime time.Time) bool {
+	age := r.wallClock().Sub(eventTime)
+	oldest := r.settings.Ledger.Retention - signatureValidityInTolerances*r.settings.Tolerance
+	return age <= oldest && age >= -r.settings.Tolerance
+}
+
+// wait returns how long a request of the class may wait for its final answer. waitMs is from the payload.
+func (r *Receiver) wait(class int, waitMs float64) time.Duration {
+	maxWait := r.classes[class].MaxWait
+	wait := milliseconds(waitMs)
+	if wait == 0 || wait > maxWait {
+		return maxWait
+	}
+	return wait
+}
+
+// milliseconds returns a duration that is given in milliseconds.
+func milliseconds(value float64) time.Duration {
+	return time.Duration(value * float64(time.Millisecond))
+}
+
+// newRequestID returns a random ID for the workers, which do not know webhook-ids.
+func newRequestID() string {
+	var b [8]byte
+	rand.Read(b[:]) // it never fails: see crypto/rand
+	return fmt.Sprintf("%016x", binary.BigEndian.Uint64(b[:]))
+}
--- a/internal/frontend/webhook/receiver.go
+++ b/internal/frontend/webhook/receiver.go
@@ -1,13 +1,3 @@
-// Package webhook is an optional frontend: it takes calls as signed webhook deliveries over HTTP/1.1 and sends
-// signed notices of how orders ended, both after the Standard Webhooks specification
-// (https://www.standardwebhooks.com).
-//
-// A delivery may come any number of times; its webhook-id is the idempotency key. The Receiver runs its call once
-// and replays the outcome to redeliveries. Calls that must never run twice (orders) go through a durable
-// write-ahead log, the ledger, before they are sent to a worker, so that this also holds over a restart.
-//
-// A Receiver and a Sender belong to the event loop's goroutine: all their methods are called there. The only other
-// goroutine is the ledger's writer, which NewReceiver starts and Receiver.Close ends.
 package webhook
 
 import (
@@ -22,73 +12,78 @@
 	"functionrouter/policy"
 )
 
-const (
-	defaultRetryAfter    = time.Second // where the policy gives no advice
-	rejectionLogInterval = time.Second // between two log lines about rejected deliveries, at least
-)
+// defaultRetryAfter is the Retry-After of what is refused without advice from the policy.
+const defaultRetryAfter = time.Second
+
+// refusalLogInterval is the minimum time between two log lines about refused deliveries. Otherwise anyone who can connect
+// could fill the log.
+const refusalLogInterval = time.Second
 
-// Why a delivery that was verified is not run.
+// Why a delivery is refused although its signature is valid.
 var (
 	errPayloadMismatch = errors.New("webhook-id was used for another payload")
 	errOverloaded      = errors.New("too many deliveries are remembered or waiting")
 	errNoLedger        = errors.New("orders are not taken without a ledger")
 )
 
-// RequestRouter is what the Receiver hands calls to; a router.Router is one.
+// RequestRouter routes the requests that deliveries carry. A *router.Router is one.
 type RequestRouter interface {
-	// Submit takes a request at now, on the loop's monotonic clock. The request's Responder gets the final answer,
-	// at once or later.
+	// Submit routes a request and returns its ID. now is the event loop's clock. The request's Responder gets the final
+	// answer, before Submit returns or later.
 	Submit(now time.Duration, r router.Request) policy.RequestID
 }
 
-// Transport is a connection to a peer; an eventloop.Conn is one.
+// Transport is a connection to a peer. An *eventloop.Conn is one.
 type Transport interface {
-	// Write queues the bytes for sending.
+	// Write queues bufs for sending. They belong to the Transport from then on.
 	Write(bufs ...[]byte)
 	// Close closes the connection at once.
 	Close()
-	// CloseAfterFlush closes the connection when what was written has been sent.
+	// CloseAfterFlush closes the connection when everything written has been sent.
 	CloseAfterFlush()
 }
 
-// Class is a class of calls as the Receiver needs to know it.
+// Class is a class of requests.
 type Class struct {
-	Name    string
-	Once    bool          // it must never run twice: it goes through the ledger
-	Longest time.Duration // that a call may wait for its answer; also what it waits where it doesn't say
+	Name          string
+	CarriesOrders bool          // its requests must never run twice: they go through the ledger
+	MaxWait       time.Duration // how long a request may wait for its final answer, and does where the payload gives no wait
 }
 
-// Counters counts deliveries by what was done with them.
+// Counters counts HTTP requests by what was done with them.
 type Counters struct {
-	Deliveries    uint64 // requests to the right path with the right method
-	Unauthorized  uint64 // without a valid signature
-	Malformed     uint64 // requests that can't be read, are no delivery or have a bad payload
-	Replayed      uint64 // redeliveries answered with the first one's outcome
-	Joined        uint64 // redeliveries that waited for the first one's outcome
+	Deliveries    uint64 // with the right path and method
+	Unauthorized  uint64 // of Deliveries: without a valid signature
+	Malformed     uint64 // that can't be parsed, have another path or method, or a payload that can't be used
+	Replayed      uint64 // redeliveries answered with the outcome of the first delivery
+	Joined        uint64 // redeliveries that waited for the outcome of the first delivery
 	LedgerRefused uint64 // orders that could not be recorded
 }
 
 // Receiver serves signed webhooks. It belongs to the event loop's goroutine.
 type Receiver struct {
-	settings         *ReceiverConfig
-	router           RequestRouter
-	classes          []Class
-	classIndexes     map[string]int // in classes, by name
-	now              func() time.Duration
-	wallClock        func() time.Time
-	runOnLoop        func(func())
-	keys             []signingKey
-	ledger           *ledger // nil: orders are not taken
-	deliveries       *deduplicator
-	nextRejectionLog time.Duration
+	settings       *ReceiverConfig
+	router         RequestRouter
+	classes        []Class
+	classIndexes   map[string]int       // in classes, by name
+	now            func() time.Duration // the event loop's clock
+	wallClock      func() time.Time
+	runOnLoop      func(func()) // runs a function on the event loop's goroutine
+	keys           []signingKey
+	ledger         *ledger // nil: orders are refused
+	deliveries     *deduplicator
+	nextRefusalLog time.Duration // the earliest time of the next log line about a refused delivery
 
-	// Count may be read on the loop's goroutine.
+	// Count may be read on the event loop's goroutine.
 	Count Counters
 }
 
-// NewReceiver reads the keys and the ledger, and starts the ledger's writer, which Close ends. It remembers at most
-// maxReplayBytes of answers' bodies. now is the loop's monotonic clock, and runOnLoop runs a function on the loop's
-// goroutine. Its errors name the file that can't be used.
+// NewReceiver returns a Receiver that hands requests to the RequestRouter.
+//
+// It reads the keys and the ledger, and starts the ledger's writer, which Close ends. classes are those of the settings,
+// as the settings list them: a request carries the index of its own. maxReplayBytes bounds the bodies that are kept for
+// redeliveries. now is the event loop's clock. runOnLoop runs a function on the event loop's goroutine; it may be called
+// on any goroutine. An error names the file that can't be used.
 func NewReceiver(cfg *Config, requests RequestRouter, classes []Class, maxReplayBytes int, now func() time.Duration,
 	wallClock func() time.Time, runOnLoop func(func())) (*Receiver, error) {
 	r := &Receiver{
@@ -117,7 +112,7 @@
 	return r, nil
 }
 
-// openLedger opens the ledger, where one is configured, and remembers the outcomes in it.
+// openLedger opens the ledger, if the settings name one, and restores the deliveries that it records.
 func (r *Receiver) openLedger() error {
 	settings := &r.settings.Ledger
 	if settings.Path == "" {
@@ -134,7 +129,7 @@
 	return nil
 }
 
-// Close waits until the ledger's entries are written, and ends its writer. No delivery may come after it.
+// Close waits until the ledger's entries are written, and ends its writer. No delivery may arrive after it.
 func (r *Receiver) Close() error {
 	if r.ledger == nil {
 		return nil
@@ -142,57 +137,64 @@
 	return r.ledger.close()
 }
 
-// Accept serves a connection.
+// Accept returns the handler of a connection that a client has opened.
 func (r *Receiver) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
 	return r.serve(c, c.RemoteAddr())
 }
 
-func (r *Receiver) serve(transport Transport, peer netip.AddrPort) *connection {
-	return &connection{receiver: r, transport: transport, peer: peer}
+// serve returns the handler of a connection.
+func (r *Receiver) serve(transport Transport, clientAddr netip.AddrPort) *connection {
+	return &connection{receiver: r, transport: transport, clientAddr: clientAddr}
 }
 
-// Sweep forgets outcomes that have expired at now, on the loop's monotonic clock.
+// Sweep forgets outcomes that have expired at now, on the event loop's clock. It is to be called from time to time.
 func (r *Receiver) Sweep(now time.Duration) {
 	r.deliveries.sweep(now-r.settings.DedupeFor, r.wallClock().Add(-r.settings.Ledger.Retention))
 }
 
-// handle answers a request or has its call run. Nothing has any effect before the signature is verified.
+// handle handles an HTTP request. Nothing before the check of its signature has any effect, but for counters and log.
 func (r *Receiver) handle(c *connection, head *requestHead, body []byte) {
 	if err := r.checkTarget(head); err != nil {
 		r.Count.Malformed++
-		c.reject(err)
+		c.refuse(err)
 		return
 	}
 	r.Count.Deliveries++
 	id, err := verifySignature(head, body, r.keys, r.wallClock(), r.settings.Tolerance)
 	if err != nil {
 		r.Count.Unauthorized++
-		r.logRejection("webhook delivery unauthorized", err)
-		c.reject(err)
+		r.logRefusal("webhook delivery unauthorized", err)
+		c.refuse(err)
 		return
 	}
 	digest := payloadDigest(body)
-	if d := r.deliveries.find(id); d != nil {
-		r.handleRedelivery(c, d, digest)
+	if known := r.deliveries.find(id); known != nil {
+		r.handleRedelivery(c, known, digest)
 		return
 	}
-	parsed, err := r.parseCall(body)
+	r.handleFirstDelivery(c, id, digest, body)
+}
+
+// handleFirstDelivery parses the payload of a first delivery and admits its request, or refuses it.
+func (r *Receiver) handleFirstDelivery(c *connection, id, digest string, body []byte) {
+	parsed, err := r.parsePayload(body)
 	if err != nil {
 		r.Count.Malformed++
-		r.logRejection("webhook delivery malformed", err)
-		c.reject(err)
+		r.logRefusal("webhook delivery malformed", err)
+		c.refuse(err)
 		return
 	}
 	if r.deliveries.isFull() {
-		c.reject(errOverloaded)
+		c.refuse(errOverloaded)
 		return
 	}
-	parsed.request.ClientAddr = c.peer
+	parsed.request.ClientAddr = c.clientAddr
 	parsed.request.ClientReference = id
-	r.admit(c, &delivery{id: id, digest: digest, eventTime: parsed.eventTime, isOrder: parsed.isOrder}, parsed.request)
+	first := &delivery{id: id, digest: digest, eventTime: parsed.eventTime, isOrder: parsed.isOrder}
+	r.admit(c, first, parsed.request)
 }
 
-// checkTarget rejects what is no delivery, whoever it comes from.
+// checkTarget returns an error unless the HTTP request has the path and the method of deliveries.
 func (r *Receiver) checkTarget(head *requestHead) error {
 	if string(head.target) != r.settings.Path {
 		return errUnknownPath
@@ -203,28 +205,30 @@
 	return nil
 }
 
-// handleRedelivery answers a redelivery with the outcome of the first delivery, as soon as that is known.
+// handleRedelivery answers a redelivery with the outcome of the first delivery, as soon as it is known. digest is that of
+// the redelivery's payload.
 func (r *Receiver) handleRedelivery(c *connection, d *delivery, digest string) {
 	switch {
-	case d.digest != digest: // a sender may not give an id to another payload
+	case d.digest != digest: // a client may not use a webhook-id for another payload
 		r.Count.Malformed++
-		c.reject(errPayloadMismatch)
+		c.refuse(errPayloadMismatch)
 	case d.completed:
 		r.Count.Replayed++
 		c.respond(d.outcome)
 	case len(d.waiting) >= maxWaitingConnections:
-		c.reject(errOverloaded)
+		c.refuse(errOverloaded)
 	default:
 		r.Count.Joined++
 		d.waiting = append(d.waiting, c)
 	}
 }
 
-// admit hands a first delivery's call to the router: that of an order once the ledger has recorded it.
+// admit hands the request of a first delivery to the router, an order's after the ledger has recorded it. Orders are
+// refused without a ledger.
 func (r *Receiver) admit(c *connection, d *delivery, request router.Request) {
 	if d.isOrder && r.ledger == nil {
 		r.Count.LedgerRefused++
-		c.reject(errNoLedger)
+		c.refuse(errNoLedger)
 		return
 	}
 	d.waiting = []*connection{c}
@@ -234,13 +238,14 @@
 		return
 	}
 	r.ledger.recordStart(d.ledgerEntry(orderBegun), func(err error) {
-		r.runOnLoop(func() { r.startRecorded(d, request, err) })
+		r.runOnLoop(func() { r.submitRecorded(d, request, err) })
 	})
 }
 
-// startRecorded goes on with an order when the ledger has recorded it, or has failed to.
-func (r *Receiver) startRecorded(d *delivery, request router.Request, err error) {
-	if err != nil { // the ledger has logged it
+// submitRecorded submits an order that the ledger has recorded. If the ledger has failed to, with err, the order is
+// refused, and its next delivery is a first one.
+func (r *Receiver) submitRecorded(d *delivery, request router.Request, err error) {
+	if err != nil { // the ledger has logged it, unless its queue was full
 		r.Count.LedgerRefused++
 		r.deliveries.remove(d)
 		d.respondToWaiting(response{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter})
@@ -249,18 +254,18 @@
 	r.submit(d, request)
 }
 
+// submit hands a delivery's request to the router.
 func (r *Receiver) submit(d *delivery, request router.Request) {
 	request.Responder = &responder{receiver: r, delivery: d}
 	r.router.Submit(r.now(), request)
 }
 
-// logRejection logs why a delivery was rejected, at most once in rejectionLogInterval: otherwise any client could fill
-// the log. The counters count them all.
-func (r *Receiver) logRejection(message string, err error) {
+// logRefusal logs why a delivery was refused, at most once in refusalLogInterval. The counters count all of them.
+func (r *Receiver) logRefusal(message string, err error) {
 	now := r.now()
-	if now < r.nextRejectionLog {
+	if now < r.nextRefusalLog {
 		return
 	}
-	r.nextRejectionLog = now + rejectionLogInterval
+	r.nextRefusalLog = now + refusalLogInterval
 	slog.Warn(message, "frontend", "webhook", "error", err)
 }
--- a/internal/frontend/webhook/receiver_test.go
+++ b/internal/frontend/webhook/receiver_test.go
@@ -13,67 +13,67 @@
 	"functionrouter/internal/testsupport"
 )
 
-func TestRejectedDeliveriesHaveNoEffect(t *testing.T) {
-	body := callPayload("dim-level", "x", noon)
+func TestRefusedDeliveriesHaveNoEffect(t *testing.T) {
+	body := requestPayload("dim-level", "x", noon)
 	valid := string(signedDelivery(activeSecret, "m", noon, body))
 	replace := func(from, to string) []byte { return []byte(strings.Replace(valid, from, to, 1)) }
 	for name, test := range map[string]struct {
 		status  int
 		request []byte
 	}{
-		"retired key":        {401, signedDelivery(retiredSecret, "m", noon, body)},
-		"unknown key":        {401, signedDelivery([]byte("somebody else's secret..."), "m", noon, body)},
-		"stale":              {401, signedDelivery(activeSecret, "m", noon.Add(-6*time.Minute), body)},
-		"from the future":    {401, signedDelivery(activeSecret, "m", noon.Add(6*time.Minute), body)},
-		"other id":           {401, replace("webhook-id: m", "webhook-id: n")},
-		"other time":         {401, replace("webhook-timestamp: 1", "webhook-timestamp: 01")},
-		"other body":         {401, replace(`"dim-level"`, `"dim-levex"`)},
-		"dotted id":          {401, signedDelivery(activeSecret, "m.1", noon, body)},
-		"no signature":       {401, replace("webhook-signature", "x-signature")},
-		"two ids":            {401, replace("webhook-id: m", "webhook-id: m\r\nwebhook-id: m")},
-		"unknown class":      {400, signedDelivery(activeSecret, "m", noon, callPayload("lift", "x", noon))},
-		"no JSON":            {400, signedDelivery(activeSecret, "m", noon, []byte("{"))},
-		"long call":          {400, signedDelivery(activeSecret, "m", noon, callPayload("dim-level", strings.Repeat("x", maxCallBytes+1), noon))},
-		"two lengths":        {400, replace("Content-Length", "Content-Length: 3\r\nContent-Length")},
-		"length and chunks":  {400, replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length")},
-		"signed length":      {400, replace("Content-Length: ", "Content-Length: +")},
-		"no length":          {400, replace("Content-Length", "X-Length")},
-		"no host":            {400, replace("Host", "X-Host")},
-		"bare line feed":     {400, replace("\r\n", "\n")},
-		"folded line":        {400, replace("webhook-id: m", "webhook-id: m\r\n x")},
-		"space before colon": {400, replace("Host:", "Host :")},
-		"old version":        {400, replace("HTTP/1.1", "HTTP/1.0")},
-		"other path":         {404, replace("/hooks", "/hook")},
-		"other method":       {405, replace("POST", "PUT")},
-		"long body":          {413, replace("Content-Length: ", "Content-Length: 99")},
-		"long head":          {431, replace("Host: ", "Host: "+strings.Repeat("x", maxHeadBytes))},
-		"many headers":       {431, replace("Host: ", strings.Repeat("A: b\r\n", maxHeaderFields)+"Host: ")},
-		"order, no ledger":   {503, signedDelivery(activeSecret, "m", noon, callPayload("repair-order", "x", noon))},
+		"retired key":              {401, signedDelivery(retiredSecret, "m", noon, body)},
+		"unknown key":              {401, signedDelivery([]byte("somebody else's secret..."), "m", noon, body)},
+		"stale":                    {401, signedDelivery(activeSecret, "m", noon.Add(-6*time.Minute), body)},
+		"from the future":          {401, signedDelivery(activeSecret, "m", noon.Add(6*time.Minute), body)},
+		"other id":                 {401, replace("webhook-id: m", "webhook-id: n")},
+		"other time":               {401, replace("webhook-timestamp: 1", "webhook-timestamp: 01")},
+		"other body":               {401, replace(`"dim-level"`, `"dim-levex"`)},
+		"dotted id":                {401, signedDelivery(activeSecret, "m.1", noon, body)},
+		"no signature":             {401, replace("webhook-signature", "x-signature")},
+		"two ids":                  {401, replace("webhook-id: m", "webhook-id: m\r\nwebhook-id: m")},
+		"unknown class":            {400, signedDelivery(activeSecret, "m", noon, requestPayload("lift", "x", noon))},
+		"no JSON":                  {400, signedDelivery(activeSecret, "m", noon, []byte("{"))},
+		"long body of the request": {400, signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", strings.Repeat("x", maxRequestBodyBytes+1), noon))},
+		"two lengths":              {400, replace("Content-Length", "Content-Length: 3\r\nContent-Length")},
+		"length and chunks":        {400, replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length")},
+		"signed length":            {400, replace("Content-Length: ", "Content-Length: +")},
+		"no length":                {400, replace("Content-Length", "X-Length")},
+		"no host":                  {400, replace("Host", "X-Host")},
+		"bare line feed":           {400, replace("\r\n", "\n")},
+		"folded line":              {400, replace("webhook-id: m", "webhook-id: m\r\n x")},
+		"space before colon":       {400, replace("Host:", "Host :")},
+		"old version":              {400, replace("HTTP/1.1", "HTTP/1.0")},
+		"other path":               {404, replace("/hooks", "/hook")},
+		"other method":             {405, replace("POST", "PUT")},
+		"long body":                {413, replace("Content-Length: ", "Content-Length: 99")},
+		"long head":                {431, replace("Host: ", "Host: "+strings.Repeat("x", maxHeadBytes))},
+		"many headers":             {431, replace("Host: ", strings.Repeat("A: b\r\n", maxHeaderFields)+"Host: ")},
+		"order, no ledger":         {503, signedDelivery(activeSecret, "m", noon, requestPayload("repair-order", "x", noon))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requests := &fakeRouter{}
 			receiver, _ := newTestReceiver(t, requests, "")
 			transport := deliver(receiver, test.request)
 			if got := statuses(t, transport); !slices.Equal(got, []int{test.status}) || len(requests.requests) > 0 {
-				t.Errorf("statuses %v, want one %d; %d calls", got, test.status, len(requests.requests))
+				t.Errorf("statuses %v, want one %d; %d requests", got, test.status, len(requests.requests))
 			}
 		})
 	}
 }
 
-// The ledger may have forgotten an order that is older than it retains.
-func TestOrderOlderThanTheRetentionIsRejected(t *testing.T) {
+// The ledger may have forgotten an order that is older than its retention.
+func TestOrderOlderThanTheRetentionIsRefused(t *testing.T) {
 	requests := &fakeRouter{}
 	receiver, _ := newTestReceiver(t, requests, filepath.Join(t.TempDir(), "ledger"))
 	defer closeReceiver(t, receiver)
-	payload := callPayload("repair-order", "x", noon.Add(-72*time.Hour))
+	payload := requestPayload("repair-order", "x", noon.Add(-72*time.Hour))
 	transport := deliver(receiver, signedDelivery(activeSecret, "old", noon, payload))
 	if got := statuses(t, transport); !slices.Equal(got, []int{http.StatusBadRequest}) || len(requests.requests) > 0 {
-		t.Errorf("statuses %v, %d calls", got, len(requests.requests))
+		t.Errorf("statuses %v, %d requests", got, len(requests.requests))
 	}
 }
 
-// Guards rule 2 over a crash: an order that was in flight then may have run, so it is failed and not handed to the
+// Guards rule 2 over a crash: an order that was in flight then may have run, so it fails and is not handed to the
 // router again.
 func TestOrderInFlightAtACrashIsNotRunAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
@@ -86,7 +86,7 @@
 		transport := deliver(receiver, request)
 		(<-loopCalls)() // it is on the disk, and is handed to the router
 		if got := statuses(t, transport); len(requests.requests) != 1 || len(got) > 0 {
-			t.Errorf("%d calls, statuses %v", len(requests.requests), got)
+			t.Errorf("%d requests, statuses %v", len(requests.requests), got)
 		}
 	})
 	t.Run("after", func(t *testing.T) {
@@ -95,14 +95,14 @@
 		defer closeReceiver(t, receiver)
 		transport := deliver(receiver, request)
 		if got := statuses(t, transport); len(requests.requests) != 0 || !slices.Equal(got, []int{http.StatusBadGateway}) {
-			t.Errorf("%d calls, statuses %v", len(requests.requests), got)
+			t.Errorf("%d requests, statuses %v", len(requests.requests), got)
 		}
 	})
 }
 
-// Guards against a redelivery that comes while the first is still being recorded or run: it waits for the same
-// outcome, also when the first one's client has gone meanwhile.
-func TestRedeliveryWaitsForThePendingCall(t *testing.T) {
+// Guards against a redelivery that arrives while the first delivery is still being recorded or run: it waits for the same
+// outcome, also when the client of the first one has disconnected meanwhile.
+func TestRedeliveryWaitsForThePendingRequest(t *testing.T) {
 	requests := &fakeRouter{}
 	receiver, loopCalls := newTestReceiver(t, requests, filepath.Join(t.TempDir(), "ledger"))
 	defer closeReceiver(t, receiver)
@@ -134,12 +134,12 @@
 	}
 }
 
-// The Receiver remembers a delivery's outcome as long as the settings say, and a pending one as long as it takes.
+// The Receiver remembers a delivery's outcome as long as the settings say, and a pending delivery until it completes.
 func TestSweepForgetsOnlyExpiredOutcomes(t *testing.T) {
 	requests := &fakeRouter{}
 	receiver, _ := newTestReceiver(t, requests, "")
 	for _, id := range []string{"completed", "pending"} {
-		deliver(receiver, signedDelivery(activeSecret, id, noon, callPayload("dim-level", id, noon)))
+		deliver(receiver, signedDelivery(activeSecret, id, noon, requestPayload("dim-level", id, noon)))
 	}
 	requests.requests[0].Responder.Respond(router.Response{Status: router.Served, Body: []byte("done")})
 	expiry := receiver.now() + receiver.settings.DedupeFor
--- /dev/null
+++ b/internal/frontend/webhook/responder.go
@@ -0,0 +1,58 @@
+package webhook
+
+import (
+	"net/http"
+
+	"functionrouter/internal/router"
+)
+
+// responder gets the router's final answer to a delivery's request.
+type responder struct {
+	receiver *Receiver
+	delivery *delivery
+}
+
+// Respond answers all connections that wait for the delivery. An answer after which the request may have run is kept for
+// redeliveries. Where it is proven that the request never ran, the next delivery of the webhook-id is a first one.
+func (r *responder) Respond(a router.Response) {
+	if a.Status == router.Refused && !a.MayHaveRun {
+		r.release(a)
+		return
+	}
+	r.complete(a)
+}
+
+// release forgets a delivery whose request never ran, and answers the connections that wait for it.
+func (r *responder) release(a router.Response) {
+	r.receiver.deliveries.remove(r.delivery)
+	if r.delivery.isOrder {
+		r.receiver.ledger.recordEnd(r.delivery.ledgerEntry(orderReleased))
+	}
+	if a.DeadlineExceeded {
+		r.delivery.respondToWaiting(response{status: http.StatusGatewayTimeout})
+		return
+	}
+	r.delivery.respondToWaiting(response{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
+}
+
+// complete keeps the outcome of a delivery whose request may have run, and answers the connections that wait for it.
+func (r *responder) complete(a router.Response) {
+	r.receiver.deliveries.complete(r.delivery, r.receiver.now(), outcomeOf(a))
+	if r.delivery.isOrder {
+		r.receiver.ledger.recordEnd(r.delivery.ledgerEntry(orderEnded))
+	}
+	r.delivery.respondToWaiting(r.delivery.outcome)
+}
+
+// outcomeOf returns the response to a delivery whose request may have run, and to its redeliveries.
+func outcomeOf(a router.Response) response {
+	switch {
+	case a.Status == router.Served:
+		return response{status: http.StatusOK, body: a.Body}
+	case a.DeadlineExceeded:
+		return response{status: http.StatusGatewayTimeout}
+	default:
+		// Also a refused request that may have run: a redelivery must not run it again.
+		return response{status: http.StatusBadGateway}
+	}
+}
--- a/internal/frontend/webhook/response_test.go
+++ b/internal/frontend/webhook/response_test.go
@@ -12,7 +12,7 @@
 
 // What clients read is fixed byte for byte.
 func TestResponsesOnTheWire(t *testing.T) {
-	good := string(signedDelivery(activeSecret, "m", noon, callPayload("dim-level", "x", noon)))
+	good := string(signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", "x", noon)))
 	served := &router.Response{Status: router.Served, Body: []byte("done")}
 	for name, test := range map[string]struct {
 		request  string
@@ -42,7 +42,8 @@
 			"HTTP/1.1 431 Request Header Fields Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			requests, transport := &fakeRouter{}, &testsupport.Transport{}
+			requests := &fakeRouter{}
+			transport := &testsupport.Transport{}
 			receiver, _ := newTestReceiver(t, requests, "")
 			c := receiver.serve(transport, netip.AddrPort{})
 			switch name {
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -1,8 +1,6 @@
 package webhook
 
 import (
-	crand "crypto/rand"
-	"encoding/base64"
 	"encoding/json"
 	"fmt"
 	"log/slog"
@@ -16,62 +14,52 @@
 )
 
 const (
+	// maxConcurrentAttempts bounds the connections to the notices' receiver.
 	maxConcurrentAttempts = 4
-	maxBackoff            = 10 * time.Minute
-	maxBackoffDoublings   = 20        // the exponent's bound
-	idleInterval          = time.Hour // until Process is called again where nothing waits
-	defaultPort           = ":80"
+
+	// idleInterval is the time until the next call of Process where no notice waits for anything.
+	idleInterval = time.Hour
+
+	// defaultPort is that of http URLs.
+	defaultPort = ":80"
+)
+
+// The backoff between the attempts of a notice; see retryDelay.
+const (
+	maxBackoff                 = 10 * time.Minute
+	backoffDoublingsPerAttempt = 2  // the backoff grows fourfold
+	maxBackoffDoublings        = 20 // so that the shift does not overflow a time.Duration
 )
 
-// Sender sends a signed notice of each order's outcome. It never delays a request: notices that its queue has no room
-// for are dropped and counted. It belongs to the event loop's goroutine.
+// Sender sends a signed notice of each order's outcome. It never delays a request: notices that find the queue full are
+// dropped and counted. It belongs to the event loop's goroutine.
 type Sender struct {
 	settings  *SenderConfig
 	url       *url.URL
 	address   string // to connect to
-	secret    []byte
+	secret    []byte // signs the notices
 	dial      func(address string, timeout time.Duration, h eventloop.DialHandler) Transport
 	wallClock func() time.Time
-	now       time.Duration // the latest time that a caller passed
+	now       time.Duration // the event loop's clock, as a caller last passed it
 	queue     []*notice     // waiting for their first or next attempt
 	attempts  []*attempt    // in flight, and those that ended since the last Process
 	inFlight  int           // attempts that have not ended
 
-	// Sent may be read on the loop's goroutine.
+	// Sent may be read on the event loop's goroutine.
 	Sent SenderCounters
 }
 
-// SenderCounters counts notices by what was done with them.
+// SenderCounters counts notices by what was done with them. Each notice that was queued is Delivered, GivenUp or open.
 type SenderCounters struct {
 	Queued    uint64
 	Dropped   uint64 // not queued: the queue was full
 	Delivered uint64 // accepted by their receiver
-	Retried   uint64 // attempts that failed and were followed by another
-	GivenUp   uint64 // notices whose last attempt failed
-}
-
-// notice is a message to be delivered.
-type notice struct {
-	id        string // its webhook-id, the same in each attempt
-	body      []byte
-	attempts  int           // that have ended
-	notBefore time.Duration // of its next attempt
-}
-
-// noticePayload is the JSON of a notice.
-type noticePayload struct {
-	Type      string     `json:"type"`
-	Timestamp time.Time  `json:"timestamp"` // of the order's end
-	Data      noticeData `json:"data"`
-}
-
-type noticeData struct {
-	ID        string `json:"id"`                   // of the request
-	WebhookID string `json:"webhook_id,omitempty"` // of the delivery that asked for the order
-	Key       string `json:"key"`                  // the function's
+	Retried   uint64 // failed attempts that another one follows
+	GivenUp   uint64 // notices that failed: no attempt follows the last one
 }
 
-// NewSender reads the key. dial opens a connection and reports to h on the loop's goroutine, after it has returned.
+// NewSender returns a Sender to the URL of the settings, and reads its key. dial opens a connection to address and reports
+// to h on the event loop's goroutine, after it has returned.
 func NewSender(cfg *Config, wallClock func() time.Time,
 	dial func(address string, timeout time.Duration, h eventloop.DialHandler) Transport) (*Sender, error) {
 	settings := &cfg.Sender
@@ -93,7 +81,7 @@
 	return &Sender{settings: settings, url: target, address: address, secret: secret, dial: dial, wallClock: wallClock}, nil
 }
 
-// Notify queues a notice of an order's outcome, whose name becomes part of the notice's type.
+// Notify queues a notice of an order's outcome. now is the event loop's clock.
 func (s *Sender) Notify(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	s.now = max(s.now, now)
 	if s.OpenNotices() >= s.settings.Queue {
@@ -103,7 +91,7 @@
 	body, err := json.Marshal(noticePayload{
 		Type:      noticeType(outcome),
 		Timestamp: s.wallClock().UTC(),
-		Data:      noticeData{ID: r.ID, WebhookID: r.ClientReference, Key: r.FunctionKey},
+		Data:      noticeData{RequestID: r.ID, WebhookID: r.ClientReference, FunctionKey: r.FunctionKey},
 	})
 	if err != nil {
 		s.Sent.Dropped++
@@ -113,27 +101,11 @@
 	s.queue = append(s.queue, &notice{id: newMessageID(), body: body, notBefore: s.now})
 }
 
-// noticeType returns the type of a notice of an outcome. The types are part of the wire: receivers compare them.
-func noticeType(outcome router.RequestOutcome) string {
-	const prefix = "repair-order."
-	if outcome == router.RequestCancelled {
-		return prefix + "abandoned"
-	}
-	return prefix + outcome.String()
-}
-
-// newMessageID returns a webhook-id.
-func newMessageID() string {
-	var b [16]byte
-	crand.Read(b[:]) // it never fails: see crypto/rand
-	return "msg_" + base64.RawURLEncoding.EncodeToString(b[:])
-}
-
-// OpenNotices returns how many notices have been neither delivered nor given up.
+// OpenNotices returns how many notices have been neither delivered nor failed.
 func (s *Sender) OpenNotices() int { return len(s.queue) + s.inFlight }
 
-// Process starts the attempts that are due and ends those that take too long. It returns when it must be called
-// again at the latest.
+// Process starts the attempts that are due and ends those that take too long. now is the event loop's clock. It returns
+// when it must be called again at the latest.
 func (s *Sender) Process(now time.Duration) time.Duration {
 	s.now = max(s.now, now)
 	nextStart := s.startAttempts(now)
@@ -141,7 +113,8 @@
 	return min(now+idleInterval, nextStart, nextTimeout)
 }
 
-// startAttempts sends the notices that are due, as many at once as are allowed. It returns when the next is due.
+// startAttempts starts an attempt for each notice that is due, up to maxConcurrentAttempts in flight. It returns when the
+// next notice is due.
 func (s *Sender) startAttempts(now time.Duration) (next time.Duration) {
 	next = now + idleInterval
 	waiting := s.queue[:0]
@@ -160,6 +133,7 @@
 	return next
 }
 
+// startAttempt opens the connection of a notice's next attempt.
 func (s *Sender) startAttempt(now time.Duration, n *notice) {
 	s.inFlight++
 	a := &attempt{sender: s, notice: n, deadline: now + s.settings.Timeout}
@@ -167,7 +141,7 @@
 	s.attempts = append(s.attempts, a)
 }
 
-// expireAttempts ends the attempts whose time is over, and forgets those that have ended. It returns the next
+// expireAttempts ends the attempts that are past their deadline, and forgets those that have ended. It returns the next
 // deadline.
 func (s *Sender) expireAttempts(now time.Duration) (next time.Duration) {
 	next = now + idleInterval
@@ -186,8 +160,9 @@
 	return next
 }
 
-// attemptEnded counts the end of a notice's attempt. A notice that was not accepted with a 2xx status is queued for a
-// retry with exponential backoff, until its attempts are used up or its receiver answers 410 (Gone).
+// attemptEnded handles the end of a notice's attempt with an HTTP status, or 0 and an error. A notice that was not accepted
+// with a 2xx status is queued for a retry with exponential backoff, until its attempts are used up or its receiver answers
+// 410 (Gone): then it has failed.
 func (s *Sender) attemptEnded(n *notice, status int, err error) {
 	s.inFlight--
 	n.attempts++
@@ -205,10 +180,11 @@
 	s.queue = append(s.queue, n)
 }
 
-// retryDelay returns the backoff after so many failed attempts. It grows fourfold with each, up to maxBackoff; half of
-// it is jitter, so that notices that failed together are not retried together.
+// retryDelay returns the backoff after so many failed attempts: initial after the first, four times as long after each
+// further one, up to maxBackoff. Up to half of it is taken off at random, so that notices that failed together are not
+// retried together.
 func retryDelay(initial time.Duration, failed int) time.Duration {
-	doublings := min(2*(failed-1), maxBackoffDoublings)
+	doublings := min(backoffDoublingsPerAttempt*(failed-1), maxBackoffDoublings)
 	delay := min(initial<<doublings, maxBackoff)
 	return delay/2 + rand.N(delay/2+1)
 }
--- a/internal/frontend/webhook/sender_test.go
+++ b/internal/frontend/webhook/sender_test.go
@@ -47,7 +47,7 @@
 	return c
 }
 
-// take returns the connections opened since it was last called.
+// take returns the connections opened since the last call.
 func (d *fakeDialer) take() []*fakeConnection {
 	taken := d.connections
 	d.connections = nil
@@ -200,7 +200,7 @@
 	}
 }
 
-// The pause grows fourfold from attempt to attempt, half of it at random, up to its bound.
+// The backoff grows fourfold from attempt to attempt, up to its bound, and half of it is random.
 func TestRetryDelay(t *testing.T) {
 	for failed, want := range map[int]time.Duration{1: time.Second, 2: 4 * time.Second, 3: 16 * time.Second, 5: 256 * time.Second, 6: maxBackoff, 20: maxBackoff} {
 		for range 100 {
--- a/internal/frontend/webhook/signature.go
+++ b/internal/frontend/webhook/signature.go
@@ -13,15 +13,19 @@
 	"time"
 )
 
-// Limits of the Standard Webhooks specification (https://www.standardwebhooks.com), and of what this program reads.
+// The forms and limits of the Standard Webhooks specification (https://www.standardwebhooks.com).
 const (
 	secretPrefix     = "whsec_"
-	minSecretBytes   = 24 // as the specification has it
+	minSecretBytes   = 24
 	maxSecretBytes   = 64
 	signatureVersion = "v1," // HMAC-SHA256 with a shared secret
-	maxSignatures    = 16    // in one header field
-	maxIDBytes       = 128   // of a webhook-id
-	maxUnixSeconds   = 1 << 40
+)
+
+// The limits of this program on a delivery's signature headers.
+const (
+	maxSignatures  = 16      // in one header field: each is compared with each active key's
+	maxIDBytes     = 128     // of a webhook-id, which is kept in memory and in the ledger
+	maxUnixSeconds = 1 << 40 // of a timestamp, far beyond any tolerance
 )
 
 // The header fields that the specification names.
@@ -45,17 +49,18 @@
 	errKeyLength = fmt.Errorf("not %d to %d bytes", minSecretBytes, maxSecretBytes)
 )
 
-// signingKey verifies deliveries until it is retired.
+// signingKey is a key that verifies deliveries until it is retired.
 type signingKey struct {
 	secret    []byte
 	retiredAt time.Time // zero: never
 }
 
+// isActive reports whether the key verifies deliveries at now.
 func (k *signingKey) isActive(now time.Time) bool {
 	return k.retiredAt.IsZero() || now.Before(k.retiredAt)
 }
 
-// readSecret reads a key file: whsec_ and the secret in base64. Its errors never show parts of the secret.
+// readSecret reads a key file: secretPrefix and the secret in base64. Its errors never show parts of the secret.
 func readSecret(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -96,15 +101,15 @@
 	signatures [][]byte
 }
 
-// parseSignedHeaders reads the three header fields, each of which must be there once.
+// parseSignedHeaders parses the three header fields, each of which must occur once.
 func parseSignedHeaders(head *requestHead) (*signedHeaders, error) {
-	id, ids := head.field(idField)
-	timestamp, timestamps := head.field(timestampField)
-	list, lists := head.field(signatureField)
-	if ids != 1 || timestamps != 1 || lists != 1 {
+	id, idCount := head.field(idField)
+	timestamp, timestampCount := head.field(timestampField)
+	list, listCount := head.field(signatureField)
+	if idCount != 1 || timestampCount != 1 || listCount != 1 {
 		return nil, errMalformedSignature
 	}
-	// A dot in an id would let one signed text be read as two different deliveries.
+	// With dots in the ID one signed text could stand for two different deliveries; see authenticationCode.
 	if len(id) == 0 || len(id) > maxIDBytes || bytes.IndexByte(id, '.') >= 0 {
 		return nil, errMalformedSignature
 	}
@@ -119,7 +124,7 @@
 	return &signedHeaders{id: string(id), timestamp: string(timestamp), sentAt: sentAt, signatures: signatures}, nil
 }
 
-// parseTimestamp reads whole seconds since 1970 in their one spelling: neither sign nor leading zeros.
+// parseTimestamp parses whole seconds since 1970, without a sign and leading zeros.
 func parseTimestamp(text string) (time.Time, error) {
 	seconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || seconds < 0 || seconds > maxUnixSeconds || strconv.FormatInt(seconds, 10) != text {
