--- a/internal/ipfix/config.go
+++ b/internal/ipfix/config.go
@@ -1,6 +1,7 @@
 package ipfix
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
@@ -8,15 +9,18 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Config is what the export file sets.
+// errUnknownSetting is wrapped with the setting's name.
+var errUnknownSetting = errors.New("unknown setting")
+
+// Config is what the export file sets (deploy/ipfix.toml).
 type Config struct {
 	Enabled   bool   `toml:"enabled"`
-	Collector string `toml:"collector"`          // IP address and UDP port
+	Collector string `toml:"collector"`          // IP:PORT, of UDP
 	Domain    uint32 `toml:"observation_domain"` // the Observation Domain ID, RFC 7011 section 3.1
 }
 
-// ReadConfig reads and checks the export file at path. The collector's address is checked only where the export is
-// enabled. A file that can't be read wraps the error of package fs.
+// ReadConfig reads and checks the export file at path. The collector's address is checked only if the export is enabled.
+// Errors name the file; that of a file that can't be read wraps the error of package fs.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -29,14 +33,15 @@
 	return c, nil
 }
 
+// parseConfig parses and checks the text of an export file.
 func parseConfig(text string) (*Config, error) {
 	c := &Config{}
-	meta, err := toml.Decode(text, c)
+	metadata, err := toml.Decode(text, c)
 	if err != nil {
 		return nil, err
 	}
-	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return nil, fmt.Errorf("unknown setting %s", unknown[0])
+	if unknown := metadata.Undecoded(); len(unknown) > 0 {
+		return nil, fmt.Errorf("%w %s", errUnknownSetting, unknown[0])
 	}
 	if !c.Enabled {
 		return c, nil
--- a/internal/ipfix/config_test.go
+++ b/internal/ipfix/config_test.go
@@ -11,18 +11,20 @@
 
 func TestReadConfig(t *testing.T) {
 	for _, test := range []struct {
-		name, text string
-		want       Config
-		wantError  string // a part of it
+		name        string
+		text        string
+		want        Config
+		wantError   string // a part of it
+		wantWrapped error  // compared if it is not nil
 	}{
 		{"all settings", "enabled = true\ncollector = \"127.0.0.1:4739\"\nobservation_domain = 9",
-			Config{Enabled: true, Collector: "127.0.0.1:4739", Domain: 9}, ""},
-		{"empty", "", Config{}, ""},
-		{"disabled, without an address", "collector = \"nowhere\"", Config{Collector: "nowhere"}, ""},
-		{"enabled, without an address", "enabled = true", Config{}, "not an ip:port"},
-		{"enabled, with a host name", "enabled = true\ncollector = \"localhost:4739\"", Config{}, "localhost"},
-		{"unknown setting", "port = 4739", Config{}, "unknown setting port"},
-		{"not TOML", "enabled", Config{}, "toml"},
+			Config{Enabled: true, Collector: "127.0.0.1:4739", Domain: 9}, "", nil},
+		{"empty", "", Config{}, "", nil},
+		{"disabled, without an address", "collector = \"nowhere\"", Config{Collector: "nowhere"}, "", nil},
+		{"enabled, without an address", "enabled = true", Config{}, "not an ip:port", nil},
+		{"enabled, with a host name", "enabled = true\ncollector = \"localhost:4739\"", Config{}, "localhost", nil},
+		{"unknown setting", "port = 4739", Config{}, "unknown setting port", errUnknownSetting},
+		{"not TOML", "enabled", Config{}, "toml", nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "ipfix.toml")
@@ -35,6 +37,8 @@
 				t.Errorf("got %+v, %v; want %+v", got, err, test.want)
 			case test.wantError != "" && (err == nil || !strings.Contains(err.Error(), test.wantError)):
 				t.Errorf("got error %v, want %q", err, test.wantError)
+			case test.wantWrapped != nil && !errors.Is(err, test.wantWrapped):
+				t.Errorf("got error %v, want it to wrap %v", err, test.wantWrapped)
 			}
 		})
 	}
--- a/internal/ipfix/exporter.go
+++ b/internal/ipfix/exporter.go
@@ -9,55 +9,63 @@
 )
 
 const (
-	flushInterval     = time.Second
-	redialDelay       = 5 * time.Second
-	maxPendingRecords = 1024 // records beyond it are dropped and counted
+	// flushInterval is the time between two sends of the pending records. Records of one interval share messages.
+	flushInterval = time.Second
+
+	// redialDelay is the time from a dial, or from the loss of the socket, to the next dial.
+	redialDelay = 5 * time.Second
+
+	// maxPendingRecords bounds the records that wait for a send. Those beyond it are dropped and counted.
+	maxPendingRecords = 1024
 
 	// templateInterval is the time between two messages with the templates. UDP may lose one, and collectors
 	// forget templates after a while (RFC 7011 section 8.4).
 	templateInterval = time.Minute
 )
 
-// errConnectionClosed stands for the error of a socket that was closed without one.
+// errConnectionClosed is logged for a socket that was closed without an error.
 var errConnectionClosed = errors.New("connection closed")
 
 // Transport is a UDP socket that is connected to the collector. A *eventloop.UDPConn is one.
 type Transport interface {
-	// Write sends each of bufs as one datagram.
+	// Write sends each of bufs as one datagram. They belong to the Transport from then on.
 	Write(bufs ...[]byte)
 	// Close closes the socket.
 	Close()
 }
 
-// Counters counts what became of records. A datagram that was sent may still be lost.
+// Counters counts records by what was done with them, and messages. What was sent may still be lost.
 type Counters struct {
-	Records  uint64 // added, of which Sent and Dropped are parts
+	Records  uint64 // added; each is Sent, Dropped or pending
 	Sent     uint64
-	Dropped  uint64 // beyond the limit on pending records, or of addresses that don't fit together
+	Dropped  uint64 // at the limit on pending records, or without a template for their addresses
 	Messages uint64 // datagrams sent
 }
 
-// Exporter gathers flow records and sends them to a collector. It opens its socket, and opens it again some seconds
-// after it has failed.
+// Exporter gathers flow records and sends them to a collector. It opens its socket, and opens it again after redialDelay
+// if it fails. It is the event loop's handler of the socket.
 type Exporter struct {
+	// Counters may be read on the event loop's goroutine.
 	Counters Counters
 
-	collector string
+	collector string // address, for the log
 	dial      func(h eventloop.DialHandler) Transport
 	wallClock func() time.Time
 	encoder   messageEncoder
-	pending   []record
+	pending   []record // the earliest first
 
 	transport Transport // nil between a failure and the next dial
-	connected bool
+	connected bool      // the dial of transport has succeeded
 
-	now           time.Duration // the event loop's clock at the last Process
-	nextDial      time.Duration
-	nextFlush     time.Duration
-	nextTemplates time.Duration
+	// Times on the event loop's clock.
+	now           time.Duration // at the last Process
+	nextDial      time.Duration // the earliest
+	nextFlush     time.Duration // the earliest
+	nextTemplates time.Duration // the earliest; 0 after each dial
 }
 
-// New returns an Exporter that opens its socket with dial. wallClock tells the export time of messages.
+// New returns an Exporter that opens its socket with dial, which reports to h on the event loop's goroutine. wallClock
+// gives the export time of messages.
 func New(c *Config, wallClock func() time.Time, dial func(h eventloop.DialHandler) Transport) *Exporter {
 	return &Exporter{
 		collector: c.Collector,
@@ -67,7 +75,7 @@
 	}
 }
 
-// Add queues the record of a flow for the next message.
+// Add queues the record of a flow for the next send, or drops and counts it.
 func (x *Exporter) Add(f Flow) {
 	x.Counters.Records++
 	if len(x.pending) >= maxPendingRecords {
@@ -82,8 +90,8 @@
 	x.pending = append(x.pending, r)
 }
 
-// Process opens the socket and sends the pending records, where either is due. now is the event loop's clock. It
-// returns when it should be called again at the latest.
+// Process opens the socket and sends the pending records, if either is due. now is the event loop's clock. It returns when
+// it must be called again at the latest.
 func (x *Exporter) Process(now time.Duration) time.Duration {
 	x.now = now
 	if x.transport == nil {
@@ -106,7 +114,7 @@
 	return x.nextFlush
 }
 
-// sendMessage sends one message of pending records, with the templates where they are due.
+// sendMessage sends one message with as many of the pending records as fit, and with the templates if they are due.
 func (x *Exporter) sendMessage() {
 	withTemplates := x.nextTemplates <= x.now
 	if withTemplates {
@@ -119,7 +127,7 @@
 	x.transport.Write(message)
 }
 
-// OnOpen is called when the dial has ended. The collector of a new socket knows no template yet.
+// OnOpen handles the end of a dial. The first message on a new socket has the templates: its collector may not know them.
 func (x *Exporter) OnOpen(err error) {
 	if err != nil {
 		x.OnClose(err)
@@ -129,10 +137,10 @@
 	x.nextTemplates = 0
 }
 
-// OnData ignores what a collector sends: IPFIX has no answers.
+// OnData ignores what a collector sends: IPFIX over UDP is one-way.
 func (x *Exporter) OnData([]byte) {}
 
-// OnClose schedules the next dial. A collector that does not listen shows in this way, by ICMP.
+// OnClose schedules the next dial. A collector that does not listen is noticed in this way, by ICMP.
 func (x *Exporter) OnClose(err error) {
 	if err == nil {
 		err = errConnectionClosed
--- a/internal/ipfix/exporter_test.go
+++ b/internal/ipfix/exporter_test.go
@@ -15,8 +15,8 @@
 	"functionrouter/internal/testsupport"
 )
 
-// What is added is what an independent decoder reads, in order, with the templates that it needs and sequence numbers
-// that count the records before.
+// An independent decoder reads the records that were added, in the same sequence, with the templates that it needs and
+// sequence numbers that count the records before.
 func TestCollectorReadsWhatWasAdded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x, transport := newTestExporter()
@@ -63,7 +63,7 @@
 	return fmt.Sprintf("%x %x %d %q", client, server, octets, class)
 }
 
-// testCollector decodes messages with a decoder that is not ours.
+// testCollector decodes messages with an independent decoder.
 type testCollector struct {
 	templates netflow.NetFlowTemplateSystem
 	records   []string
@@ -110,7 +110,7 @@
 	return describe(client, server, octets, values[applicationName])
 }
 
-// What is kept for a collector that is away is bounded, and what is dropped is counted.
+// The records that wait for a collector are bounded, and those that are dropped are counted.
 func TestPendingRecordsAreBounded(t *testing.T) {
 	x := New(&Config{}, func() time.Time { return noon },
 		func(eventloop.DialHandler) Transport { return &testsupport.Transport{} })
--- a/internal/ipfix/message.go
+++ b/internal/ipfix/message.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
+// The forms of RFC 7011, sections 3.1 (message) and 3.3.2 (set).
 const (
-	protocolVersion    = 10 // RFC 7011 section 3.1
+	protocolVersion    = 10
 	messageHeaderBytes = 16
-	setHeaderBytes     = 4 // RFC 7011 section 3.3.2
+	setHeaderBytes     = 4
 	templateSetID      = 2
 
-	// maxMessageBytes keeps a message within one Ethernet frame, so that none is fragmented (RFC 7011 section
-	// 10.3.3).
-	maxMessageBytes = 1400
+	noSetID = 0 // no set has this ID
 )
 
+// maxMessageBytes keeps a message within one Ethernet frame, so that none is fragmented (RFC 7011 section 10.3.3).
+const maxMessageBytes = 1400
+
 // messageEncoder encodes the messages of one observation domain.
 type messageEncoder struct {
 	domain uint32
-	// sequence is the number of data records in all earlier messages, modulo 2^32 (RFC 7011 section 3.1).
+	// sequence is the count of data records in all earlier messages, modulo 2^32 (RFC 7011 section 3.1).
 	sequence uint32
 }
 
-// encode returns a message with as many of records as fit, in order, and how many those are. Each run of records with
-// one template becomes a set. The templates come first where they are wanted.
+// encode returns a message with as many of records as fit, from the first on, and the count of those. Consecutive records
+// of one template share a set. With withTemplates the templates come first.
 func (e *messageEncoder) encode(
 	exportTime time.Time, withTemplates bool, records []record,
 ) (message []byte, count int) {
@@ -33,7 +35,7 @@
 		b = appendTemplateSet(b)
 	}
 	setStart := 0
-	var setID uint16 // 0: none has begun
+	var setID uint16 = noSetID // of the set that the last record is in
 	for _, r := range records {
 		if len(b)+setHeaderBytes+len(r.data) > maxMessageBytes {
 			break
@@ -47,16 +49,22 @@
 		setSetLength(b, setStart)
 		count++
 	}
-	binary.BigEndian.PutUint16(b, protocolVersion)
-	binary.BigEndian.PutUint16(b[2:], uint16(len(b)))
-	binary.BigEndian.PutUint32(b[4:], uint32(exportTime.Unix()))
-	binary.BigEndian.PutUint32(b[8:], e.sequence)
-	binary.BigEndian.PutUint32(b[12:], e.domain)
+	e.putHeader(b, exportTime)
 	e.sequence += uint32(count)
 	return b, count
 }
 
-// appendTemplateSet appends a set with the templates of all records, RFC 7011 section 3.4.1.
+// putHeader writes the header at the front of a complete message: version, length, export time in seconds, sequence
+// number and observation domain, RFC 7011 section 3.1.
+func (e *messageEncoder) putHeader(message []byte, exportTime time.Time) {
+	binary.BigEndian.PutUint16(message[0:], protocolVersion)
+	binary.BigEndian.PutUint16(message[2:], uint16(len(message)))
+	binary.BigEndian.PutUint32(message[4:], uint32(exportTime.Unix()))
+	binary.BigEndian.PutUint32(message[8:], e.sequence)
+	binary.BigEndian.PutUint32(message[12:], e.domain)
+}
+
+// appendTemplateSet appends a set with all templates, RFC 7011 section 3.4.1.
 func appendTemplateSet(b []byte) []byte {
 	setStart := len(b)
 	b = appendSetHeader(b, templateSetID)
--- a/internal/ipfix/record.go
+++ b/internal/ipfix/record.go
@@ -26,13 +26,19 @@
 	flowEndMilliseconds      informationElement = 153
 )
 
+// Values of information elements.
 const (
-	protocolTCP       = 6 // a protocolIdentifier
-	reasonEndOfFlow   = 3 // a flowEndReason: the end of the flow was detected
-	variableLength    = 65535
-	maxClassNameBytes = 64 // longer names are cut; below 255, so that one byte holds the length (RFC 7011 section 7)
+	protocolTCP     = 6 // a protocolIdentifier
+	reasonEndOfFlow = 3 // a flowEndReason: the end of the flow was detected
 )
 
+// variableLength is the length, in a template, of a field whose records give its length (RFC 7011 section 7).
+const variableLength = 65535
+
+// maxClassNameBytes bounds an exported class name; longer ones are cut. Below 255 bytes, one byte holds the length (RFC
+// 7011 section 7).
+const maxClassNameBytes = 64
+
 // fieldSpecifier is a field of a template, RFC 7011 section 3.2.
 type fieldSpecifier struct {
 	element informationElement
@@ -41,10 +47,11 @@
 
 // template says which fields the records of a set hold, RFC 7011 section 3.4.1.
 type template struct {
-	id     uint16 // 256 or above
-	fields []fieldSpecifier
+	id     uint16           // 256 or above
+	fields []fieldSpecifier // in the order of the record's bytes; newRecord encodes them so
 }
 
+// The templates. Records of requests over IPv4 and IPv6 differ in the addresses alone.
 var (
 	commonFields = []fieldSpecifier{
 		{flowStartMilliseconds, 8},
@@ -68,19 +75,22 @@
 
 // Flow is one request, on its way from the client to this program.
 type Flow struct {
-	Client, Server netip.AddrPort
-	Start, End     time.Time
-	Octets         uint64 // of the request's body
-	Class          string // exported as the application's name
+	Client netip.AddrPort
+	Server netip.AddrPort // the frontend's
+	Start  time.Time      // when the request was received
+	End    time.Time      // when it ended
+	Octets uint64         // bytes of the request's body
+	Class  string         // exported as the application's name
 }
 
-// record is an encoded data record, RFC 7011 section 3.4.3.
+// record is an encoded data record, RFC 7011 section 3.4.3. It is not changed after newRecord.
 type record struct {
 	templateID uint16
 	data       []byte
 }
 
-// newRecord encodes a flow. It returns false where the client has no address or one of another family than the server.
+// newRecord encodes a flow. It returns false if the client has no address, or one of another family than the server's: no
+// template has the fields for it.
 func newRecord(f Flow) (record, bool) {
 	client := f.Client.Addr().Unmap()
 	server := f.Server.Addr().Unmap()
