--- a/internal/frontend/webhook/harness_test.go
+++ b/internal/frontend/webhook/harness_test.go
@@ -111,7 +111,7 @@
 
 // requestPayload returns the JSON of a delivery with a request.
 func requestPayload(class, body string, eventTime time.Time) []byte {
-	p := payload{Type: payloadType, Timestamp: eventTime, Data: requestData{Class: class, FunctionKey: testFunctionKey, Body: []byte(body)}}
+	p := payload{Type: payloadType, Timestamp: eventTime, Data: callData{Class: class, FunctionKey: testFunctionKey, Body: []byte(body)}}
 	text, err := json.Marshal(p)
 	if err != nil {
 		panic(err) // of strings, numbers and bytes: it can't fail
--- a/internal/frontend/webhook/payload.go
+++ b/internal/frontend/webhook/payload.go
@@ -29,13 +29,14 @@
 // payload is the JSON of a delivery. Everything that affects the request is in it, since nothing else is signed but the
 // webhook-id and the time.
 type payload struct {
-	Type      string      `json:"type"`
-	Timestamp time.Time   `json:"timestamp"` // of the event; the same in each redelivery
-	Data      requestData `json:"data"`
+	Type      string    `json:"type"`
+	Timestamp time.Time `json:"timestamp"` // of the event; the same in each redelivery
+	Data      callData  `json:"data"`
 }
 
-// requestData is the request that a payload carries. Its JSON names are part of the wire.
-type requestData struct {
+// callData is the request that a payload of payloadType carries. Its JSON names are part of the wire. The names of the two
+// Go types stand in the log: encoding/json gives them in its errors.
+type callData struct {
 	Class       string  `json:"class"`
 	FunctionKey string  `json:"key"`
 	WaitMs      float64 `json:"wait_ms"`   // how long the client waits, in milliseconds; 0: as long as the class allows
@@ -95,7 +96,7 @@
 }
 
 // isInRange reports whether every figure is a number within the bounds of package router.
-func (d *requestData) isInRange() bool {
+func (d *callData) isInRange() bool {
 	waitInRange := router.InRange(d.WaitMs, router.MaxWaitMs)
 	memoryInRange := router.InRange(d.MemoryMB, router.MaxMemoryMB)
 	concurrencyInRange := router.InRange(d.Concurrency, router.MaxConcurrency)
