--- a/internal/frontend/thrift/connection.go
+++ b/internal/frontend/thrift/connection.go
@@ -104,7 +104,7 @@
 func (c *connection) OnEndOfInput() {
 	c.stopReceiving()
 	server := c.server
-	for _, open := range c.callsInOrder() {
+	for _, open := range c.openCallsBySequenceID() {
 		server.router.Disconnect(server.clock(), open.requestID)
 	}
 }
@@ -112,7 +112,7 @@
 // OnClose cancels the requests of all open calls: nobody waits for the replies.
 func (c *connection) OnClose(error) {
 	c.stopReceiving()
-	for _, open := range c.callsInOrder() {
+	for _, open := range c.openCallsBySequenceID() {
 		open.cancel(router.ClientDisconnected)
 	}
 }
@@ -123,8 +123,8 @@
 	c.partialFrame = nil
 }
 
-// callsInOrder returns the open calls in the order in which they came.
-func (c *connection) callsInOrder() []*call {
+// openCallsBySequenceID returns the open calls in the sequence in which the client sent them.
+func (c *connection) openCallsBySequenceID() []*call {
 	return slices.SortedFunc(maps.Values(c.openCalls), func(a, b *call) int {
 		return cmp.Compare(a.sequenceID, b.sequenceID)
 	})
--- a/internal/frontend/thrift/server.go
+++ b/internal/frontend/thrift/server.go
@@ -30,7 +30,7 @@
 
 // Transport is the connection to a client. A *eventloop.Conn is one.
 type Transport interface {
-	// Write queues bufs for sending, in order. They belong to the Transport from then on.
+	// Write queues bufs for sending, one after the other. They belong to the Transport from then on.
 	Write(bufs ...[]byte)
 	// CloseAfterFlush closes the connection when everything written has been sent. Nothing more is received.
 	CloseAfterFlush()
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -40,7 +40,7 @@
 	secret    []byte // signs the notices
 	dial      func(address string, timeout time.Duration, h eventloop.DialHandler) Transport
 	wallClock func() time.Time
-	now       time.Duration // the event loop's clock, as a caller last passed it
+	now       time.Duration // the latest time on the event loop's clock that a caller passed
 	queue     []*notice     // waiting for their first or next attempt
 	attempts  []*attempt    // in flight, and those that ended since the last Process
 	inFlight  int           // attempts that have not ended
