--- a/internal/frontend/thrift/response_test.go
+++ b/internal/frontend/thrift/reply_test.go
@@ -8,7 +8,7 @@
 	"functionrouter/internal/router"
 )
 
-// Frames are compared byte for byte, because clients decode them with code that this module does not have.
+// Frames are compared byte for byte, because clients decode them with code that is not in this repository.
 func TestFramesOnTheWire(t *testing.T) {
 	respond := func(answer router.Response) func(*connection, *fakeRouter) {
 		return func(c *connection, requests *fakeRouter) {
@@ -58,8 +58,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			c, requests, transport := newTestConnection()
 			test.play(c, requests)
-			if got := hex.EncodeToString(transport.written.Bytes()); got != test.want || transport.closed {
-				t.Errorf("wrote %s, want %s; closed %v", got, test.want, transport.closed)
+			if got := hex.EncodeToString(transport.Written.Bytes()); got != test.want || transport.Closed {
+				t.Errorf("wrote %s, want %s; closed %v", got, test.want, transport.Closed)
 			}
 		})
 	}
--- a/internal/frontend/thrift/violation_test.go
+++ b/internal/frontend/thrift/violation_test.go
@@ -12,8 +12,11 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"functionrouter/internal/testsupport"
 )
 
+// Changed bytes close their connection at most.
 func TestAnyBytesCloseTheirConnectionAtMost(t *testing.T) {
 	t.Run("changed bytes", rapid.MakeCheck(func(t *rapid.T) {
 		c, requests, transport := newTestConnection()
@@ -22,7 +25,7 @@
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
 		}
 		c.OnData(b)
-		if len(requests.submitted) > 1 || transport.closed && c.partialFrame != nil {
+		if len(requests.submitted) > 1 || transport.Closed && c.partialFrame != nil {
 			t.Fatalf("%d submitted, %d bytes kept", len(requests.submitted), len(c.partialFrame))
 		}
 	}))
@@ -36,7 +39,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c, _, transport := newTestConnection()
 			c.OnData(test.frame)
-			if !transport.closed {
+			if !transport.Closed {
 				t.Error("the connection was not closed")
 			}
 		})
@@ -51,7 +54,7 @@
 	return closeFrame(b)
 }
 
-// Each violation of the protocol is told from the others, and all are known as violations.
+// Each violation of the protocol has an error of its own, and all of them wrap errProtocol.
 func TestViolationsHaveTheirErrors(t *testing.T) {
 	arguments := func(b ...byte) []byte { // of an execute call
 		return closeFrame(append(appendFrame(nil, messageCall, methodExecute, 1), b...))
@@ -90,10 +93,12 @@
 	}
 }
 
-// Guards the log: whoever can connect could fill it with violations otherwise.
+// Guards the log: otherwise anyone who can connect could fill it with violations.
 func TestViolationsAreLoggedOnceASecond(t *testing.T) {
 	var lines bytes.Buffer
-	previous, previousOutput, previousFlags := slog.Default(), log.Writer(), log.Flags()
+	previous := slog.Default()
+	previousOutput := log.Writer()
+	previousFlags := log.Flags()
 	t.Cleanup(func() {
 		slog.SetDefault(previous)
 		log.SetOutput(previousOutput)
@@ -104,7 +109,7 @@
 	now := testNow
 	server := New(&fakeRouter{}, nil, nil, func() time.Duration { return now }, nil, nil)
 	violate := func() {
-		server.newConnection(&fakeTransport{}, netip.AddrPort{}).OnData([]byte{0, 0, 0x60, 0})
+		server.newConnection(&testsupport.Transport{}, netip.AddrPort{}).OnData([]byte{0, 0, 0x60, 0})
 	}
 	for _, step := range []struct {
 		name       string
--- a/internal/frontend/webhook/harness_test.go
+++ b/internal/frontend/webhook/harness_test.go
@@ -19,6 +19,7 @@
 	"pgregory.net/rapid"
 
 	"functionrouter/internal/router"
+	"functionrouter/internal/testsupport"
 	"functionrouter/policy"
 )
 
@@ -28,8 +29,8 @@
 	retiredSecret = bytes.Repeat([]byte("retire"), 5)
 	testKeys      = []signingKey{{secret: activeSecret}, {secret: retiredSecret, retiredAt: noon}}
 	testClasses   = []Class{
-		{Name: "dim-level", Longest: 2 * time.Second},
-		{Name: "repair-order", Once: true, Longest: 3 * time.Second},
+		{Name: "dim-level", MaxWait: 2 * time.Second},
+		{Name: "repair-order", CarriesOrders: true, MaxWait: 3 * time.Second},
 	}
 )
 
@@ -43,41 +44,25 @@
 // noonClock is the wall clock of all tests.
 func noonClock() time.Time { return noon }
 
-// fakeTransport keeps what is written to a connection.
-type fakeTransport struct {
-	written bytes.Buffer
-	closed  bool
-}
-
-func (t *fakeTransport) Write(bufs ...[]byte) {
-	for _, b := range bufs {
-		t.written.Write(b)
-	}
-}
-
-func (t *fakeTransport) Close() { t.closed = true }
-
-func (t *fakeTransport) CloseAfterFlush() { t.Close() }
-
 // statuses returns the status codes of the responses written so far.
-func (t *fakeTransport) statuses(tb rapid.TB) (codes []int) {
+func statuses(tb rapid.TB, transport *testsupport.Transport) (codes []int) {
 	tb.Helper()
-	for in := bufio.NewReader(bytes.NewReader(t.written.Bytes())); ; {
+	for in := bufio.NewReader(bytes.NewReader(transport.Written.Bytes())); ; {
 		if _, err := in.Peek(1); errors.Is(err, io.EOF) {
 			return codes
 		}
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
-			tb.Fatalf("%v in %q", err, t.written.String())
+			tb.Fatalf("%v in %q", err, transport.Written.String())
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			tb.Fatalf("%v in %q", err, t.written.String())
+			tb.Fatalf("%v in %q", err, transport.Written.String())
 		}
 		codes = append(codes, r.StatusCode)
 	}
 }
 
-// fakeRouter keeps the requests that it is handed.
+// fakeRouter records the requests that it gets.
 type fakeRouter struct{ requests []router.Request }
 
 func (f *fakeRouter) Submit(_ time.Duration, r router.Request) policy.RequestID {
@@ -96,7 +81,7 @@
 	return c
 }
 
-// newTestReceiver returns a receiver; what it has run on the loop comes through the channel.
+// newTestReceiver returns a receiver. The functions that it posts to the event loop arrive on the channel.
 func newTestReceiver(tb rapid.TB, requests RequestRouter, ledgerPath string) (*Receiver, chan func()) {
 	tb.Helper()
 	loopCalls := make(chan func(), 100)
@@ -118,15 +103,15 @@
 }
 
 // deliver sends bytes on a connection of their own.
-func deliver(r *Receiver, b []byte) *fakeTransport {
-	transport := &fakeTransport{}
+func deliver(r *Receiver, b []byte) *testsupport.Transport {
+	transport := &testsupport.Transport{}
 	r.serve(transport, netip.AddrPort{}).OnData(b)
 	return transport
 }
 
-// callPayload returns the JSON of a call.
-func callPayload(class, body string, eventTime time.Time) []byte {
-	p := payload{Type: callType, Timestamp: eventTime, Data: callData{Class: class, Key: testFunctionKey, Body: []byte(body)}}
+// requestPayload returns the JSON of a delivery with a request.
+func requestPayload(class, body string, eventTime time.Time) []byte {
+	p := payload{Type: payloadType, Timestamp: eventTime, Data: callData{Class: class, FunctionKey: testFunctionKey, Body: []byte(body)}}
 	text, err := json.Marshal(p)
 	if err != nil {
 		panic(err) // of strings, numbers and bytes: it can't fail
@@ -142,9 +127,9 @@
 	return append([]byte(head), body...)
 }
 
-// orderDelivery returns a delivery of an order that is of noon, as all that the tests send but for the expired ones.
+// orderDelivery returns a delivery of an order whose event was at noon.
 func orderDelivery(id string) []byte {
-	return signedDelivery(activeSecret, id, noon, callPayload("repair-order", "x", noon))
+	return signedDelivery(activeSecret, id, noon, requestPayload("repair-order", "x", noon))
 }
 
 // writeKeyFile returns the path of a key file.
