--- a/internal/frontend/thrift/message.go
+++ b/internal/frontend/thrift/message.go
@@ -63,6 +63,14 @@
 	return messageHeader{messageType: messageType(firstWord), method: string(method), sequenceID: sequenceID}, nil
 }
 
+// describe returns the type's name for errors, which stand in the log.
+func (t messageType) describe() string {
+	if t < messageCall || t > messageOneway {
+		return fmt.Sprintf("message type %d", byte(t))
+	}
+	return t.String()
+}
+
 // handleMessage handles the message in a frame. An error says how the message violates the protocol.
 func (c *connection) handleMessage(frame []byte) error {
 	d := &decoder{remaining: frame}
@@ -85,5 +93,5 @@
 	case isOneway:
 		return nil // it has no reply, whatever its method
 	}
-	return fmt.Errorf("%w: %v %q", errUnexpectedMessage, header.messageType, header.method)
+	return fmt.Errorf("%w: %v %q", errUnexpectedMessage, header.messageType.describe(), header.method)
 }
--- a/internal/frontend/thrift/violation_test.go
+++ b/internal/frontend/thrift/violation_test.go
@@ -93,6 +93,20 @@
 	}
 }
 
+// Guards the text that operators search the log for, also of a type that the protocol does not have.
+func TestUnexpectedMessagesAreDescribed(t *testing.T) {
+	for messageType, want := range map[messageType]string{
+		messageReply: `reply "execute"`,
+		9:            `message type 9 "execute"`,
+	} {
+		c, _, _ := newTestConnection()
+		_, err := c.handleFrames(emptyFrame(messageType, methodExecute, 1))
+		if err == nil || !strings.HasSuffix(err.Error(), want) {
+			t.Errorf("got %v, want it to end with %s", err, want)
+		}
+	}
+}
+
 // Guards the log: otherwise anyone who can connect could fill it with violations.
 func TestViolationsAreLoggedOnceASecond(t *testing.T) {
 	var lines bytes.Buffer
