--- a/internal/backend/codec_test.go
+++ b/internal/backend/codec_test.go
@@ -20,7 +20,7 @@
 		transport := p.startOpen(a, "0123456789abcdef")
 		want := "*4\r\n$3\r\nRUN\r\n$16\r\n0123456789abcdef\r\n" +
 			"$49\r\nqueue=dim-level,path=00000000000000aa,budget=1000\r\n$5\r\nhello\r\n"
-		if got := transport.written.String(); got != want {
+		if got := transport.Written.String(); got != want {
 			t.Fatalf("wrote %q", got)
 		}
 		body := rapid.StringN(0, 200, 400).Draw(t, "body")
@@ -34,8 +34,8 @@
 		if ended := p.results.attempts[a]; !slices.Equal(ended, []policy.Outcome{policy.Served}) {
 			t.Fatalf("ended %v", ended)
 		}
-		if got := p.results.bodies[a]; got != body || transport.closed {
-			t.Fatalf("ended with %q, closed %v", got, transport.closed)
+		if got := p.results.bodies[a]; got != body || transport.Closed {
+			t.Fatalf("ended with %q, closed %v", got, transport.Closed)
 		}
 	})
 }
@@ -56,7 +56,7 @@
 	transport := p.last()
 	transport.handler.OnOpen(nil)
 	transport.handler.OnData([]byte("*4\r\n$16449\r\n"))
-	if !transport.closed {
+	if !transport.Closed {
 		t.Error("a bulk string over the limit was waited for")
 	}
 }
@@ -128,12 +128,12 @@
 	rest := whole
 	for i := range int(partialAnswerTimeout/SweepInterval) + 2 {
 		p.Sweep(time.Hour + time.Duration(i)*SweepInterval)
-		if !transport.closed {
+		if !transport.Closed {
 			transport.handler.OnData(rest[:3])
 			rest = rest[3:]
 		}
 	}
-	if !transport.closed {
+	if !transport.Closed {
 		t.Fatal("the rest of an answer is still waited for")
 	}
 	if err := logged.lastError("worker connection closed"); !errors.Is(err, errStalledAnswer) {
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -20,7 +20,7 @@
 	p.UpdateEndpoint(workerID, workerAddress, policy.Draining, 0)
 	p.transports[0].handler.OnOpen(nil)
 	ended := p.results.controls[9]
-	if got := p.transports[0].written.String(); got != "" || len(ended) != 1 || ended[0] != policy.WorkerOverloaded {
+	if got := p.transports[0].Written.String(); got != "" || len(ended) != 1 || ended[0] != policy.WorkerOverloaded {
 		t.Errorf("wrote %q, ended %v", got, ended)
 	}
 }
@@ -87,13 +87,13 @@
 		p.transports[0].handler.OnOpen(nil)
 		ended := p.results.attempts[a]
 		if test.want == "" {
-			if len(ended) != 1 || ended[0] != policy.NotSent || p.transports[0].written.Len() > 0 {
-				t.Errorf("after %v: ended %v, wrote %q", test.waited, ended, p.transports[0].written.String())
+			if len(ended) != 1 || ended[0] != policy.NotSent || p.transports[0].Written.Len() > 0 {
+				t.Errorf("after %v: ended %v, wrote %q", test.waited, ended, p.transports[0].Written.String())
 			}
 			continue
 		}
 		if !p.transports[0].wrote(test.want) || len(ended) > 0 {
-			t.Errorf("after %v: wrote %q, ended %v", test.waited, p.transports[0].written.String(), ended)
+			t.Errorf("after %v: wrote %q, ended %v", test.waited, p.transports[0].Written.String(), ended)
 		}
 	}
 }
--- a/internal/backend/endings_test.go
+++ b/internal/backend/endings_test.go
@@ -20,7 +20,7 @@
 	p.start(second, id)
 	transport.handler.OnData(encodeAnswer(id, "NONE", ""))
 	transport.handler.OnData(encodeAnswer("unknown", "HIT", "ahead"))
-	if ended := p.results.attempts[second]; len(ended) != 0 || transport.closed || len(p.transports) != 2 {
+	if ended := p.results.attempts[second]; len(ended) != 0 || transport.Closed || len(p.transports) != 2 {
 		t.Fatalf("second attempt ended %v on %d connections", ended, len(p.transports))
 	}
 	p.transports[1].handler.OnOpen(nil)
@@ -120,7 +120,7 @@
 // deliverCloses has the handlers of closed transports hear of it, once each.
 func (p *testPool) deliverCloses() {
 	for _, transport := range p.transports {
-		if transport.closed && transport.handler != nil {
+		if transport.Closed && transport.handler != nil {
 			transport.handler.OnClose(nil)
 			transport.handler = nil
 		}
@@ -164,7 +164,7 @@
 		t.Error("an attempt was withdrawn twice")
 	}
 	second.handler.OnOpen(nil)
-	if second.written.Len() > 0 || len(p.results.attempts) > 0 {
-		t.Errorf("wrote %q, ended %v", second.written.String(), p.results.attempts)
+	if second.Written.Len() > 0 || len(p.results.attempts) > 0 {
+		t.Errorf("wrote %q, ended %v", second.Written.String(), p.results.attempts)
 	}
 }
--- a/internal/backend/fuzz_test.go
+++ b/internal/backend/fuzz_test.go
@@ -15,7 +15,7 @@
 		p := newTestPool()
 		a := attemptID(1)
 		transport := p.startOpen(a, id)
-		for rest := input; len(rest) > 0 && !transport.closed; {
+		for rest := input; len(rest) > 0 && !transport.Closed; {
 			size := min(len(rest), int(pieceSize)+1)
 			transport.handler.OnData(rest[:size])
 			rest = rest[size:]
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -1,13 +1,13 @@
 package backend
 
 import (
-	"bytes"
 	"fmt"
 	"strings"
 	"time"
 
 	"functionrouter/internal/eventloop"
 	"functionrouter/internal/router"
+	"functionrouter/internal/testsupport"
 	"functionrouter/policy"
 )
 
@@ -16,27 +16,18 @@
 	workerAddress = "127.0.0.1:1"
 )
 
-// fakeTransport keeps what is written to it; the test calls its handler.
+// fakeTransport records what the pool writes to a worker. The test plays the worker by calls of the handler.
 type fakeTransport struct {
+	testsupport.FakeTransport
 	handler eventloop.DialHandler
-	written bytes.Buffer
-	closed  bool
 }
 
-func (f *fakeTransport) Write(bufs ...[]byte) {
-	for _, b := range bufs {
-		f.written.Write(b)
-	}
-}
-
-func (f *fakeTransport) Close() { f.closed = true }
-
 // wrote reports whether text was written.
-func (f *fakeTransport) wrote(text string) bool { return strings.Contains(f.written.String(), text) }
+func (f *fakeTransport) wrote(text string) bool { return strings.Contains(f.Written.String(), text) }
 
 // attemptsWritten counts the attempts with this id that were written.
 func (f *fakeTransport) attemptsWritten(id string) int {
-	return strings.Count(f.written.String(), "RUN\r\n$16\r\n"+id)
+	return strings.Count(f.Written.String(), "RUN\r\n$16\r\n"+id)
 }
 
 // resultRecorder keeps how attempts, load commands and health checks ended.
--- a/internal/backend/keep_alive_test.go
+++ b/internal/backend/keep_alive_test.go
@@ -39,7 +39,7 @@
 	a := attemptID(1)
 	silent := p.startOpen(a, hexID(0xa1))
 	sweepFor(keepAliveAfter + SweepInterval)
-	if got := silent.written.String(); strings.Count(got, "NOOP") != 1 {
+	if got := silent.Written.String(); strings.Count(got, "NOOP") != 1 {
 		t.Fatalf("no keep-alive check was sent: %q", got)
 	}
 	sweepFor(SweepInterval)
@@ -53,12 +53,12 @@
 	if healthy {
 		other.handler.OnData(encodeAnswer(hexID(0xb2), "HIT", ""))
 	}
-	if silent.closed {
+	if silent.Closed {
 		t.Fatal("closed before its keep-alive check timed out")
 	}
 	sweepFor(keepAliveTimeout + SweepInterval)
-	if silent.closed != healthy {
-		t.Errorf("silent connection closed: %v", silent.closed)
+	if silent.Closed != healthy {
+		t.Errorf("silent connection closed: %v", silent.Closed)
 	}
 	if err := logged.lastError("worker connection closed"); errors.Is(err, errSilentConnection) != healthy {
 		t.Errorf("logged %v", err)
@@ -75,7 +75,7 @@
 	p.Sweep(keepAliveAfter + SweepInterval)
 	transport.handler.OnData([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
 	p.start(attemptID(2), hexID(0xb2))
-	if len(p.transports) != 1 || transport.closed {
+	if len(p.transports) != 1 || transport.Closed {
 		t.Error("a connection that answered was left")
 	}
 }
--- a/internal/backend/model_test.go
+++ b/internal/backend/model_test.go
@@ -74,7 +74,7 @@
 	m.start(b, idOf(b))
 	m.started = append(m.started, b)
 	for _, transport := range owing {
-		if !transport.closed {
+		if !transport.Closed {
 			m.answerLate(transport, idOf(b))
 		}
 	}
@@ -103,12 +103,12 @@
 
 func (m *attemptModel) endDial(t *rapid.T) {
 	for _, transport := range m.transports {
-		if m.dialed[transport] || transport.closed {
+		if m.dialed[transport] || transport.Closed {
 			continue
 		}
 		m.dialed[transport] = true
 		if rapid.Bool().Draw(t, "fails") {
-			transport.closed = true
+			transport.Closed = true
 			transport.handler.OnOpen(errors.New("refused"))
 		} else {
 			transport.handler.OnOpen(nil)
@@ -119,8 +119,8 @@
 
 func (m *attemptModel) reset(*rapid.T) {
 	for _, transport := range m.transports {
-		if m.dialed[transport] && !transport.closed {
-			transport.closed = true
+		if m.dialed[transport] && !transport.Closed {
+			transport.Closed = true
 			transport.handler.OnClose(errors.New("reset"))
 			return
 		}
@@ -140,7 +140,7 @@
 
 func (m *attemptModel) check(t *rapid.T) {
 	for _, transport := range m.transports {
-		text := transport.written.String()
+		text := transport.Written.String()
 		if strings.Count(text, "STOP\r\n") > strings.Count(text, "RUN\r\n") {
 			t.Fatalf("cancelled what was never sent: %q", text)
 		}
--- a/internal/backend/selection_test.go
+++ b/internal/backend/selection_test.go
@@ -31,8 +31,8 @@
 		p.start(a, hexID(1<<20+i))
 		p.CancelAttempt(workerID, a)
 	}
-	if ended := p.results.attempts[staying]; first.closed || len(ended) != 0 || len(p.transports) != 2 {
-		t.Errorf("closed %v, ended %v, %d connections", first.closed, ended, len(p.transports))
+	if ended := p.results.attempts[staying]; first.Closed || len(ended) != 0 || len(p.transports) != 2 {
+		t.Errorf("closed %v, ended %v, %d connections", first.Closed, ended, len(p.transports))
 	}
 	if n := len(p.workers[workerID].connections[0].recentIDs.current); n != maxRecentIDs {
 		t.Errorf("%d ids are remembered", n)
@@ -55,8 +55,8 @@
 	first.handler.OnOpen(nil)
 	first.handler.OnData(encodeAnswer(hexID(0), "HIT", ""))
 	p.StartAttempt(5, attemptID(9), testRequest(hexID(0xff)), time.Second)
-	if len(p.transports) != 4 || !first.closed {
-		t.Errorf("%d connections, idle one closed: %v", len(p.transports), first.closed)
+	if len(p.transports) != 4 || !first.Closed {
+		t.Errorf("%d connections, idle one closed: %v", len(p.transports), first.Closed)
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 	p.Sweep(p.now + SweepInterval)
 	for _, transport := range p.transports {
-		if transport.closed {
+		if transport.Closed {
 			transport.handler.OnClose(nil)
 		}
 	}
--- a/internal/backend/wire_test.go
+++ b/internal/backend/wire_test.go
@@ -36,7 +36,7 @@
 			p.CheckHealth(workerID, 1)
 			p.last().handler.OnOpen(nil)
 			test.send(p)
-			if got := p.last().written.String(); got != open+test.want {
+			if got := p.last().Written.String(); got != open+test.want {
 				t.Errorf("wrote %q", got)
 			}
 		})
@@ -107,8 +107,8 @@
 			transport := p.startOpen(attemptID(1), id)
 			p.CheckHealth(workerID, 9)
 			transport.handler.OnData(encodeCommand(words[0], words[1:]...))
-			if err := logged.lastError("worker connection closed"); !transport.closed || !errors.Is(err, errMalformedAnswer) {
-				t.Errorf("closed %v, logged %v", transport.closed, err)
+			if err := logged.lastError("worker connection closed"); !transport.Closed || !errors.Is(err, errMalformedAnswer) {
+				t.Errorf("closed %v, logged %v", transport.Closed, err)
 			}
 			if len(p.results.attempts)+len(p.results.controls) != 0 {
 				t.Errorf("ended %v, %v", p.results.attempts, p.results.controls)
@@ -119,8 +119,8 @@
 		p := newTestPool()
 		p.start(attemptID(1), id)
 		p.last().handler.OnData(encodeAnswer(id, "HIT", ""))
-		if !p.last().closed || len(p.results.attempts) != 0 {
-			t.Errorf("closed %v, ended %v", p.last().closed, p.results.attempts)
+		if !p.last().Closed || len(p.results.attempts) != 0 {
+			t.Errorf("closed %v, ended %v", p.last().Closed, p.results.attempts)
 		}
 	})
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -158,8 +158,8 @@
 	abandonedTransport := c.lastTransport()
 	c.Migrate(c.now+time.Millisecond, "new")
 	c.Poll(c.now + time.Millisecond)
-	if !abandonedTransport.closed || c.addresses[len(c.addresses)-1] != "new" || c.socket == abandoned {
-		t.Fatalf("dialled %v, old socket closed: %v", c.addresses, abandonedTransport.closed)
+	if !abandonedTransport.Closed || c.addresses[len(c.addresses)-1] != "new" || c.socket == abandoned {
+		t.Fatalf("dialled %v, old socket closed: %v", c.addresses, abandonedTransport.Closed)
 	}
 
 	current := c.socket
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -8,28 +8,15 @@
 	"time"
 
 	"functionrouter/internal/eventloop"
+	"functionrouter/internal/testsupport"
 	"functionrouter/policy"
 )
 
-// fakeTransport keeps what is written to it.
-type fakeTransport struct {
-	written bytes.Buffer
-	closed  bool
-}
-
-func (f *fakeTransport) Write(bufs ...[]byte) {
-	for _, b := range bufs {
-		f.written.Write(b)
-	}
-}
-
-func (f *fakeTransport) Close() { f.closed = true }
-
 // testClient is a Client on fake transports. It keeps the list that was reported last.
 type testClient struct {
 	*Client
 	t          *testing.T
-	transports []*fakeTransport
+	transports []*testsupport.FakeTransport
 	addresses  []string // dialled
 	reported   []Endpoint
 }
@@ -39,7 +26,7 @@
 	t.Helper()
 	c := &testClient{t: t}
 	dial := func(address string, _ eventloop.DialHandler) Transport {
-		c.transports = append(c.transports, &fakeTransport{})
+		c.transports = append(c.transports, &testsupport.FakeTransport{})
 		c.addresses = append(c.addresses, address)
 		return c.lastTransport()
 	}
@@ -58,15 +45,17 @@
 	return c
 }
 
-func (c *testClient) lastTransport() *fakeTransport { return c.transports[len(c.transports)-1] }
+func (c *testClient) lastTransport() *testsupport.FakeTransport {
+	return c.transports[len(c.transports)-1]
+}
 
 // query lets the client send its next query, and returns the query's id.
 func (c *testClient) query() uint16 {
 	c.t.Helper()
 	transport := c.lastTransport()
-	transport.written.Reset()
+	transport.Written.Reset()
 	c.Poll(c.nextPoll)
-	b := transport.written.Bytes()
+	b := transport.Written.Bytes()
 	if len(b) < headerLength {
 		c.t.Fatalf("query %x", b)
 	}
