--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -2,115 +2,25 @@
 
 import (
 	"bytes"
-	"fmt"
 	"strconv"
-	"time"
 
 	"functionrouter/policy"
 )
 
-// maxKeptBuffer is the capacity in bytes above which an empty read buffer is released.
-const maxKeptBuffer = 4 << 10
-
-// partialAnswer is the beginning of an answer whose rest has not come.
-type partialAnswer struct {
-	data  []byte
-	since time.Duration // when its first byte came
-}
-
-// answer is one answer: ID WORD FIELDS BODY, or ID PONG. Its parts point into the read buffer.
+// answer is one answer of a worker: the words ID WORD FIELDS BODY, or ID PONG. Its parts point into the read buffer.
 type answer struct {
-	id     []byte
-	word   []byte
-	fields []byte
-	body   []byte
-}
-
-// OnData handles bytes from the worker. The beginning of an answer stays in a buffer that grows with it, so
-// that an answer that comes a few bytes at a time is not copied anew for each of them.
-func (c *connection) OnData(b []byte) {
-	if c.state == closed {
-		return
-	}
-	if len(c.partial.data) > 0 {
-		c.partial.data = append(c.partial.data, b...)
-		b = c.partial.data
-	}
-	rest, err := c.handleAnswers(b)
-	if err != nil {
-		c.partial.data = nil
-		c.closeWithError(err)
-		return
-	}
-	if len(rest) > 0 && (len(rest) < len(b) || len(c.partial.data) == 0) {
-		c.partial.since = c.pool.now
-	}
-	c.partial.data = append(c.partial.data[:0], rest...)
-	if len(rest) == 0 && cap(c.partial.data) > maxKeptBuffer {
-		c.partial.data = nil
-	}
-}
-
-// handleAnswers handles the whole answers at the beginning of b and returns the rest.
-func (c *connection) handleAnswers(b []byte) (rest []byte, err error) {
-	var words [maxWords][]byte
-	for len(b) > 0 {
-		array, size, err := decodeArray(b, words[:0])
-		if err != nil {
-			return nil, err
-		}
-		if size == 0 {
-			break
-		}
-		if err := c.handleAnswer(array); err != nil {
-			return nil, err
-		}
-		b = b[size:]
-	}
-	return b, nil
-}
-
-func (c *connection) handleAnswer(words [][]byte) error {
-	a, err := parseAnswer(words)
-	if err != nil {
-		return err
-	}
-	c.keepAlive.lastAnswerAt = c.pool.now
-	c.keepAlive.checkSentAt = 0
-	call := c.pending[string(a.id)]
-	if call == nil {
-		return nil // a duplicate, or the answer to a cancelled attempt
-	}
-	outcome, err := a.outcomeFor(call)
-	if err != nil {
-		return err
-	}
-	c.release(call)
-	c.lastUsedAt = c.pool.now
-	c.keepAlive.lastAnsweredSentAt = max(c.keepAlive.lastAnsweredSentAt, call.sentAt)
-	c.pool.endAnswered(call, outcome, a)
-	return nil
-}
-
-// endAnswered reports the result of an answered call.
-func (p *Pool) endAnswered(call *pendingCall, outcome policy.Outcome, a answer) {
-	switch call.kind {
-	case attemptCall:
-		delete(p.attempts, call.attempt)
-		p.results.AttemptEnded(call.attempt, outcome, a.instanceStatus(), bytes.Clone(a.body), p.loadReport(a))
-	case loadCommandCall:
-		p.results.LoadCommandEnded(call.control, outcome, a.instanceCount())
-	case healthCheckCall:
-		p.results.HealthCheckEnded(call.control, outcome, p.loadReport(a))
-	case keepAliveCall: // that it was answered is all there is to know
-	}
+	wireID []byte // of the call that it answers
+	word   []byte // one of answerOutcomes
+	fields []byte // name=value,name=value; "-" or nothing if there are none
+	body   []byte // of an attempt: the function's result
 }
 
+// parseAnswer names the words of an answer. Fields and body may be missing, and words beyond them are ignored.
 func parseAnswer(words [][]byte) (answer, error) {
 	if len(words) < 2 {
 		return answer{}, malformed("fewer than two words")
 	}
-	a := answer{id: words[0], word: words[1]}
+	a := answer{wireID: words[0], word: words[1]}
 	if len(words) > 2 {
 		a.fields = words[2]
 	}
@@ -126,10 +36,10 @@
 	if !known {
 		return 0, malformed("unknown word")
 	}
-	healthWord := string(a.word) == answerHealthy || string(a.word) == answerUnhealthy
-	asksHealth := call.kind == healthCheckCall || call.kind == keepAliveCall
-	if healthWord != asksHealth {
-		return 0, malformed(fmt.Sprintf("%s in answer to %s", a.word, call.kind))
+	answersCheck := string(a.word) == answerHealthy || string(a.word) == answerUnhealthy
+	isCheck := call.kind == healthCheckCall || call.kind == keepAliveCall
+	if answersCheck != isCheck {
+		return 0, malformed("%s in answer to %s", a.word, call.kind)
 	}
 	if !call.written {
 		return 0, malformed("answer before the call was sent")
@@ -137,6 +47,7 @@
 	return outcome, nil
 }
 
+// instanceStatus is the state of the function's instance as the answer to an attempt gives it.
 func (a answer) instanceStatus() policy.InstanceStatus {
 	return instanceStatuses[string(fieldValue(a.fields, fieldInstanceStatus))]
 }
@@ -147,12 +58,8 @@
 	return count
 }
 
-func (p *Pool) loadReport(a answer) []float64 {
-	return parseLoadReport(fieldValue(a.fields, fieldLoadReport), p.cfg.LoadReportFields)
-}
-
 // parseLoadReport reads a load report, name:value;name:value, into the order of names. It returns nil for one that
-// lacks any of them.
+// lacks any of them; names that aren't asked for and values that aren't numbers are ignored.
 func parseLoadReport(text []byte, names []string) []float64 {
 	if len(text) == 0 {
 		return nil
--- a/internal/backend/commands.go
+++ b/internal/backend/commands.go
@@ -7,63 +7,66 @@
 	"functionrouter/policy"
 )
 
-// StartAttempt sends an attempt of r to a worker, which may spend budget on it. It ends as Unreachable if the
-// worker is not ready or no connection can carry it.
-func (p *Pool) StartAttempt(id policy.WorkerID, a router.AttemptID, r *router.Request, budget time.Duration) {
-	w := p.workers[id]
+// StartAttempt sends an attempt of a request to a worker, which may spend budget on it. The attempt ends as Unreachable if
+// the worker is not ready or no connection can carry the attempt. The request may be reused once StartAttempt has
+// returned; its body is kept without a copy and must not be changed.
+func (p *Pool) StartAttempt(workerID policy.WorkerID, attempt router.AttemptID, request *router.Request,
+	budget time.Duration) {
+	w := p.workers[workerID]
 	if w != nil && w.acceptsNew() {
-		call := newAttemptCall(a, r, p.cfg.Classes[r.Class], p.now+budget)
+		call := newAttemptCall(attempt, request, p.cfg.Classes[request.Class], p.now+budget)
 		if c := p.selectConnection(w, call); c != nil {
-			p.attempts[a] = call
+			p.attempts[attempt] = call
 			c.send(call)
 			return
 		}
 	}
-	p.results.AttemptEnded(a, policy.Unreachable, policy.InstanceUnknown, nil, nil)
+	p.results.AttemptEnded(attempt, policy.Unreachable, policy.InstanceUnknown, nil, nil)
 }
 
-// CancelUnsent takes back an attempt that waits for a dial. It returns false if the attempt has been
-// written or has ended.
-func (p *Pool) CancelUnsent(a router.AttemptID) bool {
-	call := p.attempts[a]
+// CancelUnsent cancels an attempt that waits for a dial; no result follows. It returns false, and does nothing, if the
+// attempt has been written or has ended.
+func (p *Pool) CancelUnsent(attempt router.AttemptID) bool {
+	call := p.attempts[attempt]
 	if call == nil || call.written {
 		return false
 	}
-	delete(p.attempts, a)
+	delete(p.attempts, attempt)
 	call.connection.dequeue(call)
 	return true
 }
 
-// CancelAttempt gives an attempt up; no result follows. Its connection does not carry its id again: an answer that is
-// on its way must not end another attempt of the same request. The worker is told where the settings
-// allow it.
-func (p *Pool) CancelAttempt(_ policy.WorkerID, a router.AttemptID) {
-	call := p.attempts[a]
-	if call == nil || p.CancelUnsent(a) {
+// CancelAttempt cancels an attempt; no result follows, and the worker may run it all the same. Its connection does not
+// carry its wire id again: an answer that is on its way must not end another attempt of the same request. The cancel is
+// sent to the worker where the settings allow it.
+func (p *Pool) CancelAttempt(_ policy.WorkerID, attempt router.AttemptID) {
+	call := p.attempts[attempt]
+	if call == nil || p.CancelUnsent(attempt) {
 		return
 	}
-	delete(p.attempts, a)
+	delete(p.attempts, attempt)
 	call.connection.release(call)
 	if p.cfg.AllowCancel {
-		call.connection.transport.Write(encodeCommand(commandCancel, call.token))
+		call.connection.transport.Write(encodeCommand(commandCancel, call.wireID))
 	}
 }
 
-// LoadInstance commands a worker to have count instances of a function loaded; a count of 0 only asks for the
-// number of loaded ones.
-func (p *Pool) LoadInstance(id policy.WorkerID, f policy.FunctionID, count int, control router.ControlID) {
-	p.sendControl(id, newLoadCommandCall(control, f, count), count > 0)
+// LoadInstance commands a worker to have this number of instances of a function loaded; 0 only asks for the number of
+// loaded ones. Unless it is 0, the command ends as Unreachable if the worker is not ready.
+func (p *Pool) LoadInstance(workerID policy.WorkerID, function policy.FunctionID, instances int, control router.ControlID) {
+	p.sendControl(workerID, newLoadCommandCall(control, function, instances))
 }
 
-// CheckHealth asks a worker for a sign of health and for its load report.
-func (p *Pool) CheckHealth(id policy.WorkerID, control router.ControlID) {
-	p.sendControl(id, newHealthCheckCall(control), false)
+// CheckHealth asks a worker, in whatever state it is, for a sign of life and for its load report.
+func (p *Pool) CheckHealth(workerID policy.WorkerID, control router.ControlID) {
+	p.sendControl(workerID, newHealthCheckCall(control))
 }
 
-// sendControl sends a load command or a health check. One that needs a ready worker ends as Unreachable at any other.
-func (p *Pool) sendControl(id policy.WorkerID, call *pendingCall, needsReady bool) {
-	w := p.workers[id]
-	if w != nil && (w.acceptsNew() || !needsReady) {
+// sendControl sends a load command or a health check. The call ends as Unreachable if it needs a ready worker and this one
+// is not, or if no connection can carry it.
+func (p *Pool) sendControl(workerID policy.WorkerID, call *pendingCall) {
+	w := p.workers[workerID]
+	if w != nil && (w.acceptsNew() || !call.needsReadyWorker) {
 		if c := p.selectConnection(w, call); c != nil {
 			c.send(call)
 			return
@@ -72,15 +75,16 @@
 	p.endUnanswered(call, policy.Unreachable)
 }
 
-// CancelControl drops the load command and the health check with this id; no result follows.
-func (p *Pool) CancelControl(id policy.WorkerID, control router.ControlID) {
-	w := p.workers[id]
+// CancelControl drops the load command or health check that the caller knows as control; no result follows. The worker may
+// carry it out all the same.
+func (p *Pool) CancelControl(workerID policy.WorkerID, control router.ControlID) {
+	w := p.workers[workerID]
 	if w == nil {
 		return
 	}
 	for _, c := range w.connections {
-		for _, token := range []string{loadCommandToken(control), healthCheckToken(control)} {
-			if call := c.pending[token]; call != nil {
+		for _, wireID := range []string{loadCommandWireID(control), healthCheckWireID(control)} {
+			if call := c.pending[wireID]; call != nil {
 				c.dequeue(call)
 				c.release(call)
 			}
@@ -90,20 +94,20 @@
 
 // UnloadInstance commands a worker to unload the idle instances of a function; it has no answer. Where no
 // connection is open it does nothing: idle instances expire by themselves, which makes them not worth a dial.
-func (p *Pool) UnloadInstance(id policy.WorkerID, f policy.FunctionID) {
-	w := p.workers[id]
+func (p *Pool) UnloadInstance(workerID policy.WorkerID, function policy.FunctionID) {
+	w := p.workers[workerID]
 	if w == nil {
 		return
 	}
 	for _, c := range w.connections {
 		if c.state != connecting {
-			c.transport.Write(encodeCommand(commandUnload, formatFunctionID(f)))
+			c.transport.Write(encodeCommand(commandUnload, formatFunctionID(function)))
 			return
 		}
 	}
 }
 
-// endUnanswered reports a result that came without an answer.
+// endUnanswered reports the end of a call that got no answer.
 func (p *Pool) endUnanswered(call *pendingCall, outcome policy.Outcome) {
 	switch call.kind {
 	case attemptCall:
@@ -112,10 +116,10 @@
 	case loadCommandCall:
 		p.results.LoadCommandEnded(call.control, outcome, 0)
 	case healthCheckCall:
-		if outcome == policy.NotSent { // it is no sign of life either
+		if outcome == policy.NotSent { // a fault of this machine, which is no sign of life either
 			outcome = policy.Unreachable
 		}
 		p.results.HealthCheckEnded(call.control, outcome, nil)
-	case keepAliveCall: // nobody outside this package knows of it
+	case keepAliveCall: // it concerns this package alone
 	}
 }
--- a/internal/backend/keep_alive.go
+++ b/internal/backend/keep_alive.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// keepAliveAfter is how long a connection with attempts in flight may go without a whole answer. Then it
-	// is sent a keep-alive check, and it is avoided until an answer comes.
+	// keepAliveAfter is how long a connection with attempts in flight may go without a complete answer. After that a
+	// keep-alive check is sent over it, and it is avoided until an answer comes.
 	keepAliveAfter = 150 * time.Millisecond
 
-	// keepAliveTimeout is how long a keep-alive check may go unanswered. Then the connection is closed if
+	// keepAliveTimeout is how long a keep-alive check may go unanswered. After that the connection is closed if
 	// the worker has answered, on another one, a call that was sent after the keep-alive check.
 	keepAliveTimeout = 250 * time.Millisecond
 
@@ -19,23 +19,28 @@
 )
 
 var (
-	// errStalledAnswer says that an answer began and did not become whole within partialAnswerTimeout.
+	// errStalledAnswer says that an answer began and was not complete within partialAnswerTimeout.
 	errStalledAnswer = errors.New("answer stalled")
 
 	// errSilentConnection says that a connection stays silent while others to the same worker do not.
 	errSilentConnection = errors.New("connection is silent while others to the worker are not")
 )
 
-// keepAlive holds what tells whether a connection still works.
+// keepAlive holds what shows whether a connection still works. The keep-alive check is of one connection, and its result
+// stays in this package; the health check is of a worker, and its result goes to the policy. Any complete answer ends a
+// keep-alive check, not only its own.
 type keepAlive struct {
-	lastAnswerAt       time.Duration // when the last whole answer came
-	lastAnsweredSentAt time.Duration // the latest sending of a call that has been answered
+	lastAnswerAt       time.Duration // when the last complete answer came
+	lastAnsweredSentAt time.Duration // when the latest of the answered calls was sent
 	checkSentAt        time.Duration // when the unanswered keep-alive check was sent; 0: there is none
 }
 
-// checkKeepAlive closes the connection if it has stalled or fallen silent. One that is cut off stays open
-// without a word, while others to the same worker may work: that is no reason to avoid the whole worker. Single bytes
-// prove nothing here; only whole answers count.
+// awaitsAnswer reports whether a keep-alive check is unanswered.
+func (k *keepAlive) awaitsAnswer() bool { return k.checkSentAt > 0 }
+
+// checkKeepAlive closes the connection if it has stalled or fallen silent. A connection that is cut off stays open
+// and silent, while others to the same worker may work: that is no reason to avoid the worker. Single bytes
+// prove nothing here; only complete answers count.
 func (c *connection) checkKeepAlive() {
 	now := c.pool.now
 	if len(c.partial.data) > 0 && now-c.partial.since > partialAnswerTimeout {
@@ -46,11 +51,12 @@
 	if oldest == 0 || now-max(oldest, c.keepAlive.lastAnswerAt) <= keepAliveAfter {
 		return
 	}
-	if c.keepAlive.checkSentAt == 0 {
+	if !c.keepAlive.awaitsAnswer() {
 		c.sendKeepAlive()
 		return
 	}
-	if now-c.keepAlive.checkSentAt > keepAliveTimeout && c.worker.answeredCallSentAfter(c.keepAlive.checkSentAt) {
+	checkSentAt := c.keepAlive.checkSentAt
+	if now-checkSentAt > keepAliveTimeout && c.worker.answeredCallSentAfter(checkSentAt) {
 		c.closeWithError(errSilentConnection)
 	}
 }
@@ -66,8 +72,9 @@
 	return oldest
 }
 
+// sendKeepAlive sends a keep-alive check over c.
 func (c *connection) sendKeepAlive() {
 	c.keepAlive.checkSentAt = c.pool.now
-	c.pool.keepAlives++
-	c.send(newKeepAliveCall(c.pool.keepAlives))
+	c.pool.keepAlivesSent++
+	c.send(newKeepAliveCall(c.pool.keepAlivesSent))
 }
--- a/internal/backend/log_test.go
+++ b/internal/backend/log_test.go
@@ -55,12 +55,12 @@
 
 func TestLostConnectionsAreLoggedOnceAnIntervalWithBothCounts(t *testing.T) {
 	logged := captureLog(t)
-	losses := newLossLog()
+	log := newLostConnectionLog()
 	reset := errors.New("reset")
-	losses.record(time.Hour, "127.0.0.1:1", 2, nil)
-	losses.record(time.Hour, "127.0.0.1:2", 3, nil)
-	losses.record(time.Hour+lossLogInterval, "127.0.0.1:3", 4, nil)
-	losses.record(time.Hour+lossLogInterval+1, "127.0.0.1:4", 5, reset)
+	log.record(time.Hour, "127.0.0.1:1", 2, nil)
+	log.record(time.Hour, "127.0.0.1:2", 3, nil)
+	log.record(time.Hour+lostConnectionLogInterval, "127.0.0.1:3", 4, nil)
+	log.record(time.Hour+lostConnectionLogInterval+1, "127.0.0.1:4", 5, reset)
 	if len(logged.lines) != 2 {
 		t.Fatalf("%d lines: %v", len(logged.lines), logged.lines)
 	}
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,12 +1,3 @@
-// Package backend is the client side of the router towards its workers. A Pool keeps RESP connections to
-// each worker and multiplexes attempts, load commands and health checks over them; what becomes of each is reported once
-// to a ResultHandler.
-//
-// The commands and answers are RESP arrays of bulk strings, as Redis defines them
-// (https://redis.io/docs/latest/develop/reference/protocol-spec/).
-//
-// Nothing here is safe for concurrent use: all methods of a Pool and all events of its connections run on the
-// event loop's goroutine. The package has no clock of its own; see Pool.SetNow.
 package backend
 
 import (
@@ -18,24 +9,27 @@
 	"functionrouter/policy"
 )
 
-// SweepInterval is how often Pool.Sweep should be called.
-const SweepInterval = 50 * time.Millisecond
-
-// idleCloseFraction is the part of the workers' idle timeout after which the pool closes an idle connection.
-const idleCloseFraction = 0.8
-
-// ResultHandler receives the result of each attempt, load command and health check; a router.Router is one. The body
-// is the handler's to keep. A nil report means that the worker sent no complete load report.
+// ResultHandler receives the result of each attempt, load command and health check; a router.Router is one. The methods
+// are called on the event loop's goroutine, also during the method of the Pool that starts the call, and may call the Pool
+// themselves. A load report holds the values of Config.LoadReportFields in their order; it is nil if the worker sent no
+// complete one. The handler owns the body and the load report.
 type ResultHandler interface {
-	AttemptEnded(a router.AttemptID, outcome policy.Outcome, status policy.InstanceStatus, body []byte, report []float64)
-	LoadCommandEnded(control router.ControlID, outcome policy.Outcome, count int)
-	HealthCheckEnded(control router.ControlID, outcome policy.Outcome, report []float64)
+	// AttemptEnded reports how an attempt ended; status and body are those of the worker's answer, if there was one.
+	AttemptEnded(attempt router.AttemptID, outcome policy.Outcome, status policy.InstanceStatus,
+		body []byte, loadReport []float64)
+	// LoadCommandEnded reports how a load command ended; instances is the number of loaded instances that the worker
+	// gave, 0 if it gave none.
+	LoadCommandEnded(control router.ControlID, outcome policy.Outcome, instances int)
+	// HealthCheckEnded reports how a health check ended.
+	HealthCheckEnded(control router.ControlID, outcome policy.Outcome, loadReport []float64)
 }
 
 // Transport is a byte stream to a worker; an eventloop.Conn is one.
 type Transport interface {
 	// Write queues buffers, which the caller must not change afterwards.
 	Write(bufs ...[]byte)
+	// Close closes the stream and drops what is still queued. OnClose of the handler follows in a later turn if the
+	// stream was open; a dial that has not ended is cancelled, and its handler gets no further call.
 	Close()
 }
 
@@ -45,42 +39,45 @@
 	LoadReportFields        []string      // names of the fields of a load report, in the order of its values
 	DialTimeout             time.Duration // limit on one dial
 	IdleTimeout             time.Duration // workers close a connection that has been idle for so long
-	MaxStreamsPerConnection int           // attempts in flight on one connection
-	MaxConnections          int           // connections to all workers together
-	AllowCancel             bool          // workers may be told that an attempt is cancelled
-	// Dial opens a connection to addr ("host:port"). It may call h before it returns.
+	MaxStreamsPerConnection int           // limit on the attempts in flight on one connection
+	MaxConnections          int           // limit on the connections to all workers together
+	AllowCancel             bool          // a cancelled attempt is also cancelled at its worker
+
+	// Dial opens a connection to addr ("host:port") and reports the result to h.OnOpen, which belongs in a later turn
+	// of the event loop: after a failure that is reported before Dial returns, the call that the dial is for is never
+	// sent and never ends.
 	Dial func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 }
 
-// Pool holds the connections to all workers.
+// Pool holds the connections to all workers and the calls that are pending on them.
 type Pool struct {
-	cfg        Config
-	results    ResultHandler
-	now        time.Duration
-	workers    map[policy.WorkerID]*worker
-	attempts   map[router.AttemptID]*pendingCall // attempts that have not ended
-	keepAlives uint64                            // keep-alive checks sent so far; numbers their tokens
-	losses     lossLog
+	cfg             Config
+	results         ResultHandler
+	now             time.Duration // the event loop's clock, see SetNow
+	workers         map[policy.WorkerID]*worker
+	attempts        map[router.AttemptID]*pendingCall // attempts that have not ended
+	keepAlivesSent  uint64                            // also the number in the wire id of the latest keep-alive check
+	lostConnections lostConnectionLog
 }
 
-// New returns a Pool without endpoints that reports to results.
+// New returns a Pool without workers that reports to results.
 func New(cfg Config, results ResultHandler) *Pool {
 	return &Pool{
-		cfg:      cfg,
-		results:  results,
-		workers:  map[policy.WorkerID]*worker{},
-		attempts: map[router.AttemptID]*pendingCall{},
-		losses:   newLossLog(),
+		cfg:             cfg,
+		results:         results,
+		workers:         map[policy.WorkerID]*worker{},
+		attempts:        map[router.AttemptID]*pendingCall{},
+		lostConnections: newLostConnectionLog(),
 	}
 }
 
-// SetNow advances the clock, a reading of the event loop's. An earlier time than the present one is ignored.
+// SetNow advances the clock to now, a reading of the event loop's. An earlier time than the present one is ignored.
 func (p *Pool) SetNow(now time.Duration) { p.now = max(p.now, now) }
 
 // UpdateEndpoint sets a worker's address ("" leaves it), its state, and when its process started (0: unknown).
-// Connections to an earlier address or process are drained. Unless the worker is ready, the calls
-// that wait for a dial to it end unsent: the dial may come up after the time in which sends to a draining worker
-// are allowed.
+// Connections to an earlier address or process are drained. Unless the worker is ready, the attempts and load commands
+// that wait for a dial to it end unsent: the dial may succeed after the time in which sends to a draining worker
+// are allowed. The idle connections to a worker that is gone are closed.
 func (p *Pool) UpdateEndpoint(id policy.WorkerID, addr string, state policy.WorkerState, started time.Duration) {
 	w := p.workers[id]
 	if w == nil {
@@ -126,45 +123,3 @@
 		}
 	}
 }
-
-// Sweep does the periodic work at now: it closes idle connections, checks that the others still work, and
-// forgets workers that are gone. Call it every SweepInterval.
-func (p *Pool) Sweep(now time.Duration) {
-	p.SetNow(now)
-	for id, w := range p.workers {
-		for _, c := range slices.Clone(w.connections) {
-			p.sweepConnection(c)
-		}
-		if w.state == policy.Gone && len(w.connections) == 0 {
-			delete(p.workers, id)
-		}
-	}
-}
-
-func (p *Pool) sweepConnection(c *connection) {
-	c.recentIDs.rotate(p.now)
-	if c.state == connecting {
-		return
-	}
-	if c.state == ready && c.recentIDs.full() {
-		c.retire() // a new one carries more attempts; this one would carry none for seconds
-		return
-	}
-	if !c.takesCalls() { // it closes with its last call
-		if c.idle() {
-			c.close()
-		}
-		return
-	}
-	if c.idle() && p.now-c.lastUsedAt > p.idleCloseAfter() {
-		c.close()
-		return
-	}
-	c.checkKeepAlive()
-}
-
-// idleCloseAfter is how long a connection may be idle. It is less than the workers' own limit: a call that
-// crosses a worker's close would count as one that may have run.
-func (p *Pool) idleCloseAfter() time.Duration {
-	return time.Duration(idleCloseFraction * float64(p.cfg.IdleTimeout))
-}
--- /dev/null
+++ b/internal/backend/receive.go
@@ -0,0 +1,116 @@
+package backend
+
+import (
+	"bytes"
+	"time"
+
+	"functionrouter/policy"
+)
+
+// maxKeptBuffer is the capacity in bytes above which an empty read buffer is released.
+const maxKeptBuffer = 4 << 10
+
+// partialAnswer is the beginning of an answer whose rest has not come.
+type partialAnswer struct {
+	data  []byte
+	since time.Duration // when its first byte came
+}
+
+// join returns what has come of the answer so far, with b behind it. The result is valid until the next call.
+func (p *partialAnswer) join(b []byte) []byte {
+	if len(p.data) == 0 {
+		return b
+	}
+	p.data = append(p.data, b...)
+	return p.data
+}
+
+// keep stores the rest that the answers in joined, the last result of join, have left at now.
+func (p *partialAnswer) keep(rest, joined []byte, now time.Duration) {
+	beginsNow := len(rest) < len(joined) || len(p.data) == 0
+	if len(rest) > 0 && beginsNow {
+		p.since = now
+	}
+	p.data = append(p.data[:0], rest...)
+	if len(rest) == 0 && cap(p.data) > maxKeptBuffer {
+		p.data = nil
+	}
+}
+
+// OnData handles bytes from the worker. The beginning of an answer stays in a buffer that grows with it, so
+// that an answer that comes a few bytes at a time is not copied anew for each of them.
+func (c *connection) OnData(b []byte) {
+	if c.state == closed {
+		return
+	}
+	joined := c.partial.join(b)
+	rest, err := c.handleAnswers(joined)
+	if err != nil {
+		c.partial.data = nil
+		c.closeWithError(err)
+		return
+	}
+	c.partial.keep(rest, joined, c.pool.now)
+}
+
+// handleAnswers handles the complete answers at the beginning of b and returns the rest. It fails with errMalformedAnswer.
+func (c *connection) handleAnswers(b []byte) (rest []byte, err error) {
+	var words [maxWords][]byte
+	for len(b) > 0 {
+		array, size, err := decodeArray(b, words[:0])
+		if err != nil {
+			return nil, err
+		}
+		if size == 0 {
+			break
+		}
+		if err := c.handleAnswer(array); err != nil {
+			return nil, err
+		}
+		b = b[size:]
+	}
+	return b, nil
+}
+
+// handleAnswer ends the pending call that an answer is to. An answer to none is ignored: it is a duplicate, or the answer
+// to a call that was cancelled. It fails with errMalformedAnswer.
+func (c *connection) handleAnswer(words [][]byte) error {
+	a, err := parseAnswer(words)
+	if err != nil {
+		return err
+	}
+	c.keepAlive.lastAnswerAt = c.pool.now
+	c.keepAlive.checkSentAt = 0
+	call := c.pending[string(a.wireID)]
+	if call == nil {
+		return nil
+	}
+	outcome, err := a.outcomeFor(call)
+	if err != nil {
+		return err
+	}
+	c.release(call)
+	c.lastUsedAt = c.pool.now
+	c.keepAlive.lastAnsweredSentAt = max(c.keepAlive.lastAnsweredSentAt, call.sentAt)
+	c.pool.endAnswered(call, outcome, a)
+	return nil
+}
+
+// endAnswered reports the result of an answered call.
+func (p *Pool) endAnswered(call *pendingCall, outcome policy.Outcome, a answer) {
+	switch call.kind {
+	case attemptCall:
+		delete(p.attempts, call.attempt)
+		p.results.AttemptEnded(call.attempt, outcome, a.instanceStatus(), bytes.Clone(a.body), p.loadReport(a))
+	case loadCommandCall:
+		p.results.LoadCommandEnded(call.control, outcome, a.instanceCount())
+	case healthCheckCall:
+		p.results.HealthCheckEnded(call.control, outcome, p.loadReport(a))
+	case keepAliveCall: // handleAnswer has noted that the connection works
+	}
+}
+
+// loadReport returns the load report of an answer, nil if it has no complete one.
+func (p *Pool) loadReport(a answer) []float64 {
+	return parseLoadReport(fieldValue(a.fields, fieldLoadReport), p.cfg.LoadReportFields)
+}
--- a/internal/backend/selection.go
+++ b/internal/backend/selection.go
@@ -13,51 +13,58 @@
 type preference uint8
 
 const (
-	notEligible  preference = iota
-	unresponsive            // a keep-alive check is unanswered
-	beingDialed
-	responsive
+	// The connection can't carry the call.
+	notEligible preference = iota // not eligible
+	// Its keep-alive check is unanswered.
+	unresponsive // unresponsive
+	// Calls wait for the end of its dial.
+	beingDialed // being dialed
+	// It is open, and nothing speaks against it.
+	responsive // responsive
 )
 
 // selectConnection returns the connection for call, or nil if there is none and none may be opened. It
 // chooses the most preferred connection with the fewest attempts. Where that one is unresponsive or has
 // attemptsBeforeDial attempts, it opens a new one, as long as the limits allow.
 func (p *Pool) selectConnection(w *worker, call *pendingCall) *connection {
-	best, rank := p.bestConnection(w, call)
-	if rank > unresponsive && best.attempts < attemptsBeforeDial {
+	best, highest := p.bestConnection(w, call)
+	if highest > unresponsive && best.pendingAttempts < attemptsBeforeDial {
 		return best
 	}
-	if len(w.connections) >= maxConnectionsPerWorker || w.address == "" || !p.reserveConnection() {
+	canDial := len(w.connections) < maxConnectionsPerWorker && w.address != ""
+	if !canDial || !p.reserveConnection() {
 		return best
 	}
 	return p.dial(w)
 }
 
-func (p *Pool) bestConnection(w *worker, call *pendingCall) (*connection, preference) {
-	var best *connection
-	rank := notEligible
+// bestConnection returns w's most preferred connection for call, of several the one with the fewest attempts and among
+// these the oldest. It returns nil and notEligible if none may carry the call.
+func (p *Pool) bestConnection(w *worker, call *pendingCall) (best *connection, highest preference) {
 	for _, c := range w.connections {
-		r := p.preferenceFor(c, call)
-		if r > rank || r == rank && r > notEligible && c.attempts < best.attempts {
+		rating := p.preferenceFor(c, call)
+		if rating == notEligible {
+			continue
+		}
+		hasFewerAttempts := rating == highest && c.pendingAttempts < best.pendingAttempts
+		if rating > highest || hasFewerAttempts {
 			best = c
-			rank = r
+			highest = rating
 		}
 	}
-	return best, rank
+	return best, highest
 }
 
-// preferenceFor rates c for call. A connection carries no two calls with the same id at once, no attempt whose id it
-// remembers (see recentIDs), and no more attempts at once than a worker accepts.
+// preferenceFor rates c for call. A connection carries no two calls with the same wire id at once.
 func (p *Pool) preferenceFor(c *connection, call *pendingCall) preference {
-	if !c.takesCalls() || c.transport == nil || c.pending[call.token] != nil {
+	if !c.takesCalls() || c.transport == nil || c.pending[call.wireID] != nil {
 		return notEligible
 	}
-	if call.kind == attemptCall &&
-		(c.attempts >= p.cfg.MaxStreamsPerConnection || c.recentIDs.contains(call.token) || c.recentIDs.full()) {
+	if call.kind == attemptCall && !p.mayCarryAttempt(c, call) {
 		return notEligible
 	}
 	switch {
-	case c.keepAlive.checkSentAt > 0:
+	case c.keepAlive.awaitsAnswer():
 		return unresponsive
 	case c.state == connecting:
 		return beingDialed
@@ -66,15 +73,26 @@
 	}
 }
 
+// mayCarryAttempt reports whether c may carry one more attempt: it carries no more at once than a worker accepts, and none
+// whose wire id it remembers (see recentIDs).
+func (p *Pool) mayCarryAttempt(c *connection, call *pendingCall) bool {
+	return c.pendingAttempts < p.cfg.MaxStreamsPerConnection &&
+		!c.recentIDs.contains(call.wireID) &&
+		!c.recentIDs.full()
+}
+
 // reserveConnection reports whether one more connection may be opened. At the limit on all connections, the
-// one that has been idle for longest is closed in its favour, so that workers that appear late get connections.
+// one that has been idle for longest is closed to make room, so that workers that appear late get connections.
 func (p *Pool) reserveConnection() bool {
 	total := 0
 	var longestIdle *connection
 	for _, w := range p.workers {
 		total += len(w.connections)
 		for _, c := range w.connections {
-			if c.state == ready && c.idle() && (longestIdle == nil || c.lastUsedAt < longestIdle.lastUsedAt) {
+			if c.state != ready || !c.idle() {
+				continue
+			}
+			if longestIdle == nil || c.lastUsedAt < longestIdle.lastUsedAt {
 				longestIdle = c
 			}
 		}
@@ -89,8 +107,7 @@
 	return true
 }
 
-// dial opens a connection to w. Dial may report its failure before it returns; until the transport is set
-// the connection is not eligible.
+// dial opens a connection to w. It is not eligible for calls until Config.Dial has returned its transport.
 func (p *Pool) dial(w *worker) *connection {
 	c := &connection{
 		pool:       p,
--- a/internal/backend/selection_test.go
+++ b/internal/backend/selection_test.go
@@ -84,8 +84,8 @@
 	}
 	connections := p.workers[workerID].connections
 	for _, c := range connections {
-		if c.attempts < 9 || c.attempts > 10 {
-			t.Errorf("%d calls on one of %d connections", c.attempts, len(connections))
+		if c.pendingAttempts < 9 || c.pendingAttempts > 10 {
+			t.Errorf("%d calls on one of %d connections", c.pendingAttempts, len(connections))
 		}
 	}
 }
--- /dev/null
+++ b/internal/backend/sweep.go
@@ -0,0 +1,54 @@
+package backend
+
+import (
+	"slices"
+	"time"
+
+	"functionrouter/policy"
+)
+
+// SweepInterval is how often Pool.Sweep should be called. Timeouts of connections are noticed that much later at most.
+const SweepInterval = 50 * time.Millisecond
+
+// idleCloseFraction is the part of the workers' idle timeout after which the pool closes an idle connection. The rest is
+// a margin for the time that a call takes to the worker.
+const idleCloseFraction = 0.8
+
+// Sweep does the periodic work at now, a reading of the event loop's clock: it closes connections that are idle or of no
+// further use, checks that the others still work, and forgets workers that are gone and have no connections. Call it every
+// SweepInterval.
+func (p *Pool) Sweep(now time.Duration) {
+	p.SetNow(now)
+	for id, w := range p.workers {
+		for _, c := range slices.Clone(w.connections) {
+			p.sweepConnection(c)
+		}
+		if w.state == policy.Gone && len(w.connections) == 0 {
+			delete(p.workers, id)
+		}
+	}
+}
+
+// sweepConnection does the periodic work of one connection.
+func (p *Pool) sweepConnection(c *connection) {
+	c.recentIDs.rotate(p.now)
+	switch {
+	case c.state == connecting: // the dial has a timeout of its own
+	case c.state == ready && c.recentIDs.full():
+		c.retire() // a new connection carries more attempts; this one would carry none for seconds
+	case c.state != ready: // draining or closed
+		if c.idle() {
+			c.close()
+		}
+	case c.idle() && p.now-c.lastUsedAt > p.idleCloseAfter():
+		c.close()
+	default:
+		c.checkKeepAlive()
+	}
+}
+
+// idleCloseAfter is how long a connection may be idle. It is less than the workers' own limit: a call that
+// crosses a worker's close would count as one that may have run.
+func (p *Pool) idleCloseAfter() time.Duration {
+	return time.Duration(idleCloseFraction * float64(p.cfg.IdleTimeout))
+}
--- a/internal/backend/wire.go
+++ b/internal/backend/wire.go
@@ -2,29 +2,29 @@
 
 import "functionrouter/policy"
 
-// Commands to a worker.
+// Commands to a worker. ID is the wire id, which the answer repeats.
 const (
 	commandRun         = "RUN"  // RUN ID queue=CLASS,path=FUNCTION,budget=MS BODY: run a function
-	commandCancel      = "STOP" // STOP ID: give an attempt up; no answer
+	commandCancel      = "STOP" // STOP ID: cancel an attempt; no answer
 	commandLoad        = "HOLD" // HOLD ID path=FUNCTION,count=N: keep N instances loaded
 	commandUnload      = "FREE" // FREE FUNCTION: unload the idle instances; no answer
 	commandHealthCheck = "INFO" // INFO ID: report health and load
-	commandPing        = "NOOP" // NOOP ID: answer, which tells only that the connection works
+	commandKeepAlive   = "NOOP" // NOOP ID: answer, which shows only that the connection works
 )
 
-// Words of a worker's answer.
+// Words of a worker's answer, and what the worker reports by them.
 const (
-	answerServed         = "HIT"
-	answerNotLoaded      = "NONE"
-	answerOverloaded     = "SHED"
-	answerFailed         = "FAULT"
-	answerDeadlinePassed = "LATE"
-	answerHealthy        = "PONG" // to INFO and NOOP only
-	answerUnhealthy      = "SICK" // to INFO and NOOP only
+	answerServed         = "HIT"   // the function ran, or the load command was carried out
+	answerNotLoaded      = "NONE"  // the function has no instance here; nothing ran
+	answerOverloaded     = "SHED"  // the worker takes no more; nothing ran
+	answerFailed         = "FAULT" // the function or the load failed
+	answerDeadlinePassed = "LATE"  // the budget was spent before the start; nothing ran
+	answerHealthy        = "PONG"  // to INFO and NOOP only
+	answerUnhealthy      = "SICK"  // to INFO and NOOP only
 )
 
-// answerOutcomes maps an answer's word. Only NONE, SHED and LATE prove that an attempt never ran, so words
-// are compared exactly.
+// answerOutcomes maps the word of an answer to the outcome of its call. Only NONE, SHED and LATE prove that an attempt
+// never ran, so words are compared exactly.
 var answerOutcomes = map[string]policy.Outcome{
 	answerServed:         policy.Served,
 	answerNotLoaded:      policy.FunctionNotLoaded,
@@ -37,9 +37,9 @@
 
 // Names of an answer's fields.
 const (
-	fieldLoadReport     = "use"
-	fieldInstanceStatus = "detail"
-	fieldInstanceCount  = "count"
+	fieldLoadReport     = "use"    // name:value;name:value, see Config.LoadReportFields
+	fieldInstanceStatus = "detail" // a key of instanceStatuses, in the answer to an attempt
+	fieldInstanceCount  = "count"  // loaded instances, in the answer to a load command
 )
 
 // instanceStatuses maps the value of fieldInstanceStatus; any other is policy.InstanceUnknown.
--- a/internal/backend/worker.go
+++ b/internal/backend/worker.go
@@ -10,23 +10,24 @@
 // worker is one endpoint and the connections to it.
 type worker struct {
 	id          policy.WorkerID
-	address     string
+	address     string // "host:port"; "" if it is not known
 	state       policy.WorkerState
-	connections []*connection
+	connections []*connection // in the order of their dials
 }
 
 // acceptsNew reports whether the worker may be sent attempts and load commands.
 func (w *worker) acceptsNew() bool { return w.state == policy.Ready }
 
+// remove takes c off the worker's connections, if it is one of them.
 func (w *worker) remove(c *connection) {
 	if i := slices.Index(w.connections, c); i >= 0 {
 		w.connections = append(w.connections[:i], w.connections[i+1:]...)
 	}
 }
 
-// retireOutdated retires the connections to another address than addr, and those of before started. A worker
-// that restarted elsewhere may have left its old address to another worker. A machine that vanished and came back
-// answers whatever still arrives on a connection of before with a reset.
+// retireOutdated retires the connections to another address than addr ("": unchanged), and those that were dialed before
+// started (0: unknown). A worker that restarted elsewhere may have left its old address to another worker. A machine that
+// vanished and came back answers with a reset whatever still arrives on an earlier connection.
 func (w *worker) retireOutdated(addr string, started time.Duration) {
 	moved := addr != "" && addr != w.address
 	for _, c := range slices.Clone(w.connections) {
