--- a/internal/backend/codec_test.go
+++ b/internal/backend/codec_test.go
@@ -106,26 +106,25 @@
 	p := newTestPool()
 	a := attemptID(1)
 	transport := p.startOpen(a, hexID(0xa1))
-	whole := encodeAnswer(hexID(0xa1), "HIT", strings.Repeat("x", maxBulkSize-64))
+	complete := encodeAnswer(hexID(0xa1), "HIT", strings.Repeat("x", maxBulkSize-64))
 	allocs := testing.AllocsPerRun(1, func() {
-		for i := range whole {
-			transport.handler.OnData(whole[i : i+1])
+		for i := range complete {
+			transport.handler.OnData(complete[i : i+1])
 		}
 	})
 	if ended := p.results.attempts[a]; len(ended) != 1 || allocs > 60 {
-		t.Errorf("ended %v after %v allocations for %d bytes", ended, allocs, len(whole))
+		t.Errorf("ended %v after %v allocations for %d bytes", ended, allocs, len(complete))
 	}
 }
 
 // Guards against an answer that stops short on an open connection: no more bytes, or a few now and then
-// that never make it whole.
+// that never complete it.
 func TestStalledAnswerClosesItsConnection(t *testing.T) {
 	logged := captureLog(t)
 	p := newTestPool()
 	a := attemptID(1)
 	transport := p.startOpen(a, hexID(0xa1))
-	whole := encodeAnswer(hexID(0xa1), "HIT", strings.Repeat("x", 1000))
-	rest := whole
+	rest := encodeAnswer(hexID(0xa1), "HIT", strings.Repeat("x", 1000))
 	for i := range int(partialAnswerTimeout/SweepInterval) + 2 {
 		p.Sweep(time.Hour + time.Duration(i)*SweepInterval)
 		if !transport.Closed {
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Guards healthy workers against connections that are reset when new: what waits for such a dial
-// gets another, a few times. One that is refused, or a worker that drains meanwhile, gets none.
+// Guards healthy workers against connections that are reset when new: the calls that wait for such a dial
+// get another, a few times. They get none if the dial is refused or the worker drains meanwhile.
 func TestResetDialIsTriedAgain(t *testing.T) {
 	dialError := func(err error) error {
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
@@ -69,8 +69,8 @@
 	}
 }
 
-// An attempt that has waited for a dial tells the worker the time that is left, and not the time that it had at first. One
-// whose time is over is not sent.
+// The budget of an attempt that has waited for a dial is the time that is left, and not the time that it had at first. An
+// attempt whose time is over is not sent.
 func TestQueuedAttemptCarriesTheTimeThatIsLeft(t *testing.T) {
 	for _, test := range []struct {
 		waited time.Duration
@@ -98,7 +98,7 @@
 	}
 }
 
-// A dial that fails for want of something on this machine is not held against its worker.
+// A dial that fails because this machine lacks a resource is not held against its worker.
 func TestLocalFaultIsNotTheWorkers(t *testing.T) {
 	p := newTestPool()
 	a := attemptID(1)
--- a/internal/backend/endings_test.go
+++ b/internal/backend/endings_test.go
@@ -9,12 +9,13 @@
 	"functionrouter/policy"
 )
 
-// Guards against a duplicate of an answer: of a "not loaded", say, which would have the next attempt of the
-// same request count as one that never ran, and the request be sent once more.
+// Guards against a duplicate of an answer. With a duplicate of "not loaded", for example, the next attempt of the
+// same request would count as one that never ran, and the request would be sent once more.
 func TestDuplicateAnswerEndsNoLaterAttempt(t *testing.T) {
 	p := newTestPool()
 	const id = "0123456789abcdef"
-	first, second := router.AttemptID{Request: 1}, router.AttemptID{Request: 1, Number: 1}
+	first := router.AttemptID{Request: 1}
+	second := router.AttemptID{Request: 1, Number: 1}
 	transport := p.startOpen(first, id)
 	transport.handler.OnData(encodeAnswer(id, "NONE", ""))
 	p.start(second, id)
@@ -25,7 +26,8 @@
 	}
 	p.transports[1].handler.OnOpen(nil)
 	p.transports[1].handler.OnData(encodeAnswer(id, "HIT", "done"))
-	ended, body := p.results.attempts[second], p.results.bodies[second]
+	ended := p.results.attempts[second]
+	body := p.results.bodies[second]
 	if len(ended) != 1 || body != "done" || len(p.carriers(id)) != 2 {
 		t.Errorf("second attempt ended %v with %q", ended, body)
 	}
@@ -39,8 +41,8 @@
 	}
 }
 
-// Guards healthy workers against connections that break under a health check: it goes over another one, so
-// that only a worker that refuses, or breaks them all, counts as having failed it.
+// Guards healthy workers against connections that break while a health check is pending: it is sent again over another
+// one, so that only a worker that refuses the connection, or breaks all of them, fails the health check.
 func TestHealthCheckOutlivesItsConnection(t *testing.T) {
 	const control = 7
 	for _, test := range []struct {
@@ -81,7 +83,7 @@
 }
 
 // Guards against leaks over long runs: generations of workers come and go, some at an address that was another's,
-// and nothing about those that are gone stays.
+// and the pool keeps nothing about those that are gone.
 func TestNothingIsKeptOfGoneWorkers(t *testing.T) {
 	p := newTestPool()
 	now := time.Duration(0)
@@ -117,7 +119,7 @@
 	p.RetainEndpoints(nil)
 }
 
-// deliverCloses has the handlers of closed transports hear of it, once each.
+// deliverCloses calls OnClose of each closed transport's handler, once each.
 func (p *testPool) deliverCloses() {
 	for _, transport := range p.transports {
 		if transport.Closed && transport.handler != nil {
@@ -127,8 +129,8 @@
 	}
 }
 
-// Guards workers against cancels that the settings do not allow. An attempt that has yet to be sent is withdrawn
-// without a message.
+// Guards workers against cancels that the settings do not allow. An attempt that has not been sent is cancelled without
+// a message.
 func TestCancelIsSentOnlyWhereAllowed(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -145,10 +147,11 @@
 	t.Helper()
 	p := newTestPool()
 	p.cfg.AllowCancel = allowed
-	sent, queued := attemptID(1), attemptID(2)
+	sent := attemptID(1)
+	queued := attemptID(2)
 	transport := p.startOpen(sent, hexID(0xa1))
 	if p.CancelUnsent(sent) {
-		t.Error("an attempt that was written was withdrawn")
+		t.Error("an attempt that was written was cancelled as unsent")
 	}
 	p.CancelAttempt(workerID, sent)
 	if got := transport.wrote("STOP\r\n"); got != allowed {
@@ -158,10 +161,10 @@
 	p.start(queued, hexID(0xa2))
 	second := p.transports[1]
 	if !p.CancelUnsent(queued) {
-		t.Error("an attempt that waits was not withdrawn")
+		t.Error("an attempt that waits was not cancelled")
 	}
 	if p.CancelUnsent(queued) {
-		t.Error("an attempt was withdrawn twice")
+		t.Error("an attempt was cancelled twice")
 	}
 	second.handler.OnOpen(nil)
 	if second.Written.Len() > 0 || len(p.results.attempts) > 0 {
--- a/internal/backend/keep_alive_test.go
+++ b/internal/backend/keep_alive_test.go
@@ -9,9 +9,9 @@
 	"functionrouter/policy"
 )
 
-// Guards against a connection that was cut off: it stays open and says nothing while its worker is healthy.
-// Nothing more goes over it, and what is pending on it ends. A worker that is silent altogether keeps its
-// connections: that is for the policy to judge.
+// Guards against a connection that was cut off: it stays open and silent while its worker is healthy.
+// No more calls are sent over it, and those pending on it end. A worker that is silent on all connections keeps them: the
+// policy judges the worker, by health checks.
 func TestSilentConnectionIsClosedIfItsWorkerAnswersOnAnother(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/backend/model_test.go
+++ b/internal/backend/model_test.go
@@ -33,7 +33,7 @@
 	})
 }
 
-// attemptModel is a pool and what the test has done with it.
+// attemptModel is a pool and a record of the events that the test has played on it.
 type attemptModel struct {
 	*testPool
 	lastRequest int
@@ -127,7 +127,7 @@
 	}
 }
 
-// drain checks that what waits for a dial to a draining worker ends unsent at once.
+// drain checks that the attempts that wait for a dial to a draining worker end unsent at once.
 func (m *attemptModel) drain(t *rapid.T) {
 	m.UpdateEndpoint(workerID, workerAddress, policy.Draining, 0)
 	for _, a := range m.started {
--- a/internal/backend/selection_test.go
+++ b/internal/backend/selection_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// Guards against a flood of cancellations: the ids that a connection remembers are bounded, and one that is
-// full gives way to another without a reset for the calls that are pending on it.
+// Guards against a flood of cancellations: the wire ids that a connection remembers are bounded, and a connection that
+// is full is replaced by another without a reset of the calls that are pending on it.
 func TestCancellationsCostNoOtherCallItsConnection(t *testing.T) {
 	p := newTestPool()
 	staying := attemptID(9999)
@@ -39,7 +39,7 @@
 	}
 }
 
-// Guards the descriptors: connections to all workers together are bounded, and an idle one makes room.
+// Guards the descriptors: connections to all workers together are bounded, and an idle one is closed for a new one.
 func TestConnectionsAreBoundedTogether(t *testing.T) {
 	p := newTestPool()
 	p.cfg.MaxConnections = 3
@@ -90,8 +90,8 @@
 	}
 }
 
-// Guards a worker that takes thousands of attempts a second: connections that can carry no more attempts give way to new
-// ones, and do not use up those that the worker may have.
+// Guards a worker that takes thousands of attempts a second: connections that can carry no more attempts are replaced,
+// and do not count towards the limit of the worker's connections for long.
 func TestConnectionsFullOfRecentIDsAreReplaced(t *testing.T) {
 	p := newTestPool()
 	for i := range maxConnectionsPerWorker*maxRecentIDs + 1 {
--- a/internal/backend/wire_test.go
+++ b/internal/backend/wire_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// attemptResult is what a ResultHandler hears of an attempt.
+// attemptResult is the result of an attempt as a ResultHandler gets it.
 type attemptResult struct {
 	outcome policy.Outcome
 	status  policy.InstanceStatus
