--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,7 +1,3 @@
-// Package discovery keeps the list of workers up to date: the configuration holds the initial list, and a
-// directory that is polled by DNS over UDP (RFC 1035, with the SRV records of RFC 2782) holds every later one.
-//
-// All of the package's state belongs to the event loop's goroutine: nothing in it is safe for concurrent use.
 package discovery
 
 import (
@@ -12,10 +8,11 @@
 )
 
 const (
-	// pollInterval leaves room for several queries within the 1.5 s after which the router answers for an
-	// event, whether it has heard of it or not.
+	// pollInterval is the time between two queries. It allows several within 1.5 s, after which the router is
+	// accountable for an event of the directory, whether an answer has told of it or not.
 	pollInterval = 200 * time.Millisecond
-	// redialDelay is short, so that a lost socket adds little to the time that the directory is unreachable.
+	// redialDelay is the time between the loss of a socket and the next dial. It is short, so that a lost socket adds
+	// little to the time for which the directory is unreachable.
 	redialDelay = 200 * time.Millisecond
 )
 
@@ -27,10 +24,11 @@
 	Close()
 }
 
-// DialFunc opens a Transport to address, a host and port; handler is told of its opening, data and close.
+// DialFunc opens a Transport to address, a "host:port". handler gets the events of the socket: OnOpen with the result of
+// the dial, also before DialFunc returns, OnData with each datagram, and OnClose.
 type DialFunc func(address string, handler eventloop.DialHandler) Transport
 
-// Client polls the directory for the list of workers.
+// Client polls the directory for the endpoint list. New makes one; the owner calls Poll.
 type Client struct {
 	QueriesSent     uint64 // queries sent to any directory
 	AnswersReceived uint64 // usable answers, whether or not their list was newer
@@ -39,24 +37,25 @@
 	onUpdate func([]Endpoint)
 	list     endpointList
 
-	address  string
-	socket   *socket // nil while there is none
-	now      time.Duration
-	nextPoll time.Duration
+	address  string        // of the directory, "host:port"
+	socket   *socket       // the current socket; nil while there is none
+	now      time.Duration // the time of the last Poll
+	nextPoll time.Duration // when the next query or dial is due
 
 	lastAnswerAt time.Duration // when the last usable answer came; 0: none has
 
-	// failureLogged holds back further log lines until the next usable answer.
+	// failureLogged suppresses further log lines until the next usable answer.
 	failureLogged bool
 }
 
-// New returns a Client for the directory at address. onUpdate is called with every list that is newer than
-// the one before, sorted by name.
+// New returns a Client for the directory at address, a "host:port". onUpdate is called, during LoadInitial or an event of a
+// socket, with every list that is newer than the one before. The list is sorted by name and belongs to onUpdate.
 func New(address string, dial DialFunc, onUpdate func([]Endpoint)) *Client {
 	return &Client{address: address, dial: dial, onUpdate: onUpdate, list: newEndpointList()}
 }
 
-// LoadInitial takes the initial list and passes it on. It fails where a worker's address or phase can't be read.
+// LoadInitial takes the initial list and passes it to onUpdate. It fails if a worker's address or phase can't be read; then
+// onUpdate is not called, and the Client must not be used.
 func (c *Client) LoadInitial(initial InitialEndpoints) error {
 	if err := c.list.loadInitial(initial); err != nil {
 		return err
@@ -68,12 +67,13 @@
 // EndpointCount returns how many workers are known.
 func (c *Client) EndpointCount() int { return len(c.list.endpoints) }
 
-// LastAnswerAt returns when the last usable answer came, 0 if none has; in onUpdate, the one before the answer that it is
-// about.
+// LastAnswerAt returns when the last usable answer came, 0 if none has. During onUpdate the answer with the new list does
+// not count yet.
 func (c *Client) LastAnswerAt() time.Duration { return c.lastAnswerAt }
 
-// Migrate moves to a directory at another address, which is polled at once. The list and its serial stay:
-// the new directory continues the numbering of the old one.
+// Migrate moves to a directory at another address, which the next Poll dials at once. The list and its serial stay: the new
+// directory continues the numbering of the old one. Nothing that arrives on the socket to the old directory counts
+// afterwards.
 func (c *Client) Migrate(now time.Duration, address string) {
 	if address == c.address {
 		return
@@ -82,24 +82,21 @@
 	c.nextPoll = now
 	c.failureLogged = false
 	if c.socket != nil {
-		abandoned := c.socket
-		c.socket = nil // before the close, so that its OnClose is ignored
-		abandoned.transport.Close()
+		replaced := c.socket
+		c.socket = nil // before the close, so that the socket's OnClose is ignored
+		replaced.transport.Close()
 	}
 }
 
-// Poll dials or sends a query if that is due at now, and returns when the next one is.
-func (c *Client) Poll(now time.Duration) time.Duration {
+// Poll dials or sends a query if one of them is due at now, and returns the time at which it should be called next.
+func (c *Client) Poll(now time.Duration) (next time.Duration) {
 	c.now = now
 	if now < c.nextPoll {
 		return c.nextPoll
 	}
 	if c.socket == nil {
 		c.nextPoll = now + redialDelay
-		// The socket is registered before the dial, which may call its handler.
-		s := &socket{client: c}
-		c.socket = s
-		s.transport = c.dial(c.address, s)
+		c.openSocket()
 		return c.nextPoll
 	}
 	c.nextPoll = now + pollInterval
@@ -110,14 +107,22 @@
 	return c.nextPoll
 }
 
-// socketClosed drops the current socket; Poll opens another one after a short delay.
+// openSocket dials the directory. The socket is the current one before the dial, which may call its handler.
+func (c *Client) openSocket() {
+	s := &socket{client: c}
+	c.socket = s
+	s.transport = c.dial(c.address, s)
+}
+
+// socketClosed drops the current socket; Poll opens another one after redialDelay.
 func (c *Client) socketClosed(err error) {
 	c.logFailure("directory unreachable", err)
 	c.socket = nil
 	c.nextPoll = c.now + redialDelay
 }
 
-// answerReceived applies the list of an answer, or logs what was wrong with it.
+// answerReceived applies the list of an answer if it is newer. An answer with an error, its own or that of its list,
+// changes nothing and is logged.
 func (c *Client) answerReceived(r response, err error) {
 	changed := false
 	if err == nil {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -10,6 +10,7 @@
 	"time"
 )
 
+// An answer with a newer list is reported with all that it says of the workers.
 func TestClientFollowsTheList(t *testing.T) {
 	c := newTestClient(t)
 	c.follow()
@@ -131,14 +132,14 @@
 }
 
 // Guards a reload: the new directory is polled at once, at its address, with the list and its serial kept;
-// nothing that comes late on a socket to the old one counts, in whatever order dials and closes end.
+// nothing that arrives late on a socket to the old one counts, in whatever order dials and closes end.
 func TestMigrate(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		open bool
 	}{
 		{"while the old socket is open", true},
-		{"while the old socket is dialled", false},
+		{"while the old socket is dialed", false},
 	} {
 		t.Run(test.name, func(t *testing.T) { testMigrate(t, test.open) })
 	}
@@ -154,18 +155,18 @@
 		c.socket.OnClose(errors.New("refused"))
 		c.Poll(c.nextPoll)
 	}
-	abandoned := c.socket
-	abandonedTransport := c.lastTransport()
+	replaced := c.socket
+	replacedTransport := c.lastTransport()
 	c.Migrate(c.now+time.Millisecond, "new")
 	c.Poll(c.now + time.Millisecond)
-	if !abandonedTransport.Closed || c.addresses[len(c.addresses)-1] != "new" || c.socket == abandoned {
-		t.Fatalf("dialled %v, old socket closed: %v", c.addresses, abandonedTransport.Closed)
+	if !replacedTransport.Closed || c.addresses[len(c.addresses)-1] != "new" || c.socket == replaced {
+		t.Fatalf("dialed %v, old socket closed: %v", c.addresses, replacedTransport.Closed)
 	}
 
 	current := c.socket
-	abandoned.OnOpen(nil)
-	abandoned.OnData(buildResponse(pending, 8, 0, 0))
-	abandoned.OnClose(errors.New("late"))
+	replaced.OnOpen(nil)
+	replaced.OnData(buildResponse(pending, 8, 0, 0))
+	replaced.OnClose(errors.New("late"))
 	if c.socket != current || len(c.reported) != 1 || c.list.serial != 3 {
 		t.Fatalf("the old socket changed the list to %v", c.reported)
 	}
@@ -185,7 +186,7 @@
 	dials := len(c.addresses)
 	c.Migrate(c.now, "new") // a repeated signal changes nothing
 	if c.Poll(c.now); c.socket != current || len(c.addresses) != dials {
-		t.Error("the same address was dialled again")
+		t.Error("the same address was dialed again")
 	}
 }
 
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// serviceName is the name whose SRV records are the list of workers.
+// serviceName is the name whose SRV records are the list of workers, in lower case as parseName returns it.
 const serviceName = "_back._tcp.pool.lan"
 
 // Record types and the class of RFC 1035 section 3.2 and RFC 2782.
@@ -33,22 +33,38 @@
 	questionTailLength = 4 // type, class
 )
 
-// What can be wrong with an answer.
+// Offsets of the fields of a message's header, in bytes; each has two. The id comes first.
+const (
+	flagsOffset           = 2
+	questionCountOffset   = 4
+	answerCountOffset     = 6
+	authorityCountOffset  = 8
+	additionalCountOffset = 10
+)
+
+// Reasons why an answer can't be used. Others are a responseCodeError and errNoAddress.
 var (
-	errMalformed        = errors.New("malformed DNS message")
-	errNotResponse      = errors.New("not a response")
-	errTruncated        = errors.New("response is truncated")
+	// errMalformed says that a message ends early, has an invalid name or too many records.
+	errMalformed = errors.New("malformed DNS message")
+	// errNotResponse says that a message is a query.
+	errNotResponse = errors.New("not a response")
+	// errTruncated says that the list did not fit into one datagram.
+	errTruncated = errors.New("response is truncated")
+	// errQuestionMismatch says that the question in a response is not the one of encodeQuery.
 	errQuestionMismatch = errors.New("response to another question")
-	errNoSerial         = errors.New("response has no SOA record")
-	errUnexpectedID     = errors.New("response matches no pending query")
+	// errNoSerial says that the serial is missing, which orders the lists.
+	errNoSerial = errors.New("response has no SOA record")
+	// errUnexpectedID says that a response is to a query that was answered before, is too old or was never sent.
+	errUnexpectedID = errors.New("response matches no pending query")
 )
 
-// responseCodeError is a response code (RCODE) other than 0, "no error".
+// responseCodeError is a response code (RCODE) other than 0, which is "no error".
 type responseCodeError uint8
 
+// Error returns the code as a number; RFC 1035 section 4.1.1 lists the codes.
 func (e responseCodeError) Error() string { return fmt.Sprintf("response code %d", uint8(e)) }
 
-// encodeQuery returns a query for the SRV records of serviceName.
+// encodeQuery returns the query with this id for the SRV records of serviceName.
 func encodeQuery(id uint16) []byte {
 	b := binary.BigEndian.AppendUint16(nil, id)
 	b = binary.BigEndian.AppendUint16(b, flagRecursionDesired)
@@ -64,35 +80,36 @@
 	return binary.BigEndian.AppendUint16(b, classIN)
 }
 
-// parseResponse reads a response to a query of ours. It returns the id wherever the message has one.
+// parseResponse reads a response to a query of encodeQuery. It fails with one of the errors above. It returns the id also
+// on an error if the message has a header.
 func parseResponse(message []byte) (id uint16, r response, err error) {
 	p := parser{message: message}
-	h, err := p.header()
+	header, err := p.header()
 	if err != nil {
 		return 0, response{}, err
 	}
-	if err := h.check(); err != nil {
-		return h.id, response{}, err
+	if err := header.check(); err != nil {
+		return header.id, response{}, err
 	}
-	for range h.questions {
+	for range header.questions {
 		if err := p.question(); err != nil {
-			return h.id, response{}, err
+			return header.id, response{}, err
 		}
 	}
-	r, err = p.records(h.records)
-	return h.id, r, err
+	r, err = p.records(header.records)
+	return header.id, r, err
 }
 
-// header is what is used of a message's header.
-type header struct {
+// messageHeader is what is used of a message's header.
+type messageHeader struct {
 	id        uint16
 	flags     uint16
 	questions int
 	records   int // of the answer, authority and additional sections together
 }
 
-// check reports whether the message is a complete, successful response.
-func (h header) check() error {
+// check returns an error unless the message is a complete, successful response.
+func (h messageHeader) check() error {
 	if h.flags&flagResponse == 0 {
 		return errNotResponse
 	}
@@ -111,7 +128,7 @@
 	offset  int
 }
 
-// take returns the next bytes.
+// take returns this many bytes that come next. It fails with errMalformed if the message has fewer.
 func (p *parser) take(length int) ([]byte, error) {
 	if len(p.message)-p.offset < length {
 		return nil, errMalformed
@@ -121,7 +138,7 @@
 	return b, nil
 }
 
-// name reads the name that comes next.
+// name reads the name that comes next, in lower case.
 func (p *parser) name() (string, error) {
 	name, next, err := parseName(p.message, p.offset)
 	if err != nil {
@@ -131,23 +148,25 @@
 	return name, nil
 }
 
-func (p *parser) header() (header, error) {
+// header reads the header, with which a message begins. The records of the three sections count together: all are read in
+// the same way, since a record's type tells what it is for.
+func (p *parser) header() (messageHeader, error) {
 	b, err := p.take(headerLength)
 	if err != nil {
-		return header{}, err
+		return messageHeader{}, err
 	}
-	h := header{
+	h := messageHeader{
 		id:        binary.BigEndian.Uint16(b),
-		flags:     binary.BigEndian.Uint16(b[2:]),
-		questions: int(binary.BigEndian.Uint16(b[4:])),
+		flags:     binary.BigEndian.Uint16(b[flagsOffset:]),
+		questions: int(binary.BigEndian.Uint16(b[questionCountOffset:])),
 	}
-	for _, section := range [...]int{6, 8, 10} { // answer, authority, additional
-		h.records += int(binary.BigEndian.Uint16(b[section:]))
+	for _, offset := range [...]int{answerCountOffset, authorityCountOffset, additionalCountOffset} {
+		h.records += int(binary.BigEndian.Uint16(b[offset:]))
 	}
 	return h, nil
 }
 
-// question reads one question and compares it with ours.
+// question reads one question. It fails with errQuestionMismatch if it is not the question of encodeQuery.
 func (p *parser) question() error {
 	name, err := p.name()
 	if err != nil {
--- a/internal/discovery/dns_name.go
+++ b/internal/discovery/dns_name.go
@@ -5,34 +5,37 @@
 	"strings"
 )
 
-// Bounds on one name.
+// Limits on one name.
 const (
-	maxNameLength = 255
-	maxPointers   = 16
+	maxNameLength = 255 // bytes, RFC 1035 section 2.3.4
+	maxPointers   = 16  // followed in turn; ours, against messages that make the parser work for nothing
 )
 
 // Compressed names, RFC 1035 section 4.1.4.
 const (
-	pointerTag    = 0xc0   // the two highest bits of a label's length that make it a pointer
+	labelTag      = 0xc0   // the two highest bits of a label's length, which tell its type
+	pointerTag    = 0xc0   // the value of labelTag's bits for a pointer; 0 is a label, others are reserved
 	pointerOffset = 0x3fff // the bits of a pointer that are its offset
-	pointerLength = 2
+	pointerLength = 2      // bytes
 )
 
-// parseName returns the name at offset, compressed or not, in lower case; next is the offset of what follows it.
+// parseName returns the name at offset, compressed or not, in lower case and without the final dot; next is the offset of
+// what follows the name in the message. It fails with errMalformed.
 func parseName(message []byte, offset int) (name string, next int, err error) {
 	var labels []byte
-	for pointers := 0; ; {
+	pointers := 0
+	for {
 		if offset >= len(message) {
 			return "", 0, errMalformed
 		}
-		length := int(message[offset])
-		switch end := offset + 1 + length; {
-		case length == 0:
+		length := message[offset]
+		switch {
+		case length == 0: // the root ends the name
 			if pointers == 0 {
 				next = offset + 1
 			}
 			return strings.ToLower(string(labels)), next, nil
-		case length&pointerTag == pointerTag:
+		case length&labelTag == pointerTag:
 			if pointers == 0 {
 				next = offset + pointerLength
 			}
@@ -41,19 +44,34 @@
 			if err != nil || pointers > maxPointers {
 				return "", 0, errMalformed
 			}
-		case length&pointerTag != 0 || end > len(message) || len(labels)+length+1 > maxNameLength:
+		case length&labelTag != 0: // reserved
 			return "", 0, errMalformed
 		default:
-			if len(labels) > 0 {
-				labels = append(labels, '.')
+			labels, offset, err = appendLabel(labels, message, offset)
+			if err != nil {
+				return "", 0, err
 			}
-			labels = append(labels, message[offset+1:end]...)
-			offset = end
 		}
 	}
 }
 
-// followPointer returns where the pointer at offset leads. It must lead back, so that no loop is followed.
+// appendLabel appends the label at offset to name, with a dot in front unless it is the first. It returns the new name and
+// the offset of what follows the label, and fails with errMalformed.
+func appendLabel(name, message []byte, offset int) (extended []byte, next int, err error) {
+	length := int(message[offset])
+	start := offset + 1
+	end := start + length
+	if end > len(message) || len(name)+length+1 > maxNameLength {
+		return nil, 0, errMalformed
+	}
+	if len(name) > 0 {
+		name = append(name, '.')
+	}
+	return append(name, message[start:end]...), end, nil
+}
+
+// followPointer returns the offset to which the pointer at offset leads. It fails with errMalformed unless that is before
+// the pointer: no loop is followed.
 func followPointer(message []byte, offset int) (int, error) {
 	if offset+pointerLength > len(message) {
 		return 0, errMalformed
--- a/internal/discovery/dns_records.go
+++ b/internal/discovery/dns_records.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// maxRecords bounds the records of one message.
+// maxRecords bounds the records of one message, all sections together. A worker has three.
 const maxRecords = 1024
 
 // Lengths of the fixed parts of resource records, in bytes.
@@ -16,15 +16,18 @@
 	ipv4Length       = 4
 )
 
+// dataLengthOffset is the offset in bytes of the length of the data in what follows a record's owner.
+const dataLengthOffset = 8
+
 // response is what is used of the answer to a query. Names are in lower case.
 type response struct {
-	serial    uint32 // of the SOA record
-	services  []serviceRecord
-	addresses map[string]netip.Addr
-	texts     map[string][]string
+	serial    uint32                // of the SOA record
+	services  []serviceRecord       // one for each worker
+	addresses map[string]netip.Addr // of A records, by owner
+	texts     map[string][]string   // of TXT records, by owner
 }
 
-// serviceRecord is an SRV record, RFC 2782.
+// serviceRecord is an SRV record, RFC 2782. response.endpoint tells what its fields mean here.
 type serviceRecord struct {
 	priority uint16
 	weight   uint16
@@ -32,7 +35,8 @@
 	target   string
 }
 
-// records reads the resource records of all sections.
+// records reads the resource records of all sections, count together. It fails with errMalformed, or with errNoSerial if
+// none is an SOA record.
 func (p *parser) records(count int) (response, error) {
 	if count > maxRecords {
 		return response{}, errMalformed
@@ -47,7 +51,7 @@
 		if err := r.add(rec); err != nil {
 			return response{}, err
 		}
-		hasSerial = hasSerial || rec.kind == typeSOA
+		hasSerial = hasSerial || rec.recordType == typeSOA
 	}
 	if !hasSerial {
 		return response{}, errNoSerial
@@ -57,15 +61,17 @@
 
 // record is one resource record, RFC 1035 section 4.1.3.
 type record struct {
-	owner   string
-	kind    uint16
-	message []byte // whole: names in the data may point back into it
-	start   int    // of the data in the message
-	end     int
+	owner      string // the name that it is about
+	recordType uint16 // typeSRV, for example
+	message    []byte // the complete message: names in the data may point back into it
+	start      int    // offset of the data in the message
+	end        int    // offset of what follows the data
 }
 
+// data returns the part of a record that depends on its type.
 func (r record) data() []byte { return r.message[r.start:r.end] }
 
+// record reads the resource record that comes next, without its data, which may be of any type.
 func (p *parser) record() (record, error) {
 	owner, err := p.name()
 	if err != nil {
@@ -76,31 +82,39 @@
 		return record{}, err
 	}
 	start := p.offset
-	if _, err := p.take(int(binary.BigEndian.Uint16(tail[8:]))); err != nil {
+	dataLength := int(binary.BigEndian.Uint16(tail[dataLengthOffset:]))
+	if _, err := p.take(dataLength); err != nil {
 		return record{}, err
 	}
-	return record{owner: owner, kind: binary.BigEndian.Uint16(tail), message: p.message, start: start, end: p.offset}, nil
+	return record{
+		owner:      owner,
+		recordType: binary.BigEndian.Uint16(tail),
+		message:    p.message,
+		start:      start,
+		end:        p.offset,
+	}, nil
 }
 
-// add takes in a record; types that aren't used are ignored.
+// add takes a record into the response. It ignores types that aren't used, SRV records of other names, and SRV and A
+// records whose data has an impossible size. It fails with errMalformed if the data can't be read.
 func (r *response) add(rec record) error {
 	size := rec.end - rec.start
 	switch {
-	case rec.kind == typeSRV && size > srvFixedLength && rec.owner == serviceName:
+	case rec.recordType == typeSRV && size > srvFixedLength && rec.owner == serviceName:
 		service, err := parseSRV(rec)
 		if err != nil {
 			return err
 		}
 		r.services = append(r.services, service)
-	case rec.kind == typeA && size == ipv4Length:
+	case rec.recordType == typeA && size == ipv4Length:
 		r.addresses[rec.owner] = netip.AddrFrom4([ipv4Length]byte(rec.data()))
-	case rec.kind == typeTXT:
+	case rec.recordType == typeTXT:
 		texts, err := parseTXT(rec)
 		if err != nil {
 			return err
 		}
 		r.texts[rec.owner] = append(r.texts[rec.owner], texts...)
-	case rec.kind == typeSOA:
+	case rec.recordType == typeSOA:
 		serial, err := parseSOA(rec)
 		if err != nil {
 			return err
@@ -110,6 +124,8 @@
 	return nil
 }
 
+// parseSRV reads the data of an SRV record, which is longer than srvFixedLength: priority, weight and port, of two bytes
+// each, and the target's name.
 func parseSRV(rec record) (serviceRecord, error) {
 	target, _, err := parseName(rec.message, rec.start+srvFixedLength)
 	if err != nil {
@@ -138,7 +154,7 @@
 	return texts, nil
 }
 
-// parseSOA returns the serial, which comes after two names.
+// parseSOA returns the serial of an SOA record, which comes after two names.
 func parseSOA(rec record) (serial uint32, err error) {
 	offset := rec.start
 	for range 2 {
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Whatever the directory sends, a reply is parsed or refused, and what is parsed can be applied.
+// Whatever the directory sends, parseResponse reads or rejects it, and what it reads can be applied.
 func FuzzParseResponse(f *testing.F) {
 	f.Add(encodeQuery(7))
 	f.Fuzz(func(t *testing.T, message []byte) {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,28 +10,25 @@
 
 // endpointList is the newest list of workers.
 type endpointList struct {
-	serial    uint32 // number of the last event that it holds
-	endpoints map[string]Endpoint
+	serial    uint32              // number of the last event that it holds
+	endpoints map[string]Endpoint // by name
 }
 
+// newEndpointList returns an empty list with serial 0, which any other replaces.
 func newEndpointList() endpointList { return endpointList{endpoints: map[string]Endpoint{}} }
 
-// loadInitial applies the events of the configuration.
+// loadInitial applies the events of the configuration in their order. On an error the list is incomplete.
 func (l *endpointList) loadInitial(initial InitialEndpoints) error {
 	for _, event := range initial.Batch {
 		if event.Topology.Complete {
 			clear(l.endpoints)
 		}
 		for _, member := range event.Topology.Members {
-			e, err := member.endpoint()
+			endpoint, err := member.endpoint()
 			if err != nil {
-				return fmt.Errorf("known: worker %q: %w", member.ID, err)
-			}
-			if e.State == policy.Gone {
-				delete(l.endpoints, e.Name)
-			} else {
-				l.endpoints[e.Name] = e
+				return fmt.Errorf("known: worker %q: %w", member.ID, err) // known is the setting's name
 			}
+			l.apply(endpoint)
 		}
 		l.serial = max(l.serial, event.Offset)
 	}
@@ -39,26 +36,35 @@
 	return nil
 }
 
-// update replaces the list by that of a response if that one is newer, and reports whether it did. A response
-// that can't be used changes nothing.
+// apply takes one changed worker into the list.
+func (l *endpointList) apply(e Endpoint) {
+	if e.State == policy.Gone {
+		delete(l.endpoints, e.Name)
+	} else {
+		l.endpoints[e.Name] = e
+	}
+}
+
+// update replaces the list by that of a response if that one is newer, and reports whether it did. If a worker of the
+// response has no address, it fails with errNoAddress and changes nothing.
 func (l *endpointList) update(r response) (changed bool, err error) {
 	if r.serial <= l.serial {
 		return false, nil
 	}
 	endpoints := map[string]Endpoint{}
 	for _, service := range r.services {
-		e, err := r.endpoint(service)
+		endpoint, err := r.endpoint(service)
 		if err != nil {
 			return false, err
 		}
-		endpoints[e.Name] = e
+		endpoints[endpoint.Name] = endpoint
 	}
 	l.serial = r.serial
 	l.endpoints = endpoints
 	return true, nil
 }
 
-// sorted returns the workers in the order of their names.
+// sorted returns a new slice with the workers in the order of their names.
 func (l *endpointList) sorted() []Endpoint {
 	list := make([]Endpoint, 0, len(l.endpoints))
 	for _, e := range l.endpoints {
--- a/internal/discovery/socket.go
+++ b/internal/discovery/socket.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// maxPendingQueries is how many of the last queries may still be answered.
+// maxPendingQueries is how many of the last queries are pending at most. The answer to an older one is not usable.
 const maxPendingQueries = 32
 
-// socket is one socket to the directory and the handler of its events. Each has pending queries of its own:
-// a late answer on one that was given up, from a directory at an earlier address, answers nothing.
+// socket is one socket to the directory and the handler of its events. A socket is current from its dial until it closes
+// or Client.Migrate replaces it; events of a replaced one are ignored. Each has pending queries of its own, so that a late
+// answer from a directory at an earlier address is no answer to a query of the current socket.
 type socket struct {
 	client    *Client
 	transport Transport
-	open      bool
+	open      bool     // the dial has succeeded
 	pending   []uint16 // ids of the queries without an answer, the latest last
 }
 
-// isCurrent reports whether the client still uses the socket; Migrate leaves sockets behind that don't know it.
+// isCurrent reports whether the client still uses the socket.
 func (s *socket) isCurrent() bool { return s.client.socket == s }
 
 // sendQuery sends a query under an id that can't be guessed and that no other pending one has (RFC 5452).
@@ -31,7 +32,7 @@
 	s.transport.Write(encodeQuery(id))
 }
 
-// OnOpen ends the dial.
+// OnOpen handles the end of the dial: the first query is due at once, or the socket has failed.
 func (s *socket) OnOpen(err error) {
 	s.open = err == nil
 	if err != nil {
@@ -43,16 +44,15 @@
 	}
 }
 
-// OnClose has the client open another socket.
+// OnClose makes the client open another socket, unless this one was replaced.
 func (s *socket) OnClose(err error) {
 	if s.isCurrent() {
 		s.client.socketClosed(err)
 	}
 }
 
-// OnData takes an answer. A directory slower than pollInterval answers a query that is no longer the latest:
-// taking only the latest one's answer would then take none. Lists are complete, so that a lost or overtaken
-// answer does no harm.
+// OnData handles an answer. A directory slower than pollInterval answers a query that is no longer the latest; if only the
+// answer to the latest counted, none would. Lists are complete, so that a lost or overtaken answer does no harm.
 func (s *socket) OnData(message []byte) {
 	if !s.isCurrent() {
 		return
@@ -64,7 +64,7 @@
 	s.client.answerReceived(r, err)
 }
 
-// removePending ends the query with that id. It returns errUnexpectedID where none is pending.
+// removePending ends the query with that id. It fails with errUnexpectedID if none is pending.
 func (s *socket) removePending(id uint16) error {
 	i := slices.Index(s.pending, id)
 	if i < 0 {
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -17,7 +17,7 @@
 	*Client
 	t          *testing.T
 	transports []*testsupport.FakeTransport
-	addresses  []string // dialled
+	addresses  []string // that were dialed, in order
 	reported   []Endpoint
 }
 
@@ -45,11 +45,12 @@
 	return c
 }
 
+// lastTransport returns the transport that was dialed last.
 func (c *testClient) lastTransport() *testsupport.FakeTransport {
 	return c.transports[len(c.transports)-1]
 }
 
-// query lets the client send its next query, and returns the query's id.
+// query polls the client when its next query is due, checks the query and returns its id.
 func (c *testClient) query() uint16 {
 	c.t.Helper()
 	transport := c.lastTransport()
@@ -66,6 +67,7 @@
 	return id
 }
 
+// wantReported checks the list that was reported last.
 func (c *testClient) wantReported(want []Endpoint) {
 	c.t.Helper()
 	if !reflect.DeepEqual(c.reported, want) {
