--- a/internal/backend/connection_state.go
+++ b/internal/backend/connection_state.go
@@ -16,9 +16,9 @@
 //	ready       closed      it is idle and no longer of use, or it fails
 //	draining    closed      its last call has ended, as the next sweep finds, or it fails
 //
-// An idle connection is of no use if it is retired, has been idle for long, makes room for another one, or the caller or
-// its worker's end asks for it (CloseIdleConnections). A connection fails if it breaks the protocol, leaves an answer
-// incomplete or doesn't answer its keep-alive check.
+// An idle connection is of no use if it is retired, has been idle for too long, makes room for another one, or
+// Pool.CloseIdleConnections is called for its worker. A connection fails if its worker breaks the protocol, leaves an
+// answer incomplete, or doesn't answer the keep-alive check while it answers on other connections.
 //
 // A failed dial and a close by the worker are no transitions: they remove the connection from its worker (terminate), and
 // nothing uses it afterwards. The same follows each transition to closed: at once after a dial that was cancelled, with
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -9,8 +9,8 @@
 // The end of each call is reported once to the ResultHandler, either during the method that starts the call or later,
 // unless the caller cancels the call first. A failure is reported as a policy.Outcome; no method returns an error. The
 // outcomes Unreachable, NotSent, FunctionNotLoaded and WorkerOverloaded prove that an attempt never ran; ConnectionReset
-// means that it may have run. The pool doesn't time calls out: the caller cancels a call that takes too long. Only a
-// keep-alive check and an incomplete answer have timeouts here, and these close the connection.
+// means that it may have run. The pool doesn't time calls out: the caller cancels a call that takes too long. The timeouts
+// here, of dials, idle connections, keep-alive checks and incomplete answers, are of connections: calls end with theirs.
 //
 // Errors of connections are logged, never returned. A connection whose worker breaks the protocol is closed with an error
 // that wraps errMalformedAnswer.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -78,14 +78,14 @@
 // Connections to an earlier address or process are drained. Unless the worker is ready, the attempts and load commands
 // that wait for a dial to it end unsent: the dial may succeed after the time in which sends to a draining worker
 // are allowed. The idle connections to a worker that is gone are closed.
-func (p *Pool) UpdateEndpoint(id policy.WorkerID, addr string, state policy.WorkerState, started time.Duration) {
-	w := p.workers[id]
+func (p *Pool) UpdateEndpoint(workerID policy.WorkerID, addr string, state policy.WorkerState, started time.Duration) {
+	w := p.workers[workerID]
 	if w == nil {
 		if state == policy.Gone {
 			return
 		}
-		w = &worker{id: id}
-		p.workers[id] = w
+		w = &worker{id: workerID}
+		p.workers[workerID] = w
 	}
 	w.retireOutdated(addr, started)
 	if addr != "" {
@@ -98,7 +98,7 @@
 		}
 	}
 	if state == policy.Gone {
-		p.CloseIdleConnections(id)
+		p.CloseIdleConnections(workerID)
 	}
 }
 
@@ -112,8 +112,8 @@
 }
 
 // CloseIdleConnections closes the connections to a worker that have no pending calls.
-func (p *Pool) CloseIdleConnections(id policy.WorkerID) {
-	w := p.workers[id]
+func (p *Pool) CloseIdleConnections(workerID policy.WorkerID) {
+	w := p.workers[workerID]
 	if w == nil {
 		return
 	}
--- a/internal/backend/selection.go
+++ b/internal/backend/selection.go
@@ -19,7 +19,7 @@
 	unresponsive // unresponsive
 	// Calls wait for the end of its dial.
 	beingDialed // being dialed
-	// It is open, and nothing speaks against it.
+	// It is open, and no keep-alive check is unanswered.
 	responsive // responsive
 )
 
--- a/internal/backend/worker.go
+++ b/internal/backend/worker.go
@@ -15,7 +15,7 @@
 	connections []*connection // in the order of their dials
 }
 
-// acceptsNew reports whether the worker may be sent attempts and load commands.
+// acceptsNew reports whether new attempts and load commands may be sent to the worker.
 func (w *worker) acceptsNew() bool { return w.state == policy.Ready }
 
 // remove takes c off the worker's connections, if it is one of them.
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -80,8 +80,8 @@
 	return binary.BigEndian.AppendUint16(b, classIN)
 }
 
-// parseResponse reads a response to a query of encodeQuery. It fails with one of the errors above. It returns the id also
-// on an error if the message has a header.
+// parseResponse reads a response to a query of encodeQuery. It fails with one of the errors above, errUnexpectedID
+// excepted. It returns the id also on an error if the message has a header.
 func parseResponse(message []byte) (id uint16, r response, err error) {
 	p := parser{message: message}
 	header, err := p.header()
