--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -10,7 +10,8 @@
 // unless the caller cancels the call first. A failure is reported as a policy.Outcome; no method returns an error. The
 // outcomes Unreachable, NotSent, FunctionNotLoaded and WorkerOverloaded prove that an attempt never ran; ConnectionReset
 // means that it may have run. The pool doesn't time calls out: the caller cancels a call that takes too long. The timeouts
-// here, of dials, idle connections, keep-alive checks and incomplete answers, are of connections: calls end with theirs.
+// here, of dials, idle connections, keep-alive checks and incomplete answers, are of connections; a call ends, or is sent
+// again, when its connection does.
 //
 // Errors of connections are logged, never returned. A connection whose worker breaks the protocol is closed with an error
 // that wraps errMalformedAnswer.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// SetNow advances the clock to now, a reading of the event loop's. An earlier time than the present one is ignored.
+// SetNow advances the clock to now, a reading of the event loop's. Call it at the beginning of each turn of the loop. An
+// earlier time than the present one is ignored.
 func (p *Pool) SetNow(now time.Duration) { p.now = max(p.now, now) }
 
 // UpdateEndpoint sets a worker's address ("" leaves it), its state, and when its process started (0: unknown).
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -15,6 +15,6 @@
 // # Concurrency and time
 //
 // Nothing here is safe for concurrent use: all methods of a Client and all events of its sockets run on the event loop's
-// goroutine. Instants are readings of the event loop's clock, unless a name says Unix time. An instant of 0 stands for
+// goroutine. Instants are readings of the event loop's clock, unless a comment says Unix time. An instant of 0 stands for
 // never.
 package discovery
