--- a/internal/backend/keep_alive_test.go
+++ b/internal/backend/keep_alive_test.go
@@ -9,9 +9,9 @@
 	"functionrouter/policy"
 )
 
-// Guards against a connection that was cut off: it stays open and says nothing while its worker is healthy.
-// Nothing more goes over it, and what is pending on it ends. A worker that is silent altogether keeps its
-// connections: that is for the policy to judge.
+// Guards against a connection that was cut off: it stays open and silent while its worker is healthy.
+// No more calls are sent over it, and those pending on it end. A worker that is silent on all connections keeps them: the
+// policy judges the worker, by health checks.
 func TestSilentConnectionIsClosedIfItsWorkerAnswersOnAnother(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -39,7 +39,7 @@
 	a := attemptID(1)
 	silent := p.startOpen(a, hexID(0xa1))
 	sweepFor(keepAliveAfter + SweepInterval)
-	if got := silent.written.String(); strings.Count(got, "NOOP") != 1 {
+	if got := silent.Written.String(); strings.Count(got, "NOOP") != 1 {
 		t.Fatalf("no keep-alive check was sent: %q", got)
 	}
 	sweepFor(SweepInterval)
@@ -53,12 +53,12 @@
 	if healthy {
 		other.handler.OnData(encodeAnswer(hexID(0xb2), "HIT", ""))
 	}
-	if silent.closed {
+	if silent.Closed {
 		t.Fatal("closed before its keep-alive check timed out")
 	}
 	sweepFor(keepAliveTimeout + SweepInterval)
-	if silent.closed != healthy {
-		t.Errorf("silent connection closed: %v", silent.closed)
+	if silent.Closed != healthy {
+		t.Errorf("silent connection closed: %v", silent.Closed)
 	}
 	if err := logged.lastError("worker connection closed"); errors.Is(err, errSilentConnection) != healthy {
 		t.Errorf("logged %v", err)
@@ -75,7 +75,7 @@
 	p.Sweep(keepAliveAfter + SweepInterval)
 	transport.handler.OnData([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
 	p.start(attemptID(2), hexID(0xb2))
-	if len(p.transports) != 1 || transport.closed {
+	if len(p.transports) != 1 || transport.Closed {
 		t.Error("a connection that answered was left")
 	}
 }
--- a/internal/backend/selection_test.go
+++ b/internal/backend/selection_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// Guards against a flood of cancellations: the ids that a connection remembers are bounded, and one that is
-// full gives way to another without a reset for the calls that are pending on it.
+// Guards against a flood of cancellations: the wire ids that a connection remembers are bounded, and a connection that
+// is full is replaced by another without a reset of the calls that are pending on it.
 func TestCancellationsCostNoOtherCallItsConnection(t *testing.T) {
 	p := newTestPool()
 	staying := attemptID(9999)
@@ -31,15 +31,15 @@
 		p.start(a, hexID(1<<20+i))
 		p.CancelAttempt(workerID, a)
 	}
-	if ended := p.results.attempts[staying]; first.closed || len(ended) != 0 || len(p.transports) != 2 {
-		t.Errorf("closed %v, ended %v, %d connections", first.closed, ended, len(p.transports))
+	if ended := p.results.attempts[staying]; first.Closed || len(ended) != 0 || len(p.transports) != 2 {
+		t.Errorf("closed %v, ended %v, %d connections", first.Closed, ended, len(p.transports))
 	}
 	if n := len(p.workers[workerID].connections[0].recentIDs.current); n != maxRecentIDs {
 		t.Errorf("%d ids are remembered", n)
 	}
 }
 
-// Guards the descriptors: connections to all workers together are bounded, and an idle one makes room.
+// Guards the descriptors: connections to all workers together are bounded, and an idle one is closed for a new one.
 func TestConnectionsAreBoundedTogether(t *testing.T) {
 	p := newTestPool()
 	p.cfg.MaxConnections = 3
@@ -55,8 +55,8 @@
 	first.handler.OnOpen(nil)
 	first.handler.OnData(encodeAnswer(hexID(0), "HIT", ""))
 	p.StartAttempt(5, attemptID(9), testRequest(hexID(0xff)), time.Second)
-	if len(p.transports) != 4 || !first.closed {
-		t.Errorf("%d connections, idle one closed: %v", len(p.transports), first.closed)
+	if len(p.transports) != 4 || !first.Closed {
+		t.Errorf("%d connections, idle one closed: %v", len(p.transports), first.Closed)
 	}
 }
 
@@ -84,14 +84,14 @@
 	}
 	connections := p.workers[workerID].connections
 	for _, c := range connections {
-		if c.attempts < 9 || c.attempts > 10 {
-			t.Errorf("%d calls on one of %d connections", c.attempts, len(connections))
+		if c.pendingAttempts < 9 || c.pendingAttempts > 10 {
+			t.Errorf("%d calls on one of %d connections", c.pendingAttempts, len(connections))
 		}
 	}
 }
 
-// Guards a worker that takes thousands of attempts a second: connections that can carry no more attempts give way to new
-// ones, and do not use up those that the worker may have.
+// Guards a worker that takes thousands of attempts a second: connections that can carry no more attempts are replaced,
+// and do not count towards the limit of the worker's connections for long.
 func TestConnectionsFullOfRecentIDsAreReplaced(t *testing.T) {
 	p := newTestPool()
 	for i := range maxConnectionsPerWorker*maxRecentIDs + 1 {
@@ -104,7 +104,7 @@
 	}
 	p.Sweep(p.now + SweepInterval)
 	for _, transport := range p.transports {
-		if transport.closed {
+		if transport.Closed {
 			transport.handler.OnClose(nil)
 		}
 	}
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -8,29 +8,16 @@
 	"time"
 
 	"functionrouter/internal/eventloop"
+	"functionrouter/internal/testsupport"
 	"functionrouter/policy"
 )
 
-// fakeTransport keeps what is written to it.
-type fakeTransport struct {
-	written bytes.Buffer
-	closed  bool
-}
-
-func (f *fakeTransport) Write(bufs ...[]byte) {
-	for _, b := range bufs {
-		f.written.Write(b)
-	}
-}
-
-func (f *fakeTransport) Close() { f.closed = true }
-
 // testClient is a Client on fake transports. It keeps the list that was reported last.
 type testClient struct {
 	*Client
 	t          *testing.T
-	transports []*fakeTransport
-	addresses  []string // dialled
+	transports []*testsupport.FakeTransport
+	addresses  []string // that were dialed, in order
 	reported   []Endpoint
 }
 
@@ -39,7 +26,7 @@
 	t.Helper()
 	c := &testClient{t: t}
 	dial := func(address string, _ eventloop.DialHandler) Transport {
-		c.transports = append(c.transports, &fakeTransport{})
+		c.transports = append(c.transports, &testsupport.FakeTransport{})
 		c.addresses = append(c.addresses, address)
 		return c.lastTransport()
 	}
@@ -58,15 +45,18 @@
 	return c
 }
 
-func (c *testClient) lastTransport() *fakeTransport { return c.transports[len(c.transports)-1] }
+// lastTransport returns the transport that was dialed last.
+func (c *testClient) lastTransport() *testsupport.FakeTransport {
+	return c.transports[len(c.transports)-1]
+}
 
-// query lets the client send its next query, and returns the query's id.
+// query polls the client when its next query is due, checks the query and returns its id.
 func (c *testClient) query() uint16 {
 	c.t.Helper()
 	transport := c.lastTransport()
-	transport.written.Reset()
+	transport.Written.Reset()
 	c.Poll(c.nextPoll)
-	b := transport.written.Bytes()
+	b := transport.Written.Bytes()
 	if len(b) < headerLength {
 		c.t.Fatalf("query %x", b)
 	}
@@ -77,6 +67,7 @@
 	return id
 }
 
+// wantReported checks the list that was reported last.
 func (c *testClient) wantReported(want []Endpoint) {
 	c.t.Helper()
 	if !reflect.DeepEqual(c.reported, want) {
