--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -18,7 +18,7 @@
 
 // fakeTransport records what the pool writes to a worker. The test plays the worker by calls of the handler.
 type fakeTransport struct {
-	testsupport.FakeTransport
+	testsupport.Transport
 	handler eventloop.DialHandler
 }
 
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -16,7 +16,7 @@
 type testClient struct {
 	*Client
 	t          *testing.T
-	transports []*testsupport.FakeTransport
+	transports []*testsupport.Transport
 	addresses  []string // that were dialed, in order
 	reported   []Endpoint
 }
@@ -26,7 +26,7 @@
 	t.Helper()
 	c := &testClient{t: t}
 	dial := func(address string, _ eventloop.DialHandler) Transport {
-		c.transports = append(c.transports, &testsupport.FakeTransport{})
+		c.transports = append(c.transports, &testsupport.Transport{})
 		c.addresses = append(c.addresses, address)
 		return c.lastTransport()
 	}
@@ -46,7 +46,7 @@
 }
 
 // lastTransport returns the transport that was dialed last.
-func (c *testClient) lastTransport() *testsupport.FakeTransport {
+func (c *testClient) lastTransport() *testsupport.Transport {
 	return c.transports[len(c.transports)-1]
 }
 
