--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
 // Command simadapter hosts the decision module for the simulator: it reads batches of events on standard input
 // and answers each with the module's actions on standard output, in the form of package simwire. It hosts one
-// policy.Policy for each simulated instance and ends when its input does.
+// policy.Policy for each simulated router and ends when its input does.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"functionrouter/policy"
 )
 
-// bufferSize is that of the buffers on standard input and output, in bytes.
+// bufferSize is the size of the buffers on standard input and output, in bytes.
 const bufferSize = 1 << 16
 
 func main() {
@@ -28,7 +28,7 @@
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
 	writer := bufio.NewWriterSize(out, bufferSize)
-	h := host{instances: map[uint16]*policy.Policy{}}
+	h := host{routers: map[simwire.RouterIndex]*policy.Policy{}}
 	for {
 		batch, err := simwire.ReadBatch(reader)
 		if errors.Is(err, io.EOF) {
@@ -43,51 +43,52 @@
 		if err := h.reply.Flush(writer, batch.Seq); err != nil {
 			return err
 		}
-		if err := writer.Flush(); err != nil { // the simulator waits for each reply
+		// The simulator waits for each reply.
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-// host holds the instances of this process. They share nothing but buffers.
+// host holds the simulated routers of this process. They share nothing but buffers.
 type host struct {
-	instances map[uint16]*policy.Policy
-	reply     simwire.Reply
-	actions   []policy.Action // reused
+	routers map[simwire.RouterIndex]*policy.Policy
+	reply   simwire.Reply
+	actions []policy.Action // reused
 }
 
-// handle gathers the actions that answer a batch in reply.
+// handle passes each event of a batch to its simulated router and gathers the actions in reply.
 func (h *host) handle(batch simwire.Batch) error {
 	for _, record := range batch.Records {
 		switch event := record.Event.(type) {
-		case simwire.InstanceStarted:
-			if err := h.start(record.Instance, event); err != nil {
-				return fmt.Errorf("instance %d: %w", record.Instance, err)
+		case simwire.RouterStarted:
+			if err := h.start(record.Router, event); err != nil {
+				return fmt.Errorf("simulated router %d: %w", record.Router, err)
 			}
-		case simwire.InstanceKilled:
-			delete(h.instances, record.Instance)
+		case simwire.RouterKilled:
+			delete(h.routers, record.Router)
 		case policy.Event:
-			instance, ok := h.instances[record.Instance]
-			if !ok {
-				continue // killed: what was under way for it is void
+			simulatedRouter, running := h.routers[record.Router]
+			if !running {
+				continue // it was killed, and its requests ended with it
 			}
-			h.actions = instance.Handle(batch.Now, event, h.actions[:0])
-			h.reply.Add(record.Instance, h.actions)
+			h.actions = simulatedRouter.Handle(batch.Now, event, h.actions[:0])
+			h.reply.Add(record.Router, h.actions)
 		}
 	}
 	return nil
 }
 
-// start begins an instance anew.
-func (h *host) start(id uint16, event simwire.InstanceStarted) error {
+// start starts a simulated router, or starts it anew, without any state.
+func (h *host) start(index simwire.RouterIndex, event simwire.RouterStarted) error {
 	config, err := simwire.ParseSettings(event.Settings)
 	if err != nil {
 		return err
 	}
-	instance, err := policy.New(config, event.Seed)
+	simulatedRouter, err := policy.New(config, event.Seed)
 	if err != nil {
 		return err
 	}
-	h.instances[id] = instance
+	h.routers[index] = simulatedRouter
 	return nil
 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -8,25 +8,27 @@
 	"functionrouter/policy"
 )
 
+// Lengths of fields, in bytes.
 const (
 	workerLength  = 6 // IPv4 address and port
 	float32Length = 4
 )
 
-// decoder takes fields off the front of rest. The first error stays in err; later fields then read as zero or
+// decoder reads fields from the front of rest. The first error stays in err; later fields then read as zero or
 // as what comes next, so that a record's fields can be read without a check after each.
 type decoder struct {
 	rest []byte
 	err  error
 }
 
+// fail keeps an error, unless there is one already.
 func (d *decoder) fail(err error) {
 	if d.err == nil {
 		d.err = err
 	}
 }
 
-// take returns the next bytes: a field of fixed length.
+// take returns the next bytes, a field of fixed length; zeros if they are missing.
 func (d *decoder) take(length int) []byte {
 	if length > len(d.rest) {
 		d.fail(errTruncated)
@@ -38,7 +40,7 @@
 	return field
 }
 
-// bytes returns a copy of the next bytes, as many as the record claims to hold; nil for none.
+// bytes returns a copy of the next bytes, a field whose length the record gives; nil if that is 0.
 func (d *decoder) bytes(length uint32) []byte {
 	if uint64(length) > uint64(len(d.rest)) {
 		d.fail(errTruncated)
@@ -81,24 +83,21 @@
 	return values
 }
 
-// outcomes are the wire's outcome codes, from 0.
-var outcomes = [...]policy.Outcome{
-	policy.Served,
-	policy.Errored,
-	policy.WorkerOverloaded,
-	policy.TimedOut,
-	policy.Unreachable,
-	policy.ConnectionReset,
-	policy.Cancelled,
-	policy.NotSent,
-	policy.FunctionNotLoaded,
+// outcome reads the outcome of an attempt, a load command or a health check.
+func (d *decoder) outcome() policy.Outcome { return decodeCode(d, "outcome", d.u8(), outcomes) }
+
+// workerState reads the state of a worker.
+func (d *decoder) workerState() policy.WorkerState {
+	return decodeCode(d, "worker state", d.u8(), workerStates)
 }
 
-func (d *decoder) outcome() policy.Outcome {
-	code := d.u8()
-	if int(code) >= len(outcomes) {
-		d.fail(unknownCodeError{"outcome", code})
-		return 0
+// decodeCode returns the meaning of a code of that field, which stands at the code's position in meanings. A code
+// beyond them is an error and gives the zero value.
+func decodeCode[T any](d *decoder, field string, code uint8, meanings []T) T {
+	if int(code) >= len(meanings) {
+		d.fail(unknownCodeError{field, code})
+		var none T
+		return none
 	}
-	return outcomes[code]
+	return meanings[code]
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -2,34 +2,19 @@
 
 import "functionrouter/policy"
 
-// Event record codes; the wire's own names stand behind them.
-const (
-	codeResponseStarted  = 1  // ACK_FIRST
-	codeAttemptEnded     = 2  // OUTCOME
-	codeClientCancelled  = 3  // ABORTED
-	codeInstanceKilled   = 4  // KILL
-	codeHealthCheckEnded = 5  // HEALTH_RESULT
-	codeEndpointUpdate   = 6  // TARGETS
-	codeTimerFired       = 7  // REMINDER
-	codeGossipReceived   = 8  // MESSAGE
-	codeInstanceStarted  = 9  // INIT
-	codeRequestArrived   = 10 // INCOMING
-	codeLoadCommandEnded = 11 // READY_THERE
-)
-
-// InstanceStarted says that an instance starts.
-type InstanceStarted struct {
-	Seed     uint64 // for the instance's random numbers
+// RouterStarted says that a simulated router starts.
+type RouterStarted struct {
+	Seed     uint64 // for the simulated router's random numbers
 	Settings []byte // JSON, for ParseSettings
 }
 
-// InstanceKilled says that an instance was killed, with all of its state.
-type InstanceKilled struct{}
+// RouterKilled says that a simulated router was killed, with all of its state.
+type RouterKilled struct{}
 
 // record reads the next record.
 func (d *decoder) record() (Record, error) {
 	code := d.u8()
-	r := Record{Instance: d.u16()}
+	r := Record{Router: RouterIndex(d.u16())}
 	r.Event = d.event(code)
 	return r, d.err
 }
@@ -43,8 +28,8 @@
 		return d.attemptEnded()
 	case codeClientCancelled:
 		return policy.ClientCancelled{Request: d.request()}
-	case codeInstanceKilled:
-		return InstanceKilled{}
+	case codeRouterKilled:
+		return RouterKilled{}
 	case codeHealthCheckEnded:
 		return d.healthCheckEnded()
 	case codeEndpointUpdate:
@@ -53,8 +38,8 @@
 		return policy.TimerFired{Token: d.u64()}
 	case codeGossipReceived:
 		return d.gossipReceived()
-	case codeInstanceStarted:
-		return d.instanceStarted()
+	case codeRouterStarted:
+		return d.routerStarted()
 	case codeRequestArrived:
 		return d.requestArrived()
 	case codeLoadCommandEnded:
@@ -64,8 +49,9 @@
 	return nil
 }
 
-func (d *decoder) instanceStarted() InstanceStarted {
-	var e InstanceStarted
+// routerStarted reads the start of a simulated router.
+func (d *decoder) routerStarted() RouterStarted {
+	var e RouterStarted
 	e.Seed = d.u64()
 	e.Settings = d.bytes(d.u32())
 	return e
@@ -74,9 +60,10 @@
 // The bits of a request's flags that are used.
 const (
 	flagWorkHint = 1 << 0 // the work hint is valid
-	flagRetry    = 1 << 1 // the client has tried before
+	flagRetry    = 1 << 1 // the client has sent the request before
 )
 
+// requestArrived reads a request that a client has sent.
 func (d *decoder) requestArrived() policy.RequestArrived {
 	var e policy.RequestArrived
 	e.Request = d.request()
@@ -88,14 +75,16 @@
 	e.Concurrency = d.f32()
 	e.MemoryMB = d.f32()
 	e.Class = int(d.u16())
-	if hint := d.millis(); flags&flagWorkHint != 0 {
-		e.WorkHint = hint
+	workHint := d.millis()
+	if flags&flagWorkHint != 0 {
+		e.WorkHint = workHint
 	}
 	e.TimeLeft = d.millis()
 	return e
 }
 
-// responseStarted skips the worker and the time since the send, which the attempt's number makes superfluous.
+// responseStarted reads the start of a worker's response. It skips the worker and the time since the send, which the
+// attempt's number makes superfluous.
 func (d *decoder) responseStarted() policy.ResponseStarted {
 	var e policy.ResponseStarted
 	e.Request = d.request()
@@ -105,6 +94,7 @@
 	return e
 }
 
+// attemptEnded reads the outcome of an attempt.
 func (d *decoder) attemptEnded() policy.AttemptEnded {
 	var e policy.AttemptEnded
 	e.Request = d.request()
@@ -122,13 +112,15 @@
 // requests of the function the worker held.
 func splitInfo(info uint8) (status policy.InstanceStatus, concurrency int) {
 	const statusBits = 3
-	status = policy.InstanceStatus(info & (1<<statusBits - 1))
-	if status > policy.LoadFailed {
-		status = policy.InstanceUnknown
+	const statusMask = 1<<statusBits - 1
+	status = policy.InstanceUnknown
+	if code := int(info & statusMask); code < len(instanceStatuses) {
+		status = instanceStatuses[code]
 	}
 	return status, int(info >> statusBits)
 }
 
+// healthCheckEnded reads the outcome of a health check.
 func (d *decoder) healthCheckEnded() policy.HealthCheckEnded {
 	var e policy.HealthCheckEnded
 	e.Duration = d.millis()
@@ -138,6 +130,7 @@
 	return e
 }
 
+// loadCommandEnded reads the outcome of a load command.
 func (d *decoder) loadCommandEnded() policy.LoadCommandEnded {
 	var e policy.LoadCommandEnded
 	e.Worker = d.worker()
@@ -148,6 +141,7 @@
 	return e
 }
 
+// gossipReceived reads a message from another simulated router.
 func (d *decoder) gossipReceived() policy.GossipReceived {
 	var e policy.GossipReceived
 	e.From = int(d.u16())
@@ -155,28 +149,30 @@
 	return e
 }
 
-// endpointLength is how many bytes one entry of a list takes.
+// endpointLength is the length of one entry of an endpoint list, in bytes.
 const endpointLength = 24
 
+// endpointUpdate reads an endpoint list. It checks the count of the entries before it reads them, so that a malformed
+// count takes no memory.
 func (d *decoder) endpointUpdate() policy.EndpointUpdate {
-	kind := d.u8()
+	kindCode := d.u8()
 	d.u32() // version of the list
 	count := d.u32()
-	if kind > uint8(policy.UpdateFailed) {
-		d.fail(unknownCodeError{"list mode", kind})
-		return policy.EndpointUpdate{}
-	}
+	kind := decodeCode(d, "list mode", kindCode, updateKinds)
 	if uint64(count)*endpointLength > uint64(len(d.rest)) {
 		d.fail(errTruncated)
+	}
+	if d.err != nil {
 		return policy.EndpointUpdate{}
 	}
-	e := policy.EndpointUpdate{Kind: policy.EndpointUpdateKind(kind)}
+	e := policy.EndpointUpdate{Kind: kind}
 	for range count {
 		e.Endpoints = append(e.Endpoints, d.endpoint())
 	}
 	return e
 }
 
+// endpoint reads one entry of an endpoint list.
 func (d *decoder) endpoint() policy.Endpoint {
 	var e policy.Endpoint
 	e.Worker = d.worker()
@@ -188,12 +184,3 @@
 	e.StartedAt = d.millis()
 	return e
 }
-
-func (d *decoder) workerState() policy.WorkerState {
-	state := d.u8()
-	if state > uint8(policy.Draining) {
-		d.fail(unknownCodeError{"worker state", state})
-		return 0
-	}
-	return policy.WorkerState(state)
-}
--- a/internal/simwire/events_test.go
+++ b/internal/simwire/events_test.go
@@ -11,7 +11,7 @@
 
 const sampleWorker = policy.WorkerID(0x0a9011f22354)
 
-// eventRecords holds one record or more of every event, of instance 3.
+// eventRecords holds one record or more of every event, of simulated router 3.
 var eventRecords = []struct {
 	name   string
 	digits string
@@ -35,7 +35,7 @@
 		},
 	},
 	{"client cancelled", "03 0003 5d3a91c4", policy.ClientCancelled{Request: 0x5d3a91c4}},
-	{"instance killed", "04 0003", InstanceKilled{}},
+	{"router killed", "04 0003", RouterKilled{}},
 	{
 		"health check ended", "05 0003 4014000000000000 03 0a9011f22354 00",
 		policy.HealthCheckEnded{Worker: sampleWorker, Outcome: policy.TimedOut, Duration: 5 * time.Millisecond},
@@ -51,7 +51,7 @@
 	},
 	{"timer fired", "07 0003 000000000000004d", policy.TimerFired{Token: 77}},
 	{"gossip received", "08 0003 0002 0003 616263", policy.GossipReceived{From: 2, Data: []byte("abc")}},
-	{"instance started", "09 0003 0000000000000009 00000002 7b7d", InstanceStarted{Seed: 9, Settings: []byte("{}")}},
+	{"router started", "09 0003 0000000000000009 00000002 7b7d", RouterStarted{Seed: 9, Settings: []byte("{}")}},
 	{
 		"request arrived, a retry with no hint",
 		"0a 0003 00000007 0002 44610000 02 0000007c55d20a01 40000000 43c00000 0001 4028000000000000 406e000000000000",
@@ -81,7 +81,7 @@
 			if err != nil || len(d.rest) > 0 {
 				t.Fatalf("%v, %d bytes left", err, len(d.rest))
 			}
-			if want := (Record{Instance: 3, Event: test.want}); !reflect.DeepEqual(got, want) {
+			if want := (Record{Router: 3, Event: test.want}); !reflect.DeepEqual(got, want) {
 				t.Errorf("got  %+v\nwant %+v", got, want)
 			}
 		})
@@ -94,7 +94,7 @@
 		digits string
 		want   error
 	}{
-		{"no instance", "07 00", errTruncated},
+		{"no simulated router", "07 00", errTruncated},
 		{"field cut short", "07 0003 0000000000004d", errTruncated},
 		{"load report cut short", "05 0003 4014000000000000 03 0a9011f22354 02 00000000", errTruncated},
 		{"gossip cut short", "08 0003 0002 0003 6162", errTruncated},
--- a/internal/simwire/frames.go
+++ b/internal/simwire/frames.go
@@ -1,8 +1,3 @@
-// Package simwire translates between the simulator's frames and the types of package policy, and its settings
-// into a policy.Config. It only translates: every decision is taken by package policy.
-//
-// A batch of events comes in one frame and is answered by a frame of actions. All numbers are big-endian;
-// times are milliseconds on the wire.
 package simwire
 
 import (
@@ -14,12 +9,14 @@
 	"time"
 )
 
-const (
-	batchHeaderLength = 20
-	maxFrameLength    = 1 << 30 // bytes after a header
-)
+// batchHeaderLength is the length of a batch's header, in bytes.
+const batchHeaderLength = 20
+
+// maxFrameLength bounds the bytes after a header, so that a malformed length is found before it is read. The batches
+// of the simulator are far smaller.
+const maxFrameLength = 1 << 30
 
-// What can be wrong with a frame.
+// The errors of malformed frames.
 var (
 	errBadClock      = errors.New("clock out of range")
 	errFrameTooLong  = errors.New("frame is too long")
@@ -27,12 +24,13 @@
 	errTrailingBytes = errors.New("bytes after the last record")
 )
 
-// unknownCodeError is a code that this version doesn't know.
+// unknownCodeError reports a code that this version doesn't know.
 type unknownCodeError struct {
 	field string
 	code  uint8
 }
 
+// Error names the field and its code.
 func (e unknownCodeError) Error() string { return fmt.Sprintf("unknown %s %d", e.field, e.code) }
 
 // Batch is one batch of events, all of which happen at the same time.
@@ -42,10 +40,13 @@
 	Records []Record
 }
 
-// Record is one event of an instance: a policy.Event, an InstanceStarted or an InstanceKilled.
+// RouterIndex is the number by which the wire names a simulated router.
+type RouterIndex uint16
+
+// Record is one event at a simulated router.
 type Record struct {
-	Instance uint16
-	Event    any
+	Router RouterIndex
+	Event  any // a policy.Event, a RouterStarted or a RouterKilled
 }
 
 // ReadBatch reads one batch. It returns io.EOF where the input ends before a batch, and another error where the
@@ -74,6 +75,7 @@
 	return batch, nil
 }
 
+// batchHeader is the header of a batch.
 type batchHeader struct {
 	seq     uint32
 	length  uint32 // of the records, in bytes
@@ -81,6 +83,8 @@
 	now     time.Duration
 }
 
+// readBatchHeader reads and checks the header of a batch. It returns io.EOF only where the input ends before the
+// header's first byte.
 func readBatchHeader(r io.Reader) (batchHeader, error) {
 	var b [batchHeaderLength]byte
 	if _, err := io.ReadFull(r, b[:]); err != nil {
@@ -116,17 +120,3 @@
 	}
 	return body, nil
 }
-
-// maxMillis bounds the times that are converted, in milliseconds; it is some 30 years.
-const maxMillis = 1e12
-
-// fromMillis converts milliseconds to a Duration; what is no number, or out of range, becomes 0.
-func fromMillis(ms float64) time.Duration {
-	if math.IsNaN(ms) || math.Abs(ms) > maxMillis {
-		return 0
-	}
-	return time.Duration(math.Round(ms * float64(time.Millisecond)))
-}
-
-// toMillis converts a Duration to milliseconds.
-func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -7,12 +7,13 @@
 	"functionrouter/policy"
 )
 
-// unknownSemanticsError is a class's "semantics" that this version doesn't know.
+// unknownSemanticsError reports a class's "semantics" that this version doesn't know.
 type unknownSemanticsError string
 
+// Error names the semantics.
 func (e unknownSemanticsError) Error() string { return fmt.Sprintf("unknown semantics %q", string(e)) }
 
-// ParseSettings converts the settings of an instance, JSON, to a policy.Config. Unknown keys are ignored. It
+// ParseSettings converts the settings of a router, JSON, to a policy.Config. Unknown keys are ignored. It
 // fails where the text isn't JSON of the expected form or a class has unknown semantics.
 func ParseSettings(text []byte) (policy.Config, error) {
 	var s settings
@@ -72,6 +73,7 @@
 	return config, nil
 }
 
+// classSettings is an entry of "classes", a class of requests.
 type classSettings struct {
 	DeadlineMs float64 `json:"deadlineMs"`
 	GoalTimeMs float64 `json:"goalTimeMs"`
@@ -84,6 +86,7 @@
 	Worth      float64 `json:"worth"`
 }
 
+// class converts the class. Its name is of no use to the policy.
 func (c classSettings) class() (policy.Class, error) {
 	idempotency, err := parseSemantics(c.Semantics)
 	if err != nil {
@@ -102,6 +105,7 @@
 	}, nil
 }
 
+// parseSemantics converts a class's semantics, which say whether a request may run more than once.
 func parseSemantics(semantics string) (policy.Idempotency, error) {
 	switch semantics {
 	case "safe":
@@ -114,8 +118,8 @@
 	return 0, unknownSemanticsError(semantics)
 }
 
-// parseGroup converts the group of a keyed class. What is absent or unknown counts as "cell", the narrowest
-// promise.
+// parseGroup converts the group of a keyed class, the workers among which a repeated request runs once. An absent or
+// unknown group counts as "cell", the narrowest promise.
 func parseGroup(group string) policy.DedupScope {
 	switch group {
 	case "all":
@@ -127,20 +131,24 @@
 	}
 }
 
+// tenantSettings is an entry of "accounts", a tenant.
 type tenantSettings struct {
 	AllowancePerS float64 `json:"allowancePerS"`
 }
 
+// reportSettings is "report": what the load reports of the workers hold and how they come.
 type reportSettings struct {
 	Fields []string `json:"fields"`
 	How    string   `json:"how"`
 }
 
+// apply sets the part of config that is about load reports.
 func (r reportSettings) apply(config *policy.Config) {
 	config.LoadReportFields = r.Fields
 	config.InlineLoadReports = r.How == "inline"
 }
 
+// limitSettings is "limits": what the router may do, and how often.
 type limitSettings struct {
 	Cancel          bool    `json:"cancel"`
 	MayProbe        bool    `json:"mayProbe"`
@@ -151,6 +159,7 @@
 	MaxRetryAfterMs float64 `json:"maxRetryAfterMs"`
 }
 
+// apply sets the part of config that is about limits.
 func (l limitSettings) apply(config *policy.Config) {
 	config.AllowCancel = l.Cancel
 	config.AllowHealthChecks = l.MayProbe
@@ -161,6 +170,7 @@
 	config.MaxRetryAfter = fromMillis(l.MaxRetryAfterMs)
 }
 
+// ruleSettings is "rules": how the workers behave at a start, in overload and before they leave.
 type ruleSettings struct {
 	AskWithinMs  float64 `json:"askWithinMs"`
 	ColdFrom     float64 `json:"coldFrom"`
@@ -170,6 +180,7 @@
 	FallMultiple float64 `json:"fallMultiple"`
 }
 
+// apply sets the part of config that is about rules.
 func (r ruleSettings) apply(config *policy.Config) {
 	config.ImplicitListAge = fromMillis(r.AskWithinMs)
 	config.SlowStartCapacity = r.ColdFrom
@@ -179,7 +190,7 @@
 	config.OverloadMultiple = r.FallMultiple
 }
 
-// functionSettings are the "specifics" of a service that loads functions on demand.
+// functionSettings is "specifics": how the service loads functions on demand.
 type functionSettings struct {
 	IfCold           string  `json:"ifCold"`
 	LingerIdleMs     float64 `json:"lingerIdleMs"`
@@ -192,6 +203,7 @@
 	WarmNotes        bool    `json:"warmNotes"`
 }
 
+// apply sets the part of config that is about functions.
 func (f functionSettings) apply(config *policy.Config) {
 	config.MissWhenNotLoaded = f.IfCold == "miss"
 	config.InstanceKeepAlive = fromMillis(f.LingerIdleMs)
