--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -14,7 +14,7 @@
 // update rewrites the golden files from what the program answers now.
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// emittedActions are the actions of the wire that the module emits at all.
+// emittedActions are the codes of the actions that the module emits.
 var emittedActions = []byte{
 	actionSetTimer,
 	actionFailRequest,
@@ -70,7 +70,8 @@
 		events.CloseWithError(err)
 		ended <- err
 	}()
-	t.Cleanup(func() { // ends the program where the test fails early; closing a pipe can't fail
+	// This ends the program if the test fails early. Closing a pipe can't fail.
+	t.Cleanup(func() {
 		_ = toProgram.Close()
 		_ = fromProgram.Close()
 	})
@@ -131,6 +132,7 @@
 // replyLength returns the length of the reply that b begins with.
 func replyLength(b []byte) int { return replyHeaderLength + int(binary.BigEndian.Uint32(b[4:])) }
 
+// readGolden reads and unpacks a golden file.
 func readGolden(t *testing.T, path string) []byte {
 	t.Helper()
 	packed, err := os.ReadFile(path)
@@ -148,6 +150,7 @@
 	return b
 }
 
+// writeGolden packs and writes a golden file.
 func writeGolden(t *testing.T, path string, b []byte) {
 	t.Helper()
 	var packed bytes.Buffer
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// fromHex decodes hexadecimal digits.
 func fromHex(t *testing.T, digits string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(digits)
--- a/cmd/simadapter/scenarios_test.go
+++ b/cmd/simadapter/scenarios_test.go
@@ -1,12 +1,12 @@
 package main
 
-// goldenScenarios play the decision module in closed loop: each world reacts to the actions that it is
-// answered with. Together they bring every event of the wire and every action that the module emits.
+// goldenScenarios play the decision module in closed loop: each world reacts to the actions in the replies. Together they
+// bring every event of the wire and every action that the module emits. Their names are those of the golden files.
 var goldenScenarios = []scenario{
 	{
 		name:              "load-on-miss",
 		seed:              11,
-		instanceCount:     2,
+		routerCount:       2,
 		workerCount:       8,
 		functionCount:     40,
 		batches:           3000,
@@ -24,7 +24,7 @@
 	{
 		name:                 "orders-and-gossip",
 		seed:                 12,
-		instanceCount:        3,
+		routerCount:          3,
 		workerCount:          10,
 		functionCount:        60,
 		batches:              3000,
@@ -45,7 +45,7 @@
 	{
 		name:              "tenants-in-overload",
 		seed:              13,
-		instanceCount:     1,
+		routerCount:       1,
 		workerCount:       4,
 		functionCount:     25,
 		batches:           3000,
--- a/cmd/simadapter/wire_test.go
+++ b/cmd/simadapter/wire_test.go
@@ -5,20 +5,19 @@
 	"math"
 )
 
-// The wire is written here a second time, apart from package simwire, so that an error in the one isn't undone
-// by the same error in the other.
+// The wire is defined here a second time, apart from package simwire, so that the tests find an error in either.
 
 // Codes of the wire's event records.
 const (
 	eventResponseStarted = iota + 1
 	eventAttemptEnded
 	eventClientCancelled
-	eventInstanceKilled
+	eventRouterKilled
 	eventHealthCheckEnded
 	eventEndpointUpdate
 	eventTimerFired
 	eventGossipReceived
-	eventInstanceStarted
+	eventRouterStarted
 	eventRequestArrived
 	eventLoadCommandEnded
 )
@@ -83,12 +82,12 @@
 	flagRetry    = 2
 )
 
-// allPeers addresses a gossip message to every other instance.
+// allPeers addresses a gossip message to every other simulated router.
 const allPeers = math.MaxUint32
 
 // Lengths in bytes.
 const (
-	recordHeaderLength = 3 // code, instance
+	recordHeaderLength = 3 // code, simulated router
 	replyHeaderLength  = 8 // sequence number, length
 )
 
--- a/cmd/simadapter/world_actions_test.go
+++ b/cmd/simadapter/world_actions_test.go
@@ -10,10 +10,10 @@
 func (w *world) applyReply(records []byte) error {
 	for len(records) > 0 {
 		code := records[0]
-		instance := int(binary.BigEndian.Uint16(records[1:]))
+		router := int(binary.BigEndian.Uint16(records[1:]))
 		records = records[recordHeaderLength:]
 		w.seen[code]++
-		length, err := w.apply(code, instance, records)
+		length, err := w.apply(code, router, records)
 		if err != nil {
 			return err
 		}
@@ -23,40 +23,40 @@
 }
 
 // apply carries out the action that fields begins with, and returns the length of its fields.
-func (w *world) apply(code byte, instance int, fields []byte) (length int, err error) {
+func (w *world) apply(code byte, router int, fields []byte) (length int, err error) {
 	switch code {
 	case actionSetTimer:
-		w.setTimer(instance, readFloat(fields), slices.Clone(fields[8:16]))
+		w.setTimer(router, readFloat(fields), slices.Clone(fields[8:16]))
 		return 16, nil
 	case actionFailRequest:
-		w.close(instance, binary.BigEndian.Uint32(fields))
+		w.closeRequest(router, binary.BigEndian.Uint32(fields))
 		return 4, nil
 	case actionRefuseRequest:
-		w.close(instance, binary.BigEndian.Uint32(fields))
+		w.closeRequest(router, binary.BigEndian.Uint32(fields))
 		return 12, nil
 	case actionSendAttempt:
-		return 18, w.send(instance, binary.BigEndian.Uint32(fields), readWorker(fields[4:]))
+		return 18, w.sendAttempt(router, binary.BigEndian.Uint32(fields), readWorker(fields[4:]))
 	case actionCancelAttempt:
-		w.cancel(instance, binary.BigEndian.Uint32(fields), int(binary.BigEndian.Uint16(fields[4:])))
+		w.cancelAttempt(router, binary.BigEndian.Uint32(fields), int(binary.BigEndian.Uint16(fields[4:])))
 		return 6, nil
 	case actionLoadInstance:
-		w.load(instance, fields[0], binary.BigEndian.Uint64(fields[1:]), readWorker(fields[9:]))
+		w.loadInstance(router, fields[0], binary.BigEndian.Uint64(fields[1:]), readWorker(fields[9:]))
 		return 15, nil
 	case actionUnloadInstance:
 		return 14, nil
 	case actionCheckHealth:
-		w.checkHealth(instance, readWorker(fields))
+		w.checkHealth(router, readWorker(fields))
 		return 6, nil
 	case actionCloseIdleConnections:
 		return 6, nil
 	case actionSubscribe:
-		w.subscribe(instance, fields[0] == 1)
+		w.subscribe(router, fields[0] == 1)
 		return 1, nil
 	case actionFetchEndpoints:
 		return 0, nil
 	case actionSendGossip:
 		end := 6 + int(binary.BigEndian.Uint16(fields[4:]))
-		w.gossip(instance, binary.BigEndian.Uint32(fields), slices.Clone(fields[6:end]))
+		w.gossip(router, binary.BigEndian.Uint32(fields), slices.Clone(fields[6:end]))
 		return end, nil
 	case actionLogLine:
 		return 2 + int(binary.BigEndian.Uint16(fields)), nil
@@ -64,13 +64,15 @@
 	return 0, fmt.Errorf("unknown action code %d", code)
 }
 
-func (w *world) setTimer(instance int, after float64, token []byte) {
-	w.schedule(after, instance, eventTimerFired, func() []byte { return token })
+// setTimer schedules the end of a timer.
+func (w *world) setTimer(router int, after float64, token []byte) {
+	w.schedule(after, router, eventTimerFired, func() []byte { return token })
 }
 
-func (w *world) subscribe(instance int, on bool) {
-	w.instances[instance].subscribed = on
-	w.schedule(30, instance, eventEndpointUpdate, func() []byte { return w.listFor(instance, listFull) })
+// subscribe begins or ends a subscription; the full worker list follows it.
+func (w *world) subscribe(router int, on bool) {
+	w.routers[router].subscribed = on
+	w.schedule(30, router, eventEndpointUpdate, func() []byte { return w.listFor(router, listFull) })
 }
 
 // worker returns the worker with that id; one that isn't known has nothing loaded.
@@ -83,8 +85,8 @@
 	return &simWorker{id: id, loaded: map[uint64]float64{}}
 }
 
-// load carries out a load command, which fails now and then.
-func (w *world) load(instance int, count byte, function, workerID uint64) {
+// loadInstance carries out a load command, which fails now and then.
+func (w *world) loadInstance(router int, count byte, function, workerID uint64) {
 	worker := w.worker(workerID)
 	after := 200 + 700*w.rng.Float64()
 	outcome := byte(outcomeServed)
@@ -99,7 +101,7 @@
 		worker.loaded[function] = w.now + after
 	}
 	sentAt := w.now
-	w.schedule(after, instance, eventLoadCommandEnded, func() []byte {
+	w.schedule(after, router, eventLoadCommandEnded, func() []byte {
 		b := appendWorker(nil, workerID)
 		b = binary.BigEndian.AppendUint64(b, function)
 		b = append(b, outcome)
@@ -109,7 +111,7 @@
 }
 
 // checkHealth answers a health check, or lets it time out.
-func (w *world) checkHealth(instance int, workerID uint64) {
+func (w *world) checkHealth(router int, workerID uint64) {
 	worker := w.worker(workerID)
 	outcome := byte(outcomeServed)
 	after := 3.0
@@ -117,7 +119,7 @@
 		outcome = outcomeTimedOut
 		after = 120
 	}
-	w.schedule(after, instance, eventHealthCheckEnded, func() []byte {
+	w.schedule(after, router, eventHealthCheckEnded, func() []byte {
 		b := appendFloat(nil, after)
 		b = append(b, outcome)
 		b = appendWorker(b, workerID)
@@ -125,9 +127,9 @@
 	})
 }
 
-// gossip delivers a message to the instances that it is for, a little later.
+// gossip delivers a message to its receivers, a little later.
 func (w *world) gossip(from int, to uint32, data []byte) {
-	for n := range w.instances {
+	for n := range w.routers {
 		if n == from || to != allPeers && int(to) != n {
 			continue
 		}
--- a/cmd/simadapter/world_requests_test.go
+++ b/cmd/simadapter/world_requests_test.go
@@ -8,7 +8,7 @@
 // noAttempt is the number of the open attempt where there is none.
 const noAttempt = -1
 
-// simRequest is a request that has arrived at an instance.
+// simRequest is a request that has arrived at a simulated router.
 type simRequest struct {
 	class    int
 	function uint64
@@ -18,11 +18,11 @@
 	closed   bool
 }
 
-// arrive lets a request arrive at an instance.
-func (w *world) arrive(instance int) {
+// arrive schedules the arrival of a request at a simulated router and draws whether its client cancels it.
+func (w *world) arrive(router int) {
 	w.lastID++
 	id := w.lastID
-	class := w.rng.IntN(2 + w.instanceCount%2)
+	class := w.rng.IntN(2 + w.routerCount%2)
 	if w.workHints {
 		class = w.rng.IntN(2)
 	}
@@ -34,8 +34,8 @@
 	if w.workHints {
 		flags |= flagWorkHint
 	}
-	requests := w.instances[instance].requests
-	w.schedule(0, instance, eventRequestArrived, func() []byte {
+	requests := w.routers[router].requests
+	w.schedule(0, router, eventRequestArrived, func() []byte {
 		requests[id] = r
 		b := binary.BigEndian.AppendUint32(nil, id)
 		b = binary.BigEndian.AppendUint16(b, tenant)
@@ -49,7 +49,7 @@
 		return appendFloat(b, timeLeft)
 	})
 	if w.rng.IntN(30) == 0 {
-		w.abandon(instance, id, r)
+		w.cancelRequest(router, id, r)
 	}
 }
 
@@ -64,10 +64,10 @@
 	return function
 }
 
-// abandon lets the client of a request leave early.
-func (w *world) abandon(instance int, id uint32, r *simRequest) {
-	requests := w.instances[instance].requests
-	w.schedule(float64(w.rng.IntN(400)), instance, eventClientCancelled, func() []byte {
+// cancelRequest schedules that the client of a request cancels it.
+func (w *world) cancelRequest(router int, id uint32, r *simRequest) {
+	requests := w.routers[router].requests
+	w.schedule(float64(w.rng.IntN(400)), router, eventClientCancelled, func() []byte {
 		if requests[id] == nil || r.closed {
 			return nil
 		}
@@ -76,18 +76,18 @@
 	})
 }
 
-// close ends a request with the instance's final answer.
-func (w *world) close(instance int, id uint32) {
-	if r := w.instances[instance].requests[id]; r != nil {
+// closeRequest ends a request with its final answer.
+func (w *world) closeRequest(router int, id uint32) {
+	if r := w.routers[router].requests[id]; r != nil {
 		r.closed = true
 	}
 }
 
-// send begins an attempt and draws how it will end.
-func (w *world) send(instance int, id uint32, workerID uint64) error {
-	r := w.instances[instance].requests[id]
+// sendAttempt begins an attempt and draws how it will end.
+func (w *world) sendAttempt(router int, id uint32, workerID uint64) error {
+	r := w.routers[router].requests[id]
 	if r == nil {
-		return fmt.Errorf("request %d is unknown at instance %d", id, instance)
+		return fmt.Errorf("request %d is unknown at simulated router %d", id, router)
 	}
 	worker := w.worker(workerID)
 	number := r.attempts
@@ -96,20 +96,12 @@
 	r.worker = worker
 	worker.running++
 	end := w.drawOutcome(worker, r)
-	sent := w.now
+	sentAt := w.now
 	streamed := r.class == 2 && w.missWhenNotLoaded
 	if streamed && end.outcome == outcomeServed {
-		w.schedule(end.after/2, instance, eventResponseStarted, func() []byte {
-			if r.open != number {
-				return nil
-			}
-			b := binary.BigEndian.AppendUint32(nil, id)
-			b = binary.BigEndian.AppendUint16(b, uint16(number))
-			b = appendWorker(b, workerID)
-			return appendFloat(b, w.now-sent)
-		})
+		w.scheduleResponseStart(end.after/2, router, id, r, workerID)
 	}
-	w.schedule(end.after, instance, eventAttemptEnded, func() []byte {
+	w.schedule(end.after, router, eventAttemptEnded, func() []byte {
 		if r.open != number {
 			return nil
 		}
@@ -118,21 +110,36 @@
 		if end.outcome == outcomeServed {
 			r.closed = true
 		}
-		end.duration = w.now - sent
+		end.duration = w.now - sentAt
 		return encodeAttemptEnded(id, workerID, number, r.closed, end, worker)
 	})
 	return nil
 }
 
+// scheduleResponseStart schedules the start of the response to the open attempt of a request.
+func (w *world) scheduleResponseStart(after float64, router int, id uint32, r *simRequest, workerID uint64) {
+	number := r.open
+	sentAt := w.now
+	w.schedule(after, router, eventResponseStarted, func() []byte {
+		if r.open != number {
+			return nil
+		}
+		b := binary.BigEndian.AppendUint32(nil, id)
+		b = binary.BigEndian.AppendUint16(b, uint16(number))
+		b = appendWorker(b, workerID)
+		return appendFloat(b, w.now-sentAt)
+	})
+}
+
 // attemptEnd is how an attempt ends. Times are milliseconds.
 type attemptEnd struct {
 	outcome  byte
-	status   byte // of the function's instance
+	status   byte // of the function's instance at the worker
 	after    float64
 	duration float64
 }
 
-// drawOutcome draws how an attempt ends: a fault, or by what the worker has loaded.
+// drawOutcome draws how an attempt ends: by a fault, or by what the worker has loaded.
 func (w *world) drawOutcome(worker *simWorker, r *simRequest) attemptEnd {
 	runTime := 20 + 90*w.rng.ExpFloat64() + 12*float64(worker.running)
 	switch draw := w.rng.IntN(100); {
@@ -164,13 +171,13 @@
 	return attemptEnd{outcome: outcomeServed, status: statusLoadStarted, after: runTime + loadTime}
 }
 
-// cancel ends an attempt that is in flight; in one of three cases the worker ignores it.
-func (w *world) cancel(instance int, id uint32, number int) {
-	r := w.instances[instance].requests[id]
+// cancelAttempt ends an attempt that is in flight; in one of three cases the worker ignores it.
+func (w *world) cancelAttempt(router int, id uint32, number int) {
+	r := w.routers[router].requests[id]
 	if r == nil || r.open != number || w.rng.IntN(3) == 0 {
 		return
 	}
-	w.schedule(1, instance, eventAttemptEnded, func() []byte {
+	w.schedule(1, router, eventAttemptEnded, func() []byte {
 		if r.open != number {
 			return nil
 		}
--- a/cmd/simadapter/world_test.go
+++ b/cmd/simadapter/world_test.go
@@ -7,19 +7,22 @@
 	"slices"
 )
 
-// scenario describes a world that instances of the decision module are played against.
+// meanBatchInterval is the mean time between two batches, in milliseconds: nextBatch draws 1 to 12.
+const meanBatchInterval = 6.5
+
+// scenario describes a world against which simulated routers are played.
 type scenario struct {
 	name                 string
 	seed                 uint64
 	settings             string
-	instanceCount        int
+	routerCount          int
 	workerCount          int
 	functionCount        int
 	batches              int
 	arrivalsPerSecond    int
-	missWhenNotLoaded    bool // workers answer a miss in place of loading
-	requiresSubscription bool // worker lists come only once subscribed to
-	workHints            bool // requests tell their work
+	missWhenNotLoaded    bool // workers reject a request for a function that they have not loaded
+	requiresSubscription bool // a router gets worker lists only while it is subscribed
+	workHints            bool // requests carry a work hint
 }
 
 // world is a toy deployment in simulated time: workers, clients and a directory, with random faults. The same
@@ -28,23 +31,23 @@
 // The golden files depend on the order in which rng is drawn from and in which events are scheduled.
 type world struct {
 	scenario
-	rng       *rand.Rand
-	now       float64
-	pending   []pendingEvent
-	lastID    uint32 // of a request
-	workers   []*simWorker
-	instances []*simInstance
-	seen      map[byte]int // records, by event and action code
+	rng     *rand.Rand
+	now     float64
+	pending []pendingEvent
+	lastID  uint32 // of a request
+	workers []*simWorker
+	routers []*simulatedRouter
+	seen    map[byte]int // records, by event and action code
 }
 
 // pendingEvent is an event that is due later.
 type pendingEvent struct {
-	due      float64
-	order    int // of equal times the lower one goes first
-	instance int
-	life     *simInstance // the event is lost when the instance has started anew meanwhile
-	code     byte
-	fields   func() []byte // nil: it doesn't happen after all
+	due         float64
+	sequence    int // of events that are due at the same time, the lowest is first
+	router      int
+	incarnation *simulatedRouter // the event is lost if the router was started anew meanwhile
+	code        byte
+	fields      func() []byte // if it returns nil, the event doesn't happen
 }
 
 // simWorker is a worker.
@@ -53,11 +56,11 @@
 	state   byte
 	started float64
 	loaded  map[uint64]float64 // function to the time at which its load ends
-	running int
+	running int                // attempts in flight
 }
 
-// simInstance is one life of an instance, from its start until it is killed.
-type simInstance struct {
+// simulatedRouter is one incarnation of a simulated router, from its start until it is killed.
+type simulatedRouter struct {
 	requests   map[uint32]*simRequest
 	subscribed bool
 }
@@ -73,45 +76,46 @@
 		id := uint64(0x0a000001+n)<<16 | 9000
 		w.workers = append(w.workers, &simWorker{id: id, state: workerReady, loaded: map[uint64]float64{}})
 	}
-	w.instances = make([]*simInstance, s.instanceCount)
-	for n := range s.instanceCount {
+	w.routers = make([]*simulatedRouter, s.routerCount)
+	for n := range s.routerCount {
 		w.start(n, float64(n))
 	}
 	return w
 }
 
-// start starts an instance: its first message, the cached list, and a full one where lists come by themselves.
-func (w *world) start(instance int, after float64) {
-	w.instances[instance] = &simInstance{requests: map[uint32]*simRequest{}}
+// start starts a simulated router. It schedules the start, the cached worker list and, if lists need no subscription, a
+// full one.
+func (w *world) start(router int, after float64) {
+	w.routers[router] = &simulatedRouter{requests: map[uint32]*simRequest{}}
 	seed := w.rng.Uint64()
-	w.schedule(after, instance, eventInstanceStarted, func() []byte {
+	w.schedule(after, router, eventRouterStarted, func() []byte {
 		b := binary.BigEndian.AppendUint64(nil, seed)
 		b = binary.BigEndian.AppendUint32(b, uint32(len(w.settings)))
 		return append(b, w.settings...)
 	})
-	w.schedule(after+1, instance, eventEndpointUpdate, func() []byte { return w.encodeList(listCached) })
-	w.schedule(after+20, instance, eventEndpointUpdate, func() []byte { return w.listFor(instance, listFull) })
+	w.schedule(after+1, router, eventEndpointUpdate, func() []byte { return w.encodeList(listCached) })
+	w.schedule(after+20, router, eventEndpointUpdate, func() []byte { return w.listFor(router, listFull) })
 }
 
-// schedule has an event happen to an instance; fields is called when it does.
-func (w *world) schedule(after float64, instance int, code byte, fields func() []byte) {
+// schedule schedules an event at a simulated router. fields is called when the event is due.
+func (w *world) schedule(after float64, router int, code byte, fields func() []byte) {
 	w.pending = append(w.pending, pendingEvent{
-		due:      w.now + max(after, 0),
-		order:    len(w.pending),
-		instance: instance,
-		life:     w.instances[instance],
-		code:     code,
-		fields:   fields,
+		due:         w.now + max(after, 0),
+		sequence:    len(w.pending),
+		router:      router,
+		incarnation: w.routers[router],
+		code:        code,
+		fields:      fields,
 	})
 }
 
-// nextBatch moves the clock on and returns the batch of all that is due, random events included.
+// nextBatch advances the clock, draws random events and returns the batch of all events that are due.
 func (w *world) nextBatch(seq uint32) []byte {
 	w.now += float64(1 + w.rng.IntN(12))
 	w.drawArrivals()
 	w.drawFault()
 	slices.SortStableFunc(w.pending, func(a, b pendingEvent) int {
-		return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.order, b.order))
+		return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.sequence, b.sequence))
 	})
 	var records []byte
 	count := uint32(0)
@@ -124,7 +128,7 @@
 		}
 	}
 	for n := range w.pending {
-		w.pending[n].order = n
+		w.pending[n].sequence = n
 	}
 	frame := binary.BigEndian.AppendUint32(nil, seq)
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(records)))
@@ -133,10 +137,10 @@
 	return append(frame, records...)
 }
 
-// encodeEvent returns an event's record, or nil if it doesn't happen after all.
+// encodeEvent returns an event's record, or nil if it doesn't happen.
 func (w *world) encodeEvent(event pendingEvent) []byte {
-	killed := event.code == eventInstanceKilled
-	if !killed && event.life != w.instances[event.instance] {
+	killed := event.code == eventRouterKilled
+	if !killed && event.incarnation != w.routers[event.router] {
 		return nil
 	}
 	fields := event.fields()
@@ -144,14 +148,14 @@
 		return nil
 	}
 	w.seen[event.code]++
-	record := binary.BigEndian.AppendUint16([]byte{event.code}, uint16(event.instance))
+	record := binary.BigEndian.AppendUint16([]byte{event.code}, uint16(event.router))
 	return append(record, fields...)
 }
 
-// drawArrivals draws whether a request arrives at each instance; a batch comes every 6.5 ms on average.
+// drawArrivals draws whether a request arrives at each simulated router.
 func (w *world) drawArrivals() {
-	for n := range w.instances {
-		if w.rng.Float64() < float64(w.arrivalsPerSecond)*6.5/1000/float64(w.instanceCount) {
+	for n := range w.routers {
+		if w.rng.Float64() < float64(w.arrivalsPerSecond)*meanBatchInterval/1000/float64(w.routerCount) {
 			w.arrive(n)
 		}
 	}
@@ -165,12 +169,13 @@
 	case draw < 6:
 		w.changeWorkerState()
 	case draw == 6 && w.requiresSubscription:
-		w.breakSubscription(w.rng.IntN(w.instanceCount))
+		w.breakSubscription(w.rng.IntN(w.routerCount))
 	case draw == 7:
-		w.kill(w.rng.IntN(w.instanceCount))
+		w.kill(w.rng.IntN(w.routerCount))
 	}
 }
 
+// restartWorker starts the process of a worker anew, with nothing loaded.
 func (w *world) restartWorker() {
 	worker := w.workers[w.rng.IntN(len(w.workers))]
 	worker.started = w.now
@@ -179,39 +184,41 @@
 	w.announce(listDelta)
 }
 
+// changeWorkerState draws a worker and its new state.
 func (w *world) changeWorkerState() {
 	worker := w.workers[w.rng.IntN(len(w.workers))]
 	worker.state = []byte{workerGone, workerReady, workerReady, workerDraining}[w.rng.IntN(4)]
 	w.announce([]byte{listDelta, listFull}[w.rng.IntN(2)])
 }
 
-func (w *world) breakSubscription(instance int) {
-	w.instances[instance].subscribed = false
-	w.schedule(0, instance, eventEndpointUpdate, func() []byte { return w.encodeList(listFailed) })
+// breakSubscription ends the subscription of a simulated router.
+func (w *world) breakSubscription(router int) {
+	w.routers[router].subscribed = false
+	w.schedule(0, router, eventEndpointUpdate, func() []byte { return w.encodeList(listFailed) })
 }
 
-// kill kills an instance, with its attempts, and starts it again.
-func (w *world) kill(instance int) {
-	w.schedule(0, instance, eventInstanceKilled, func() []byte { return nil })
-	for _, r := range w.instances[instance].requests {
+// kill kills a simulated router, which ends its attempts, and starts it again.
+func (w *world) kill(router int) {
+	w.schedule(0, router, eventRouterKilled, func() []byte { return nil })
+	for _, r := range w.routers[router].requests {
 		if r.open != noAttempt {
 			r.worker.running--
 		}
 	}
-	w.start(instance, 40)
+	w.start(router, 40)
 }
 
-// announce sends a list to all instances, a little late.
+// announce sends a list to all simulated routers, a little late.
 func (w *world) announce(mode byte) {
-	for n := range w.instances {
+	for n := range w.routers {
 		delay := float64(w.rng.IntN(400))
 		w.schedule(delay, n, eventEndpointUpdate, func() []byte { return w.listFor(n, mode) })
 	}
 }
 
-// listFor returns the worker list for an instance, or nil if it isn't subscribed to it and would have to be.
-func (w *world) listFor(instance int, mode byte) []byte {
-	if w.requiresSubscription && !w.instances[instance].subscribed {
+// listFor returns the worker list for a simulated router, or nil if the router needs a subscription and has none.
+func (w *world) listFor(router int, mode byte) []byte {
+	if w.requiresSubscription && !w.routers[router].subscribed {
 		return nil
 	}
 	return w.encodeList(mode)
