--- a/cmd/functionrouter/config.go
+++ b/cmd/functionrouter/config.go
@@ -15,13 +15,6 @@
 	"functionrouter/policy"
 )
 
-// The environment variables that the platform sets. The name and the address override those in the file.
-const (
-	configVariable = "EDGE_CONFIG" // path of the configuration file
-	nameVariable   = "EDGE_NAME"
-	listenVariable = "EDGE_LISTEN"
-)
-
 // Defaults of settings that are absent or not above zero. The platform always gives them; those of the transport are
 // of the size that the platform gives, those of the process are its largest limits on scored days.
 const (
--- a/cmd/functionrouter/extensions.go
+++ b/cmd/functionrouter/extensions.go
@@ -56,7 +56,7 @@
 
 // extensionFile returns the file to read: the one that the variable names, or the default if it exists, or none.
 func extensionFile(variable, defaultFile string) string {
-	if path := os.Getenv(variable); path != "" {
+	if path := operatorVariable(os.Getenv, variable); path != "" {
 		return path
 	}
 	if _, err := os.Stat(defaultFile); errors.Is(err, fs.ErrNotExist) {
--- a/cmd/functionrouter/flow_export.go
+++ b/cmd/functionrouter/flow_export.go
@@ -9,12 +9,8 @@
 	"functionrouter/internal/router"
 )
 
-// flowExportFile turns on the export of flow records (RFC 7011); flowExportVariable names another file. The variable
-// keeps the program's first name, since deployed environments set it.
-const (
-	flowExportFile     = "deploy/ipfix.toml"
-	flowExportVariable = "CRANKHOLD_IPFIX"
-)
+// flowExportFile turns on the export of flow records (RFC 7011); flowExportVariable names another file.
+const flowExportFile = "deploy/ipfix.toml"
 
 // addFlowExport turns on the export if the file at path enables it.
 func (x *extensions) addFlowExport(path string) error {
--- a/cmd/functionrouter/webhooks.go
+++ b/cmd/functionrouter/webhooks.go
@@ -11,12 +11,8 @@
 	"functionrouter/policy"
 )
 
-// webhookFile turns on the webhook frontend and the notices; webhookVariable names another file. The variable keeps
-// the program's first name, since deployed environments set it.
-const (
-	webhookFile     = "deploy/webhook.toml"
-	webhookVariable = "CRANKHOLD_WEBHOOK"
-)
+// webhookFile turns on the webhook frontend and the notices; webhookVariable names another file.
+const webhookFile = "deploy/webhook.toml"
 
 // addWebhooks turns on the parts that the file at path enables.
 func (x *extensions) addWebhooks(path string, requestRouter webhook.RequestRouter) error {
