--- a/cmd/functionrouter/config.go
+++ b/cmd/functionrouter/config.go
@@ -3,31 +3,24 @@
 import (
 	"encoding/json"
 	"errors"
-	"fmt"
 	"net/netip"
 	"os"
-	"reflect"
 	"strconv"
-	"time"
 
 	"functionrouter/internal/discovery"
 	"functionrouter/internal/simwire"
 	"functionrouter/policy"
 )
 
-// Defaults of settings that are absent or not above zero. The platform always gives them; those of the transport are
-// of the size that the platform gives, those of the process are its largest limits on scored days.
+// Defaults of limits that are absent or not above zero. The platform always gives them; the defaults are its largest
+// limits on scored days.
 const (
-	defaultDialTimeoutMs        = 250
-	defaultKeepaliveMs          = 30_000
-	defaultMaxOpenRequests      = 20_000
-	defaultStreamsPerConnection = 32
-	defaultMemoryMB             = 192
-	defaultSockets              = 1024
+	defaultMemoryMB = 192
+	defaultSockets  = 1024
 )
 
 // The least limits that are accepted: the shares in limits.go are tested down to these. Below them the Go runtime and
-// the descriptors of the process itself would leave next to nothing.
+// the descriptors of the process itself would leave almost nothing for requests.
 const (
 	minMemoryMB = 32
 	minSockets  = 64
@@ -46,6 +39,7 @@
 	Err   error  // the cause
 }
 
+// Error names the file, the field and the cause, as far as they are known.
 func (e *ConfigError) Error() string {
 	text := "config"
 	if e.Path != "" {
@@ -60,7 +54,7 @@
 // Unwrap returns the cause, for errors.Is and errors.As.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// config is what the platform tells a function router. Its keys are the platform's.
+// config is the configuration that the platform gives a router. Its keys are the platform's.
 type config struct {
 	Name             string                     `json:"name"`
 	Listen           string                     `json:"listen"`
@@ -81,27 +75,6 @@
 	Sockets  int `json:"sockets"`   // file descriptors
 }
 
-// transportSettings is what the connections need of the settings and the policy does not.
-type transportSettings struct {
-	FailureDomains []string        `json:"failureDomains"` // the zones
-	Classes        []namedSetting  `json:"classes"`
-	Tenants        []namedSetting  `json:"accounts"`
-	Limits         transportLimits `json:"limits"`
-}
-
-// namedSetting is a class or a tenant, of which connections need the name alone.
-type namedSetting struct {
-	Name string `json:"name"`
-}
-
-// transportLimits bounds the connections.
-type transportLimits struct {
-	DialTimeoutMs        float64 `json:"dialTimeoutMs"`
-	KeepaliveMs          float64 `json:"keepaliveMs"` // idle connections to workers are closed after this
-	MaxOpenRequests      int     `json:"maxOpen"`
-	StreamsPerConnection int     `json:"streamsPerConn"`
-}
-
 // readConfig reads and checks the file that EDGE_CONFIG names. Its errors are of type *ConfigError.
 func readConfig(getenv func(string) string) (*config, error) {
 	path := getenv(configVariable)
@@ -112,102 +85,49 @@
 	if err != nil {
 		return nil, &ConfigError{Path: path, Err: err}
 	}
-	c, field, err := parseConfig(text, getenv)
-	if err != nil {
-		return nil, &ConfigError{Path: path, Field: field, Err: err}
-	}
-	return c, nil
+	return parseConfig(path, text, getenv)
 }
 
-// parseConfig parses and checks the text of a file. With an error it returns the field that is at fault.
-func parseConfig(text []byte, getenv func(string) string) (c *config, field string, err error) {
-	c = &config{}
-	if err := json.Unmarshal(text, c); err != nil {
-		return nil, "", err
+// parseConfig parses and checks the text of the file at path. Its errors are of type *ConfigError.
+func parseConfig(path string, text []byte, getenv func(string) string) (*config, error) {
+	fault := func(field string, cause error) (*config, error) {
+		return nil, &ConfigError{Path: path, Field: field, Err: cause}
 	}
-	if name := getenv(nameVariable); name != "" {
-		c.Name = name
-	}
-	if listen := getenv(listenVariable); listen != "" {
-		c.Listen = listen
+	c := &config{}
+	if err := json.Unmarshal(text, c); err != nil {
+		return fault("", err)
 	}
+	c.applyEnvironment(getenv)
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		return nil, "listen", err
+		return fault("listen", err)
 	}
 	if _, err := netip.ParseAddrPort(c.DirectoryAddress); err != nil {
-		return nil, "names", err
+		return fault("names", err)
 	}
+	var err error
 	if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
-		return nil, "seed", err
+		return fault("seed", err)
 	}
 	if c.policy, err = simwire.ParseSettings(c.Settings); err != nil {
-		return nil, "", err // it names the key
+		return fault("", err) // the error names the key
 	}
 	if err := c.transport.parse(c.Settings); err != nil {
-		return nil, "settings", err
+		return fault("settings", err)
 	}
 	setDefault(&c.Limits.MemoryMB, defaultMemoryMB)
 	setDefault(&c.Limits.Sockets, defaultSockets)
 	if c.Limits.MemoryMB < minMemoryMB || c.Limits.Sockets < minSockets {
-		return nil, "limits", errLimitsTooLow
-	}
-	return c, "", nil
-}
-
-// parse reads the part of the settings that connections depend on.
-func (t *transportSettings) parse(settings []byte) error {
-	if err := json.Unmarshal(settings, t); err != nil {
-		return err
-	}
-	for i, class := range t.Classes {
-		if class.Name == "" {
-			return fmt.Errorf("class %d: %w", i, errNoClassName)
-		}
-	}
-	setDefault(&t.Limits.DialTimeoutMs, defaultDialTimeoutMs)
-	setDefault(&t.Limits.KeepaliveMs, defaultKeepaliveMs)
-	setDefault(&t.Limits.MaxOpenRequests, defaultMaxOpenRequests)
-	setDefault(&t.Limits.StreamsPerConnection, defaultStreamsPerConnection)
-	return nil
-}
-
-// needsRestart names the keys that fresh changes and that a reload does not apply. The seed and the initial endpoints
-// are left out: they matter only when the process starts.
-func (c *config) needsRestart(fresh *config) (changed []string) {
-	if c.Name != fresh.Name {
-		changed = append(changed, "name")
+		return fault("limits", errLimitsTooLow)
 	}
-	if c.Listen != fresh.Listen {
-		changed = append(changed, "listen")
-	}
-	if c.Limits != fresh.Limits {
-		changed = append(changed, "limits")
-	}
-	if !reflect.DeepEqual(c.policy, fresh.policy) || !reflect.DeepEqual(c.transport, fresh.transport) {
-		changed = append(changed, "settings")
-	}
-	return changed
+	return c, nil
 }
 
-// classNames returns the names of the request classes, in the settings' order.
-func (t *transportSettings) classNames() []string { return settingNames(t.Classes) }
-
-// tenantNames returns the names of the tenants, in the settings' order.
-func (t *transportSettings) tenantNames() []string { return settingNames(t.Tenants) }
-
-func settingNames(settings []namedSetting) (names []string) {
-	for _, s := range settings {
-		names = append(names, s.Name)
+// applyEnvironment replaces what the environment overrides.
+func (c *config) applyEnvironment(getenv func(string) string) {
+	if name := getenv(nameVariable); name != "" {
+		c.Name = name
 	}
-	return names
-}
-
-// setDefault replaces a value that is absent or not above zero.
-func setDefault[T int | float64](value *T, fallback T) {
-	if *value <= 0 {
-		*value = fallback
+	if listen := getenv(listenVariable); listen != "" {
+		c.Listen = listen
 	}
 }
-
-// milliseconds converts a setting that is given in milliseconds.
-func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/cmd/functionrouter/counters.go
+++ b/cmd/functionrouter/counters.go
@@ -27,10 +27,16 @@
 		"queries_sent", s.discovery.QueriesSent, "answers_received", s.discovery.AnswersReceived)
 }
 
-// logRequestCounters logs what clients sent to a frontend and what they were answered.
+// logRequestCounters logs the requests that a frontend received, by their final states.
 func logRequestCounters(c *router.Counters, f router.Frontend) {
-	slog.Info("request counters", "frontend", f.String(), "received", c.Received[f], "served", c.Served[f],
-		"refused", c.Refused[f], "failed", c.Failed[f], "client_cancelled", c.ClientCancelled[f], "refused_at_once", c.RefusedAtOnce[f],
+	slog.Info("request counters",
+		"frontend", f.String(),
+		"received", c.Received[f],
+		"served", c.Served[f],
+		"refused", c.Refused[f],
+		"failed", c.Failed[f],
+		"client_cancelled", c.ClientCancelled[f],
+		"refused_at_once", c.RefusedAtOnce[f],
 		"client_disconnected", c.ClientDisconnected[f])
 }
 
@@ -45,8 +51,8 @@
 	slog.Info("connection counters", attributes...)
 }
 
-// logAttemptCounters logs the attempts sent to workers and their outcomes. Requests that are overdue were answered
-// by the router at their deadline, since the policy had not.
+// logAttemptCounters logs the attempts sent to workers and their outcomes. Overdue requests are those that the router
+// answered at their deadline because the policy had not.
 func logAttemptCounters(c *router.Counters) {
 	attributes := withOutcomes([]any{"sent", c.AttemptsSent}, &c.AttemptOutcomes)
 	attributes = append(attributes, "overdue_requests", c.Overdue)
--- a/cmd/functionrouter/endpoint_log.go
+++ b/cmd/functionrouter/endpoint_log.go
@@ -7,8 +7,8 @@
 	"functionrouter/internal/discovery"
 )
 
-// endpointLog logs what a new endpoint list changes. A list of many workers comes with each change of one of them:
-// logged whole, it would crowd all else out of a log.
+// endpointLog logs what a new endpoint list changes. Each change of one worker brings a list of all workers: logged
+// whole, the lists would hide everything else in the log.
 type endpointLog struct {
 	logged map[string]discovery.Endpoint // the last list, by name
 }
--- a/cmd/functionrouter/endpoints.go
+++ b/cmd/functionrouter/endpoints.go
@@ -27,7 +27,7 @@
 
 // policyEndpoint converts an endpoint to the policy's form.
 func (s *server) policyEndpoint(e discovery.Endpoint) policy.Endpoint {
-	converted := policy.Endpoint{
+	return policy.Endpoint{
 		Worker:    e.ID(),
 		State:     e.State,
 		Weight:    e.Weight,
@@ -35,5 +35,4 @@
 		Cell:      e.Cell,
 		Zone:      max(slices.Index(s.cfg.transport.FailureDomains, e.Zone), 0), // an unknown zone counts as the first
 	}
-	return converted
 }
--- a/cmd/functionrouter/extensions.go
+++ b/cmd/functionrouter/extensions.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"io/fs"
+	"log/slog"
 	"net/netip"
 	"os"
 	"time"
@@ -13,7 +14,10 @@
 	"functionrouter/internal/router"
 )
 
-// extensions are the optional parts beside the platform's frontend; each is nil where it is off, as all are on the
+// maxIdleInterval is when extensions that have nothing to do ask to be called again. Any long time serves.
+const maxIdleInterval = time.Hour
+
+// extensions are the optional parts beside the platform's frontend. Each is nil if it is off, as all are on the
 // platform.
 type extensions struct {
 	cfg  *config
@@ -26,8 +30,8 @@
 	frontendAddrs [2]netip.AddrPort // where each router.Frontend listens, for the flow records
 }
 
-// newExtensions reads the files and joins the parts that they turn on to the loop. The webhook frontend sends its
-// requests to requestRouter.
+// newExtensions reads the files of the extensions and adds the parts that they enable to the loop. The webhook frontend
+// sends its requests to requestRouter.
 func newExtensions(cfg *config, loop *eventloop.Loop, requestRouter webhook.RequestRouter) (*extensions, error) {
 	x := &extensions{cfg: cfg, loop: loop}
 	x.frontendAddrs[router.Thrift] = netip.MustParseAddrPort(cfg.Listen) // readConfig checked it
@@ -67,7 +71,7 @@
 
 // process sends the notices and flow records that are due. It returns when it must be called again at the latest.
 func (x *extensions) process(now time.Duration) (next time.Duration) {
-	next = now + time.Hour // with nothing to do, any time will do
+	next = now + maxIdleInterval
 	if x.sender != nil {
 		next = min(next, x.sender.Process(now))
 	}
@@ -84,6 +88,24 @@
 	}
 }
 
+// openNotices is how many notices are not delivered yet.
+func (x *extensions) openNotices() int {
+	if x.sender == nil {
+		return 0
+	}
+	return x.sender.OpenNotices()
+}
+
+// close writes what must be on disk before the program ends.
+func (x *extensions) close() {
+	if x.receiver == nil {
+		return
+	}
+	if err := x.receiver.Close(); err != nil {
+		slog.Error("webhook ledger not closed", "error", err)
+	}
+}
+
 // logCounters logs the counters of the parts that are on.
 func (x *extensions) logCounters() {
 	if x.receiver != nil {
--- a/cmd/functionrouter/limits.go
+++ b/cmd/functionrouter/limits.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// fullMemoryMB is the memory for which the bounds below are chosen, the platform's limit on scored days, in MiB. With
-// less memory they shrink in proportion; with more they stay.
+// fullMemoryMB is the memory for which the bounds below are chosen, in MiB: the platform's limit on scored days. With
+// less memory the bounds shrink in proportion; with more they stay.
 const fullMemoryMB = 192
 
-// Bounds on what is held for peers, in bytes, at fullMemoryMB. They add up to 72 MiB of the 192, and with less memory
-// keep that part of it.
+// Bounds on what is held for peers, in bytes, at fullMemoryMB. They add up to 72 MiB of the 192.
 const (
 	maxUnreadBytes        = 32 << 20 // written for peers that do not read
 	maxBodyBytes          = 24 << 20 // bodies of open requests
@@ -25,12 +24,12 @@
 )
 
 const (
-	// clientDescriptorDivisor gives the clients a third of the descriptors. The workers have what that and the reserve
-	// leave.
+	// clientDescriptorDivisor gives the clients a third of the descriptors. The workers have what the clients and the
+	// reserve leave.
 	clientDescriptorDivisor = 3
 
 	// reservedDescriptors are kept for what is neither a client nor a worker: pollers, listeners, the directory,
-	// notices, files, and an accepted connection that is yet to be rejected.
+	// notices, files, and an accepted connection beyond the limit until it is closed.
 	reservedDescriptors = 32
 
 	// reservedDescriptorDivisor limits the reserve to a quarter of the descriptors if there are few.
@@ -41,13 +40,15 @@
 	// healthCheckTimeout is how long a worker may take to answer a health check.
 	healthCheckTimeout = 250 * time.Millisecond
 
-	// maxRejectionRetryAfter bounds the Retry-After of a rejected request; the settings may bound it further.
-	maxRejectionRetryAfter = time.Second
+	// maxRefusalRetryAfter bounds the Retry-After of a request that is refused at once; the settings may bound it further.
+	maxRefusalRetryAfter = time.Second
 
-	// The platform kills a router 0.7 s after the longest deadline, counted from SIGTERM; of the deadline it counts
-	// 3 s at most. flushMargin leaves 0.2 s of the 0.7 s for a machine that stalls.
+	// maxFlushDeadline is the most that the platform counts of the longest deadline: it kills a router 0.7 s after that,
+	// counted from SIGTERM.
 	maxFlushDeadline = 3 * time.Second
-	flushMargin      = 500 * time.Millisecond
+
+	// flushMargin is the part of these 0.7 s that requests and notices may take; it leaves 0.2 s for a machine that stalls.
+	flushMargin = 500 * time.Millisecond
 )
 
 // goMemoryLimit is the soft memory limit of the Go runtime, in bytes.
@@ -83,11 +84,11 @@
 	return min(longest, maxFlushDeadline) + flushMargin
 }
 
-// rejectionRetryAfter is the Retry-After of requests that are rejected because the router is full; 0 if the settings
-// allow none.
-func (c *config) rejectionRetryAfter() time.Duration {
+// refusalRetryAfter is the Retry-After of requests that are refused at once because the router is full; 0 if the
+// settings allow none.
+func (c *config) refusalRetryAfter() time.Duration {
 	if !c.policy.AllowRetryAfter {
 		return 0
 	}
-	return min(maxRejectionRetryAfter, c.policy.MaxRetryAfter)
+	return min(maxRefusalRetryAfter, c.policy.MaxRetryAfter)
 }
--- a/cmd/functionrouter/limits_test.go
+++ b/cmd/functionrouter/limits_test.go
@@ -42,14 +42,14 @@
 	}
 }
 
-func TestRejectionRetryAfter(t *testing.T) {
+func TestRefusalRetryAfter(t *testing.T) {
 	var c config
-	if got := c.rejectionRetryAfter(); got != 0 {
+	if got := c.refusalRetryAfter(); got != 0 {
 		t.Errorf("Retry-After %v where the settings allow none", got)
 	}
 	c.policy.AllowRetryAfter = true
 	c.policy.MaxRetryAfter = 300 * time.Millisecond
-	if got := c.rejectionRetryAfter(); got != c.policy.MaxRetryAfter {
+	if got := c.refusalRetryAfter(); got != c.policy.MaxRetryAfter {
 		t.Errorf("Retry-After %v, want %v", got, c.policy.MaxRetryAfter)
 	}
 }
--- a/cmd/functionrouter/main.go
+++ b/cmd/functionrouter/main.go
@@ -16,11 +16,12 @@
 	"functionrouter/internal/logging"
 )
 
-// logCloseTimeout is how long the end of the program waits for the reader of its log.
+// logCloseTimeout is how long the program, at its end, waits for the reader of its log.
 const logCloseTimeout = 100 * time.Millisecond
 
+// main runs the router and reports an error of its start in one plain line, after the log.
 func main() {
-	// A collector of the log that ends must not end the router: the runtime raises SIGPIPE for standard error.
+	// The end of the log's reader must not end the router: the runtime raises SIGPIPE for standard error.
 	signal.Ignore(syscall.SIGPIPE)
 	log := logging.NewWriter(os.Stderr)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
--- a/cmd/functionrouter/reload.go
+++ b/cmd/functionrouter/reload.go
@@ -1,6 +1,9 @@
 package main
 
-import "log/slog"
+import (
+	"log/slog"
+	"reflect"
+)
 
 // reload applies what can change while the program runs: the directory's address. It logs the other keys that fresh
 // changes, since these need a restart. A configuration that can't be used changes nothing.
@@ -15,3 +18,21 @@
 		slog.Warn("restart needed", "settings", changed)
 	}
 }
+
+// needsRestart names the keys that fresh changes and that a reload does not apply. The seed and the initial endpoints
+// are left out: they matter only when the process starts.
+func (c *config) needsRestart(fresh *config) (changed []string) {
+	if c.Name != fresh.Name {
+		changed = append(changed, "name")
+	}
+	if c.Listen != fresh.Listen {
+		changed = append(changed, "listen")
+	}
+	if c.Limits != fresh.Limits {
+		changed = append(changed, "limits")
+	}
+	if !reflect.DeepEqual(c.policy, fresh.policy) || !reflect.DeepEqual(c.transport, fresh.transport) {
+		changed = append(changed, "settings")
+	}
+	return changed
+}
--- a/cmd/functionrouter/server.go
+++ b/cmd/functionrouter/server.go
@@ -1,9 +1,6 @@
 package main
 
 import (
-	"log/slog"
-	"runtime"
-	"runtime/debug"
 	"time"
 
 	"functionrouter/internal/backend"
@@ -14,16 +11,6 @@
 	"functionrouter/policy"
 )
 
-const (
-	// maxProcs is GOMAXPROCS. There is one core; the further threads let the event loop run while a poller sleeps in
-	// the kernel.
-	maxProcs = 4
-
-	// The intervals of the housekeeping that is not the pool's own.
-	extensionSweepInterval = time.Second
-	countersLogInterval    = 5 * time.Second
-)
-
 // server is the function router with all its parts, joined on one event loop. Once the loop runs, all of it belongs to
 // the loop's goroutine; others reach it through loop.Post.
 type server struct {
@@ -40,38 +27,7 @@
 	shutdown     shutdown
 }
 
-// housekeeping is when each periodic task last ran, on the loop's clock.
-type housekeeping struct {
-	lastPoolSweep      time.Duration
-	lastExtensionSweep time.Duration
-	lastCountersLog    time.Duration
-}
-
-// serve runs the function router until a signal ends it. On SIGHUP it applies what reread returns. Its errors are those
-// of the start.
-func serve(cfg *config, reread func() (*config, error)) error {
-	signals := watchSignals()
-	defer signals.close()
-	runtime.GOMAXPROCS(maxProcs)
-	debug.SetMemoryLimit(cfg.goMemoryLimit())
-	s, err := newServer(cfg)
-	if err != nil {
-		return err
-	}
-	if err := s.loop.Start(); err != nil {
-		return err
-	}
-	slog.Info("started", "name", cfg.Name, "listen", cfg.Listen)
-	signals.forward(s, reread)
-	s.housekeeping.lastCountersLog = s.loop.Now()
-	s.loop.Run(s.beginTurn, s.endTurn)
-	s.extensions.close()
-	s.logCounters()
-	slog.Info("stopped")
-	return nil
-}
-
-// newServer builds the parts and joins them; nothing listens yet.
+// newServer builds the parts and joins them. The loop is not started: nothing listens yet.
 func newServer(cfg *config) (*server, error) {
 	decisions, err := policy.New(cfg.policy, cfg.seed)
 	if err != nil {
@@ -116,7 +72,7 @@
 	return router.Limits{
 		MaxOpenRequests:    c.maxOpenRequests(),
 		MaxBodyBytes:       c.scaleToMemory(maxBodyBytes),
-		RetryAfter:         c.rejectionRetryAfter(),
+		RetryAfter:         c.refusalRetryAfter(),
 		MaxAttempts:        c.policy.MaxAttempts,
 		LoadCommandTimeout: c.policy.LoadCommandTimeout,
 		HealthCheckTimeout: healthCheckTimeout,
@@ -148,38 +104,3 @@
 // ready reports whether clients should send requests here: there is a worker to forward them to, and no shutdown
 // has begun.
 func (s *server) ready() bool { return s.discovery.EndpointCount() > 0 && !s.shutdown.begun() }
-
-// beginTurn tells the parts the time of a turn of the event loop, before the turn's events are handled.
-func (s *server) beginTurn(now time.Duration) {
-	s.router.SetNow(now)
-	s.pool.SetNow(now)
-}
-
-// endTurn does what is due once a turn's events have been handled. It returns when the next turn must be at the
-// latest.
-func (s *server) endTurn(now time.Duration) (next time.Duration) {
-	next = min(s.router.Process(now), s.discovery.Poll(now), s.extensions.process(now))
-	s.runPeriodicTasks(now)
-	if s.shutdown.begun() {
-		s.advanceShutdown(now)
-		next = min(next, now+shutdownCheckInterval)
-	}
-	return next
-}
-
-// runPeriodicTasks runs the periodic tasks that are due.
-func (s *server) runPeriodicTasks(now time.Duration) {
-	h := &s.housekeeping
-	if now-h.lastPoolSweep >= backend.SweepInterval {
-		h.lastPoolSweep = now
-		s.pool.Sweep(now)
-	}
-	if now-h.lastExtensionSweep >= extensionSweepInterval {
-		h.lastExtensionSweep = now
-		s.extensions.sweep(now)
-	}
-	if now-h.lastCountersLog >= countersLogInterval {
-		h.lastCountersLog = now
-		s.logCounters()
-	}
-}
--- a/cmd/functionrouter/shutdown.go
+++ b/cmd/functionrouter/shutdown.go
@@ -2,16 +2,17 @@
 
 import (
 	"log/slog"
+	"os"
 	"time"
 )
 
 const (
-	// shutdownGracePeriod is how long after SIGTERM new requests are still routed. Clients connect for 0.4 s more, and
-	// send requests on open connections for another 0.2 s. Later requests are refused.
+	// shutdownGracePeriod is how long after SIGTERM new requests are still routed; later ones are refused. Clients connect
+	// for 0.4 s after SIGTERM, and send requests on open connections for another 0.2 s.
 	shutdownGracePeriod = 650 * time.Millisecond
 
-	// shutdownQuietPeriod is how long no client may have been connected before a server that shuts down ends: one that
-	// has just connected may still wait to be accepted.
+	// shutdownQuietPeriod is how long no client must have been connected before a server that shuts down ends: a client
+	// that has just connected may still wait to be accepted.
 	shutdownQuietPeriod = 200 * time.Millisecond
 
 	// shutdownCheckInterval is how often, at least, a server that shuts down checks whether it is done.
@@ -25,15 +26,25 @@
 type shutdown struct {
 	startedAt    time.Duration // 0 before it begins
 	lastClientAt time.Duration // when a client was last connected
-	lastLogAt    time.Duration // when it was last logged what is waited for
+	lastLogAt    time.Duration // when logShutdown last wrote a line
 	flushTimeout time.Duration // see config.flushTimeout
 }
 
 // begun reports whether the server is shutting down.
 func (s *shutdown) begun() bool { return s.startedAt > 0 }
 
-// beginShutdown starts the graceful shutdown. No request may last until the platform kills the process, whatever its
-// client's time.
+// handleTermination logs the counters, and begins to shut down unless that has begun.
+func (s *server) handleTermination(sig os.Signal) {
+	s.logCounters()
+	if s.shutdown.begun() {
+		return
+	}
+	s.beginShutdown(s.loop.Now())
+	slog.Info("shutdown started", "signal", sig.String())
+}
+
+// beginShutdown starts the graceful shutdown. Counted from now, no request lasts longer than the flush timeout, whatever
+// time its client has left: each must be answered before the platform kills the process.
 func (s *server) beginShutdown(now time.Duration) {
 	s.shutdown.startedAt = now
 	s.shutdown.lastClientAt = now
@@ -41,10 +52,10 @@
 	s.router.BeginShutdown(now, now+s.shutdown.flushTimeout)
 }
 
-// advanceShutdown stops the loop once the grace period is over, all clients have closed their connections and the notices
-// are delivered or have had their time. Until then clients may go on sending: from the end of the grace period on, the
-// router refuses their requests. It closes no connection by itself: a request may be on its way, and there would be
-// nobody to send it to again.
+// advanceShutdown stops the loop once the grace period is over, all clients have closed their connections, no request is
+// open, and the notices are delivered or the flush timeout has passed. Until then clients may send requests; after the
+// grace period the router refuses them. It closes no connection by itself: a request may be on its way, and its client
+// may have no other router to send it to.
 func (s *server) advanceShutdown(now time.Duration) {
 	elapsed := now - s.shutdown.startedAt
 	graceOver := elapsed >= shutdownGracePeriod
@@ -58,8 +69,9 @@
 		s.logShutdown(now)
 		return
 	}
+	requestsDone := s.router.OpenRequests() == 0
 	noticesDone := s.extensions.openNotices() == 0 || elapsed >= s.shutdown.flushTimeout
-	if s.router.OpenRequests() == 0 && noticesDone {
+	if requestsDone && noticesDone {
 		s.loop.Stop()
 		return
 	}
--- a/cmd/functionrouter/signals.go
+++ b/cmd/functionrouter/signals.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
@@ -10,12 +9,12 @@
 // signalWatcher receives the process's signals and passes them on to the event loop. It owns two goroutines, which end
 // after close.
 type signalWatcher struct {
-	// A channel for each purpose, so that SIGHUPs or SIGUSR1s in a row can't crowd out a SIGTERM. A signal that comes while
-	// its channel is full adds nothing to the one that is in it.
+	// Each purpose has a channel, so that many SIGHUPs or SIGUSR1s can't displace a SIGTERM. A signal that arrives while its
+	// channel is full is dropped: the one in the channel has the same effect.
 	terminations chan os.Signal // SIGTERM and SIGINT
 	reports      chan os.Signal // SIGUSR1
-	// hangups holds one SIGHUP: the first that comes while the file is being read makes it be read once more, further
-	// ones add nothing.
+	// hangups holds one SIGHUP: the first that arrives while the file is being read has it read once more, further ones
+	// are dropped.
 	hangups chan os.Signal
 	closed  chan struct{}
 }
@@ -35,7 +34,7 @@
 }
 
 // close stops receiving signals and ends the goroutines. It does not wait for them: a file that takes long to read
-// must not hold up the end of the program, and what they post to a loop that has stopped is not run.
+// must not delay the end of the program, and a loop that has stopped does not run what they post.
 func (w *signalWatcher) close() {
 	signal.Stop(w.terminations)
 	signal.Stop(w.reports)
@@ -49,8 +48,8 @@
 	go w.forwardSignals(s)
 }
 
-// forwardHangups reads the configuration on each SIGHUP. It does so on its own goroutine, so that requests are
-// served meanwhile.
+// forwardHangups reads the configuration on each SIGHUP and posts the result to the event loop. It reads on its own
+// goroutine, so that requests are served meanwhile.
 func (w *signalWatcher) forwardHangups(s *server, reread func() (*config, error)) {
 	for {
 		select {
@@ -63,6 +62,7 @@
 	}
 }
 
+// forwardSignals posts what SIGTERM, SIGINT and SIGUSR1 ask for to the event loop.
 func (w *signalWatcher) forwardSignals(s *server) {
 	for {
 		select {
@@ -75,13 +75,3 @@
 		}
 	}
 }
-
-// handleTermination logs the counters, and begins to shut down unless that has begun.
-func (s *server) handleTermination(sig os.Signal) {
-	s.logCounters()
-	if s.shutdown.begun() {
-		return
-	}
-	s.beginShutdown(s.loop.Now())
-	slog.Info("shutdown started", "signal", sig.String())
-}
--- a/cmd/functionrouter/start_times.go
+++ b/cmd/functionrouter/start_times.go
@@ -6,17 +6,17 @@
 	"functionrouter/internal/discovery"
 )
 
-// maxNoticeDelay is how long after a worker's start an answer may still lack it: 4.5 s, where the directory is silent
-// (counted from the beginning of that), and some slack.
+// maxNoticeDelay is how long after a worker's start the directory's answers may still lack it: 4.5 s, counted from the
+// time at which the directory fell silent, and some slack.
 const maxNoticeDelay = 5 * time.Second
 
-// maxRememberedStarts is how many starts are remembered of workers that are not in the list: one that is back was not
-// started anew.
+// maxRememberedStarts is how many starts are remembered of workers that are not in the list: a worker that returns to the
+// list with the same start was not started anew.
 const maxRememberedStarts = 1024
 
-// startTimes turns the starts of workers, which the directory gives by the wall clock, into times on the loop's clock. A
-// wall clock may be stepped, and that of another machine may differ; slow start must neither be prolonged nor be cut
-// short by that. So the time at which a start was noticed bounds it, and it is converted once.
+// startTimes converts the starts of workers, which the directory gives by the wall clock, to times on the loop's clock. A
+// wall clock may be stepped, and that of another machine may differ; this must neither prolong slow start nor cut it
+// short. So each start is converted once, and bounded by the time at which it was noticed.
 type startTimes struct {
 	converted map[startKey]time.Duration
 }
@@ -28,7 +28,7 @@
 }
 
 // update converts the starts in a new list. fromWallClock converts a time of the wall clock. previousAnswer is when the
-// directory gave the answer before; 0: there was none, so that the list says nothing of when a worker began to be there.
+// directory gave its answer before this one; it is 0 if this is the first, whose workers may have started at any time.
 func (s *startTimes) update(list []discovery.Endpoint, now, previousAnswer time.Duration, fromWallClock func(time.Time) time.Duration) {
 	if s.converted == nil {
 		s.converted = map[startKey]time.Duration{}
@@ -60,8 +60,8 @@
 	return s.converted[startKey{e.Name, e.Started}]
 }
 
-// boundStart returns a time of start that agrees with when it was noticed. A time that does not proves that the clocks
-// differ: then nothing is known but that the start was not before the previous answer, or not after now.
+// boundStart returns a time of start that agrees with the time at which it was noticed. If the converted time does not
+// agree, the clocks differ, and all that is known is that the start was not before the previous answer and not after now.
 func boundStart(converted, now, previousAnswer time.Duration) time.Duration {
 	switch {
 	case converted > now:
@@ -69,5 +69,5 @@
 	case previousAnswer > 0 && converted < previousAnswer-maxNoticeDelay:
 		return previousAnswer
 	}
-	return max(converted, 1) // 0 would mean that the start is not known
+	return max(converted, 1) // 0 means that the start is not known
 }
--- a/cmd/functionrouter/webhooks.go
+++ b/cmd/functionrouter/webhooks.go
@@ -46,8 +46,8 @@
 			Longest: class.Deadline,
 		})
 	}
-	receiver, err := webhook.NewReceiver(file, requestRouter, classes, x.cfg.scaleToMemory(maxWebhookResultBytes),
-		x.loop.Now, time.Now, x.loop.Post)
+	maxResultBytes := x.cfg.scaleToMemory(maxWebhookResultBytes)
+	receiver, err := webhook.NewReceiver(file, requestRouter, classes, maxResultBytes, x.loop.Now, time.Now, x.loop.Post)
 	if err != nil {
 		return err
 	}
@@ -59,36 +59,20 @@
 	return nil
 }
 
-// notify queues a notice of how a request ended, if it is one that must not run twice.
+// notify queues a notice of how a request ended, if it is a request that must not run twice.
 func (x *extensions) notify(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	if x.cfg.policy.Classes[r.Class].Idempotency == policy.NotIdempotent {
 		x.sender.Notify(now, r, outcome)
 	}
 }
 
-// openNotices is how many notices are not delivered yet.
-func (x *extensions) openNotices() int {
-	if x.sender == nil {
-		return 0
-	}
-	return x.sender.OpenNotices()
-}
-
-// close writes what must be on disk before the program ends.
-func (x *extensions) close() {
-	if x.receiver == nil {
-		return
-	}
-	if err := x.receiver.Close(); err != nil {
-		slog.Error("webhook ledger not closed", "error", err)
-	}
-}
-
+// logWebhookCounters logs the deliveries by what was done with them.
 func logWebhookCounters(c *webhook.Counters) {
 	slog.Info("webhook counters", "deliveries", c.Deliveries, "unauthorized", c.Unauthorized, "malformed", c.Malformed,
 		"replayed", c.Replayed, "joined", c.Joined, "ledger_refused", c.LedgerRefused)
 }
 
+// logNoticeCounters logs what became of the notices, and how many are not delivered yet.
 func logNoticeCounters(c *webhook.SenderCounters, open int) {
 	slog.Info("notice counters", "queued", c.Queued, "dropped", c.Dropped, "delivered", c.Delivered,
 		"retried", c.Retried, "given_up", c.GivenUp, "open", open)
