--- a/example/toy/call.go
+++ b/example/toy/call.go
@@ -1,83 +1,89 @@
 package main
 
 import (
-	"encoding/binary"
 	"encoding/hex"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
+	"strings"
+	"time"
+	"unicode/utf8"
 )
 
-// The parts of Thrift's strict binary protocol and framed transport that a call needs.
-const (
-	thriftFrameHeader = 4 // bytes
-	thriftVersionCall = 0x80010001
-	thriftTypeString  = 11
-	thriftTypeMap     = 13
-	thriftStop        = 0
-)
+// callInput is the body of the call.
+const callInput = "lamp 17 to 40%"
+
+// routerStartTimeout is how long a call waits for a router that does not listen yet.
+const routerStartTimeout = 30 * time.Second
 
-// maxPrintedAnswer is the most bytes of an answer that are read.
-const maxPrintedAnswer = 1 << 16
+// dialInterval is the pause between two attempts to connect to the router.
+const dialInterval = 200 * time.Millisecond
 
-// call sends one call to the router and prints the bytes of the answer.
+// call sends one call to the router and prints the answer.
 func call() error {
-	conn, err := net.Dial("tcp", routerAddr)
+	conn, err := dialRouter()
 	if err != nil {
 		return err
 	}
 	defer func() { _ = conn.Close() }() // the answer has come, or another error is returned
-	if _, err := conn.Write(executeFrame("lamp 17 to 40%")); err != nil {
+	if _, err := conn.Write(executeFrame(callFields(), callInput)); err != nil {
 		return err
 	}
-	answer, err := readFrame(conn)
+	frame, err := readFrame(conn)
 	if err != nil {
 		return err
 	}
-	fmt.Print(hex.Dump(answer))
+	answer, err := decodeAnswer(frame)
+	if err != nil {
+		return fmt.Errorf("%w in the answer:\n%s", err, hex.Dump(frame))
+	}
+	fmt.Print(answer)
 	return nil
 }
 
-// executeFrame is a call of execute(1: map<string, string> headers, 2: binary body), with its frame header.
-func executeFrame(body string) []byte {
-	headers := []string{
+// dialRouter connects to the router, as soon as that listens.
+func dialRouter() (net.Conn, error) {
+	deadline := time.Now().Add(routerStartTimeout)
+	for {
+		conn, err := net.Dial("tcp", routerAddr)
+		if err == nil || time.Now().After(deadline) {
+			return conn, err
+		}
+		time.Sleep(dialInterval)
+	}
+}
+
+// callFields are the fields of a call, as names and values in turn.
+func callFields() []string {
+	return []string{
 		"class", "dim-level",
 		"id", fmt.Sprintf("%016x", rand.Uint64()),
 		"wait", "1500",
 		"key", functionKey,
 		"props", "memory_mb:512;lanes:2;load_ms:640",
 	}
-	b := make([]byte, thriftFrameHeader)
-	b = binary.BigEndian.AppendUint32(b, thriftVersionCall)
-	b = appendThriftString(b, "execute")
-	b = binary.BigEndian.AppendUint32(b, 1) // the sequence number
-	b = append(b, thriftTypeMap, 0, 1, thriftTypeString, thriftTypeString)
-	b = binary.BigEndian.AppendUint32(b, uint32(len(headers)/2))
-	for _, word := range headers {
-		b = appendThriftString(b, word)
-	}
-	b = append(b, thriftTypeString, 0, 2)
-	b = appendThriftString(b, body)
-	b = append(b, thriftStop)
-	binary.BigEndian.PutUint32(b, uint32(len(b)-thriftFrameHeader))
-	return b
 }
 
-func appendThriftString(b []byte, s string) []byte {
-	b = binary.BigEndian.AppendUint32(b, uint32(len(s)))
-	return append(b, s...)
+// answer is what the router answered to a call.
+type answer struct {
+	status string // served, refused or failed
+	body   []byte
+	fields []string // names and values in turn
 }
 
-// readFrame reads one frame without its header.
-func readFrame(r io.Reader) ([]byte, error) {
-	var header [thriftFrameHeader]byte
-	if _, err := io.ReadFull(r, header[:]); err != nil {
-		return nil, err
+// String shows the answer on a line for each of its parts, a body that is no text as a hex dump.
+func (a answer) String() string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "status: %s\n", a.status)
+	switch {
+	case len(a.body) == 0:
+	case utf8.Valid(a.body):
+		fmt.Fprintf(&text, "body:   %s\n", a.body)
+	default:
+		fmt.Fprintf(&text, "body:\n%s", hex.Dump(a.body))
 	}
-	frame := make([]byte, min(binary.BigEndian.Uint32(header[:]), maxPrintedAnswer))
-	if _, err := io.ReadFull(r, frame); err != nil {
-		return nil, err
+	for i := 0; i+1 < len(a.fields); i += 2 {
+		fmt.Fprintf(&text, "field:  %s = %s\n", a.fields[i], a.fields[i+1])
 	}
-	return frame, nil
+	return text.String()
 }
--- a/example/toy/directory.go
+++ b/example/toy/directory.go
@@ -22,7 +22,7 @@
 	dnsTypeSRV = 33
 	dnsClassIN = 1
 
-	recordTTL = 1 // seconds
+	dnsRecordTTL = 1 // seconds
 )
 
 // dnsSection is where the header has the count of a section's records.
@@ -34,6 +34,7 @@
 	additionalSection dnsSection = 10
 )
 
+// zone is the domain of the workers.
 const zone = "pool.lan"
 
 // serveDirectory answers every query with the list of workers, until the socket fails.
@@ -66,6 +67,7 @@
 	return response
 }
 
+// hostName is the name of a worker, by its position in workerAddrs.
 func hostName(i int) string { return fmt.Sprintf("s-%d.here.hosts", i+1) }
 
 // serviceData is the data of an SRV record: priority 0, weight 10, and the port of addr.
@@ -86,6 +88,7 @@
 	return append(data, make([]byte, 16)...)
 }
 
+// dnsMessage is a DNS message whose header counts the records of its sections.
 type dnsMessage []byte
 
 // add appends a record to section. The sections must be filled in their order.
@@ -94,7 +97,7 @@
 	*m = append(*m, dnsName(name)...)
 	*m = binary.BigEndian.AppendUint16(*m, recordType)
 	*m = binary.BigEndian.AppendUint16(*m, dnsClassIN)
-	*m = binary.BigEndian.AppendUint32(*m, recordTTL)
+	*m = binary.BigEndian.AppendUint32(*m, dnsRecordTTL)
 	*m = binary.BigEndian.AppendUint16(*m, uint16(len(data)))
 	*m = append(*m, data...)
 }
--- a/example/toy/webhook.go
+++ b/example/toy/webhook.go
@@ -36,6 +36,7 @@
 	return err
 }
 
+// readWebhookKey reads the secret.
 func readWebhookKey() ([]byte, error) {
 	text, err := os.ReadFile(webhookKeyFile)
 	if err != nil {
--- a/example/toy/worker.go
+++ b/example/toy/worker.go
@@ -2,17 +2,11 @@
 
 import (
 	"bufio"
-	"fmt"
 	"io"
 	"log"
 	"net"
-	"strconv"
-	"strings"
 )
 
-// maxRESPLine is the most bytes of a line that gives a count or a length.
-const maxRESPLine = 8
-
 // serveWorker accepts connections until the listener fails.
 func serveWorker(listener net.Listener) error {
 	for {
@@ -44,8 +38,11 @@
 	}
 }
 
+// answerRequest answers a request, which begins with its command and its ID: RUN is an attempt, HOLD a load command,
+// INFO a health check and NOOP a connection's keep-alive check. Other commands get no answer.
 func answerRequest(w io.Writer, worker string, request []string) error {
-	command, id := request[0], request[1]
+	command := request[0]
+	id := request[1]
 	switch command {
 	case "RUN":
 		input := request[len(request)-1]
@@ -57,47 +54,3 @@
 	}
 	return nil
 }
-
-// writeArray writes words as a RESP array of bulk strings.
-func writeArray(w io.Writer, words ...string) error {
-	var text strings.Builder
-	fmt.Fprintf(&text, "*%d\r\n", len(words))
-	for _, word := range words {
-		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(word), word)
-	}
-	_, err := io.WriteString(w, text.String())
-	return err
-}
-
-// readArray reads a RESP array of bulk strings.
-func readArray(in *bufio.Reader) ([]string, error) {
-	count, err := readNumber(in, '*')
-	if err != nil {
-		return nil, err
-	}
-	var words []string
-	for range count {
-		size, err := readNumber(in, '$')
-		if err != nil {
-			return nil, err
-		}
-		word := make([]byte, size+len("\r\n"))
-		if _, err := io.ReadFull(in, word); err != nil {
-			return nil, err
-		}
-		words = append(words, string(word[:size]))
-	}
-	return words, nil
-}
-
-// readNumber reads a line of a mark and a number, as "*3" or "$12".
-func readNumber(in *bufio.Reader, mark byte) (int, error) {
-	line, err := in.ReadString('\n')
-	if err != nil {
-		return 0, err
-	}
-	if line[0] != mark || len(line) > maxRESPLine {
-		return 0, fmt.Errorf("malformed line %q", line)
-	}
-	return strconv.Atoi(strings.TrimSpace(line[1:]))
-}
