--- a/cmd/functionrouter/cancel_test.go
+++ b/cmd/functionrouter/cancel_test.go
@@ -15,8 +15,8 @@
 	{"interrupts", func(c *testClient) { c.sendInterrupt(c.lastSequence) }},
 }
 
-// No attempt begins for a client that has cancelled, also where the settings do not allow cancels of attempts: an
-// attempt that waits for a dial is withdrawn.
+// No attempt is sent for a client that has cancelled, also where the settings do not allow cancels of attempts: an
+// attempt that waits for a dial ends unsent.
 func TestCancelWhileDialing(t *testing.T) {
 	for _, test := range cancellations {
 		t.Run(test.name, func(t *testing.T) {
@@ -62,7 +62,8 @@
 	}
 }
 
-// The process is paused while a client sends a call and goes: no attempt begins for it once the process goes on.
+// The process is paused while a client sends a call and closes its connection: no attempt is sent for it when the
+// process continues.
 func TestCallOfGoneClientAfterAPause(t *testing.T) {
 	worker := startFakeWorker(t)
 	h, _ := newHarness(t, newFakeDirectory(t), 1024, "", listedWorker{name: "s-1", addr: worker.addr})
--- a/cmd/functionrouter/connections_test.go
+++ b/cmd/functionrouter/connections_test.go
@@ -68,7 +68,7 @@
 }
 
 // A connection on which half a request has come is not closed to make room for others: an idle client's is, also one
-// from which the router heard later.
+// that was active later.
 func TestPartialRequestIsNotEvicted(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
--- a/cmd/functionrouter/endpoints.go
+++ b/cmd/functionrouter/endpoints.go
@@ -8,7 +8,7 @@
 )
 
 // updateEndpoints passes a new endpoint list to the router and then to the pool. The order matters: attempts that the
-// pool gives back on account of the list are placed again by this list, not by the one before.
+// pool ends because of the list are retried by this list, not by the one before.
 func (s *server) updateEndpoints(list []discovery.Endpoint) {
 	s.startTimes.update(list, s.loop.Now(), s.discovery.LastAnswerAt(), s.loop.TimeFromUnix)
 	update := policy.EndpointUpdate{Kind: policy.FullUpdate}
@@ -33,6 +33,11 @@
 		Weight:    e.Weight,
 		StartedAt: s.startTimes.of(e),
 		Cell:      e.Cell,
-		Zone:      max(slices.Index(s.cfg.transport.FailureDomains, e.Zone), 0), // an unknown zone counts as the first
+		Zone:      s.zoneIndex(e.Zone),
 	}
 }
+
+// zoneIndex returns the position of a zone in the settings. An unknown zone counts as the first.
+func (s *server) zoneIndex(zone string) int {
+	return max(slices.Index(s.cfg.transport.FailureDomains, zone), 0)
+}
--- a/cmd/functionrouter/fake_directory_test.go
+++ b/cmd/functionrouter/fake_directory_test.go
@@ -39,11 +39,13 @@
 	from   net.Addr
 }
 
+// newFakeDirectory returns a directory at a free address.
 func newFakeDirectory(t *testing.T) *fakeDirectory {
 	t.Helper()
 	return newFakeDirectoryAt(t, "127.0.0.1:0")
 }
 
+// newFakeDirectoryAt returns a directory at an address.
 func newFakeDirectoryAt(t *testing.T, addr string) *fakeDirectory {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", addr)
--- a/cmd/functionrouter/fake_worker_test.go
+++ b/cmd/functionrouter/fake_worker_test.go
@@ -21,7 +21,6 @@
 	t        *testing.T
 	addr     string
 	requests chan workerRequest
-	closed   chan struct{} // receives a value for each connection that the router closed
 
 	mu       sync.Mutex
 	listenFD int         // until startAccepting; -1 afterwards
@@ -30,8 +29,9 @@
 
 // workerRequest is a request as a worker received it.
 type workerRequest struct {
-	conn     net.Conn
-	id, body string
+	conn net.Conn
+	id   string
+	body string
 }
 
 // newFakeWorker returns a worker that listens and accepts nothing yet: its kernel completes one connection, and any
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &fakeWorker{t: t, listenFD: fd, requests: make(chan workerRequest, 100), closed: make(chan struct{}, 100)}
+	w := &fakeWorker{t: t, listenFD: fd, requests: make(chan workerRequest, 100)}
 	t.Cleanup(w.stop)
 	loopback := &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}
 	if err := errors.Join(syscall.Bind(fd, loopback), syscall.Listen(fd, 0)); err != nil {
@@ -92,6 +92,7 @@
 	go w.acceptAll(listener)
 }
 
+// acceptAll serves connections until the listener closes.
 func (w *fakeWorker) acceptAll(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -118,22 +119,17 @@
 	}
 }
 
-// serveConnection hands the requests of a connection to the test, and answers the router's health checks.
+// serveConnection passes the requests of a connection to the test, and answers the router's keep-alive checks.
 func (w *fakeWorker) serveConnection(conn net.Conn) {
 	defer func() { _ = conn.Close() }() // stop may have closed it
 	for in := bufio.NewReader(conn); ; {
-		first, err := in.ReadString('\n')
-		if err != nil {
-			w.closed <- struct{}{}
-			return
-		}
-		words, err := readCommand(first, in)
+		words, err := readCommand(in)
 		if err != nil {
 			return
 		}
 		switch {
 		case len(words) == 4 && words[0] == "RUN":
-			w.requests <- workerRequest{conn, words[1], words[3]}
+			w.requests <- workerRequest{conn: conn, id: words[1], body: words[3]}
 		case len(words) == 2 && words[0] == "NOOP":
 			if _, err := fmt.Fprintf(conn, "*2\r\n$%d\r\n%s\r\n$4\r\nPONG\r\n", len(words[1]), words[1]); err != nil {
 				return
@@ -142,18 +138,14 @@
 	}
 }
 
-// readCommand reads the rest of a command in RESP, an array of bulk strings, whose first line has been read.
-func readCommand(first string, in *bufio.Reader) (words []string, err error) {
-	count, err := strconv.Atoi(strings.TrimSpace(first[1:]))
+// readCommand reads a command in RESP: an array of bulk strings.
+func readCommand(in *bufio.Reader) (words []string, err error) {
+	count, err := readNumber(in)
 	if err != nil {
 		return nil, err
 	}
 	for range count {
-		line, err := in.ReadString('\n')
-		if err != nil {
-			return nil, err
-		}
-		size, err := strconv.Atoi(strings.TrimSpace(line[1:]))
+		size, err := readNumber(in)
 		if err != nil {
 			return nil, err
 		}
@@ -166,6 +158,15 @@
 	return words, nil
 }
 
+// readNumber reads the line that begins an array or a bulk string: a mark, and a count or a length.
+func readNumber(in *bufio.Reader) (int, error) {
+	line, err := in.ReadString('\n')
+	if err != nil {
+		return 0, err
+	}
+	return strconv.Atoi(strings.TrimSpace(line[1:]))
+}
+
 // serveAll serves all requests from now on.
 func (w *fakeWorker) serveAll() {
 	go func() {
--- a/cmd/functionrouter/fault_proxy_test.go
+++ b/cmd/functionrouter/fault_proxy_test.go
@@ -70,6 +70,7 @@
 	return p.random.IntN(limit)
 }
 
+// acceptAll dials the worker for each connection and draws the connection's fault, until the listener closes.
 func (p *faultProxy) acceptAll() {
 	for {
 		client, err := p.listener.Accept()
@@ -90,6 +91,7 @@
 	}
 }
 
+// carryRequests copies what the router sends.
 func (p *faultProxy) carryRequests(client, server net.Conn) {
 	_, _ = io.Copy(server, client) // either end may end it
 	_ = server.Close()
--- a/cmd/functionrouter/lost_answers_test.go
+++ b/cmd/functionrouter/lost_answers_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// A worker hangs, and a client has more time than the platform leaves the process after SIGTERM: the call is answered
+// A worker hangs, and a client waits longer than the platform lets the process run after SIGTERM: the call is answered
 // before the earliest kill.
 func TestHangingCallIsAnsweredBeforeTheKill(t *testing.T) {
 	worker := startFakeWorker(t) // answers nothing
@@ -175,8 +175,8 @@
 	return startPinnedProcess(t, adaptConfig, listed...)
 }
 
-// Whatever becomes of the connections to workers, and while the configuration is reloaded, each call gets one answer in
-// time, with its own body if it was served; and none is sent again that may have run and must not run twice.
+// Whatever fault the connections to workers have, and while the configuration is reloaded, each call gets one answer in
+// time, with its own body if it was served. A call that must not run twice is not retried if it may have run.
 func TestCallsAreAnsweredBesideFaultyWorkers(t *testing.T) {
 	const playFor = time.Second
 	for seed := range uint64(4) {
@@ -230,8 +230,8 @@
 	}
 }
 
-// A call comes while the process is paused, and its worker hangs: the client's time has run on, and the answer comes before
-// it is over.
+// A call arrives while the process is paused, and its worker hangs: the pause counts, and the answer comes before the time
+// that the client waits is over.
 func TestCallDuringAPauseIsAnsweredInTime(t *testing.T) {
 	const wait, paused = time.Second, 600 * time.Millisecond
 	worker := startFakeWorker(t) // answers nothing
--- a/cmd/functionrouter/main.go
+++ b/cmd/functionrouter/main.go
@@ -1,8 +1,9 @@
 // Command functionrouter is the function router: the decision module of package policy on real sockets.
 //
-// It reads the configuration file that the environment names (see readConfig) and serves until SIGTERM or SIGINT, which
-// begin a graceful shutdown. SIGHUP makes it read the file again and apply a new directory address; SIGUSR1 makes it log
-// its counters. The log goes to standard error. The exit status is 1 if the program can't start.
+// It reads the configuration file that the environment names (environment.go) and serves until SIGTERM or SIGINT, which
+// begin a graceful shutdown (shutdown.go). SIGHUP makes it read the file again and apply a new directory address
+// (reload.go); SIGUSR1 makes it log its counters (counters.go). The log goes to standard error. The exit status is 1 if the
+// program can't start.
 package main
 
 import (
--- a/cmd/simadapter/world_test.go
+++ b/cmd/simadapter/world_test.go
@@ -65,6 +65,7 @@
 	subscribed bool
 }
 
+// newWorld returns a world before its first batch, with all workers ready and the starts of the routers scheduled.
 func newWorld(s scenario) *world {
 	w := &world{
 		scenario: s,
--- a/internal/simwire/events_test.go
+++ b/internal/simwire/events_test.go
@@ -116,25 +116,6 @@
 	}
 }
 
-func TestOutcomeCodes(t *testing.T) {
-	for code, want := range []policy.Outcome{
-		0: policy.Served,
-		1: policy.Errored,
-		2: policy.WorkerOverloaded,
-		3: policy.TimedOut,
-		4: policy.Unreachable,
-		5: policy.ConnectionReset,
-		6: policy.Cancelled,
-		7: policy.NotSent,
-		8: policy.FunctionNotLoaded,
-	} {
-		d := decoder{rest: []byte{byte(code)}}
-		if got := d.outcome(); got != want || d.err != nil {
-			t.Errorf("code %d: got %v, %v; want %v", code, got, d.err, want)
-		}
-	}
-}
-
 func TestSplitInfo(t *testing.T) {
 	for _, test := range []struct {
 		info        uint8
@@ -143,7 +124,10 @@
 	}{
 		{0, policy.InstanceUnknown, 0},
 		{1, policy.InstanceWarm, 0},
+		{2, policy.LoadStarted, 0},
+		{3, policy.LoadAwaited, 0},
 		{4 + 30*8, policy.LoadFailed, 30},
+		{5, policy.InstanceUnknown, 0},
 		{7 + 2*8, policy.InstanceUnknown, 2}, // a status that isn't known yet
 	} {
 		status, concurrency := splitInfo(test.info)
