--- a/cmd/functionrouter/cancel_test.go
+++ b/cmd/functionrouter/cancel_test.go
@@ -22,7 +22,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			worker := startFullWorker(t)
 			h := startHarness(t, longDialTimeout, listedWorker{name: "s-1", addr: worker.addr})
-			c, other := h.connect(), h.connect()
+			c := h.connect()
+			other := h.connect()
 			c.sendCall("safe", "00000000000000a1", "cancelled")
 			other.checkHealth()
 			test.cancel(c)
@@ -45,10 +46,12 @@
 func TestCancelBeforeRetry(t *testing.T) {
 	for _, test := range cancellations {
 		t.Run(test.name, func(t *testing.T) {
-			first, second := startFakeWorker(t), startFakeWorker(t)
+			first := startFakeWorker(t)
+			second := startFakeWorker(t)
 			h := startHarness(t, manyAttempts,
 				listedWorker{name: "s-1", addr: first.addr}, listedWorker{name: "s-2", addr: second.addr})
-			c, other := h.connect(), h.connect()
+			c := h.connect()
+			other := h.connect()
 			c.sendCall("safe", "00000000000000a1", "one")
 			r := first.nextRequestOfEither(second)
 			test.cancel(c)
@@ -68,7 +71,8 @@
 	worker := startFakeWorker(t)
 	h, _ := newHarness(t, newFakeDirectory(t), 1024, "", listedWorker{name: "s-1", addr: worker.addr})
 	process := h.startProcess(1024)
-	gone, other := h.connect(), h.connect()
+	gone := h.connect()
+	other := h.connect()
 	gone.checkHealth()
 	other.sendCall("safe", "00000000000000a0", "to open a connection to the worker")
 	worker.nextRequest().respond("HIT", "done")
--- a/cmd/functionrouter/connections_test.go
+++ b/cmd/functionrouter/connections_test.go
@@ -17,7 +17,8 @@
 		{class: "unsafe", want: "failed", retried: false},
 	} {
 		t.Run(test.class, func(t *testing.T) {
-			first, second := startFakeWorker(t), startFakeWorker(t)
+			first := startFakeWorker(t)
+			second := startFakeWorker(t)
 			h := startHarness(t, manyAttempts,
 				listedWorker{name: "s-1", addr: first.addr}, listedWorker{name: "s-2", addr: second.addr})
 			c := h.connect()
--- a/cmd/functionrouter/dial_test.go
+++ b/cmd/functionrouter/dial_test.go
@@ -29,7 +29,8 @@
 		{"gone", func(string) []listedWorker { return nil }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			worker, other := startFullWorker(t), startFakeWorker(t)
+			worker := startFullWorker(t)
+			other := startFakeWorker(t)
 			h := startHarness(t, longDialTimeout, listedWorker{name: "s-1", addr: worker.addr})
 			c := h.connect()
 			c.sendCall("unsafe", "00000000000000a1", "one")
@@ -74,7 +75,8 @@
 
 // A dial that completes after its timeout carries nothing: its request went elsewhere at the timeout.
 func TestDialCompletesAfterTimeout(t *testing.T) {
-	worker, other := startFullWorker(t), startFakeWorker(t)
+	worker := startFullWorker(t)
+	other := startFakeWorker(t)
 	h := startHarness(t, `"limits":{"dialTimeoutMs":300},`, listedWorker{name: "s-1", addr: worker.addr})
 	c := h.connect()
 	c.sendCall("unsafe", "00000000000000a1", "one")
--- a/cmd/functionrouter/endpoints_test.go
+++ b/cmd/functionrouter/endpoints_test.go
@@ -10,10 +10,12 @@
 // A reload moves the directory, and the new one lists a worker as draining: requests avoid that worker at once, and what
 // the old directory still answers changes nothing.
 func TestReloadThenDrain(t *testing.T) {
-	first, second := startFakeWorker(t), startFakeWorker(t)
+	first := startFakeWorker(t)
+	second := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: first.addr})
 	unanswered := h.directory.nextQuery() // to the old directory
-	old, moved := h.directory, newFakeDirectory(t)
+	old := h.directory
+	moved := newFakeDirectory(t)
 	if err := h.reload(strings.Replace(h.configText, old.addr(), moved.addr(), 1)); err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +36,8 @@
 // While the directory is silent, unreachable or late, requests are served by the list that is known; the list that it
 // sends at last replaces it as a whole.
 func TestDirectoryOutage(t *testing.T) {
-	first, second := startFakeWorker(t), startFakeWorker(t)
+	first := startFakeWorker(t)
+	second := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: first.addr})
 	c := h.connect()
 	expectServedBy := func(w *fakeWorker, id string) {
@@ -108,7 +111,8 @@
 
 // A process starts with a list whose workers have gone; a worker that only the directory knows serves.
 func TestStaleInitialEndpoints(t *testing.T) {
-	gone, worker := newFakeWorker(t), startFakeWorker(t)
+	gone := newFakeWorker(t)
+	worker := startFakeWorker(t)
 	gone.stop()
 	h := startHarness(t, manyAttempts,
 		listedWorker{name: "s-1", addr: gone.addr}, listedWorker{name: "s-2", addr: gone.addr})
--- a/cmd/functionrouter/limits_test.go
+++ b/cmd/functionrouter/limits_test.go
@@ -25,7 +25,8 @@
 // beside its body, and that the router can do some work with it.
 func checkMemoryBounds(t *testing.T, c *config) {
 	t.Helper()
-	bodies, open := c.scaleToMemory(maxBodyBytes), c.maxOpenRequests()
+	bodies := c.scaleToMemory(maxBodyBytes)
+	open := c.maxOpenRequests()
 	held := bodies + c.scaleToMemory(maxUnreadBytes) +
 		c.scaleToMemory(maxWebhookResultBytes) + open*2048
 	if held > c.Limits.MemoryMB<<20/2 || bodies < 1<<20 || open < 1000 {
@@ -36,7 +37,8 @@
 // checkDescriptorBounds checks the shares of clients, workers and the process itself.
 func checkDescriptorBounds(t *testing.T, c *config) {
 	t.Helper()
-	clients, workers := c.maxClientConnections(), c.maxWorkerConnections()
+	clients := c.maxClientConnections()
+	workers := c.maxWorkerConnections()
 	if own := c.Limits.Sockets - clients - workers; clients*3 > c.Limits.Sockets || own < 16 || workers < 20 {
 		t.Errorf("%d descriptors for clients, %d for workers, %d for the rest", clients, workers, own)
 	}
--- a/cmd/functionrouter/lost_answers_test.go
+++ b/cmd/functionrouter/lost_answers_test.go
@@ -138,7 +138,8 @@
 	worker := startFakeWorker(t) // answers nothing
 	h, process := startPinnedProcess(t, func(text string) string { return withDeadline(text, 300*time.Millisecond) },
 		listedWorker{name: "s-1", addr: worker.addr})
-	before, after := h.connect(), h.connect()
+	before := h.connect()
+	after := h.connect()
 	before.sendCall("unsafe", "00000000000000a1", "before SIGTERM")
 	worker.nextRequest()
 	start := time.Now()
@@ -207,7 +208,8 @@
 // All at once: workers behind faults, unfriendly peers, and SIGTERM, after which clients go on sending on open connections
 // until the earliest kill. Each call is answered before it.
 func TestCallsAreAnsweredUntilTheKillBesideFaults(t *testing.T) {
-	const deadline, untilKill = 300 * time.Millisecond, time.Second
+	const deadline = 300 * time.Millisecond
+	const untilKill = time.Second
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			counts := &attemptCounts{byBody: map[string]int{}}
@@ -233,7 +235,8 @@
 // A call arrives while the process is paused, and its worker hangs: the pause counts, and the answer comes before the time
 // that the client waits is over.
 func TestCallDuringAPauseIsAnsweredInTime(t *testing.T) {
-	const wait, paused = time.Second, 600 * time.Millisecond
+	const wait = time.Second
+	const paused = 600 * time.Millisecond
 	worker := startFakeWorker(t) // answers nothing
 	h, _ := newHarness(t, newFakeDirectory(t), 1024, serviceSettings, listedWorker{name: "s-1", addr: worker.addr})
 	process := h.startProcess(1024)
--- a/cmd/functionrouter/process_test.go
+++ b/cmd/functionrouter/process_test.go
@@ -111,7 +111,8 @@
 // A process that may open fewer descriptors than its configuration says runs out of them: accepts, dials and queries
 // fail. It answers the requests that it has all the same, and serves again once there are descriptors.
 func TestDescriptorExhaustion(t *testing.T) {
-	const configured, available = 1024, 48
+	const configured = 1024
+	const available = 48
 	worker := startFakeWorker(t)
 	h, _ := newHarness(t, newFakeDirectory(t), configured, "", listedWorker{name: "s-1", addr: worker.addr})
 	h.startProcess(available)
@@ -177,7 +178,8 @@
 // A process is killed just after it accepted a connection and with a request in flight, and starts again with its old
 // list: the clients of the old one see their connections end at once, and the new one follows the directory's list.
 func TestRestartAfterKill(t *testing.T) {
-	first, second := startFakeWorker(t), startFakeWorker(t)
+	first := startFakeWorker(t)
+	second := startFakeWorker(t)
 	h, _ := newHarness(t, newFakeDirectory(t), 256, "", listedWorker{name: "s-1", addr: first.addr})
 	process := h.startProcess(256)
 	c := h.connect()
--- a/cmd/functionrouter/shutdown_test.go
+++ b/cmd/functionrouter/shutdown_test.go
@@ -52,7 +52,8 @@
 func TestPartialRequestAtSIGTERM(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
-	half, c := h.connect(), h.connect()
+	half := h.connect()
+	c := h.connect()
 	frame := half.callFrame("safe", "00000000000000a1", "in two pieces", 5*time.Second)
 	half.sendBytes(frame[:len(frame)/2])
 	c.checkHealth()
@@ -72,7 +73,8 @@
 func TestInFlightRequestAtSIGTERM(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
-	c, second := h.connect(), h.connect()
+	c := h.connect()
+	second := h.connect()
 	c.sendCall("unsafe", "00000000000000a1", "one")
 	r := worker.nextRequest()
 	h.beginShutdown(second)
