--- a/cmd/simadapter/wire_test.go
+++ b/cmd/simadapter/wire_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"bytes"
 	"encoding/binary"
 	"math"
 )
@@ -87,19 +88,16 @@
 
 // Lengths in bytes.
 const (
-	recordHeaderLength = 3 // code, simulated router
-	replyHeaderLength  = 8 // sequence number, length
+	replyHeaderLength = 8 // sequence number, length
+	timerTokenLength  = 8
 )
 
+// appendWorker appends a worker, which is 48 bits long: address and port.
 func appendWorker(b []byte, id uint64) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(id>>16))
 	return binary.BigEndian.AppendUint16(b, uint16(id))
 }
 
-func readWorker(b []byte) uint64 {
-	return uint64(binary.BigEndian.Uint32(b))<<16 | uint64(binary.BigEndian.Uint16(b[4:]))
-}
-
 func appendFloat(b []byte, v float64) []byte {
 	return binary.BigEndian.AppendUint64(b, math.Float64bits(v))
 }
@@ -108,11 +106,31 @@
 	return binary.BigEndian.AppendUint32(b, math.Float32bits(v))
 }
 
-func readFloat(b []byte) float64 { return math.Float64frombits(binary.BigEndian.Uint64(b)) }
-
 func boolByte(v bool) byte {
 	if v {
 		return 1
 	}
 	return 0
 }
+
+// wireReader reads fields from the front of rest. It panics where they are missing.
+type wireReader struct {
+	rest []byte
+}
+
+func (r *wireReader) uint8() byte    { return r.bytes(1)[0] }
+func (r *wireReader) uint16() uint16 { return binary.BigEndian.Uint16(r.bytes(2)) }
+func (r *wireReader) uint32() uint32 { return binary.BigEndian.Uint32(r.bytes(4)) }
+func (r *wireReader) uint64() uint64 { return binary.BigEndian.Uint64(r.bytes(8)) }
+func (r *wireReader) float() float64 { return math.Float64frombits(r.uint64()) }
+func (r *wireReader) worker() uint64 { return uint64(r.uint32())<<16 | uint64(r.uint16()) }
+
+// counted reads bytes behind their length.
+func (r *wireReader) counted() []byte { return r.bytes(int(r.uint16())) }
+
+// bytes reads a copy of the next bytes.
+func (r *wireReader) bytes(length int) []byte {
+	field := bytes.Clone(r.rest[:length])
+	r.rest = r.rest[length:]
+	return field
+}
--- a/cmd/simadapter/world_actions_test.go
+++ b/cmd/simadapter/world_actions_test.go
@@ -3,65 +3,59 @@
 import (
 	"encoding/binary"
 	"fmt"
-	"slices"
 )
 
 // applyReply carries out the actions of a reply's records.
 func (w *world) applyReply(records []byte) error {
-	for len(records) > 0 {
-		code := records[0]
-		router := int(binary.BigEndian.Uint16(records[1:]))
-		records = records[recordHeaderLength:]
+	fields := &wireReader{rest: records}
+	for len(fields.rest) > 0 {
+		code := fields.uint8()
+		router := int(fields.uint16())
 		w.seen[code]++
-		length, err := w.apply(code, router, records)
-		if err != nil {
+		if err := w.apply(code, router, fields); err != nil {
 			return err
 		}
-		records = records[length:]
 	}
 	return nil
 }
 
-// apply carries out the action that fields begins with, and returns the length of its fields.
-func (w *world) apply(code byte, router int, fields []byte) (length int, err error) {
+// apply reads the fields of an action and carries it out.
+func (w *world) apply(code byte, router int, fields *wireReader) error {
 	switch code {
 	case actionSetTimer:
-		w.setTimer(router, readFloat(fields), slices.Clone(fields[8:16]))
-		return 16, nil
+		w.setTimer(router, fields.float(), fields.bytes(timerTokenLength))
 	case actionFailRequest:
-		w.closeRequest(router, binary.BigEndian.Uint32(fields))
-		return 4, nil
+		w.closeRequest(router, fields.uint32())
 	case actionRefuseRequest:
-		w.closeRequest(router, binary.BigEndian.Uint32(fields))
-		return 12, nil
+		w.closeRequest(router, fields.uint32())
+		fields.float() // Retry-After
 	case actionSendAttempt:
-		return 18, w.sendAttempt(router, binary.BigEndian.Uint32(fields), readWorker(fields[4:]))
+		request := fields.uint32()
+		worker := fields.worker()
+		fields.float() // timeout
+		return w.sendAttempt(router, request, worker)
 	case actionCancelAttempt:
-		w.cancelAttempt(router, binary.BigEndian.Uint32(fields), int(binary.BigEndian.Uint16(fields[4:])))
-		return 6, nil
+		w.cancelAttempt(router, fields.uint32(), int(fields.uint16()))
 	case actionLoadInstance:
-		w.loadInstance(router, fields[0], binary.BigEndian.Uint64(fields[1:]), readWorker(fields[9:]))
-		return 15, nil
+		w.loadInstance(router, fields.uint8(), fields.uint64(), fields.worker())
 	case actionUnloadInstance:
-		return 14, nil
+		fields.worker()
+		fields.uint64() // function
 	case actionCheckHealth:
-		w.checkHealth(router, readWorker(fields))
-		return 6, nil
+		w.checkHealth(router, fields.worker())
 	case actionCloseIdleConnections:
-		return 6, nil
+		fields.worker()
 	case actionSubscribe:
-		w.subscribe(router, fields[0] == 1)
-		return 1, nil
+		w.subscribe(router, fields.uint8() == 1)
 	case actionFetchEndpoints:
-		return 0, nil
 	case actionSendGossip:
-		end := 6 + int(binary.BigEndian.Uint16(fields[4:]))
-		w.gossip(router, binary.BigEndian.Uint32(fields), slices.Clone(fields[6:end]))
-		return end, nil
+		w.gossip(router, fields.uint32(), fields.counted())
 	case actionLogLine:
-		return 2 + int(binary.BigEndian.Uint16(fields)), nil
+		fields.counted()
+	default:
+		return fmt.Errorf("unknown action code %d", code)
 	}
-	return 0, fmt.Errorf("unknown action code %d", code)
+	return nil
 }
 
 // setTimer schedules the end of a timer.
