--- a/example/toy/thrift.go
+++ b/example/toy/thrift.go
@@ -110,6 +110,7 @@
 	malformed bool
 }
 
+// take returns the next bytes; a few zeros if they are missing.
 func (d *thriftDecoder) take(length int) []byte {
 	if length > len(d.rest) {
 		d.malformed = true
