--- a/cmd/functionrouter/connections_test.go
+++ b/cmd/functionrouter/connections_test.go
@@ -17,7 +17,8 @@
 		{class: "unsafe", want: "failed", retried: false},
 	} {
 		t.Run(test.class, func(t *testing.T) {
-			first, second := startFakeWorker(t), startFakeWorker(t)
+			first := startFakeWorker(t)
+			second := startFakeWorker(t)
 			h := startHarness(t, manyAttempts,
 				listedWorker{name: "s-1", addr: first.addr}, listedWorker{name: "s-2", addr: second.addr})
 			c := h.connect()
@@ -68,7 +69,7 @@
 }
 
 // A connection on which half a request has come is not closed to make room for others: an idle client's is, also one
-// from which the router heard later.
+// that was active later.
 func TestPartialRequestIsNotEvicted(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
--- a/cmd/functionrouter/flow_export.go
+++ b/cmd/functionrouter/flow_export.go
@@ -9,12 +9,8 @@
 	"functionrouter/internal/router"
 )
 
-// flowExportFile turns on the export of flow records (RFC 7011); flowExportVariable names another file. The variable
-// keeps the program's first name, since deployed environments set it.
-const (
-	flowExportFile     = "deploy/ipfix.toml"
-	flowExportVariable = "CRANKHOLD_IPFIX"
-)
+// flowExportFile turns on the export of flow records (RFC 7011); flowExportVariable names another file.
+const flowExportFile = "deploy/ipfix.toml"
 
 // addFlowExport turns on the export if the file at path enables it.
 func (x *extensions) addFlowExport(path string) error {
@@ -45,6 +41,7 @@
 	})
 }
 
+// logFlowCounters logs the flow records and the messages that carried them.
 func logFlowCounters(c *ipfix.Counters) {
 	slog.Info("flow export counters", "records", c.Records, "sent", c.Sent, "dropped", c.Dropped, "messages", c.Messages)
 }
--- a/cmd/functionrouter/lost_answers_test.go
+++ b/cmd/functionrouter/lost_answers_test.go
@@ -132,13 +132,14 @@
 	}
 }
 
-// A worker hangs, and a client has more time than the platform leaves the process after SIGTERM: the call is answered
+// A worker hangs, and a client waits longer than the platform lets the process run after SIGTERM: the call is answered
 // before the earliest kill.
 func TestHangingCallIsAnsweredBeforeTheKill(t *testing.T) {
 	worker := startFakeWorker(t) // answers nothing
 	h, process := startPinnedProcess(t, func(text string) string { return withDeadline(text, 300*time.Millisecond) },
 		listedWorker{name: "s-1", addr: worker.addr})
-	before, after := h.connect(), h.connect()
+	before := h.connect()
+	after := h.connect()
 	before.sendCall("unsafe", "00000000000000a1", "before SIGTERM")
 	worker.nextRequest()
 	start := time.Now()
@@ -175,8 +176,8 @@
 	return startPinnedProcess(t, adaptConfig, listed...)
 }
 
-// Whatever becomes of the connections to workers, and while the configuration is reloaded, each call gets one answer in
-// time, with its own body if it was served; and none is sent again that may have run and must not run twice.
+// Whatever fault the connections to workers have, and while the configuration is reloaded, each call gets one answer in
+// time, with its own body if it was served. A call that must not run twice is not retried if it may have run.
 func TestCallsAreAnsweredBesideFaultyWorkers(t *testing.T) {
 	const playFor = time.Second
 	for seed := range uint64(4) {
@@ -207,7 +208,8 @@
 // All at once: workers behind faults, unfriendly peers, and SIGTERM, after which clients go on sending on open connections
 // until the earliest kill. Each call is answered before it.
 func TestCallsAreAnsweredUntilTheKillBesideFaults(t *testing.T) {
-	const deadline, untilKill = 300 * time.Millisecond, time.Second
+	const deadline = 300 * time.Millisecond
+	const untilKill = time.Second
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			counts := &attemptCounts{byBody: map[string]int{}}
@@ -230,10 +232,11 @@
 	}
 }
 
-// A call comes while the process is paused, and its worker hangs: the client's time has run on, and the answer comes before
-// it is over.
+// A call arrives while the process is paused, and its worker hangs: the pause counts, and the answer comes before the time
+// that the client waits is over.
 func TestCallDuringAPauseIsAnsweredInTime(t *testing.T) {
-	const wait, paused = time.Second, 600 * time.Millisecond
+	const wait = time.Second
+	const paused = 600 * time.Millisecond
 	worker := startFakeWorker(t) // answers nothing
 	h, _ := newHarness(t, newFakeDirectory(t), 1024, serviceSettings, listedWorker{name: "s-1", addr: worker.addr})
 	process := h.startProcess(1024)
--- a/cmd/functionrouter/main.go
+++ b/cmd/functionrouter/main.go
@@ -1,8 +1,9 @@
 // Command functionrouter is the function router: the decision module of package policy on real sockets.
 //
-// It reads the configuration file that the environment names (see readConfig) and serves until SIGTERM or SIGINT, which
-// begin a graceful shutdown. SIGHUP makes it read the file again and apply a new directory address; SIGUSR1 makes it log
-// its counters. The log goes to standard error. The exit status is 1 if the program can't start.
+// It reads the configuration file that the environment names (environment.go) and serves until SIGTERM or SIGINT, which
+// begin a graceful shutdown (shutdown.go). SIGHUP makes it read the file again and apply a new directory address
+// (reload.go); SIGUSR1 makes it log its counters (counters.go). The log goes to standard error. The exit status is 1 if the
+// program can't start.
 package main
 
 import (
@@ -16,11 +17,12 @@
 	"functionrouter/internal/logging"
 )
 
-// logCloseTimeout is how long the end of the program waits for the reader of its log.
+// logCloseTimeout is how long the program, at its end, waits for the reader of its log.
 const logCloseTimeout = 100 * time.Millisecond
 
+// main runs the router and reports an error of its start in one plain line, after the log.
 func main() {
-	// A collector of the log that ends must not end the router: the runtime raises SIGPIPE for standard error.
+	// The end of the log's reader must not end the router: the runtime raises SIGPIPE for standard error.
 	signal.Ignore(syscall.SIGPIPE)
 	log := logging.NewWriter(os.Stderr)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
--- a/cmd/simadapter/wire_test.go
+++ b/cmd/simadapter/wire_test.go
@@ -1,24 +1,24 @@
 package main
 
 import (
+	"bytes"
 	"encoding/binary"
 	"math"
 )
 
-// The wire is written here a second time, apart from package simwire, so that an error in the one isn't undone
-// by the same error in the other.
+// The wire is defined here a second time, apart from package simwire, so that the tests find an error in either.
 
 // Codes of the wire's event records.
 const (
 	eventResponseStarted = iota + 1
 	eventAttemptEnded
 	eventClientCancelled
-	eventInstanceKilled
+	eventRouterKilled
 	eventHealthCheckEnded
 	eventEndpointUpdate
 	eventTimerFired
 	eventGossipReceived
-	eventInstanceStarted
+	eventRouterStarted
 	eventRequestArrived
 	eventLoadCommandEnded
 )
@@ -83,24 +83,21 @@
 	flagRetry    = 2
 )
 
-// allPeers addresses a gossip message to every other instance.
+// allPeers addresses a gossip message to every other simulated router.
 const allPeers = math.MaxUint32
 
 // Lengths in bytes.
 const (
-	recordHeaderLength = 3 // code, instance
-	replyHeaderLength  = 8 // sequence number, length
+	replyHeaderLength = 8 // sequence number, length
+	timerTokenLength  = 8
 )
 
+// appendWorker appends a worker, which is 48 bits long: address and port.
 func appendWorker(b []byte, id uint64) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(id>>16))
 	return binary.BigEndian.AppendUint16(b, uint16(id))
 }
 
-func readWorker(b []byte) uint64 {
-	return uint64(binary.BigEndian.Uint32(b))<<16 | uint64(binary.BigEndian.Uint16(b[4:]))
-}
-
 func appendFloat(b []byte, v float64) []byte {
 	return binary.BigEndian.AppendUint64(b, math.Float64bits(v))
 }
@@ -109,11 +106,31 @@
 	return binary.BigEndian.AppendUint32(b, math.Float32bits(v))
 }
 
-func readFloat(b []byte) float64 { return math.Float64frombits(binary.BigEndian.Uint64(b)) }
-
 func boolByte(v bool) byte {
 	if v {
 		return 1
 	}
 	return 0
 }
+
+// wireReader reads fields from the front of rest. It panics where they are missing.
+type wireReader struct {
+	rest []byte
+}
+
+func (r *wireReader) uint8() byte    { return r.bytes(1)[0] }
+func (r *wireReader) uint16() uint16 { return binary.BigEndian.Uint16(r.bytes(2)) }
+func (r *wireReader) uint32() uint32 { return binary.BigEndian.Uint32(r.bytes(4)) }
+func (r *wireReader) uint64() uint64 { return binary.BigEndian.Uint64(r.bytes(8)) }
+func (r *wireReader) float() float64 { return math.Float64frombits(r.uint64()) }
+func (r *wireReader) worker() uint64 { return uint64(r.uint32())<<16 | uint64(r.uint16()) }
+
+// counted reads bytes behind their length.
+func (r *wireReader) counted() []byte { return r.bytes(int(r.uint16())) }
+
+// bytes reads a copy of the next bytes.
+func (r *wireReader) bytes(length int) []byte {
+	field := bytes.Clone(r.rest[:length])
+	r.rest = r.rest[length:]
+	return field
+}
