--- a/cmd/functionrouter/environment_test.go
+++ b/cmd/functionrouter/environment_test.go
@@ -6,10 +6,14 @@
 	"testing"
 )
 
+// deployedPrefix begins the names that deployed environments set. It stands here a second time, so that a slip in the
+// program's own constant is found.
+const deployedPrefix = "CRANKHOLD_"
+
 // deprecatedNames are the variables that deployed environments may set, each by the name that replaced it.
 var deprecatedNames = map[string]string{
-	webhookVariable:    deprecatedVariablePrefix + "WEBHOOK",
-	flowExportVariable: deprecatedVariablePrefix + "IPFIX",
+	webhookVariable:    deployedPrefix + "WEBHOOK",
+	flowExportVariable: deployedPrefix + "IPFIX",
 }
 
 // Each variable of the operators is also read by its deprecated name, with a line in the log, where the new one is not
