--- a/cmd/functionrouter/counters.go
+++ b/cmd/functionrouter/counters.go
@@ -42,8 +42,8 @@
 
 // logConnectionCounters logs how many connections were accepted, and how many of them ended for each cause that occurred.
 func (s *server) logConnectionCounters() {
-	attributes := []any{"accepted", s.loop.Accepted}
-	for cause, count := range s.loop.Closed {
+	attributes := []any{"accepted", s.loop.AcceptedCount()}
+	for cause, count := range s.loop.CloseCounts() {
 		if count > 0 {
 			attributes = append(attributes, eventloop.CloseCause(cause).String(), count)
 		}
--- a/cmd/functionrouter/endpoint_log.go
+++ b/cmd/functionrouter/endpoint_log.go
@@ -27,11 +27,11 @@
 		}
 		changed++
 		slog.Info("endpoint updated", "worker", e.Name, "worker_id", fmt.Sprintf("%016x", uint64(e.ID())),
-			"address", e.Addr, "state", e.State, "weight", e.Weight,
-			"started_unix_ms", e.Started)
+			"address", e.Address, "state", e.State, "weight", e.Weight,
+			"started_unix_ms", e.StartedUnixMs)
 	}
 	for name, e := range previous {
-		slog.Info("endpoint removed", "worker", name, "address", e.Addr)
+		slog.Info("endpoint removed", "worker", name, "address", e.Address)
 	}
 	slog.Info("endpoint list applied", "endpoints", len(list), "changed", changed, "removed", len(previous))
 }
--- a/cmd/functionrouter/endpoint_log_test.go
+++ b/cmd/functionrouter/endpoint_log_test.go
@@ -12,8 +12,8 @@
 func TestEndpointLogTellsChangesOnly(t *testing.T) {
 	captured := newLogCapture()
 	captured.install(t)
-	first := discovery.Endpoint{Name: "s-1", Addr: "127.0.0.1:1", State: policy.Ready}
-	second := discovery.Endpoint{Name: "s-2", Addr: "127.0.0.1:2", State: policy.Ready}
+	first := discovery.Endpoint{Name: "s-1", Address: "127.0.0.1:1", State: policy.Ready}
+	second := discovery.Endpoint{Name: "s-2", Address: "127.0.0.1:2", State: policy.Ready}
 	draining := second
 	draining.State = policy.Draining
 	var l endpointLog
--- a/cmd/functionrouter/endpoints.go
+++ b/cmd/functionrouter/endpoints.go
@@ -10,7 +10,7 @@
 // updateEndpoints passes a new endpoint list to the router and then to the pool. The order matters: attempts that the
 // pool ends because of the list are retried by this list, not by the one before.
 func (s *server) updateEndpoints(list []discovery.Endpoint) {
-	s.startTimes.update(list, s.loop.Now(), s.discovery.LastAnswerAt(), s.loop.TimeFromUnix)
+	s.startTimes.update(list, s.loop.Now(), s.discovery.LastAnswerAt(), s.loop.TimeFromWallClock)
 	update := policy.EndpointUpdate{Kind: policy.FullUpdate}
 	for _, e := range list {
 		update.Endpoints = append(update.Endpoints, s.policyEndpoint(e))
@@ -20,7 +20,7 @@
 	present := map[policy.WorkerID]bool{}
 	for i, e := range update.Endpoints {
 		present[e.Worker] = true
-		s.pool.UpdateEndpoint(e.Worker, list[i].Addr, e.State, e.StartedAt)
+		s.pool.UpdateEndpoint(e.Worker, list[i].Address, e.State, e.StartedAt)
 	}
 	s.pool.RetainEndpoints(present)
 }
--- a/cmd/functionrouter/extensions.go
+++ b/cmd/functionrouter/extensions.go
@@ -109,10 +109,10 @@
 // logCounters logs the counters of the parts that are on.
 func (x *extensions) logCounters() {
 	if x.receiver != nil {
-		logWebhookCounters(&x.receiver.Count)
+		logWebhookCounters(&x.receiver.Counters)
 	}
 	if x.sender != nil {
-		logNoticeCounters(&x.sender.Sent, x.sender.OpenNotices())
+		logNoticeCounters(&x.sender.Counters, x.sender.OpenNotices())
 	}
 	if x.exporter != nil {
 		logFlowCounters(&x.exporter.Counters)
--- a/cmd/functionrouter/server.go
+++ b/cmd/functionrouter/server.go
@@ -53,8 +53,14 @@
 	if s.extensions, err = newExtensions(cfg, s.loop, s.router); err != nil {
 		return nil, err
 	}
-	frontend := thrift.New(s.router, cfg.transport.classNames(), cfg.transport.tenantNames(), s.loop.Now, s.loop.InputTime,
-		s.ready)
+	frontend := thrift.New(thrift.Config{
+		Router:    s.router,
+		Classes:   cfg.transport.classNames(),
+		Tenants:   cfg.transport.tenantNames(),
+		Clock:     s.loop.Now,
+		InputTime: s.loop.InputTime,
+		Ready:     s.ready,
+	})
 	s.loop.Listen(cfg.Listen, frontend.Accept)
 	return s, nil
 }
--- a/cmd/functionrouter/start_times.go
+++ b/cmd/functionrouter/start_times.go
@@ -34,9 +34,9 @@
 		s.converted = map[startKey]time.Duration{}
 	}
 	for _, e := range list {
-		key := startKey{e.Name, e.Started}
-		if _, known := s.converted[key]; !known && e.Started > 0 {
-			s.converted[key] = boundStart(fromWallClock(time.UnixMilli(e.Started)), now, previousAnswer)
+		key := startKey{e.Name, e.StartedUnixMs}
+		if _, known := s.converted[key]; !known && e.StartedUnixMs > 0 {
+			s.converted[key] = boundStart(fromWallClock(time.UnixMilli(e.StartedUnixMs)), now, previousAnswer)
 		}
 	}
 	if len(s.converted) > len(list)+maxRememberedStarts {
@@ -49,7 +49,7 @@
 	kept := make(map[startKey]time.Duration, len(list))
 	for _, e := range list {
 		if startedAt := s.of(e); startedAt > 0 {
-			kept[startKey{e.Name, e.Started}] = startedAt
+			kept[startKey{e.Name, e.StartedUnixMs}] = startedAt
 		}
 	}
 	s.converted = kept
@@ -57,7 +57,7 @@
 
 // of returns when a worker of the last list started, 0 if that is not known.
 func (s *startTimes) of(e discovery.Endpoint) time.Duration {
-	return s.converted[startKey{e.Name, e.Started}]
+	return s.converted[startKey{e.Name, e.StartedUnixMs}]
 }
 
 // boundStart returns a time of start that agrees with the time at which it was noticed. If the converted time does not
--- a/cmd/functionrouter/start_times_test.go
+++ b/cmd/functionrouter/start_times_test.go
@@ -31,7 +31,7 @@
 		{name: "1 h back, first answer", age: time.Second, step: -time.Hour, want: now},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			e := discovery.Endpoint{Name: "s-1", Started: wallNow.Add(-test.age).UnixMilli()}
+			e := discovery.Endpoint{Name: "s-1", StartedUnixMs: wallNow.Add(-test.age).UnixMilli()}
 			fromWallClock := func(at time.Time) time.Duration { return now + at.Sub(wallNow.Add(test.step)) }
 			var s startTimes
 			s.update([]discovery.Endpoint{e}, now, test.previousAnswer, fromWallClock)
@@ -50,7 +50,7 @@
 // A worker that a list lacks for a while has not started anew; and what is remembered of workers that have gone is bounded.
 func TestStartTimesOfWorkersThatAreBack(t *testing.T) {
 	const now = 2 * time.Hour
-	e := discovery.Endpoint{Name: "s-1", Started: 1}
+	e := discovery.Endpoint{Name: "s-1", StartedUnixMs: 1}
 	var s startTimes
 	s.update([]discovery.Endpoint{e}, now, 0, func(time.Time) time.Duration { return time.Hour })
 	s.update(nil, now+time.Second, now, nil)
@@ -59,7 +59,7 @@
 		t.Errorf("started at %v after it was back", got)
 	}
 	for i := range 3 * maxRememberedStarts {
-		e.Started = int64(2 + i)
+		e.StartedUnixMs = int64(2 + i)
 		s.update([]discovery.Endpoint{e}, now, 0, func(time.Time) time.Duration { return time.Hour })
 	}
 	if got := len(s.converted); got > maxRememberedStarts+1 {
--- a/cmd/functionrouter/webhooks.go
+++ b/cmd/functionrouter/webhooks.go
@@ -46,8 +46,15 @@
 			MaxWait:       class.Deadline,
 		})
 	}
-	maxResultBytes := x.cfg.scaleToMemory(maxWebhookResultBytes)
-	receiver, err := webhook.NewReceiver(file, requestRouter, classes, maxResultBytes, x.loop.Now, time.Now, x.loop.Post)
+	receiver, err := webhook.NewReceiver(webhook.ReceiverOptions{
+		File:           file,
+		Router:         requestRouter,
+		Classes:        classes,
+		MaxReplayBytes: x.cfg.scaleToMemory(maxWebhookResultBytes),
+		Now:            x.loop.Now,
+		WallClock:      time.Now,
+		RunOnLoop:      x.loop.Post,
+	})
 	if err != nil {
 		return err
 	}
@@ -75,5 +82,5 @@
 // logNoticeCounters logs what became of the notices, and how many are not delivered yet.
 func logNoticeCounters(c *webhook.SenderCounters, open int) {
 	slog.Info("notice counters", "queued", c.Queued, "dropped", c.Dropped, "delivered", c.Delivered,
-		"retried", c.Retried, "given_up", c.GivenUp, "open", open)
+		"retried", c.Retried, "given_up", c.Failed, "open", open)
 }
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -19,13 +19,13 @@
 
 // Endpoint is one worker as the endpoint list has it.
 type Endpoint struct {
-	Name    string             // unique in the list
-	Addr    string             // IP address and port, "10.1.0.9:10080"
-	Zone    string             // where it runs; "" if it is not known
-	State   policy.WorkerState // Ready or Draining; the list has no workers that are gone
-	Weight  float64            // size in comparison with other workers
-	Cell    int                // group of workers; calls of some classes are deduplicated within it
-	Started int64              // Unix milliseconds at which its process started, if that was late; else 0
+	Name          string             // unique in the list
+	Address       string             // IP address and port, "10.1.0.9:10080"
+	Zone          string             // where it runs; "" if it is not known
+	State         policy.WorkerState // Ready or Draining; the list has no workers that are gone
+	Weight        float64            // size in comparison with other workers
+	Cell          int                // group of workers; calls of some classes are deduplicated within it
+	StartedUnixMs int64              // Unix milliseconds at which its process started, if that was late; else 0
 }
 
 // ID returns the worker's id: the FNV-1a hash of its name, so that it is the same at every router and survives
@@ -47,11 +47,11 @@
 	name, domain, _ := strings.Cut(service.target, ".")
 	zone, _, _ := strings.Cut(domain, ".")
 	e := Endpoint{
-		Name:   name,
-		Addr:   netip.AddrPortFrom(address, service.port).String(),
-		Zone:   zone,
-		State:  policy.Ready,
-		Weight: float64(service.weight) / srvWeightScale,
+		Name:    name,
+		Address: netip.AddrPortFrom(address, service.port).String(),
+		Zone:    zone,
+		State:   policy.Ready,
+		Weight:  float64(service.weight) / srvWeightScale,
 	}
 	if service.priority > 0 {
 		e.State = policy.Draining
@@ -74,6 +74,6 @@
 	case "cell":
 		e.Cell = int(number)
 	case "started":
-		e.Started = number
+		e.StartedUnixMs = number
 	}
 }
--- a/internal/discovery/endpoint_test.go
+++ b/internal/discovery/endpoint_test.go
@@ -28,8 +28,8 @@
 		t.Fatal(err)
 	}
 	want := []Endpoint{
-		{Name: "s-0", Addr: "10.1.0.1:10080", State: policy.Ready},
-		{Name: "s-00c41f7a", Addr: "10.1.0.9:10080", Zone: "east", State: policy.Draining, Weight: 4, Cell: 2, Started: 17},
+		{Name: "s-0", Address: "10.1.0.1:10080", State: policy.Ready},
+		{Name: "s-00c41f7a", Address: "10.1.0.9:10080", Zone: "east", State: policy.Draining, Weight: 4, Cell: 2, StartedUnixMs: 17},
 	}
 	if !reflect.DeepEqual(reported, want) || c.list.serial != 41 || c.EndpointCount() != 2 {
 		t.Errorf("got %v with serial %d, want %v with 41", reported, c.list.serial, want)
--- a/internal/discovery/initial.go
+++ b/internal/discovery/initial.go
@@ -48,13 +48,13 @@
 		return Endpoint{}, err
 	}
 	return Endpoint{
-		Name:    m.ID,
-		Addr:    m.HostPort,
-		Zone:    m.Locality,
-		State:   state,
-		Weight:  m.Size,
-		Cell:    m.Cell,
-		Started: m.UpSinceMs,
+		Name:          m.ID,
+		Address:       m.HostPort,
+		Zone:          m.Locality,
+		State:         state,
+		Weight:        m.Size,
+		Cell:          m.Cell,
+		StartedUnixMs: m.UpSinceMs,
 	}, nil
 }
 
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -80,8 +80,8 @@
 	c.t.Helper()
 	c.socket.OnData(buildResponse(c.query(), 4, 0, 1))
 	want := []Endpoint{
-		{Name: "s-0", Addr: "10.1.0.0:10080", Zone: "east", State: policy.Ready, Weight: 4, Cell: 2, Started: 5},
-		{Name: "s-1", Addr: "10.1.0.1:10080", Zone: "east", State: policy.Draining, Weight: 4, Cell: 2, Started: 5},
+		{Name: "s-0", Address: "10.1.0.0:10080", Zone: "east", State: policy.Ready, Weight: 4, Cell: 2, StartedUnixMs: 5},
+		{Name: "s-1", Address: "10.1.0.1:10080", Zone: "east", State: policy.Draining, Weight: 4, Cell: 2, StartedUnixMs: 5},
 	}
 	c.wantReported(want)
 	return want
--- a/internal/eventloop/accepted_conn_test.go
+++ b/internal/eventloop/accepted_conn_test.go
@@ -180,8 +180,8 @@
 			}
 			var wantCounts CloseCounts
 			wantCounts[test.cause] = 1
-			if m.Closed != wantCounts {
-				t.Errorf("the causes were counted %v, want one %v", m.Closed, test.cause)
+			if m.CloseCounts() != wantCounts {
+				t.Errorf("the causes were counted %v, want one %v", m.CloseCounts(), test.cause)
 			}
 		})
 	}
--- a/internal/eventloop/interrupted_log.go
+++ b/internal/eventloop/interrupted_log.go
@@ -29,7 +29,7 @@
 // recordClose counts the end of an accepted connection. It must be called before the handler's OnClose, after which no
 // request counts as open.
 func (l *Loop) recordClose(c *Conn, cause CloseCause, err error) {
-	l.Closed[cause]++
+	l.closeCounts[cause]++
 	if !c.hasOpenRequests() {
 		return
 	}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -43,8 +43,8 @@
 	refusals    logging.Throttle // connections refused because of Config.MaxAcceptedConnections
 	interrupted interruptedLog
 
-	Accepted uint64      // connections accepted since the start
-	Closed   CloseCounts // accepted connections closed since the start
+	acceptedCount uint64      // connections accepted since the start
+	closeCounts   CloseCounts // accepted connections closed since the start
 }
 
 // New returns a Loop without listeners and descriptors.
@@ -86,8 +86,8 @@
 // Now returns the time of the present turn, on the loop's monotonic clock.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// TimeFromUnix converts a wall-clock time to the loop's clock.
-func (l *Loop) TimeFromUnix(t time.Time) time.Duration { return l.clock.fromWallTime(t) }
+// TimeFromWallClock converts a wall-clock time to the loop's clock.
+func (l *Loop) TimeFromWallClock(t time.Time) time.Duration { return l.clock.fromWallTime(t) }
 
 // Post schedules call on the loop's goroutine. It never blocks and may be called on any goroutine, after Start. A call
 // that is posted once Run has returned is not made.
--- a/internal/eventloop/unread_test.go
+++ b/internal/eventloop/unread_test.go
@@ -87,7 +87,7 @@
 		t.Errorf("the client that reads: %v", err)
 	}
 	var closed CloseCounts
-	call(l, func() { closed = l.Closed })
+	call(l, func() { closed = l.CloseCounts() })
 	if closed[PeerNotReading] == 0 || len(h.closed) > 0 {
 		t.Errorf("%d peers that do not read were closed, of those that read %d", closed[PeerNotReading], len(h.closed))
 	}
--- a/internal/frontend/thrift/harness_test.go
+++ b/internal/frontend/thrift/harness_test.go
@@ -47,8 +47,14 @@
 	requests := &fakeRouter{}
 	transport := &testsupport.Transport{}
 	now := func() time.Duration { return testNow }
-	server := New(requests, []string{"dim-level", "repair-order"}, []string{"north", "south"}, now, now,
-		func() bool { return true })
+	server := New(Config{
+		Router:    requests,
+		Classes:   []string{"dim-level", "repair-order"},
+		Tenants:   []string{"north", "south"},
+		Clock:     now,
+		InputTime: now,
+		Ready:     func() bool { return true },
+	})
 	return server.newConnection(transport, netip.AddrPort{}), requests, transport
 }
 
--- a/internal/frontend/thrift/server.go
+++ b/internal/frontend/thrift/server.go
@@ -47,21 +47,30 @@
 	violationLog logging.Throttle
 }
 
-// New returns a Server that hands requests to requestRouter.
-//
-// classes and tenants are the names from the settings, in their order: a request carries the index of its own. clock is
-// the event loop's clock. inputTime returns the earliest time, on that clock, at which the bytes being read may have
-// arrived; deadlines count from it. ready returns the reply to the method check.
-func New(
-	requestRouter RequestRouter, classes, tenants []string, clock, inputTime func() time.Duration, ready func() bool,
-) *Server {
+// Config is what a Server is built from.
+type Config struct {
+	Router  RequestRouter
+	Classes []string // names, as the settings list them: a request carries the index of its own
+	Tenants []string // the same of the tenants
+
+	// Clock is the event loop's clock. InputTime returns the earliest time on it at which the bytes that are being read
+	// may have arrived: deadlines count from it.
+	Clock     func() time.Duration
+	InputTime func() time.Duration
+
+	// Ready returns the reply to the method check.
+	Ready func() bool
+}
+
+// New returns a Server that hands requests to the router.
+func New(cfg Config) *Server {
 	return &Server{
-		router:       requestRouter,
-		classes:      indexesByName(classes),
-		tenants:      indexesByName(tenants),
-		clock:        clock,
-		inputTime:    inputTime,
-		ready:        ready,
+		router:       cfg.Router,
+		classes:      indexesByName(cfg.Classes),
+		tenants:      indexesByName(cfg.Tenants),
+		clock:        cfg.Clock,
+		inputTime:    cfg.InputTime,
+		ready:        cfg.Ready,
 		violationLog: logging.Throttle{Interval: violationLogInterval},
 	}
 }
--- a/internal/frontend/thrift/violation_test.go
+++ b/internal/frontend/thrift/violation_test.go
@@ -121,7 +121,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(&lines, nil)))
 
 	now := testNow
-	server := New(&fakeRouter{}, nil, nil, func() time.Duration { return now }, nil, nil)
+	server := New(Config{Router: &fakeRouter{}, Clock: func() time.Duration { return now }})
 	violate := func() {
 		server.newConnection(&testsupport.Transport{}, netip.AddrPort{}).OnData([]byte{0, 0, 0x60, 0})
 	}
--- a/internal/frontend/webhook/connection.go
+++ b/internal/frontend/webhook/connection.go
@@ -93,7 +93,7 @@
 func (c *connection) readHead() bool {
 	head, size, err := parseRequestHead(c.buffered)
 	if err != nil {
-		c.receiver.Count.Malformed++
+		c.receiver.Counters.Malformed++
 		c.closesNext = true
 		c.refuse(err)
 		return false
--- a/internal/frontend/webhook/harness_test.go
+++ b/internal/frontend/webhook/harness_test.go
@@ -85,8 +85,15 @@
 func newTestReceiver(tb rapid.TB, requests RequestRouter, ledgerPath string) (*Receiver, chan func()) {
 	tb.Helper()
 	loopCalls := make(chan func(), 100)
-	r, err := NewReceiver(testConfig(tb, ledgerPath), requests, testClasses, testReplayBytes, func() time.Duration { return time.Hour },
-		noonClock, func(f func()) { loopCalls <- f })
+	r, err := NewReceiver(ReceiverOptions{
+		File:           testConfig(tb, ledgerPath),
+		Router:         requests,
+		Classes:        testClasses,
+		MaxReplayBytes: testReplayBytes,
+		Now:            func() time.Duration { return time.Hour },
+		WallClock:      noonClock,
+		RunOnLoop:      func(f func()) { loopCalls <- f },
+	})
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/frontend/webhook/ledger_test.go
+++ b/internal/frontend/webhook/ledger_test.go
@@ -127,7 +127,7 @@
 					t.Errorf("order %d: statuses %v, %d requests", i, got, len(requests.requests))
 				}
 			}
-			if got := receiver.Count.LedgerRefused; got != 2 {
+			if got := receiver.Counters.LedgerRefused; got != 2 {
 				t.Errorf("%d orders counted as refused", got)
 			}
 			if err := receiver.Close(); (err == nil) != test.closeSucceeds {
--- a/internal/frontend/webhook/receiver.go
+++ b/internal/frontend/webhook/receiver.go
@@ -74,29 +74,40 @@
 	deliveries     *deduplicator
 	nextRefusalLog time.Duration // the earliest time of the next log line about a refused delivery
 
-	// Count may be read on the event loop's goroutine.
-	Count Counters
+	// Counters may be read on the event loop's goroutine.
+	Counters Counters
 }
 
-// NewReceiver returns a Receiver that hands requests to the RequestRouter.
+// ReceiverOptions is what a Receiver is built from.
+type ReceiverOptions struct {
+	File           *Config // as the operators wrote it
+	Router         RequestRouter
+	Classes        []Class // as the settings list them: a request carries the index of its own
+	MaxReplayBytes int     // of the bodies that are kept for redeliveries, together
+
+	Now       func() time.Duration // the event loop's clock
+	WallClock func() time.Time     // for signatures, which carry the time, and the ledger
+
+	// RunOnLoop runs a function on the event loop's goroutine. It may be called on any goroutine.
+	RunOnLoop func(func())
+}
+
+// NewReceiver returns a Receiver that hands requests to the router.
 //
-// It reads the keys and the ledger, and starts the ledger's writer, which Close ends. classes are those of the settings,
-// as the settings list them: a request carries the index of its own. maxReplayBytes bounds the bodies that are kept for
-// redeliveries. now is the event loop's clock. runOnLoop runs a function on the event loop's goroutine; it may be called
-// on any goroutine. An error names the file that can't be used.
-func NewReceiver(cfg *Config, requests RequestRouter, classes []Class, maxReplayBytes int, now func() time.Duration,
-	wallClock func() time.Time, runOnLoop func(func())) (*Receiver, error) {
+// It reads the keys and the ledger, and starts the ledger's writer, which Close ends. An error names the file that can't
+// be used.
+func NewReceiver(options ReceiverOptions) (*Receiver, error) {
 	r := &Receiver{
-		settings:     &cfg.Receiver,
-		router:       requests,
-		classes:      classes,
+		settings:     &options.File.Receiver,
+		router:       options.Router,
+		classes:      options.Classes,
 		classIndexes: map[string]int{},
-		now:          now,
-		wallClock:    wallClock,
-		runOnLoop:    runOnLoop,
-		deliveries:   newDeduplicator(maxReplayBytes),
+		now:          options.Now,
+		wallClock:    options.WallClock,
+		runOnLoop:    options.RunOnLoop,
+		deliveries:   newDeduplicator(options.MaxReplayBytes),
 	}
-	for i, class := range classes {
+	for i, class := range options.Classes {
 		r.classIndexes[class.Name] = i
 	}
 	for _, key := range r.settings.Keys {
@@ -155,14 +166,14 @@
 // handle handles an HTTP request. Nothing before the check of its signature has any effect, but for counters and log.
 func (r *Receiver) handle(c *connection, head *requestHead, body []byte) {
 	if err := r.checkTarget(head); err != nil {
-		r.Count.Malformed++
+		r.Counters.Malformed++
 		c.refuse(err)
 		return
 	}
-	r.Count.Deliveries++
+	r.Counters.Deliveries++
 	id, err := verifySignature(head, body, r.keys, r.wallClock(), r.settings.Tolerance)
 	if err != nil {
-		r.Count.Unauthorized++
+		r.Counters.Unauthorized++
 		r.logRefusal("webhook delivery unauthorized", err)
 		c.refuse(err)
 		return
@@ -179,7 +190,7 @@
 func (r *Receiver) handleFirstDelivery(c *connection, id, digest string, body []byte) {
 	parsed, err := r.parsePayload(body)
 	if err != nil {
-		r.Count.Malformed++
+		r.Counters.Malformed++
 		r.logRefusal("webhook delivery malformed", err)
 		c.refuse(err)
 		return
@@ -210,15 +221,15 @@
 func (r *Receiver) handleRedelivery(c *connection, d *delivery, digest string) {
 	switch {
 	case d.digest != digest: // a client may not use a webhook-id for another payload
-		r.Count.Malformed++
+		r.Counters.Malformed++
 		c.refuse(errPayloadMismatch)
 	case d.completed:
-		r.Count.Replayed++
+		r.Counters.Replayed++
 		c.respond(d.outcome)
 	case len(d.waiting) >= maxWaitingConnections:
 		c.refuse(errOverloaded)
 	default:
-		r.Count.Joined++
+		r.Counters.Joined++
 		d.waiting = append(d.waiting, c)
 	}
 }
@@ -227,7 +238,7 @@
 // refused without a ledger.
 func (r *Receiver) admit(c *connection, d *delivery, request router.Request) {
 	if d.isOrder && r.ledger == nil {
-		r.Count.LedgerRefused++
+		r.Counters.LedgerRefused++
 		c.refuse(errNoLedger)
 		return
 	}
@@ -246,7 +257,7 @@
 // refused, and its next delivery is a first one.
 func (r *Receiver) submitRecorded(d *delivery, request router.Request, err error) {
 	if err != nil { // the ledger has logged it, unless its queue was full
-		r.Count.LedgerRefused++
+		r.Counters.LedgerRefused++
 		r.deliveries.remove(d)
 		d.respondToWaiting(response{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter})
 		return
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -45,17 +45,17 @@
 	attempts  []*attempt    // in flight, and those that ended since the last Process
 	inFlight  int           // attempts that have not ended
 
-	// Sent may be read on the event loop's goroutine.
-	Sent SenderCounters
+	// Counters may be read on the event loop's goroutine.
+	Counters SenderCounters
 }
 
-// SenderCounters counts notices by what was done with them. Each notice that was queued is Delivered, GivenUp or open.
+// SenderCounters counts notices by what was done with them. Each notice that was queued is Delivered, Failed or open.
 type SenderCounters struct {
 	Queued    uint64
 	Dropped   uint64 // not queued: the queue was full
 	Delivered uint64 // accepted by their receiver
 	Retried   uint64 // failed attempts that another one follows
-	GivenUp   uint64 // notices that failed: no attempt follows the last one
+	Failed    uint64 // notices that failed: no attempt follows the last one
 }
 
 // NewSender returns a Sender to the URL of the settings, and reads its key. dial opens a connection to address and reports
@@ -85,7 +85,7 @@
 func (s *Sender) Notify(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	s.now = max(s.now, now)
 	if s.OpenNotices() >= s.settings.Queue {
-		s.Sent.Dropped++
+		s.Counters.Dropped++
 		return
 	}
 	body, err := json.Marshal(noticePayload{
@@ -94,10 +94,10 @@
 		Data:      noticeData{RequestID: r.ID, WebhookID: r.ClientReference, FunctionKey: r.FunctionKey},
 	})
 	if err != nil {
-		s.Sent.Dropped++
+		s.Counters.Dropped++
 		return
 	}
-	s.Sent.Queued++
+	s.Counters.Queued++
 	s.queue = append(s.queue, &notice{id: newMessageID(), body: body, notBefore: s.now})
 }
 
@@ -167,15 +167,15 @@
 	s.inFlight--
 	n.attempts++
 	if status >= http.StatusOK && status < http.StatusMultipleChoices {
-		s.Sent.Delivered++
+		s.Counters.Delivered++
 		return
 	}
 	slog.Warn("webhook notice attempt failed", "webhook_id", n.id, "attempt", n.attempts, "status", status, "error", err)
 	if n.attempts >= s.settings.Attempts || status == http.StatusGone {
-		s.Sent.GivenUp++
+		s.Counters.Failed++
 		return
 	}
-	s.Sent.Retried++
+	s.Counters.Retried++
 	n.notBefore = s.now + retryDelay(s.settings.Backoff, n.attempts)
 	s.queue = append(s.queue, n)
 }
--- a/internal/frontend/webhook/sender_test.go
+++ b/internal/frontend/webhook/sender_test.go
@@ -128,8 +128,8 @@
 		}
 		now = max(next, now+10*time.Minute)
 	}
-	if want := (SenderCounters{Queued: 2, Dropped: 1, Delivered: 1, Retried: 4, GivenUp: 1}); s.Sent != want || len(attempts) != 2 {
-		t.Errorf("counters %+v, want %+v; attempts %v", s.Sent, want, attempts)
+	if want := (SenderCounters{Queued: 2, Dropped: 1, Delivered: 1, Retried: 4, Failed: 1}); s.Counters != want || len(attempts) != 2 {
+		t.Errorf("counters %+v, want %+v; attempts %v", s.Counters, want, attempts)
 	}
 	for id, n := range attempts {
 		if n != 3 {
@@ -145,7 +145,7 @@
 func TestAttemptOutcomes(t *testing.T) {
 	delivered := SenderCounters{Queued: 1, Delivered: 1}
 	retried := SenderCounters{Queued: 1, Retried: 1}
-	givenUp := SenderCounters{Queued: 1, GivenUp: 1}
+	failed := SenderCounters{Queued: 1, Failed: 1}
 	replyWith := func(text string) func(*testing.T, *Sender, *fakeConnection) {
 		return func(t *testing.T, s *Sender, c *fakeConnection) {
 			t.Helper()
@@ -162,7 +162,7 @@
 		"interim first":    {replyWith("HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\n"), delivered},
 		"redirected":       {replyWith("HTTP/1.1 301 Moved\r\n"), retried},
 		"failed":           {replyWith("HTTP/1.1 500 Sorry\r\n"), retried},
-		"gone":             {replyWith("HTTP/1.1 410 Gone\r\n"), givenUp},
+		"gone":             {replyWith("HTTP/1.1 410 Gone\r\n"), failed},
 		"no HTTP":          {replyWith("SSH-2.0-x\r\n"), retried},
 		"long status line": {replyWith(string(bytes.Repeat([]byte("x"), maxReplyBytes))), retried},
 		"no reply":         {replyWith(""), retried},
@@ -190,8 +190,8 @@
 				t.Fatalf("%d connections", len(connections))
 			}
 			test.end(t, s, connections[0])
-			if s.Sent != test.want || !connections[0].Closed {
-				t.Errorf("counters %+v, want %+v; closed %v", s.Sent, test.want, connections[0].Closed)
+			if s.Counters != test.want || !connections[0].Closed {
+				t.Errorf("counters %+v, want %+v; closed %v", s.Counters, test.want, connections[0].Closed)
 			}
 			if open := s.OpenNotices(); open != int(test.want.Retried) {
 				t.Errorf("%d open notices", open)
--- a/internal/frontend/webhook/testserver_test.go
+++ b/internal/frontend/webhook/testserver_test.go
@@ -117,7 +117,15 @@
 		}
 	})
 	var err error
-	s.receiver, err = NewReceiver(testConfig(t, ledgerPath), s.router, testClasses, testReplayBytes, s.loop.Now, noonClock, s.loop.Post)
+	s.receiver, err = NewReceiver(ReceiverOptions{
+		File:           testConfig(t, ledgerPath),
+		Router:         s.router,
+		Classes:        testClasses,
+		MaxReplayBytes: testReplayBytes,
+		Now:            s.loop.Now,
+		WallClock:      noonClock,
+		RunOnLoop:      s.loop.Post,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
