--- a/internal/backend/commands.go
+++ b/internal/backend/commands.go
@@ -21,7 +21,7 @@
 			return
 		}
 	}
-	p.results.AttemptEnded(attempt, policy.Unreachable, policy.InstanceUnknown, nil, nil)
+	p.results.AttemptEnded(attempt, router.AttemptResult{Outcome: policy.Unreachable})
 }
 
 // CancelUnsent cancels an attempt that waits for a dial; no result follows. It returns false, and does nothing, if the
@@ -112,7 +112,7 @@
 	switch call.kind {
 	case attemptCall:
 		delete(p.attempts, call.attempt)
-		p.results.AttemptEnded(call.attempt, outcome, policy.InstanceUnknown, nil, nil)
+		p.results.AttemptEnded(call.attempt, router.AttemptResult{Outcome: outcome})
 	case loadCommandCall:
 		p.results.LoadCommandEnded(call.control, outcome, 0)
 	case healthCheckCall:
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -37,10 +37,9 @@
 	controls map[router.ControlID][]policy.Outcome // load commands and health checks, by id
 }
 
-func (r *resultRecorder) AttemptEnded(a router.AttemptID, o policy.Outcome, _ policy.InstanceStatus,
-	body []byte, _ []float64) {
-	r.attempts[a] = append(r.attempts[a], o)
-	r.bodies[a] = string(body)
+func (r *resultRecorder) AttemptEnded(a router.AttemptID, result router.AttemptResult) {
+	r.attempts[a] = append(r.attempts[a], result.Outcome)
+	r.bodies[a] = string(result.Body)
 }
 
 func (r *resultRecorder) LoadCommandEnded(control router.ControlID, o policy.Outcome, _ int) {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -14,9 +14,8 @@
 // themselves. A load report holds the values of Config.LoadReportFields in their order; it is nil if the worker sent no
 // complete one. The handler owns the body and the load report.
 type ResultHandler interface {
-	// AttemptEnded reports how an attempt ended; status and body are those of the worker's answer, if there was one.
-	AttemptEnded(attempt router.AttemptID, outcome policy.Outcome, status policy.InstanceStatus,
-		body []byte, loadReport []float64)
+	// AttemptEnded reports how an attempt ended.
+	AttemptEnded(attempt router.AttemptID, result router.AttemptResult)
 	// LoadCommandEnded reports how a load command ended; instances is the number of loaded instances that the worker
 	// gave, 0 if it gave none.
 	LoadCommandEnded(control router.ControlID, outcome policy.Outcome, instances int)
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"time"
 
+	"functionrouter/internal/router"
 	"functionrouter/policy"
 )
 
@@ -101,7 +102,12 @@
 	switch call.kind {
 	case attemptCall:
 		delete(p.attempts, call.attempt)
-		p.results.AttemptEnded(call.attempt, outcome, a.instanceStatus(), bytes.Clone(a.body), p.loadReport(a))
+		p.results.AttemptEnded(call.attempt, router.AttemptResult{
+			Outcome:        outcome,
+			InstanceStatus: a.instanceStatus(),
+			Body:           bytes.Clone(a.body),
+			LoadReport:     p.loadReport(a),
+		})
 	case loadCommandCall:
 		p.results.LoadCommandEnded(call.control, outcome, a.instanceCount())
 	case healthCheckCall:
--- a/internal/backend/wire_test.go
+++ b/internal/backend/wire_test.go
@@ -56,9 +56,8 @@
 	last *attemptResult
 }
 
-func (r *resultKeeper) AttemptEnded(_ router.AttemptID, o policy.Outcome, n policy.InstanceStatus,
-	_ []byte, report []float64) {
-	r.last = &attemptResult{o, n, report}
+func (r *resultKeeper) AttemptEnded(_ router.AttemptID, result router.AttemptResult) {
+	r.last = &attemptResult{result.Outcome, result.InstanceStatus, result.LoadReport}
 }
 
 func TestAnswersToAttempts(t *testing.T) {
--- a/internal/frontend/webhook/testserver_test.go
+++ b/internal/frontend/webhook/testserver_test.go
@@ -42,7 +42,7 @@
 	if isLostOrder(body) {
 		outcome = policy.ConnectionReset // it may have run
 	}
-	w.router.AttemptEnded(a, outcome, policy.InstanceWarm, []byte("done "+body), nil)
+	w.router.AttemptEnded(a, router.AttemptResult{Outcome: outcome, InstanceStatus: policy.InstanceWarm, Body: []byte("done " + body)})
 }
 
 func (w *fakeWorkers) CancelUnsent(router.AttemptID) bool { return false }
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -30,7 +30,7 @@
 	outOfTime := budget <= 0
 	outOfAttempts := r.limits.MaxAttempts > 0 && id.Number >= r.limits.MaxAttempts
 	if p.closed || outOfTime || outOfAttempts {
-		r.AttemptEnded(id, policy.NotSent, policy.InstanceUnknown, nil, nil)
+		r.AttemptEnded(id, AttemptResult{Outcome: policy.NotSent})
 		return
 	}
 	if budget == a.Timeout { // else the timer of the request's deadline ends the attempt
@@ -53,7 +53,7 @@
 func (r *Router) cancelAttempt(id AttemptID, outcome policy.Outcome) {
 	if _, a := r.openAttempt(id); a != nil {
 		r.workers.CancelAttempt(a.worker, id)
-		r.AttemptEnded(id, outcome, policy.InstanceUnknown, nil, nil)
+		r.AttemptEnded(id, AttemptResult{Outcome: outcome})
 	}
 }
 
@@ -62,34 +62,42 @@
 	for n := range p.attempts {
 		id := AttemptID{Request: request, Number: n}
 		if !p.attempts[n].ended && r.workers.CancelUnsent(id) {
-			r.AttemptEnded(id, policy.NotSent, policy.InstanceUnknown, nil, nil)
+			r.AttemptEnded(id, AttemptResult{Outcome: policy.NotSent})
 		}
 	}
 }
 
-// AttemptEnded reports how an attempt ended, with the worker's result and load report where it gave them. If the worker
-// served it and the request is open, the client gets the result. A report of an attempt that has ended already is ignored.
-func (r *Router) AttemptEnded(id AttemptID, outcome policy.Outcome, instance policy.InstanceStatus, body []byte, loadReport []float64) {
+// AttemptResult is how an attempt ended. All but the outcome is that of the worker's answer, if there was one.
+type AttemptResult struct {
+	Outcome        policy.Outcome
+	InstanceStatus policy.InstanceStatus
+	Body           []byte    // of the response; the Router keeps it
+	LoadReport     []float64 // in the order of policy.Config.LoadReportFields; nil: none, or not complete
+}
+
+// AttemptEnded reports how an attempt ended. If the worker served it and the request is open, the client gets the body. A
+// report of an attempt that has ended already is ignored.
+func (r *Router) AttemptEnded(id AttemptID, result AttemptResult) {
 	p, a := r.openAttempt(id)
 	if a == nil {
 		return
 	}
 	a.ended = true
 	p.openAttempts--
-	p.endedAttemptMayHaveRun = p.endedAttemptMayHaveRun || !outcome.NeverRan()
-	r.Counters.AttemptOutcomes[outcome]++
-	if outcome == policy.Served && !p.closed {
-		r.respond(id.Request, p, Response{Status: Served, Body: body, MayHaveRun: true})
+	p.endedAttemptMayHaveRun = p.endedAttemptMayHaveRun || !result.Outcome.NeverRan()
+	r.Counters.AttemptOutcomes[result.Outcome]++
+	if result.Outcome == policy.Served && !p.closed {
+		r.respond(id.Request, p, Response{Status: Served, Body: result.Body, MayHaveRun: true})
 	}
 	r.events.add(policy.AttemptEnded{
 		Request:        id.Request,
 		Attempt:        id.Number,
 		Worker:         a.worker,
-		Outcome:        outcome,
-		InstanceStatus: instance,
+		Outcome:        result.Outcome,
+		InstanceStatus: result.InstanceStatus,
 		RequestClosed:  p.closed,
 		Duration:       r.now - a.sentAt,
-		LoadReport:     loadReport,
+		LoadReport:     result.LoadReport,
 	})
 	r.requests.removeIfDone(id.Request, p)
 }
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -20,7 +20,7 @@
 			if len(workers.sent[id]) != 1 {
 				t.Fatal("the request was not sent")
 			}
-			r.AttemptEnded(workers.sent[id][0], outcome, policy.InstanceUnknown, nil, nil)
+			r.AttemptEnded(workers.sent[id][0], AttemptResult{Outcome: outcome})
 			r.Process(testStart + ms)
 			if resp := responder.only(t); len(workers.sent[id]) != 1 || resp.Status != Failed {
 				t.Errorf("%d attempts, answer %+v", len(workers.sent[id]), resp)
@@ -36,7 +36,7 @@
 	id, responder := submit(r, idempotentClass)
 	r.Process(testStart)
 	r.Cancel(testStart+ms, id, ClientInterrupted)
-	r.AttemptEnded(workers.sent[id][0], policy.Served, policy.InstanceWarm, nil, nil)
+	r.AttemptEnded(workers.sent[id][0], AttemptResult{Outcome: policy.Served, InstanceStatus: policy.InstanceWarm})
 	r.Process(testStart + ms)
 	if len(responder.responses) != 0 || r.Counters.ClientCancelled[Thrift] != 1 || r.Counters.Served[Thrift] != 0 {
 		t.Errorf("answers %v, counters %+v", responder.responses, r.Counters)
@@ -71,7 +71,7 @@
 	id, responder := submit(r, notIdempotentClass)
 	r.Process(testStart)
 	for _, outcome := range []policy.Outcome{policy.Errored, policy.Served, policy.Errored} {
-		r.AttemptEnded(workers.sent[id][0], outcome, policy.InstanceUnknown, nil, nil)
+		r.AttemptEnded(workers.sent[id][0], AttemptResult{Outcome: outcome})
 	}
 	if got := r.Counters.AttemptOutcomes; got[policy.Errored] != 1 || got[policy.Served] != 0 || len(r.events.pending) != 1 {
 		t.Errorf("outcomes %v, events %v", got, r.events.pending)
--- a/internal/router/example_test.go
+++ b/internal/router/example_test.go
@@ -67,7 +67,7 @@
 
 	now += 20 * time.Millisecond
 	r.SetNow(now)
-	r.AttemptEnded(pool.sent[0], policy.Served, policy.InstanceWarm, []byte("four"), nil)
+	r.AttemptEnded(pool.sent[0], router.AttemptResult{Outcome: policy.Served, InstanceStatus: policy.InstanceWarm, Body: []byte("four")})
 	r.Process(now) // the policy learns from the answer
 	fmt.Printf("%d requests open, %d served\n", r.OpenRequests(), r.Counters.Served[router.Thrift])
 
--- a/internal/router/lifecycle_test.go
+++ b/internal/router/lifecycle_test.go
@@ -44,7 +44,7 @@
 			}
 		})
 	}
-	r.AttemptEnded(workers.sent[first][0], policy.Served, policy.InstanceWarm, []byte("done"), nil)
+	r.AttemptEnded(workers.sent[first][0], AttemptResult{Outcome: policy.Served, InstanceStatus: policy.InstanceWarm, Body: []byte("done")})
 	r.Process(testStart + ms)
 	if resp := responder.only(t); string(resp.Body) != "done" || len(workers.sent) != 1 {
 		t.Fatalf("answer %+v, %d requests sent", resp, len(workers.sent))
@@ -85,10 +85,10 @@
 // Guards what the notices and the flow records are made from: each end is reported once, with its outcome.
 func TestRequestEndIsReportedOnce(t *testing.T) {
 	serve := func(r *Router, w *fakeWorkerPool, id policy.RequestID) {
-		r.AttemptEnded(w.sent[id][0], policy.Served, policy.InstanceWarm, nil, nil)
+		r.AttemptEnded(w.sent[id][0], AttemptResult{Outcome: policy.Served, InstanceStatus: policy.InstanceWarm})
 	}
 	reset := func(r *Router, w *fakeWorkerPool, id policy.RequestID) {
-		r.AttemptEnded(w.sent[id][0], policy.ConnectionReset, policy.InstanceUnknown, nil, nil)
+		r.AttemptEnded(w.sent[id][0], AttemptResult{Outcome: policy.ConnectionReset})
 	}
 	cancel := func(r *Router, _ *fakeWorkerPool, id policy.RequestID) { r.Cancel(testStart, id, ClientInterrupted) }
 	refuse := func(r *Router, _ *fakeWorkerPool, id policy.RequestID) { r.execute(policy.RefuseRequest{Request: id}) }
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -103,9 +103,9 @@
 		req.mayHaveRun = true
 		req.sentByThen = len(m.workers.sent[id.Request])
 	}
-	m.router.AttemptEnded(id, outcome, policy.InstanceUnknown, []byte("done"), nil)
+	m.router.AttemptEnded(id, AttemptResult{Outcome: outcome, Body: []byte("done")})
 	// A second report must change nothing.
-	m.router.AttemptEnded(id, policy.Served, policy.InstanceUnknown, []byte("again"), nil)
+	m.router.AttemptEnded(id, AttemptResult{Outcome: policy.Served, Body: []byte("again")})
 }
 
 func (m *routerModel) endLoadCommand(t *rapid.T) {
--- a/internal/router/workerpool.go
+++ b/internal/router/workerpool.go
@@ -18,7 +18,8 @@
 // WorkerPool carries messages to workers. Each StartAttempt, LoadInstance and CheckHealth is answered by one call of the
 // Router's AttemptEnded, LoadCommandEnded or HealthCheckEnded, before it returns or later, unless it is cancelled first.
 type WorkerPool interface {
-	// StartAttempt sends a request to a worker, which has budget to answer it. It may read req until it returns.
+	// StartAttempt sends a request to a worker, which has budget to answer it. It may read req until it
+	// returns, and keep the body, which does not change.
 	StartAttempt(worker policy.WorkerID, id AttemptID, req *Request, budget time.Duration)
 	// CancelUnsent takes back an attempt of which nothing has been sent. It returns false, and does nothing, if
 	// the attempt has ended or any of it may have been sent.
