--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Action is something for the router to do. Only this package's types are actions.
+// Action is something for the router to do. Only this package's types are actions. UnloadInstance,
+// FetchEndpoints, CloseIdleConnections and LogLine are not emitted today; the simulator's wire knows them.
 type Action interface{ action() }
 
 // SendAttempt sends a request to a worker; a request's attempts are numbered from 0 in the order of their
-// sends.
+// sends. Timeout is always 0 today.
 type SendAttempt struct {
 	Request RequestID
 	Worker  WorkerID
@@ -28,7 +29,8 @@
 	DeadlineExceeded UnservedReason = iota // deadline_exceeded
 	// NoWorkerAvailable: no worker may take it, or none soon enough.
 	NoWorkerAvailable // no_worker_available
-	// PredictedTooLate: no worker is predicted to serve it in time.
+	// PredictedTooLate: it was predicted to miss its deadline at the worker with the lowest score or, beyond
+	// its tenant's quota, its latency objective.
 	PredictedTooLate // predicted_too_late
 	// LoadShed: it was shed in overload.
 	LoadShed // load_shed
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,7 +7,7 @@
 	// the objective; lower, and requests are shed that would have been served in time.
 	shedStart       = 0.5
 	shedStartBehind = 0.25 // where a class of more value is served too
-	shedStartFirst  = 0.15 // for requests beyond their quota, or late at best
+	shedStartFirst  = 0.15 // for requests beyond their quota, or predicted to miss their objective
 
 	// shedSlope is how fast the chance to be shed grows with that ratio: from 0 at the start to 1 half an
 	// objective later.
@@ -25,16 +25,25 @@
 	explorationInterval = time.Second
 )
 
-// admit reports whether r is sent to its best target. Otherwise it ends r unserved, at once: because no
-// worker is predicted to serve it in time, because it is beyond its quota and late at best, or because load
-// is shed. Now and then one request goes against the estimates, so that a wrong one is corrected.
+// admit reports whether r is sent to its target, the worker with the lowest score. Otherwise it ends r
+// unserved, at once:
+//
+//   - because the target is predicted to miss r's deadline. Another worker may not be: the preferred worker's
+//     bonus counts in the score, and in the latency only if the function is likely warm there;
+//   - because r is beyond its tenant's quota and even the lowest score misses its latency objective;
+//   - because load is shed. A retry is not shed: work was done for it already.
+//
+// Now and then one request goes against the estimates, so that a wrong one is corrected. The draw in
+// shouldShed is made in every case.
 func (p *Policy) admit(r *request, to target) bool {
 	latency := to.latency
 	if to.likelyWarm {
 		latency -= p.remainingLoadTime(to.worker, r)
 	}
 	shed, drain := p.shouldShed(r, to.worker, latency)
-	tooLate := latency > p.timeLeft(r) || r.overQuota && to.score > p.objective(r)
+	missesDeadline := latency > p.timeLeft(r)
+	lateBeyondQuota := r.overQuota && to.score > p.objective(r)
+	tooLate := missesDeadline || lateBeyondQuota
 	isRetry := len(r.attempts) > 0
 	if !tooLate && (!shed || isRetry) {
 		return true
@@ -61,14 +70,19 @@
 }
 
 // shouldShed draws whether r gives way to others in overload. drain is the time until it would not need to. A
-// delay that even the fastest answers show serves nobody, so a growing part of the requests is shed:
+// delay that most answers exceed serves nobody, so a growing part of the requests is shed:
 //
 //	chance = min(shedSlope * (delay/objective - start), maxShedChance)
 //
-//	delay      the standing delay of all workers or, if longer, the part of w's queue that others make up
-//	objective  r's latency objective, or the shortest of the classes that have more value for their work
-//	start      the ratio at which shedding begins: lowest for requests beyond their tenant's quota and for
-//	           those that are late at best, then for classes of less value than another
+//	delay      the standing delay of the workers that we use or, if longer, the excess of w's queue times
+//	           otherRoutersShare, which is 0 for a lone router: its excess is its own doing
+//	objective  the shortest of r's latency objective and those of the classes with more than moreValuable
+//	           times the value for their work
+//	start      the ratio at which shedding begins: shedStartFirst times OverQuotaWeight for requests beyond
+//	           their tenant's quota; shedStartFirst for those whose latency misses their objective; then
+//	           shedStartBehind where such a class of more value exists, else shedStart
+//
+// It draws once in every case: a short cut would shift all later draws.
 func (p *Policy) shouldShed(r *request, w *worker, latency nanoseconds) (shed bool, drain nanoseconds) {
 	start, objective := p.shedThreshold(r, latency)
 	delay := max(p.estimates.standingDelay, nanoseconds(p.otherRoutersShare())*w.queue.excess(p.now))
@@ -88,11 +102,11 @@
 			objective = min(objective, nanoseconds(other.settings.LatencyObjective))
 		}
 	}
-	lateAtBest := latency > p.objective(r)
+	missesObjective := latency > p.objective(r)
 	switch {
 	case r.overQuota:
 		start = shedStartFirst * p.cfg.OverQuotaWeight
-	case lateAtBest:
+	case missesObjective:
 		start = shedStartFirst
 	}
 	return start, objective
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -14,16 +14,20 @@
 	expectedLatency time.Duration // the prediction when it was sent
 	number          int           // among the request's attempts, from 0
 	inFlightBefore  int           // our attempts in flight at the worker when it was sent
-	neededLoad      bool          // the function was not known to be loaded at the worker
+	wasNotWarm      bool          // no instance was believed warm there: it was absent or still loading
 	likelyWarm      bool          // but another router had probably had it loaded
 	cancelled       bool          // by us; its end may still come
 	ended           bool
 }
 
 // expectedWarm reports whether a load would be a surprise.
-func (a *attempt) expectedWarm() bool { return !a.neededLoad || a.likelyWarm }
+func (a *attempt) expectedWarm() bool { return !a.wasNotWarm || a.likelyWarm }
 
-// sendAttempt sends r to a worker, if the rules allow it, and records the attempt.
+// sendAttempt sends r to a worker and records the attempt. If a rule forbids it, nothing changes; place has
+// just checked the same rules, so that does not happen.
+//
+// The order counts: the load is read before the attempt is in flight, which makes its instance warm; the
+// quota is charged and inFlightBefore taken before the attempt is counted.
 func (p *Policy) sendAttempt(r *request, to target) {
 	w := to.worker
 	load := p.remainingLoadTime(w, r)
@@ -39,7 +43,7 @@
 		expectedLatency: to.latency.duration(),
 		number:          len(r.attempts),
 		inFlightBefore:  len(w.inFlight),
-		neededLoad:      load > 0,
+		wasNotWarm:      load > 0,
 		likelyWarm:      to.likelyWarm,
 	}
 	chargeQuota(r)
@@ -48,19 +52,20 @@
 	w.inFlight = append(w.inFlight, a)
 	i.inFlight++
 	p.recordSlowStartSend(a)
-	p.recordBegunLoad(a, load)
+	p.recordAwaitedLoad(a, load)
 }
 
-// recordBegunLoad records the load that a begins, if it begins one.
-func (p *Policy) recordBegunLoad(a *attempt, load nanoseconds) {
-	if !a.neededLoad {
+// recordAwaitedLoad records the load that a begins or awaits, if its function was not warm. A load that is
+// under way keeps its expected end. While loads fail, either kind restarts the pause before the next one.
+func (p *Policy) recordAwaitedLoad(a *attempt, load nanoseconds) {
+	if !a.wasNotWarm {
 		return
 	}
 	if a.instance.loadEndsAt == 0 && !p.cfg.MissWhenNotLoaded {
 		a.instance.loadEndsAt = p.now + load.duration()
 	}
 	if p.loadBackoff.pauseEnded(p.now) {
-		p.loadBackoff.extend(p.now, 0) // the load tries whether others may begin
+		p.loadBackoff.extend(p.now, 0) // this load shows whether others may begin
 	}
 }
 
@@ -71,8 +76,11 @@
 	}
 }
 
-// attemptEnded takes an attempt off the books, learns from its end, and decides what its request does next.
-// Reports on unknown attempts and on those that have ended are ignored.
+// attemptEnded takes an attempt out of what is in flight, learns from its end, and decides what its request
+// does next. Reports on unknown attempts and on those that have ended are ignored.
+//
+// The order counts: learning reads how many attempts are left in flight, and may drop the belief of a load
+// that the next step commands.
 func (p *Policy) attemptEnded(e AttemptEnded) {
 	a := p.openAttempt(e)
 	if a == nil {
@@ -98,8 +106,7 @@
 	return r.attempts[e.Attempt]
 }
 
-// recordAttemptEnd takes a out of the books of what is in flight, and records whether its request may have
-// run.
+// recordAttemptEnd takes a out of what is in flight, and records whether its request may have run.
 func (p *Policy) recordAttemptEnd(a *attempt, outcome Outcome) {
 	r := a.request
 	a.ended = true
@@ -126,6 +133,7 @@
 	if outcome == FunctionNotLoaded && p.waitForLoad(r, a.instance) {
 		return
 	}
+	// NotSent mostly means that no time was left; a fault of this machine ends the request alike.
 	timeIsOver := outcome == NotSent || outcome == TimedOut && p.outOfTime(r)
 	if timeIsOver {
 		p.endUnserved(r, 0, DeadlineExceeded)
--- a/policy/config.go
+++ b/policy/config.go
@@ -48,9 +48,14 @@
 	QuotaPerSecond float64 // requests per second within its share, over all routers
 }
 
-// Config holds a router's settings. [New] rejects impossible values with a [*ConfigError].
+// Config holds a router's settings. [New] rejects impossible values of classes, times, shares and budgets
+// with a [*ConfigError]; what it does not check has no impossible values, or is bounded where it is used.
+//
+// The policy does not read AllowHedging, Class.Deadline, Class.LateWeight, Class.ObjectiveStretch,
+// Class.Streamed, ConcurrencyInAnswers, DrainGrace, InlineLoadReports, LoadCommandTimeout and Zone today.
+// Some of them the router reads.
 type Config struct {
-	RouterCount  int // routers that share the fleet, this one included; at least 1
+	RouterCount  int // routers that share the fleet, this one included; less counts as 1
 	Zone         int // this router's zone
 	Classes      []Class
 	Tenants      []Tenant
@@ -70,7 +75,7 @@
 	MaxRetryAfter     time.Duration
 	OverQuotaWeight   float64 // factor on the value of a request beyond its tenant's quota; 1 if unused
 
-	ImplicitListAge   time.Duration // without a subscription, a list this old counts as known
+	ImplicitListAge   time.Duration // without a subscription, what was listed this long ago counts as known
 	SlowStartCapacity float64       // least share of its capacity that a worker has at its start, 0 to 1
 	SlowStartDuration time.Duration // time after which a worker has its full capacity
 	OverloadMultiple  float64       // a warming worker fails if sent more than this multiple of its capacity
@@ -90,7 +95,7 @@
 
 // ConfigError reports a setting that a Policy cannot work with; of several such settings the first one.
 type ConfigError struct {
-	Field  string // path of the field in Config, such as "Classes[1].Deadline"
+	Field  string // path of the field in Config, such as "Classes[1]"
 	Reason string // what is wrong with its value
 }
 
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -23,13 +23,14 @@
 //   - admission.go: which requests are refused although a worker could take them: those that no worker can
 //     finish in time, and in overload those of least value (load shedding). quotas.go: the tenants' quotas.
 //   - learning.go, estimators.go: how answers change the estimates that the score is made of.
-//   - outlier.go: workers that fail are ejected and return after a health check.
+//   - outlier.go: workers that fail are ejected, and return after a health check or, where none may be sent,
+//     a trial attempt.
 //   - slow_start.go: workers that have just started get only what they bear from all routers together.
 //   - load_commands.go, load_backoff.go: where workers do not load by themselves they are commanded to,
 //     within a budget; while loads fail, they begin one at a time and ever more slowly.
 //   - gossip.go: routers tell each other which instances are loaded, where the settings allow it.
-//   - endpoints.go, classes.go, functions.go, instances.go: what is known of a worker, of a class of requests,
-//     of a function, and of a function at a worker.
+//   - endpoints.go, classes.go, functions.go, instances.go: what is known of a worker, of a class of
+//     requests, of a function, and of a function at a worker.
 //   - config_check.go: which settings are refused at the start.
 //
 // The types that enter and leave are in config.go, events.go, actions.go and outcome.go.
@@ -39,11 +40,14 @@
 // Clock readings are offsets on the router's monotonic clock. They, the settings and what enters or leaves
 // the policy are of type time.Duration; estimates are floating-point nanoseconds.
 //
+// A time of 0 means none or never where a field says so (loadEndsAt, startedAt, the timeouts); the other
+// times start at 0, as if what they stand for had happened when the clock began.
+//
 // # Constants
 //
-// Each constant says what it bounds and what a higher or lower value would do. Where it names no source (the
-// settings, a page, a paper), it is a default of this project and no measured optimum; the simulator's score
-// tells what another value is worth.
+// Constants say what they bound and, where it is not plain, what a higher or lower value would do. One that
+// names no source (the settings, a page, a paper) is a default of this project and no measured optimum; the
+// simulator's score tells what another value is worth.
 package policy
 
 //go:generate go tool -modfile=../tools/go.mod stringer -linecomment -output=enum_string.go -type=Idempotency,DedupScope,WorkerState,EndpointUpdateKind,UnservedReason,Outcome,InstanceStatus,timerKind
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// resubscribeDivisor is the part of ImplicitListAge after which a lost subscription is renewed: often enough
-// that the list is known again before it counts as out of date.
+// resubscribeDivisor is the part of ImplicitListAge after which a lost subscription is renewed. What was
+// listed ImplicitListAge ago counts as known to us, whether we were told or not: the renewal must come well
+// before. A higher divisor costs the directory more calls.
 const resubscribeDivisor = 8
 
 // worker is what the policy knows and believes of one worker.
@@ -88,7 +89,8 @@
 }
 
 // resetWorker drops what was learned of an earlier process of w, and begins the slow start of the one started
-// at startedAt. Attempts in flight and load commands stay until they end.
+// at startedAt. Attempts in flight and load commands stay until they end, and an attempt in flight goes on
+// making its instance count as warm; lastHeard and the recent sends of an earlier slow start stay too.
 func (p *Policy) resetWorker(w *worker, startedAt time.Duration) {
 	for _, i := range w.instances {
 		i.forget()
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -12,21 +12,26 @@
 	outlierClip = 3
 
 	// initialRunTimeShare is the run time that is assumed until answers come, as a part of the latency
-	// objective. An objective is some times the work it is set for.
+	// objective. An objective is usually a few times the run time. The first answers replace it.
 	initialRunTimeShare = 0.25
 
-	// runTimePrior is how many answers the run time of the class weighs in that of a function.
+	// runTimePrior is how many answers the run time of the class weighs in that of a function. Higher, and a
+	// function unlike its class is learned late; lower, and its first answers decide.
 	runTimePrior = 5
 
-	// runTimeMemory is how many answers a mean run time remembers.
+	// runTimeMemory is how many answers a mean run time remembers. Higher, and a change is learned late;
+	// lower, and the mean follows chance.
 	runTimeMemory = 30
 
-	// ratioRetention is what a ratio keeps of its sums at each observation: it remembers about 1/(1-0.97), 33
-	// of them.
+	// ratioRetention is what a ratio keeps of its sums at each observation, and a function's saturation at
+	// each answer in time: about 1/(1-0.97), 33 of them, are remembered. Higher, and a change is learned
+	// late; lower, and chance decides.
 	ratioRetention = 0.97
 
-	// delayMemory is the time in which the estimate of a queue decays by the factor e: a queue drains in
-	// about that.
+	// delayMemory is the time in which a decaying mean decays by the factor e: that of the excess delay at a
+	// worker, since a queue drains in about that, and that of the share that the worker leaves unserved.
+	// Longer, and a worker is avoided for what is over; shorter, and what few answers tell is forgotten
+	// before the next.
 	delayMemory = 3 * time.Second
 
 	// fewObservations is the number below which a decaying mean is remembered for longer, in proportion:
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// RequestID identifies a request; a router never uses one twice.
+// RequestID identifies a request. A router uses none again while the policy may know it: until its final
+// answer, its cancel and the ends of all its attempts.
 type RequestID uint32
 
 // WorkerID identifies a worker. It survives a restart of the worker's process.
@@ -58,18 +59,19 @@
 	Endpoints []Endpoint
 }
 
-// RequestArrived is a new request, which is owed one final answer.
+// RequestArrived is a new request, which is owed one final answer. One whose id is in use or whose class is
+// out of range is ignored, and gets none.
 type RequestArrived struct {
 	Request     RequestID
 	Class       int // index into Config.Classes
 	Tenant      int // index into Config.Tenants; out of range: none
 	Function    FunctionID
 	Concurrency float64       // requests that one instance runs at a time
-	MemoryMB    float64       // memory of one instance, in MB
+	MemoryMB    float64       // memory of one instance, in MiB; not read today
 	LoadTime    time.Duration // usual time of a load; 0: unknown
 	WorkHint    time.Duration // hint of the request's run time; 0: none
 	TimeLeft    time.Duration // until the client gives up
-	IsRetry     bool          // the client has sent it before
+	IsRetry     bool          // the client has sent it before; not read today
 }
 
 // ClientCancelled says that the client has left; no answer is owed any more.
@@ -78,7 +80,8 @@
 // TimerFired says that a timer set by SetTimer has expired.
 type TimerFired struct{ Token uint64 }
 
-// HealthCheckEnded is the result of a CheckHealth.
+// HealthCheckEnded is the result of a CheckHealth. Any answer is a sign of life, also one that tells of bad
+// health: only TimedOut, Unreachable and ConnectionReset count as failures.
 type HealthCheckEnded struct {
 	Worker     WorkerID
 	Outcome    Outcome
@@ -114,10 +117,12 @@
 	Worker              WorkerID
 	Outcome             Outcome
 	InstanceStatus      InstanceStatus
-	FunctionConcurrency int  // requests of the function at the worker, with Config.ConcurrencyInAnswers
-	RequestClosed       bool // the client has its final answer
-	Duration            time.Duration
-	LoadReport          []float64 // in the order of Config.LoadReportFields; empty where none came
+	FunctionConcurrency int // requests of the function at the worker, with Config.ConcurrencyInAnswers
+	// RequestClosed says that no answer is owed any more: the client has its final answer, or has cancelled.
+	// It must be true where the outcome is Served, else the request is placed again.
+	RequestClosed bool
+	Duration      time.Duration
+	LoadReport    []float64 // in the order of Config.LoadReportFields; empty where none came
 }
 
 func (EndpointUpdate) event()   {}
--- a/policy/functions.go
+++ b/policy/functions.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// rateMemory is the time over which rates are remembered: those of a function's requests and of the work that
-// is served. Each decays by the factor e in it. Longer, and a function that has become popular gets its
-// replicas late; shorter, and a router that sees few requests takes chance for a rate.
+// rateMemory is the time over which rates are remembered: those of a function's requests, which decay by the
+// factor e in it, and of the work that is served, which loses a tenth of itself at each sweep. Longer, and a
+// function that has become popular gets its replicas late; shorter, and a router that sees few requests takes
+// chance for a rate.
 const rateMemory = 10 * time.Second
 
 // function is what our requests for one function have shown.
@@ -18,11 +19,12 @@
 	runTime        runTimeEstimate
 	served         bool    // some worker has served it
 	saturation     float64 // replicas wanted beyond the first, by answers that were late or overloaded
-	recentRequests float64 // before the latest one, decaying over rateMemory
+	recentRequests float64 // decaying over rateMemory; while a request is first placed, those before it
 }
 
-// requestedFunction returns the function that a request is for, and records the request's time and hint.
-func (p *Policy) requestedFunction(e RequestArrived) *function {
+// recordFunctionRequest returns the function that a request is for, after its rate has decayed to now and the
+// request's time and load hint are recorded. recentRequests grows once the request is placed.
+func (p *Policy) recordFunctionRequest(e RequestArrived) *function {
 	c := &p.classes[e.Class]
 	f := p.functions[e.Function]
 	if f == nil {
@@ -33,7 +35,7 @@
 	f.lastRequest = p.now
 	f.loadTime = e.LoadTime
 	if unknown := f.loadTime <= 0 || f.loadTime > longestPlausibleTime; unknown {
-		f.loadTime = c.settings.LatencyObjective // as long as an answer may take
+		f.loadTime = c.settings.LatencyObjective // as long as an answer should take
 	}
 	return f
 }
--- a/policy/instances.go
+++ b/policy/instances.go
@@ -30,7 +30,8 @@
 // isLoading reports whether a load is believed to be under way.
 func (i *instance) isLoading() bool { return i.loadEndsAt > 0 }
 
-// isWarm reports whether the function is believed to be loaded at now.
+// isWarm reports whether the function is believed to be loaded at now: by an answer or by gossip, or because
+// an attempt of ours is at it, which has it loaded or soon shows that it is not.
 func (i *instance) isWarm(now time.Duration) bool { return now < i.warmUntil || i.inFlight > 0 }
 
 // isBusy reports whether one request more would exceed what the instances are known to run at a time: what
--- a/policy/learning.go
+++ b/policy/learning.go
@@ -2,11 +2,12 @@
 
 const (
 	// leastRunShare is the least part of an answer's time that counts as run time, whatever queueing is
-	// predicted. An estimate of the queue that is too high would else make the run time vanish.
+	// predicted. An estimate of the queue that is too high would else make the run time vanish. Higher, and
+	// queues count as run time.
 	leastRunShare = 0.25
 
 	// lateLoadShare is the part of a load by which an answer must be late to show that it waited for a load,
-	// where answers do not say so.
+	// where answers do not say so. Higher, and loads count as queueing; lower, and queueing counts as loads.
 	lateLoadShare = 0.5
 
 	// The standing delay follows a rise slowly, over about 20 answers, and a fall fast, over 4: it is what
@@ -14,7 +15,9 @@
 	standingDelayRise = 20
 	standingDelayFall = 4
 
-	// loadRatioGain is the weight of one load in the ratio of the real to the hinted load time.
+	// loadRatioGain is the weight of one load in the ratio of the real to the hinted load time: about five
+	// loads are remembered. Higher, and one odd load decides; lower, and a store that has slowed down is
+	// noticed late.
 	loadRatioGain = 0.2
 
 	// The bounds of the ratio that one load can show.
@@ -22,7 +25,8 @@
 	maxLoadRatio = 10
 )
 
-// learnFromOutcome learns from the end of an attempt what it says of its worker and its function.
+// learnFromOutcome learns from the end of an attempt what it says of its worker and its function. NotSent
+// says nothing.
 func (p *Policy) learnFromOutcome(a *attempt, e AttemptEnded) {
 	switch e.Outcome {
 	case Served:
@@ -35,9 +39,11 @@
 		p.recordAlive(a.worker)
 		p.learnFromRejection(a, e)
 	case Cancelled, TimedOut:
-		// The attempt was unanswered to its end, though the worker may serve other classes well.
+		// It counts if the worker had all of the request's time, no load was expected, and it took far longer
+		// than predicted. An early cancel by the client or by us proves nothing. It counts for the class
+		// alone: the worker may serve others well.
 		muchLate := e.Duration > outlierClip*a.expectedLatency
-		if !a.neededLoad && p.outOfTime(a.request) && muchLate {
+		if !a.wasNotWarm && p.outOfTime(a.request) && muchLate {
 			p.recordUnserved(a, 1)
 		}
 	case ConnectionReset:
@@ -56,17 +62,19 @@
 // and runs take.
 func (p *Policy) learnFromAnswer(a *attempt, e AttemptEnded) {
 	r := a.request
-	p.observeLoadReport(a.worker, e.LoadReport)
+	p.observeLoadReport(a.worker, e.LoadReport) // first: it is part of the queueing that is predicted next
 	took := nanoseconds(e.Duration)
 	runTime := p.predictedRunTime(r)
 	queueing := p.queueingDelay(a.worker, a.inFlightBefore)
 	waitedForLoad := p.waitedForLoad(e, runTime+queueing, r.function)
-	p.learnPlacement(a, e, took-runTime)
-	if waitedForLoad || a.neededLoad && p.cfg.MissWhenNotLoaded {
+	p.learnInstance(a)
+	p.learnLateness(a, e, took-runTime)
+	beliefWasWrong := a.wasNotWarm && p.cfg.MissWhenNotLoaded // the function was loaded there
+	if waitedForLoad || beliefWasWrong {
 		if p.beganLoad(a, e, waitedForLoad) {
 			p.loadSucceeded(took-runTime-queueing, r.function)
 		}
-		return // its time tells nothing of queues and runs
+		return // its time is not that of a queue and a run at a worker as we knew it
 	}
 	p.learnQueueing(a, e, runTime, queueing)
 	p.learnRunTime(r, max(took-queueing, took*leastRunShare), runTime)
@@ -85,25 +93,31 @@
 // load.
 func (p *Policy) beganLoad(a *attempt, e AttemptEnded, waitedForLoad bool) bool {
 	if e.InstanceStatus == InstanceUnknown {
-		return a.neededLoad && waitedForLoad
+		return a.wasNotWarm && waitedForLoad
 	}
 	return e.InstanceStatus == LoadStarted
 }
 
-// learnPlacement learns that the function is loaded at the worker, and whether its answers are late there.
-// delay is the answer's time beyond the run time.
-func (p *Policy) learnPlacement(a *attempt, e AttemptEnded, delay nanoseconds) {
+// learnInstance learns that the function is loaded at the worker, and how many requests are served there at a
+// time.
+func (p *Policy) learnInstance(a *attempt) {
 	i := a.instance
+	i.warmUntil = p.now + p.cfg.InstanceKeepAlive
+	i.loadEndsAt = 0
+	i.concurrency = max(i.concurrency, i.inFlight+1) // with this one, which has just ended
+	p.announce(i, a.request.function)
+}
+
+// learnLateness learns whether answers without a load are late: for all workers, as the standing delay, and
+// for the function, as the saturation of its replicas. delay is the answer's time beyond the run time.
+func (p *Policy) learnLateness(a *attempt, e AttemptEnded, delay nanoseconds) {
 	f := a.request.function
 	objective := p.classOf(a.request).settings.LatencyObjective
+	// Where answers do not tell of loads, one that was slowed by a load counts here too.
 	withoutLoad := e.InstanceStatus == InstanceUnknown || e.InstanceStatus == InstanceWarm
-	if !a.neededLoad && withoutLoad {
+	if !a.wasNotWarm && withoutLoad {
 		p.observeStandingDelay(delay, outlierClip*nanoseconds(objective))
 	}
-	i.warmUntil = p.now + p.cfg.InstanceKeepAlive
-	i.loadEndsAt = 0
-	i.concurrency = max(i.concurrency, i.inFlight+1) // with this one, which has just ended
-	p.announce(i, f)
 	if e.Duration < objective {
 		f.saturation *= ratioRetention
 	} else if a.expectedWarm() && withoutLoad {
@@ -136,7 +150,8 @@
 	}
 }
 
-// observeLoadReport counts a load report as one answer that was delayed by the queue that it tells.
+// observeLoadReport counts a load report as one answer that was delayed by the queue that it tells. A report
+// belongs to no class; the first one's objective bounds the delay.
 func (p *Policy) observeLoadReport(w *worker, report []float64) {
 	queued := p.estimates.reportedQueue(report)
 	if queued < 0 {
@@ -185,8 +200,10 @@
 	queue.observeExcess(p.now, max(outlierClip*p.predictedRunTime(a.request), queue.excess(p.now)))
 }
 
-// learnFromReset takes the first reset of a turn as the sign of a broken connection, on which more attempts
-// may end. A health check tells whether the worker failed; where none may be sent, the next dial does.
+// learnFromReset takes the first reset at a clock reading as the sign of a broken connection; further
+// attempts on it end at the same one. A health check tells whether the worker failed; where none may be sent,
+// the next dial does, which a request makes in any case. (A load command's reset ejects the worker there: no
+// request may follow it.)
 func (p *Policy) learnFromReset(a *attempt) {
 	w := a.worker
 	if w.health.checkPending || w.health.lastReset == p.now {
--- a/policy/load_backoff.go
+++ b/policy/load_backoff.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// firstLoadPause is the pause after a load was begun beside failures; each failure doubles it.
-	firstLoadPause = housekeepingInterval
+	// loadPauseUnit makes up the pause between loads: after n failures it is this time doubled n times, so
+	// that the first one is 100 ms.
+	loadPauseUnit = housekeepingInterval
 
 	// maxLoadPauseDoublings bounds the pause: 50 ms doubled five times, 1.6 s. Longer, and loads begin late
 	// once the store serves again; shorter, and many routers together keep a store down.
@@ -12,9 +13,10 @@
 )
 
 // loadBackoff slows the loads down while they fail, at whatever worker: they begin one at a time, and ever
-// more slowly, to spare the store that functions are loaded from.
+// more slowly, to spare the store that functions are loaded from. A failed load counts once for each answer
+// that tells of it.
 type loadBackoff struct {
-	failures int           // since a load succeeded
+	failures int           // answers that told of a failed load since one succeeded
 	until    time.Duration // no load begins before
 }
 
@@ -27,5 +29,5 @@
 // extend counts further failures and begins the pause that follows from all of them.
 func (b *loadBackoff) extend(now time.Duration, failures int) {
 	b.failures += failures
-	b.until = now + firstLoadPause<<min(b.failures, maxLoadPauseDoublings)
+	b.until = now + loadPauseUnit<<min(b.failures, maxLoadPauseDoublings)
 }
--- a/policy/load_commands.go
+++ b/policy/load_commands.go
@@ -108,7 +108,7 @@
 	p.learnFromLoadCommand(i, f, e)
 	waiting := i.waiting
 	i.waiting = nil
-	mayStay := e.Outcome == Served || e.Outcome == ConnectionReset
+	mayStay := e.Outcome == Served || e.Outcome == ConnectionReset // a connection may break alone
 	for _, r := range waiting {
 		if !mayStay {
 			r.triedWorkers = append(r.triedWorkers, w)
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -19,7 +19,7 @@
 	ConnectionReset // connection_reset
 	// Cancelled: cancelled by the router.
 	Cancelled // cancelled
-	// NotSent: it never left the router.
+	// NotSent: it never left the router, or reached the worker after its deadline and did not run.
 	NotSent // not_sent
 	// FunctionNotLoaded: rejected because the worker has no instance of the function.
 	FunctionNotLoaded // function_not_loaded
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,6 +7,7 @@
 
 const (
 	// firstEjectionTime is how long a worker is ejected at first; each further failure in a row doubles it.
+	// Longer, and a worker that is well again stays idle; shorter, and a dead one is tried often.
 	firstEjectionTime = time.Second
 
 	// maxEjectionTime bounds the time of an ejection: a worker that is well again is noticed at most this
@@ -17,15 +18,16 @@
 	maxEjectionDoublings = 10
 
 	// minHealthCheckInterval is the least time between two health checks of a worker that is silent. Shorter,
-	// and a slow worker is asked for nothing; longer, and a dead one keeps its attempts.
+	// and a slow worker is asked in vain; longer, and a dead one keeps its attempts.
 	minHealthCheckInterval = 4 * housekeepingInterval
 
 	// cancelTicks is how many ticks pass at most until a cancelled attempt's request is sent elsewhere: one
 	// until the attempt's end is known, one until the next attempt is at its worker.
 	cancelTicks = 2
 
-	// silenceFactor is how many times the expected latency, and an interval of housekeeping, a worker with
-	// attempts in flight may be silent before its health is checked.
+	// silenceFactor bounds the silence of a worker with attempts in flight: its health is checked after this
+	// multiple of the expected latency and one housekeepingInterval. Higher, and a dead worker is noticed
+	// late; lower, and slow ones are checked for nothing.
 	silenceFactor = 2
 )
 
@@ -100,7 +102,8 @@
 	return w.health.consecutiveFailures > 0 && p.now >= w.health.ejectedUntil
 }
 
-// checkHealth sends w a health check, and reports whether the settings allowed one.
+// checkHealth sends w a health check, and reports whether the settings allowed one. Where they do not, the
+// time is recorded all the same, so that a silent worker is looked at no more often.
 func (p *Policy) checkHealth(w *worker) bool {
 	w.health.checkPending = p.emit(CheckHealth{Worker: w.id()})
 	w.health.lastHealthCheck = p.now
@@ -127,8 +130,9 @@
 	}
 }
 
-// cancelRepeatableAttempts cancels the attempts at w whose requests may still be sent elsewhere once they
-// have ended.
+// cancelRepeatableAttempts cancels the attempts at w whose requests may be sent elsewhere once they have
+// ended, judged by the class and the attempt's own age alone: the rules may still forbid the repeat, for the
+// attempts that are used up, the DedupScope, or an earlier attempt that may have run.
 func (p *Policy) cancelRepeatableAttempts(w *worker) {
 	repeatedAt := p.now + cancelTicks*p.cfg.Tick
 	for _, a := range slices.Clone(w.inFlight) {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -9,7 +9,7 @@
 // target is a worker that a request may be sent to.
 type target struct {
 	worker     *worker
-	score      nanoseconds // the lowest of all candidates, with the bonus of the preferred worker
+	score      nanoseconds // the lowest of all candidates; this one's may be up to a tick higher
 	latency    nanoseconds // predicted there
 	likelyWarm bool        // not known to have the function loaded, but likely, for another router
 }
@@ -102,7 +102,8 @@
 	}
 }
 
-// drawTie returns the index of one of the scores that are at most highest, each with the same chance.
+// drawTie returns the index of one of the scores that are at most highest, each with the same chance
+// (reservoir sampling: one draw for each tie, also for a lone one).
 func (p *Policy) drawTie(scores []nanoseconds, highest nanoseconds) int {
 	chosen := 0
 	ties := 0
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -10,8 +10,8 @@
 const (
 	// housekeepingInterval is the time between two runs of the periodic work. It bounds how late a waiting
 	// request, a silent worker or a pending gossip message is noticed: far below any latency objective, and
-	// cheap. Requests that wait for a worker are placed at most this late; a shorter interval costs time, a
-	// longer one latency.
+	// cheap. A shorter interval costs processor time, a longer one latency. It is also the least Retry-After
+	// and resubscribe wait, and the unit of the pauses between health checks and between loads that fail.
 	housekeepingInterval = 50 * time.Millisecond
 
 	// sweepInterval is the time between two sweeps, which decay the served work and forget what is unused.
@@ -19,6 +19,7 @@
 
 	// functionMemory is how long after its last request a function is remembered. It bounds the memory for
 	// functions that are requested once; a function that comes back later starts from its class's estimates.
+	// It must exceed LoadCommandTimeout: a load command is settled only while its function is remembered.
 	functionMemory = 2 * time.Minute
 
 	// rngStream is the second half of the random generator's seed: any fixed number, the same at all routers.
@@ -55,6 +56,9 @@
 }
 
 // New returns a Policy for one router, whose random choices all follow from seed, or a [*ConfigError].
+// Routers of one fleet need different seeds, so that they keep to different replicas of a function. The first
+// timer and the subscription are asked for with the first event's actions: until one is handled, nothing runs
+// by itself.
 func New(cfg Config, seed uint64) (*Policy, error) {
 	if err := validate(&cfg); err != nil {
 		return nil, err
@@ -76,14 +80,15 @@
 	for _, tenant := range cfg.Tenants {
 		p.quotas = append(p.quotas, newTokenBucket(tenant, cfg.RouterCount))
 	}
-	// These actions leave with those of the first event.
 	p.setTimer(housekeepingInterval, timer{kind: housekeepingTimer})
 	p.emit(Subscribe{On: true})
 	return p, nil
 }
 
 // Handle takes an event, which happened at now, and appends the actions that answer it to actions. A now that
-// is earlier than that of the event before counts as the same time.
+// is earlier than that of the event before counts as the same time. Events of unknown requests, attempts,
+// workers, functions and timers are ignored. The policy keeps neither the event's slices nor actions; the
+// data of a SendGossip are the caller's.
 func (p *Policy) Handle(now time.Duration, event Event, actions []Action) []Action {
 	p.now = max(now, p.now)
 	p.actions = append(actions, p.actions...)
--- a/policy/prediction.go
+++ b/policy/prediction.go
@@ -8,39 +8,41 @@
 	fleetSlopePrior = 8
 
 	// extraInstanceShare is the part of a load that a request is charged where all instances at a worker are
-	// busy: the worker may load a further one, or let the request wait.
+	// busy: the worker may load a further one, or let the request wait. Higher, and requests leave for
+	// workers that must load; lower, and busy workers begin further loads.
 	extraInstanceShare = 0.3
 )
 
-// predictLatency is the score of worker w for request r: the latency that is predicted if r is sent there
-// now. The worker with the lowest score gets the request, as in the mask-aware scheduler of InstGenIE
-// (section 4.4; CalcCost in Algorithm 2: the latency of a worker's running batch with the request added).
+// predictLatency predicts the latency of request r if it is sent to worker w now, as in the mask-aware
+// scheduler of InstGenIE (section 4.4; CalcCost in Algorithm 2: the latency of a worker's running batch with
+// the request added). The request goes to the worker with the lowest score: this latency, less a bonus at the
+// preferred worker (lowestScore).
 //
-//	score = D(w, n) + R(r) + L(w, r) + U(w, r) + X(w, r) + O(w)
+//	latency = D(w, n) + R(r) + L(w, r) + U(w, r) + X(w, r) + O(w)
 //
 //	D  the queueing delay behind our n requests in flight at w. The paper knows the running batch and
 //	   computes its latency; we see our own requests alone and fit the delay online: see queueingDelay.
 //	R  the run time of r, the paper's estimated computation latency: see predictedRunTime.
 //	L  the time until the function is loaded at w, 0 if it is. The paper's cost ignores where a template is
-//	   held, so this term is ours: see remainingLoadTime.
+//	   held, so this term is ours: see loadTimeLeft.
 //	U  the share of r's class that w has left unserved, times the time that r has left. Ours: a request that
 //	   is not served waits in vain, and the rest of its time is what it loses.
 //	X  extraInstanceShare of a load where the instances at w are all busy: w may load a further one. Ours.
-//	O  how much longer than predicted w's oldest attempt has gone without any answer from w. Ours: an
-//	   overdue answer takes at least as much longer.
+//	O  how much longer than predicted w's oldest attempt has gone without any answer from w. Ours: an answer
+//	   that is overdue by some time is expected to take as much more.
 func (p *Policy) predictLatency(w *worker, r *request) nanoseconds {
 	i := w.instances[r.function.id]
-	score := p.queueingDelay(w, len(w.inFlight)) +
+	latency := p.queueingDelay(w, len(w.inFlight)) +
 		p.predictedRunTime(r) +
 		p.loadTimeLeft(i, r.function) +
 		nanoseconds(w.health.unserved[r.arrived.Class].value(p.now))*p.timeLeft(r)
 	if i != nil && i.isBusy(r.arrived.Concurrency) {
-		score += extraInstanceShare * p.predictedLoadTime(r.function)
+		latency += extraInstanceShare * p.predictedLoadTime(r.function)
 	}
 	if len(w.inFlight) > 0 {
-		score += p.overdue(w)
+		latency += p.overdue(w)
 	}
-	return score
+	return latency
 }
 
 // queueingDelay predicts how long a request queues at w behind inFlight requests of ours:
@@ -49,19 +51,21 @@
 //
 //	slope(w)  = max(0, sum of delays at w + prior * slope of the fleet) / (sum of n at w + prior)
 //	prior     = fleetSlopePrior, so many requests in flight
-//	excess(w) = max(0, recent mean of the delays beyond slope(w) * n)
+//	excess(w) = max(0, recent mean of the delays beyond slope(w) * n, and of one 0)
 //
-// The slope is that of a line through the origin, fitted to the answers of w, drawn to the
-// fleet's until w has answered enough; a worker that nobody has heard of counts as average. The excess is
-// what other routers queue there.
+// The sums decay with each answer (ratioEstimator). The slope is that of a line through the origin, fitted to
+// the answers of w and, as prior, of the fleet: a worker that nobody has heard of counts as average. The
+// excess is what other routers queue there; load reports and rejections for overload enter it too.
 func (p *Policy) queueingDelay(w *worker, inFlight int) nanoseconds {
 	delays := w.queue.slope.sumY + p.estimates.queueSlope.predict(fleetSlopePrior)
 	slope := max(0, delays) / (w.queue.slope.sumX + fleetSlopePrior)
 	return nanoseconds(slope*float64(inFlight)) + max(0, w.queue.excess(p.now))
 }
 
-// predictedRunTime predicts how long r runs: by its work hint, scaled as earlier hints proved, or else by the
-// mean of its function, which its class's mean stands in for until enough answers have come.
+// predictedRunTime predicts how long r runs: by its work hint, scaled as earlier hints proved, or else by a
+// blend of the means of its class and its function, in which the class weighs like runTimePrior answers:
+//
+//	(runTimePrior * class mean + n * function mean) / (runTimePrior + n), n answers, at most runTimeMemory
 func (p *Policy) predictedRunTime(r *request) nanoseconds {
 	c := p.classOf(r)
 	f := &r.function.runTime
@@ -82,7 +86,8 @@
 	return p.loadTimeLeft(w.instances[r.function.id], r.function)
 }
 
-// loadTimeLeft is remainingLoadTime of an instance of f, or of none.
+// loadTimeLeft is remainingLoadTime of an instance of f, or of none. A load under way counts before any
+// belief that the function is warm.
 func (p *Policy) loadTimeLeft(i *instance, f *function) nanoseconds {
 	switch {
 	case i != nil && i.isLoading():
@@ -95,7 +100,8 @@
 	}
 }
 
-// needsLoad reports whether r would begin a load at w.
+// needsLoad reports whether r would begin a load at w. While one is under way there, r would wait for that
+// one.
 func (p *Policy) needsLoad(w *worker, r *request) bool {
 	i := w.instances[r.function.id]
 	if i != nil && i.isLoading() {
--- a/policy/quotas.go
+++ b/policy/quotas.go
@@ -27,15 +27,17 @@
 	return tokenBucket{tokens: rate + 1, refillPerSecond: rate}
 }
 
-// refill adds the tokens of the time since the last refill, up to a second's worth and some for chance.
+// refill adds the tokens of the time since the last refill, up to a second's worth, some for chance, and a
+// whole one, so that a quota of less than one a second can be used at all.
 func (b *tokenBucket) refill(now time.Duration) {
 	most := b.refillPerSecond + quotaChanceFactor*math.Sqrt(b.refillPerSecond) + 1
 	b.tokens = min(b.tokens+b.refillPerSecond*(now-b.refilledAt).Seconds(), most)
 	b.refilledAt = now
 }
 
-// checkQuota finds the quota of a new request's tenant, and whether the request is beyond it.
-func (p *Policy) checkQuota(r *request) {
+// assignQuota gives a new request the quota of its tenant, refilled to now, and records whether the request
+// is beyond it.
+func (p *Policy) assignQuota(r *request) {
 	tenant := r.arrived.Tenant
 	if tenant < 0 || tenant >= len(p.quotas) {
 		return
@@ -45,8 +47,9 @@
 	r.overQuota = r.quota.tokens < 1
 }
 
-// chargeQuota takes a token for r's first attempt. It is not taken on arrival: a refused request that comes
-// back is the same one, and would pay twice.
+// chargeQuota takes a token for r's first attempt, if r was within its quota on arrival. It is not taken on
+// arrival: a refused request that comes back is the same one, and would pay twice. Requests that arrive
+// before others are charged may take the tokens below 0.
 func chargeQuota(r *request) {
 	firstAttempt := len(r.attempts) == 0
 	if firstAttempt && r.quota != nil && !r.overQuota {
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -7,9 +7,8 @@
 	// an attempt at a worker that would have to load the function after all.
 	likelyWarmChance = 0.5
 
-	// lostInstanceChance is the chance, for each router and one more, that the preferred worker has the
-	// function loaded although we do not know it: even a lone router may have lost sight of an instance.
-	// likelyWarmChance bounds it.
+	// lostInstanceChance is the least chance that the preferred worker has the function loaded although we do
+	// not know it, for each router and one more: even a lone router may have lost sight of an instance.
 	lostInstanceChance = 0.2
 
 	// replicaKeyShift puts the number of a replica into the top 16 bits of its key.
@@ -23,8 +22,8 @@
 }
 
 // isLikelyWarm reports whether the function is probably loaded at w for another router.
-func (f preference) isLikelyWarm(w *worker) bool {
-	return w == f.worker && f.warmChance >= likelyWarmChance
+func (p preference) isLikelyWarm(w *worker) bool {
+	return w == p.worker && p.warmChance >= likelyWarmChance
 }
 
 // preferredWorker returns where r's function should be loaded: at the candidate that ranks first for our
@@ -49,27 +48,39 @@
 }
 
 // warmChance is the chance that the function is loaded at the preferred worker for other routers. If that
-// worker ranks first of all, the others send their requests for the function there too, as many as we do, and
-// each keeps it warm:
+// worker ranks first of all candidates, the others send their requests for the function there too, as many as
+// we do, and each keeps it warm:
 //
-//	chance = 1 - exp(-requests of others * InstanceKeepAlive / rateMemory)
+//	chance = max(floor, 1 - exp(-others * InstanceKeepAlive / rateMemory))
 //
-// If the first one is loading, others wait there, and nobody has it loaded elsewhere.
+//	others  requests of the other routers that use our replica, in rateMemory:
+//	        recentRequests * (RouterCount - 1) / replicas
+//	floor   min(likelyWarmChance, lostInstanceChance * (RouterCount + 1)): 0.4 for a lone router, and just
+//	        likelyWarmChance for two or more. There isLikelyWarm holds for the preferred worker in every
+//	        case but the next.
+//
+// If the first-ranked candidate is loading, others wait there, and the chance elsewhere is 0.
 func (p *Policy) warmChance(r *request, first, preferred *worker, replicas int) float64 {
-	chance := min(likelyWarmChance, lostInstanceChance*float64(p.cfg.RouterCount+1))
+	floor := min(likelyWarmChance, lostInstanceChance*float64(p.cfg.RouterCount+1))
 	if preferred != nil && preferred == first {
 		others := r.function.recentRequests * float64(p.cfg.RouterCount-1) / float64(replicas)
-		return max(chance, 1-math.Exp(-others*float64(p.cfg.InstanceKeepAlive)/float64(rateMemory)))
+		return max(floor, 1-math.Exp(-others*float64(p.cfg.InstanceKeepAlive)/float64(rateMemory)))
 	}
 	if first != nil && p.remainingLoadTime(first, r) > 0 {
 		return 0
 	}
-	return chance
+	return floor
 }
 
 // replica returns the key that ranks workers for our replica of r's function, and the number of replicas. A
 // function is spread over as many workers as its share of our work asks for, or more while they are
-// saturated; each router keeps to one of the replicas, and the others keep the rest warm.
+// saturated; each router keeps to one of the replicas, and the others keep the rest warm:
+//
+//	replicas = 1 + floor(otherRoutersShare * max(share, saturation))
+//	share    = recentRequests * run time * ready workers / max(served work, run time)
+//
+// A lone router has one replica, since its share of the others is 0: its own requests in flight tell it where
+// the function is crowded. The count is not bounded by the workers; the replica that we keep to is.
 func (p *Policy) replica(r *request) (key FunctionID, replicas int) {
 	f := r.function
 	runTime := p.predictedRunTime(r)
@@ -81,7 +92,7 @@
 }
 
 // ownReplica returns the number of the replica, from 0, that this router keeps to: the one that ranks first
-// for it.
+// for its seed. The keys hashed here only order the replicas; they are not those that rank workers.
 func (p *Policy) ownReplica(f FunctionID, replicas int) int {
 	own := 0
 	ownWeight := rendezvousWeight(f, WorkerID(p.replicaSeed))
@@ -95,15 +106,16 @@
 }
 
 // The constants of the hash: odd numbers of 64 random-looking bits, from splitmix64 (the golden ratio, and
-// its first multiplier) and xxHash64 (its second prime). All routers must use the same ones.
+// its first multiplier) and xxHash64 (its second prime). All routers must use the same ones, and the same
+// shifts below, which mix the upper half of the product into the lower one.
 const (
 	functionMultiplier = 0x9e3779b97f4a7c15
 	workerMultiplier   = 0xc2b2ae3d27d4eb4f
 	mixMultiplier      = 0xbf58476d1ce4e5b9
 )
 
-// rendezvousWeight is the rank of w for f, the highest first (highest random weight: Thaler and Ravishankar,
-// "Using Name-Based Mappings to Increase Hit Rates", 1998).
+// rendezvousWeight is the weight that ranks w for f, the highest first (highest random weight: Thaler and
+// Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998).
 func rendezvousWeight(f FunctionID, w WorkerID) uint64 {
 	x := uint64(f)*functionMultiplier ^ uint64(w)*workerMultiplier
 	x ^= x >> 31
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// longestPlausibleTime bounds the times that clients and workers name: a longer load time or work hint
-	// counts as unknown, a longer duration as this one.
+	// longestPlausibleTime bounds the times that clients and workers name. A load time beyond it counts as
+	// unknown, and so does a work hint of at least it, though such a hint is learned from as if it were this
+	// long; the duration of an attempt counts as at most this one.
 	longestPlausibleTime = time.Hour
 
 	// answerMarginTicks is how many ticks before a request's deadline its final answer leaves. One tick may
@@ -66,12 +67,12 @@
 	p.loadCommands.recordRequest(p.now)
 	p.gossip.earn(p.cfg.RouterCount)
 	e.TimeLeft = max(e.TimeLeft, 0)
-	r := &request{arrived: e, function: p.requestedFunction(e), deadline: p.now + e.TimeLeft}
+	r := &request{arrived: e, function: p.recordFunctionRequest(e), deadline: p.now + e.TimeLeft}
 	p.requests[e.Request] = r
-	p.checkQuota(r)
+	p.assignQuota(r)
 	p.setTimer(max(e.TimeLeft-p.answerMargin(), 0), timer{kind: deadlineTimer, request: e.Request})
 	p.place(r)
-	r.function.recentRequests++
+	r.function.recentRequests++ // after placing r, which must not count itself
 }
 
 // responseStarted records that part of a response has reached the client: another attempt would add a second
@@ -98,7 +99,8 @@
 }
 
 // endUnserved gives r its final answer without a result, at once: a refusal, which the rules turn into a
-// failure if r may have run. wait is the time after which a repeat may fare better.
+// failure unless a repeat is harmless. wait is the time after which a repeat may fare better, 0 if it is not
+// known. The advice is drawn also where r has its answer already: a short cut would shift all later draws.
 func (p *Policy) endUnserved(r *request, wait nanoseconds, reason UnservedReason) {
 	refusal := RefuseRequest{Request: r.id(), RetryAfter: p.retryAfter(wait), Reason: reason}
 	if !r.finished && p.emit(refusal) {
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -3,8 +3,12 @@
 import "time"
 
 // emit appends an action to the answer if the rules allow it, and reports whether they did. Every action
-// passes here, so that no mistake elsewhere breaks a rule. Callers that keep books of an action change them
-// only if it was emitted.
+// passes here, so that no mistake elsewhere breaks a rule. A caller changes its own state only if the action
+// was emitted:
+//
+//  1. An action that the settings or the rules forbid is dropped.
+//  2. A load command is charged to its budget.
+//  3. A refusal of a request whose repeat may do harm becomes a failure. It counts as emitted.
 func (p *Policy) emit(action Action) (emitted bool) {
 	if !p.allowed(action) {
 		return false
@@ -19,8 +23,8 @@
 	return true
 }
 
-// allowed reports whether the settings and the rules allow an action now. It changes nothing that a decision
-// depends on.
+// allowed reports whether the settings and the rules allow an action now. It only drops entries
+// that have left their windows. Actions without a rule are allowed.
 func (p *Policy) allowed(action Action) bool {
 	switch a := action.(type) {
 	case SendAttempt:
@@ -69,21 +73,16 @@
 // listed yet).
 func (p *Policy) repeatAllowed(r *request, w *worker) bool {
 	settings := &p.classOf(r).settings
-	switch settings.Idempotency {
-	case Idempotent:
-		return true
-	case IdempotentWithKey:
-		ran := r.mayHaveRun
-		arrivesAt := p.now + p.cfg.Tick
-		keyIsKnown := w == nil || settings.shareDedupScope(ran.worker, w)
-		return settings.repeatableAt(arrivesAt, ran.sentAt) && keyIsKnown
-	default:
+	ran := r.mayHaveRun
+	arrivesAt := p.now + p.cfg.Tick
+	if !settings.repeatableAt(arrivesAt, ran.sentAt) {
 		return false
 	}
+	return settings.Idempotency == Idempotent || w == nil || settings.shareDedupScope(ran.worker, w)
 }
 
-// repeatIsHarmless reports whether the client may repeat r at whatever worker that ends: nothing ran, or a
-// repeat has no effect anywhere.
+// repeatIsHarmless reports whether the client may repeat r, whichever worker the repeat reaches: nothing ran,
+// or a repeat has no effect anywhere. How long workers remember a key (DedupWindow) is not looked at.
 func (p *Policy) repeatIsHarmless(r *request) bool {
 	neverRan := r.mayHaveRun == nil && r.attemptsInFlight == 0
 	settings := &p.classOf(r).settings
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -14,7 +14,7 @@
 type slowStart struct {
 	startedAt    time.Duration // start of its process; 0: long ago
 	roundingDraw float64       // part of a request, 0 to 1, drawn at each start; see slowStartAdmits
-	recentSends  []*attempt    // our attempts within the overload window
+	recentSends  []*attempt    // our attempts within the overload window, and older ones until the next check
 }
 
 // warmingCapacity is the least share of its full capacity that w has now: it rises in a straight line from
@@ -30,7 +30,8 @@
 
 // slowStartAdmits reports whether a request of a class may go to w as far as w's slow start is concerned. A
 // warming worker falls if all routers together send it too much, and they do not see each other's requests.
-// What workers serve is within their capacity, so each router keeps its own part:
+// Each router takes the work that a worker serves it on average as its part of a worker's capacity, and sends
+// a warming worker no more than this part of what it bears now:
 //
 //	sent + next * (1 - draw)  <=  slowStartMargin * OverloadMultiple * capacity * mean
 //
@@ -38,8 +39,10 @@
 //	next      work of this one
 //	draw      a random part of a request, drawn once at each start of w: routers that may send less than one
 //	          request each send the right number together
-//	capacity  warmingCapacity of w
+//	capacity  warmingCapacity of w, a share of its full one
 //	mean      the work that one worker serves us on average in OverloadWindow
+//
+// A router that has served nothing lately sends a warming worker nothing.
 func (p *Policy) slowStartAdmits(w *worker, class int) bool {
 	window := p.cfg.OverloadWindow
 	capacity := p.warmingCapacity(w)
@@ -47,9 +50,9 @@
 		return true
 	}
 	sent := p.recentWork(w, p.now-window)
-	next := p.classes[class].runTime.mean * nanoseconds(1-w.slowStart.roundingDraw)
-	budget := nanoseconds(slowStartMargin * p.cfg.OverloadMultiple * capacity)
-	return sent+next <= budget*p.meanWorkPerWorker(window)
+	counted := p.classes[class].runTime.mean * nanoseconds(1-w.slowStart.roundingDraw)
+	factor := nanoseconds(slowStartMargin * p.cfg.OverloadMultiple * capacity)
+	return sent+counted <= factor*p.meanWorkPerWorker(window)
 }
 
 // recentWork is the work of our attempts at a warming worker since earliest; older ones are forgotten.
