--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -10,6 +10,8 @@
 	"regexp"
 	"strings"
 	"testing"
+
+	"functionrouter/policy"
 )
 
 const repositoryRoot = ".."
@@ -18,8 +20,8 @@
 var pages = []string{"README.md", "docs/ARCHITECTURE.md", "docs/GLOSSARY.md", "docs/LOG.md", "docs/ON-CALL.md", "docs/OPEN.md"}
 
 var (
-	// codeReference is `name`, `name` (`path/file.go`).
-	codeReference = regexp.MustCompile("((?:`[A-Za-z]+`(?:, )?)+) \\(`([a-z/_]+\\.go)`\\)")
+	// codeReference is `name`, `name` (`path/file.go`), where a line may end.
+	codeReference = regexp.MustCompile("((?:`[A-Za-z]+`(?:,\\s)?)+)\\s\\(`([a-z/_]+\\.go)`\\)")
 	backquoted    = regexp.MustCompile("`([^`]+)`")
 	pathReference = regexp.MustCompile("`((?:cmd|deploy|docs|example|internal|journal|policy|tools)/[A-Za-z/_.-]*)`")
 	link          = regexp.MustCompile(`\]\(([^)#]*)(#[^)]*)?\)`)
@@ -57,6 +59,28 @@
 	}
 }
 
+// Guards the words that operators search for: each reason of a refusal, and each outcome of an attempt, that the counters
+// name stands on the pages that explain the counters.
+func TestPagesNameReasonsAndOutcomes(t *testing.T) {
+	for reason := range policy.UnservedReason(policy.UnservedReasonCount) {
+		requireNamed(t, reason.String(), "docs/LOG.md", "docs/ON-CALL.md")
+	}
+	// An outcome that was added after the last one has a name too; what is no outcome prints as "Outcome(9)".
+	for outcome := policy.Outcome(0); !strings.HasPrefix(outcome.String(), "Outcome("); outcome++ {
+		requireNamed(t, outcome.String(), "docs/LOG.md")
+	}
+}
+
+// requireNamed requires that each page names name between backquotes.
+func requireNamed(t *testing.T, name string, pages ...string) {
+	t.Helper()
+	for _, page := range pages {
+		if !strings.Contains(readPage(t, page), "`"+name+"`") {
+			t.Errorf("%s lacks `%s`", page, name)
+		}
+	}
+}
+
 // checkLink requires the target of a link, relative to its page, and the heading that the anchor names.
 func checkLink(t *testing.T, page, target, anchor string) {
 	t.Helper()
