--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -21,7 +21,7 @@
 
 var (
 	// codeReference is `name`, `name` (`path/file.go`), where a line may end.
-	codeReference = regexp.MustCompile("((?:`[A-Za-z]+`(?:,\\s)?)+)\\s\\(`([a-z/_]+\\.go)`\\)")
+	codeReference = regexp.MustCompile("((?:`[A-Za-z]+`(?:,\\s+)?)+)\\s+\\(`([a-z/_]+\\.go)`\\)")
 	backquoted    = regexp.MustCompile("`([^`]+)`")
 	pathReference = regexp.MustCompile("`((?:cmd|deploy|docs|example|internal|journal|policy|tools)/[A-Za-z/_.-]*)`")
 	link          = regexp.MustCompile(`\]\(([^)#]*)(#[^)]*)?\)`)
