--- a/internal/eventloop/activity.go
+++ b/internal/eventloop/activity.go
@@ -4,11 +4,17 @@
 
 const (
 	// idleTimeout closes an accepted connection without open requests on which no complete message has
-	// arrived for this long, and nothing was answered.
+	// arrived for this long, and nothing was answered. It bounds how long a client that has gone without a close,
+	// or that does not read, holds a descriptor. Well-behaved clients close an idle connection themselves after
+	// 4 s (operators' protocol), so that none of theirs gets here. Higher, and connections of clients that have
+	// gone are held for longer; below 4 s, and a close may cross a request.
 	idleTimeout = 15 * time.Second
 
 	// messageTimeout is the time for a complete message: for the first one from the accept on, for each
-	// further one from its first byte on. Bytes that trickle in don't extend it.
+	// further one from its first byte on. Bytes that trickle in don't extend it. It bounds how long a client
+	// that sends nothing, or half a message, holds a descriptor. By the operators' terms such a client is owed a
+	// close within 3 s of connecting; the sweep that closes it may come up to two sweepIntervals later. Higher,
+	// and the close comes too late; lower, and a slow client loses a request that it is still sending.
 	messageTimeout = 2500 * time.Millisecond
 )
 
--- a/internal/eventloop/close_cause.go
+++ b/internal/eventloop/close_cause.go
@@ -25,13 +25,13 @@
 	// WriteFailed: any other error of a write.
 	WriteFailed // write_failed
 
-	// PeerNotReading: the peer left too many bytes unread, or did not read its last answers in closeTimeout.
+	// PeerNotReading: the peer left too many bytes unread, or did not read its last answers within 2 s (closeTimeout).
 	PeerNotReading // peer_not_reading
 
-	// IdleTimeout: no message in idleTimeout.
+	// IdleTimeout: no complete message and no answer for 15 s (idleTimeout).
 	IdleTimeout // idle_timeout
 
-	// MessageTimeout: no complete message in messageTimeout.
+	// MessageTimeout: a message was not complete within 2.5 s (messageTimeout).
 	MessageTimeout // message_timeout
 
 	// Evicted: closed to make room for a new connection.
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -73,8 +73,9 @@
 			c.end(c.pendingError())
 		}
 	case events&(unix.EPOLLRDHUP|ended) != 0:
-		// To the end, so that what the peer sent before it is never handled in a turn of its own: a request whose client
-		// has gone must not be forwarded to a worker.
+		// The connection is read to the end of its input in this turn, as far as maxReadsAtEnd reads go. Otherwise what the
+		// peer sent before the end could be handled in an earlier turn than the end, and a request whose client has gone
+		// could be forwarded to a worker.
 		c.readUpTo(maxReadsAtEnd, true)
 	case events&unix.EPOLLIN != 0:
 		c.readUpTo(maxReadsPerTurn, false)
@@ -127,8 +128,12 @@
 }
 
 // CloseAfterFlush closes the connection when the kernel has taken everything that was written. Nothing more is read, and
-// later writes are dropped. An accepted connection whose peer does not read is closed after closeTimeout. The handler's
-// OnClose is called in a later turn.
+// later writes are dropped. An accepted connection whose peer does not read is closed 2 s after its last complete message or
+// answer (closeTimeout). The handler's OnClose is called in a later turn if the connection was ever open.
+//
+// A connection that is still dialing is closed at the end of the turn, and the handler gets no further call. If the dial ends
+// in the same turn, OnOpen is called all the same, and after a success OnClose. Of a dial that has failed before, OnOpen still
+// reports the error; Close prevents that.
 func (c *Conn) CloseAfterFlush() {
 	if c.state.apply(eventCloseAfterFlush) {
 		c.loop.unflushed = append(c.loop.unflushed, c)
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -26,9 +26,14 @@
 	lastError error         // why the last socket failed; nil while one is connecting
 }
 
-// Dial opens a TCP connection to addr, a "host:port", and returns at once; h.OnOpen gets the result in a later turn. The
-// Conn must not be written to before that: the bytes are dropped, and the dial may not end in time. If the Conn is closed
-// before that, h gets no call. A timeout of 0 is none.
+// Dial opens a TCP connection to addr, a "host:port", and returns at once; h.OnOpen gets the result in a later turn. If the
+// Conn is closed before that, h gets no call. A timeout of 0 is none.
+//
+// The Conn must not be written to before OnOpen. The bytes are dropped, and the flush at the end of the turn breaks the dial
+// (updateInterest). A socket that is connecting is then polled for input and no longer for EPOLLOUT, so that a connect which
+// succeeds is not noticed until the peer sends something or closes, and may time out. While the name is being resolved or
+// the dial waits for a retry, there is no descriptor: the change of its events fails, the failure closes the Conn, and h
+// gets OnClose without OnOpen.
 //
 // While this machine lacks a resource for the socket, such as descriptors, ports or buffers, the dial is retried until
 // timeout: such an error does not mean that the peer is at fault.
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -44,7 +44,8 @@
 //
 // OnOpen of a Conn gets an error that wraps os.ErrDeadlineExceeded after the timeout, ErrLocalFault if this machine could
 // not open a connection until then, and else the error of the name's resolution or the errno with which the peer or the
-// network refused.
+// network refused. OnOpen of a UDPConn gets the error of the name's resolution, or the errno with which the socket could not
+// be opened, connected or polled. A UDP dial has no timeout of its own and is not retried.
 package eventloop
 
 //go:generate go tool -modfile=../../tools/go.mod stringer -linecomment -output=enum_string.go -type=CloseCause,evictionPriority,connState,connEvent
--- a/internal/eventloop/eviction.go
+++ b/internal/eventloop/eviction.go
@@ -11,7 +11,9 @@
 	maxEvictionTries = 8
 
 	// silenceGrace is how long a client may take from its connect to its first message before its connection counts as
-	// silent and is the first to be evicted.
+	// silent and is the first to be evicted. Higher, and a flood of connections that stay silent evicts idle ones
+	// of clients that have sent requests, because it counts as new for longer; lower, and a client whose first
+	// message takes longer than this loses its connection when room is needed.
 	silenceGrace = 250 * time.Millisecond
 
 	// longIdleThreshold is how long a client that has sent messages may be idle before it is evicted if this process runs
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -14,8 +14,8 @@
 // method of the Conn that the handler calls.
 type AcceptedHandler interface {
 	Handler
-	// HasOpenRequests reports whether requests of the connection have no answer yet. Neither idleTimeout, messageTimeout
-	// nor an eviction closes the connection while it does.
+	// HasOpenRequests reports whether requests of the connection have no answer yet. While it does, the connection is not
+	// closed by the idle timeout (15 s), by the message timeout (2.5 s) or by an eviction.
 	HasOpenRequests() bool
 	// MessageProgress returns how many complete messages have arrived so far, and whether the beginning of
 	// another one has. The loop calls it after each OnData.
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -50,7 +50,8 @@
 // must be called before Start, which opens the listener.
 //
 // The loop calls accept for each new connection, on its own goroutine. accept returns the connection's handler. It may call
-// Write and CloseAfterFlush of the Conn, but not Close.
+// Write and CloseAfterFlush of the Conn, but not Close: a close asks the handler HasOpenRequests, and the Conn has no handler
+// until accept has returned.
 func (l *Loop) Listen(addr string, accept func(*Conn) AcceptedHandler) {
 	l.listeners = append(l.listeners, &listener{loop: l, addr: addr, accept: accept, socket: socket{fd: noDescriptor}})
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -7,7 +7,12 @@
 )
 
 // pauseThreshold is how much longer than expected a turn or a wait may take. Beyond it the machine is taken to have paused
-// the process meanwhile.
+// the process meanwhile, and the input of the next turn counts as arrived before the pause (InputTime).
+//
+// It bounds the pause that goes unnoticed, and with it how much too late a request's deadline may be. A pause within a wait
+// goes unnoticed if it ends within the wait's timeout, which is at most sweepInterval, and this. Higher, and more answers come
+// too late after a pause; lower, and turns that are only long count as pauses, and requests that arrived after them get less
+// time than they have.
 const pauseThreshold = 50 * time.Millisecond
 
 // Config bounds a Loop.
@@ -89,8 +94,10 @@
 // TimeFromWallClock converts a wall-clock time to the loop's clock.
 func (l *Loop) TimeFromWallClock(t time.Time) time.Duration { return l.clock.fromWallTime(t) }
 
-// Post schedules call on the loop's goroutine. It never blocks and may be called on any goroutine, after Start. A call
-// that is posted once Run has returned is not made.
+// Post schedules call on the loop's goroutine. It never blocks and may be called on any goroutine, after Start.
+//
+// A call that is posted once the last turn of Run has begun to make the posted ones is not made, nor is one that is posted
+// after Run has returned.
 func (l *Loop) Post(call func()) {
 	l.posts.add(call, l.poll)
 }
@@ -100,7 +107,7 @@
 
 // Run handles events until Stop, and then closes all descriptors without a call of their handlers. In each turn it calls
 // beginTurn with the time, then the handlers of what has happened, then endTurn, which returns the time at which it wants to
-// be called again at the latest. The loop also turns when there are events, and every sweepInterval.
+// be called again at the latest. The loop also turns when there are events, and every 200 ms (sweepInterval).
 func (l *Loop) Run(beginTurn func(now time.Duration), endTurn func(now time.Duration) time.Duration) {
 	var posted []func()
 	next := l.now
--- a/internal/eventloop/unread.go
+++ b/internal/eventloop/unread.go
@@ -13,7 +13,8 @@
 // errPeerNotReading closes a connection whose peer leaves too many bytes unread, by itself or together with all others.
 var errPeerNotReading = errors.New("peer does not read")
 
-// setUnsent sets the bytes that the kernel has yet to take, and keeps the loop's total.
+// setUnsent sets the bytes that the kernel has yet to take, and keeps the loop's total. It sets takenAt if they have just
+// begun or if the kernel took some, and leaves it if only more were added.
 func (c *Conn) setUnsent(unsent []byte) {
 	if len(c.unsent) == 0 || len(unsent) < len(c.unsent) {
 		c.takenAt = c.loop.now
@@ -22,8 +23,9 @@
 	c.unsent = unsent
 }
 
-// limitUnread closes the connections whose peers have taken nothing for longest until the total is within the limit. The
-// one that is being written to is the last of them: its peer may be reading.
+// limitUnread closes the connections whose peers have taken nothing for longest until the total is within the limit. One
+// whose unread bytes have begun in this turn is among the last of them: its peer may be reading. More bytes on top of
+// unread ones do not postpone a connection's turn: see setUnsent.
 func (l *Loop) limitUnread() {
 	for l.totalUnread > l.cfg.MaxUnreadBytes {
 		stalled := l.longestStalled()
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -11,8 +11,9 @@
 const maxWriteVectors = 512
 
 // Write queues buffers until the end of the turn; the caller must not change them before that. They are dropped if the
-// connection is closed, can't be written to any more, or is not connected yet, and after CloseAfterFlush. A peer that
-// leaves too many bytes unread is disconnected: the handler's OnClose gets the error in a later turn.
+// connection is closed, can't be written to any more, or is not connected yet, and after CloseAfterFlush. It must not be
+// called before OnOpen: see Loop.Dial. A peer that leaves too many bytes unread is disconnected: the handler's OnClose gets
+// the error in a later turn.
 func (c *Conn) Write(bufs ...[]byte) {
 	if !c.state.acceptsWrites() || c.writeError != nil {
 		return
