--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -75,8 +75,9 @@
 	LoadReport     []float64 // in the order of policy.Config.LoadReportFields; nil: none, or not complete
 }
 
-// AttemptEnded reports how an attempt ended. If the worker served it and the request is open, the client gets the body. A
-// report of an attempt that has ended already is ignored.
+// AttemptEnded reports how an attempt ended, at the time of the last SetNow. If the worker served it and the request is
+// open, the client gets the body before AttemptEnded returns; the policy gets the result from Process. A report of an
+// attempt that has ended already is ignored.
 func (r *Router) AttemptEnded(id AttemptID, result AttemptResult) {
 	p, a := r.openAttempt(id)
 	if a == nil {
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// LoadCommandEnded reports how a load command ended, and how many instances the worker has loaded. A report of a
-// command that has ended already is ignored.
+// LoadCommandEnded reports how a load command ended, at the time of the last SetNow, and how many instances the worker has
+// loaded. The policy gets it from Process. A report of a command that has ended already is ignored.
 func (r *Router) LoadCommandEnded(id ControlID, outcome policy.Outcome, instances int) {
 	command, ok := r.controls.remove(id, loadCommand)
 	if !ok {
@@ -101,8 +101,8 @@
 	})
 }
 
-// HealthCheckEnded reports how a health check ended, with the worker's load report where it gave one. A report of a
-// check that has ended already is ignored.
+// HealthCheckEnded reports how a health check ended, at the time of the last SetNow, with the worker's load report where it
+// gave one. The policy gets it from Process. A report of a check that has ended already is ignored.
 func (r *Router) HealthCheckEnded(id ControlID, outcome policy.Outcome, loadReport []float64) {
 	check, ok := r.controls.remove(id, healthCheck)
 	if !ok {
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -28,7 +28,8 @@
 	HealthCheckOutcomes [outcomeCount]uint64
 
 	// Overdue counts requests that the policy had not ended by their deadlines. It stays 0 unless the policy is
-	// at fault or the machine stalled.
+	// at fault, the machine stalled, BeginShutdown moved the deadline of an open request, or a request came with
+	// no time left, as with a wait of 0. See enforceDeadline.
 	Overdue uint64
 	// UnservedByReason counts requests that the policy refused or failed, by reason.
 	UnservedByReason [policy.UnservedReasonCount]uint64
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -118,7 +118,17 @@
 	r.Process(testStart)
 	const latest = testStart + 200*ms
 	r.BeginShutdown(testStart, latest)
-	_, after := submit(r, notIdempotentClass)
+	after := &recordingResponder{}
+	id := r.Submit(testStart, Request{
+		ID:        "after",
+		Responder: after,
+		Class:     notIdempotentClass,
+		Function:  7,
+		Deadline:  testStart + 3*time.Second,
+	})
+	if id == 0 {
+		t.Fatal("the later request was answered at once")
+	}
 	if next := r.Process(testStart); next > latest {
 		t.Errorf("the router wants to be called at %v, after %v", next, latest)
 	}
@@ -130,3 +140,56 @@
 		t.Errorf("%d requests are open, and the attempts %v", r.OpenRequests(), workers.openAttempts)
 	}
 }
+
+// Guards what Counters.Overdue counts although neither the policy nor the machine is at fault: a deadline that a shutdown
+// has moved, and a request that comes with no time left. A request that comes during the shutdown is not among them.
+func TestOverdueWithoutFault(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		wait     time.Duration
+		shutdown func(r *Router, latest time.Duration) // called once the request is submitted, where set
+		want     uint64
+	}{
+		{"time left", 200 * ms, nil, 0},
+		{"no time left", 0, nil, 1},
+		{"deadline moved", 2 * time.Second, func(r *Router, latest time.Duration) { r.BeginShutdown(testStart, latest) }, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			r, _ := newTestRouter(t, 1)
+			addReadyWorkers(r, 1)
+			r.Process(testStart)
+			first := &recordingResponder{}
+			r.Submit(testStart, Request{
+				ID:        "first",
+				Responder: first,
+				Class:     notIdempotentClass,
+				Function:  7,
+				Deadline:  testStart + test.wait,
+			})
+			responders := []*recordingResponder{first}
+			if test.shutdown != nil {
+				test.shutdown(r, testStart+200*ms)
+				during := &recordingResponder{}
+				r.Submit(testStart, Request{
+					ID:        "during the shutdown",
+					Responder: during,
+					Class:     notIdempotentClass,
+					Function:  7,
+					Deadline:  testStart + test.wait,
+				})
+				responders = append(responders, during)
+			}
+			for now := testStart; now < testStart+time.Second && r.OpenRequests() > 0; {
+				now = r.Process(now)
+			}
+			for _, responder := range responders {
+				if resp := responder.only(t); !resp.DeadlineExceeded {
+					t.Errorf("answer %+v, want one because of the deadline", resp)
+				}
+			}
+			if r.Counters.Overdue != test.want {
+				t.Errorf("%d overdue, want %d", r.Counters.Overdue, test.want)
+			}
+		})
+	}
+}
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -6,8 +6,8 @@
 	"functionrouter/policy"
 )
 
-// Submit takes a request. It returns the request's id, or 0 if it was answered at once. The answer may come before
-// Submit returns.
+// Submit takes a request. It returns the request's id, or 0 if it was answered at once, before Submit returns: Refused
+// for a limit or a shutdown, Failed if a pending request has the same Request.ID. The policy gets the request from Process.
 func (r *Router) Submit(now time.Duration, req Request) policy.RequestID {
 	r.SetNow(now)
 	if r.admissionStopped || !r.hasRoomFor(&req) {
@@ -54,7 +54,8 @@
 	r.respondAtOnce(req, Response{Status: Refused, RetryAfter: r.limits.RetryAfter})
 }
 
-// respondAtOnce answers a request that does not enter the table.
+// respondAtOnce answers a request that does not enter the table. Here Config.OnRequestEnd is called before Respond, in
+// respond and Disconnect after it.
 func (r *Router) respondAtOnce(req Request, resp Response) {
 	req.ReceivedAt = r.now
 	r.reportEnd(&req, resp.Status.outcome())
@@ -86,15 +87,11 @@
 	if p == nil {
 		return
 	}
-	resp := Response{
-		Status:     Refused,
+	p.Responder.Respond(Response{
+		Status:     p.unservedStatus(),
 		RetryAfter: r.limits.RetryAfter,
 		MayHaveRun: p.mayHaveRun(),
-	}
-	if resp.MayHaveRun {
-		resp.Status = Failed
-	}
-	p.Responder.Respond(resp)
+	})
 	r.Cancel(now, id, ClientDisconnected)
 }
 
@@ -118,7 +115,8 @@
 	r.respond(id, p, resp)
 }
 
-// respond gives an open request its final answer and closes it.
+// respond gives an open request its final answer and then closes it. The request is still open during Respond: a
+// Responder that cancelled it there would have it closed twice, see Responder.
 func (r *Router) respond(id policy.RequestID, p *pendingRequest, resp Response) {
 	r.Counters.countResponse(p.Frontend, resp.Status)
 	p.Responder.Respond(resp)
--- a/internal/router/no_result_log.go
+++ b/internal/router/no_result_log.go
@@ -11,17 +11,6 @@
 // noResultLogInterval is the least time between two log lines on requests that ended without a result.
 const noResultLogInterval = time.Second
 
-// CancelCause says how a client made known that it no longer waits.
-type CancelCause uint8
-
-// The causes. Their names stand in the log.
-const (
-	// ClientInterrupted: the client withdrew the request.
-	ClientInterrupted CancelCause = iota // client_interrupted
-	// ClientDisconnected: the client's connection ended.
-	ClientDisconnected // client_disconnected
-)
-
 // deadlineGuardCause is the logged cause of a request that the router ended at its deadline, see enforceDeadline. The
 // other causes are those of CancelCause and policy.UnservedReason.
 const deadlineGuardCause = "deadline_guard"
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -21,11 +21,24 @@
 // UnknownTenant is the Tenant of a request that names none that the settings know.
 const UnknownTenant = -1
 
+// CancelCause says how a client made known that it no longer waits.
+type CancelCause uint8
+
+// The causes. Their names stand in the log.
+const (
+	// ClientInterrupted: the client withdrew the request.
+	ClientInterrupted CancelCause = iota // client_interrupted
+	// ClientDisconnected: the client's connection ended.
+	ClientDisconnected // client_disconnected
+)
+
 // Request is what a client asks for, as a frontend read it.
 type Request struct {
-	Frontend        Frontend
-	Responder       Responder
-	ID              string // the client's text, unique among the open requests
+	Frontend  Frontend
+	Responder Responder
+	// ID is the client's text. It must be unique among the pending requests: those that are open, and those that are
+	// closed and have attempts in flight. Submit fails a duplicate.
+	ID              string
 	ClientReference string // the client's own name for the request where that is not the ID, else ""
 	Class           int    // index in the settings
 	Tenant          int    // index in the settings, or UnknownTenant
--- a/internal/router/response.go
+++ b/internal/router/response.go
@@ -26,6 +26,9 @@
 
 // Responder writes the final answer to a request's client. Respond is called at most once, and never after Cancel.
 // It may submit further requests before it returns.
+//
+// Respond must not call Cancel or Disconnect for its own request, which is closed only when Respond has returned: it
+// would be closed and counted twice, or answered twice.
 type Responder interface{ Respond(Response) }
 
 // RequestOutcome says how a request ended, as OnRequestEnd reports it. Unlike Status it covers requests whose
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -22,9 +22,11 @@
 
 // Limits bounds what a Router holds and how long it waits.
 type Limits struct {
-	MaxOpenRequests    int           // open requests at any time
-	MaxBodyBytes       int           // bytes of the bodies of all open requests
-	RetryAfter         time.Duration // advice in the answer to a request that is refused at once; 0: none
+	MaxOpenRequests int // open requests at any time
+	MaxBodyBytes    int // bytes of the bodies of all open requests
+	// RetryAfter is the advice in the answers that the Router gives without the policy: to a request that is refused at
+	// once, that enforceDeadline ends, or whose client ended its side of the connection (Disconnect). 0: none.
+	RetryAfter         time.Duration
 	MaxAttempts        int           // attempts of one request; 0: no limit
 	LoadCommandTimeout time.Duration // after which an unanswered load command ends as policy.TimedOut
 	HealthCheckTimeout time.Duration // after which an unanswered health check ends as policy.TimedOut
@@ -35,9 +37,13 @@
 	// Policy takes every decision. The Router alone may use it from then on.
 	Policy *policy.Policy
 	Limits Limits
-	// NewWorkerPool returns the pool that carries messages to workers and reports their results to the Router.
+	// NewWorkerPool returns the pool that carries messages to workers and reports their results to the Router. New calls
+	// it while the Router has no pool: it may keep the Router, and must not call it.
 	NewWorkerPool func(*Router) WorkerPool
-	// OnRequestEnd, where set, is called once for each request, when it has ended.
+	// OnRequestEnd, where set, is called once for each request, when it has ended. It is called on the event loop's
+	// goroutine, during the method of the Router that ends the request: before Responder.Respond if the request is
+	// answered at once by Submit or RefuseAtOnce, after it if the request was open. A cancelled request gets no Respond.
+	// OnRequestEnd must not keep req, whose Body and Responder are dropped afterwards.
 	OnRequestEnd func(now time.Duration, req *Request, outcome RequestOutcome)
 }
 
@@ -79,7 +85,9 @@
 	return r
 }
 
-// SetNow advances the clock. The event loop calls it before it delivers what happened since the last call.
+// SetNow advances the clock. The event loop calls it before it delivers what happened since the last call: AttemptEnded,
+// LoadCommandEnded and HealthCheckEnded use this time. What they and Submit report reaches the policy at the next Process,
+// or in the present one if they are called during it.
 func (r *Router) SetNow(now time.Duration) { r.now = max(r.now, now) }
 
 // OpenRequests returns the number of requests that are still owed an answer.
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -4,6 +4,9 @@
 
 // BeginShutdown moves the deadline of every request to latest if it is later than that, of open requests and of those
 // that are submitted from now on: the process may be killed soon after.
+//
+// The policy is not told that the deadline of an open request has moved. If it still is open at latest, enforceDeadline
+// ends it, and it counts as overdue. Of a request that is submitted later, the policy gets the bounded time.
 func (r *Router) BeginShutdown(now, latest time.Duration) {
 	r.SetNow(now)
 	r.latestDeadline = latest
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -15,6 +15,14 @@
 // mayHaveRun reports whether an attempt that has ended may have run, or an open one may still run.
 func (p *pendingRequest) mayHaveRun() bool { return p.endedAttemptMayHaveRun || p.openAttempts > 0 }
 
+// unservedStatus returns the status for an answer without a result: Refused, unless the request may have run.
+func (p *pendingRequest) unservedStatus() Status {
+	if p.mayHaveRun() {
+		return Failed
+	}
+	return Refused
+}
+
 // requestTable holds the pending requests.
 type requestTable struct {
 	byID      map[policy.RequestID]*pendingRequest
@@ -38,7 +46,11 @@
 	return id
 }
 
-// nextID returns an id that is not 0, which stands for no request, and not in use after a wrap-around.
+// nextID returns an id that no pending request has. Ids ascend and begin again after the largest; 0, which stands for no
+// request, is left out. So an id may be used again once all 2^32-1 of them have had their turn, but never while its
+// request is open or an attempt of it is in flight. A timer that is left from the earlier request would then act on the
+// later one. Such a timer is due within the earlier request's wait, which is minutes, and no router takes as many
+// requests in that time.
 func (t *requestTable) nextID() policy.RequestID {
 	t.lastID++
 	for t.lastID == 0 || t.byID[t.lastID] != nil {
@@ -69,7 +81,9 @@
 	p.Responder = nil
 }
 
-// removeIfDone removes a request that is closed and whose attempts have all ended.
+// removeIfDone removes a request that is closed and whose attempts have all ended. It may be called again for a request
+// that is removed, as by AttemptEnded after respond has closed it. By then the entries may belong to a later request with
+// the same id or Request.ID; they stay.
 func (t *requestTable) removeIfDone(id policy.RequestID, p *pendingRequest) {
 	if p.closed && p.openAttempts == 0 && t.byID[id] == p {
 		delete(t.byID, id)
--- a/internal/router/workerpool.go
+++ b/internal/router/workerpool.go
@@ -18,15 +18,15 @@
 // WorkerPool carries messages to workers. Each StartAttempt, LoadInstance and CheckHealth is answered by one call of the
 // Router's AttemptEnded, LoadCommandEnded or HealthCheckEnded, before it returns or later, unless it is cancelled first.
 type WorkerPool interface {
-	// StartAttempt sends a request to a worker, which has budget to answer it. It may read req until it
-	// returns, and keep the body, which does not change.
+	// StartAttempt sends a request to a worker, which has budget to answer it. The pool may read req until the call
+	// returns, and may keep the body, which does not change.
 	StartAttempt(worker policy.WorkerID, id AttemptID, req *Request, budget time.Duration)
 	// CancelUnsent takes back an attempt of which nothing has been sent. It returns false, and does nothing, if
 	// the attempt has ended or any of it may have been sent.
 	CancelUnsent(id AttemptID) bool
 	// CancelAttempt stops waiting for the answer to an attempt; its end is not reported any more.
 	CancelAttempt(worker policy.WorkerID, id AttemptID)
-	// LoadInstance commands a worker to keep count instances of a function loaded.
+	// LoadInstance commands a worker to keep count instances of a function loaded; with 0 it only asks how many there are.
 	LoadInstance(worker policy.WorkerID, function policy.FunctionID, count int, id ControlID)
 	// CheckHealth asks a worker for a sign of life and its load report.
 	CheckHealth(worker policy.WorkerID, id ControlID)
