--- a/internal/router/ids.go
+++ b/internal/frontend/fieldvalue/hexid.go
@@ -1,4 +1,4 @@
-package router
+package fieldvalue
 
 // hexIDLength is the number of digits of an id on the wire: a 64-bit number.
 const hexIDLength = 16
--- a/internal/router/ids_test.go
+++ b/internal/frontend/fieldvalue/hexid_test.go
@@ -1,4 +1,4 @@
-package router
+package fieldvalue
 
 import (
 	"fmt"
--- a/internal/frontend/thrift/request.go
+++ b/internal/frontend/thrift/request.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"functionrouter/internal/frontend/fieldvalue"
 	"functionrouter/internal/router"
 	"functionrouter/policy"
 )
@@ -74,15 +75,15 @@
 		tenant = router.UnknownTenant
 	}
 	id := string(fields[fieldID])
-	if _, valid := router.ParseHexID(id); !valid {
+	if _, valid := fieldvalue.ParseHexID(id); !valid {
 		return router.Request{}, &invalidFieldError{fieldID, errHexID}
 	}
 	functionKey := string(fields[fieldKey])
-	function, valid := router.ParseHexID(functionKey)
+	function, valid := fieldvalue.ParseHexID(functionKey)
 	if !valid {
 		return router.Request{}, &invalidFieldError{fieldKey, errHexID}
 	}
-	wait, err := parseNumber(string(fields[fieldWait]), router.MaxWaitMs)
+	wait, err := parseNumber(string(fields[fieldWait]), fieldvalue.MaxWaitMs)
 	if err != nil {
 		return router.Request{}, &invalidFieldError{fieldWait, err}
 	}
@@ -111,11 +112,11 @@
 		maximum := math.MaxFloat64
 		switch name {
 		case propertyMemory:
-			maximum = router.MaxMemoryMB
+			maximum = fieldvalue.MaxMemoryMB
 		case propertyConcurrency:
-			maximum = router.MaxConcurrency
+			maximum = fieldvalue.MaxConcurrency
 		case propertyLoadTime:
-			maximum = router.MaxLoadMs
+			maximum = fieldvalue.MaxLoadMs
 		}
 		value, err := parseNumber(number, maximum)
 		if err != nil {
@@ -139,7 +140,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if !router.InRange(value, maximum) {
+	if !fieldvalue.InRange(value, maximum) {
 		return 0, fmt.Errorf("%w: %v, from 0 to %v", errOutOfRange, value, maximum)
 	}
 	return value, nil
--- a/internal/frontend/webhook/payload.go
+++ b/internal/frontend/webhook/payload.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"time"
 
+	"functionrouter/internal/frontend/fieldvalue"
 	"functionrouter/internal/router"
 	"functionrouter/policy"
 )
@@ -68,7 +69,7 @@
 	case len(p.Data.Body) > maxRequestBodyBytes:
 		return deliveredRequest{}, errRequestBodyTooLarge
 	}
-	function, valid := router.ParseHexID(p.Data.FunctionKey)
+	function, valid := fieldvalue.ParseHexID(p.Data.FunctionKey)
 	if !valid {
 		return deliveredRequest{}, errMalformedKey
 	}
@@ -95,12 +96,12 @@
 	return deliveredRequest{request: request, eventTime: p.Timestamp, isOrder: isOrder}, nil
 }
 
-// isInRange reports whether every figure is a number within the bounds of package router.
+// isInRange reports whether every figure is a number within the bounds of package fieldvalue.
 func (d *callData) isInRange() bool {
-	waitInRange := router.InRange(d.WaitMs, router.MaxWaitMs)
-	memoryInRange := router.InRange(d.MemoryMB, router.MaxMemoryMB)
-	concurrencyInRange := router.InRange(d.Concurrency, router.MaxConcurrency)
-	loadTimeInRange := router.InRange(d.LoadMs, router.MaxLoadMs)
+	waitInRange := fieldvalue.InRange(d.WaitMs, fieldvalue.MaxWaitMs)
+	memoryInRange := fieldvalue.InRange(d.MemoryMB, fieldvalue.MaxMemoryMB)
+	concurrencyInRange := fieldvalue.InRange(d.Concurrency, fieldvalue.MaxConcurrency)
+	loadTimeInRange := fieldvalue.InRange(d.LoadMs, fieldvalue.MaxLoadMs)
 	return waitInRange && memoryInRange && concurrencyInRange && loadTimeInRange
 }
 
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -53,15 +53,3 @@
 	ClientAddr netip.AddrPort // for flow records only
 	ReceivedAt time.Duration  // set by Submit and RefuseAtOnce
 }
-
-// The largest figures that a request may give. No worker can hold a function beyond them, and they would distort the
-// policy's estimates.
-const (
-	MaxMemoryMB    = 1 << 20 // MiB
-	MaxConcurrency = 1024    // requests
-	MaxLoadMs      = 600_000 // milliseconds
-	MaxWaitMs      = 600_000 // milliseconds
-)
-
-// InRange reports whether v is a number from 0 to limit; NaN is not.
-func InRange(v, limit float64) bool { return v >= 0 && v <= limit }
