--- a/internal/eventloop/unread.go
+++ b/internal/eventloop/unread.go
@@ -25,7 +25,7 @@
 
 // limitUnread closes the connections whose peers have taken nothing for longest until the total is within the limit. One
 // whose unread bytes have begun in this turn is among the last of them: its peer may be reading. More bytes on top of
-// unread ones do not postpone a connection's turn: see setUnsent.
+// unread ones don't move a connection back in this order: see setUnsent.
 func (l *Loop) limitUnread() {
 	for l.totalUnread > l.cfg.MaxUnreadBytes {
 		stalled := l.longestStalled()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -42,7 +42,7 @@
 	NewWorkerPool func(*Router) WorkerPool
 	// OnRequestEnd, where set, is called once for each request, when it has ended. It is called on the event loop's
 	// goroutine, during the method of the Router that ends the request: before Responder.Respond if the request is
-	// answered at once by Submit or RefuseAtOnce, after it if the request was open. A cancelled request gets no Respond.
+	// answered at once by Submit or RefuseAtOnce, after it if the request was open. A request that Cancel ends gets no Respond.
 	// OnRequestEnd must not keep req, whose Body and Responder are dropped afterwards.
 	OnRequestEnd func(now time.Duration, req *Request, outcome RequestOutcome)
 }
