--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -21,11 +21,24 @@
 // UnknownTenant is the Tenant of a request that names none that the settings know.
 const UnknownTenant = -1
 
+// CancelCause says how a client made known that it no longer waits.
+type CancelCause uint8
+
+// The causes. Their names stand in the log.
+const (
+	// ClientInterrupted: the client withdrew the request.
+	ClientInterrupted CancelCause = iota // client_interrupted
+	// ClientDisconnected: the client's connection ended.
+	ClientDisconnected // client_disconnected
+)
+
 // Request is what a client asks for, as a frontend read it.
 type Request struct {
-	Frontend        Frontend
-	Responder       Responder
-	ID              string // the client's text, unique among the open requests
+	Frontend  Frontend
+	Responder Responder
+	// ID is the client's text. It must be unique among the pending requests: those that are open, and those that are
+	// closed and have attempts in flight. Submit fails a duplicate.
+	ID              string
 	ClientReference string // the client's own name for the request where that is not the ID, else ""
 	Class           int    // index in the settings
 	Tenant          int    // index in the settings, or UnknownTenant
@@ -40,15 +53,3 @@
 	ClientAddr netip.AddrPort // for flow records only
 	ReceivedAt time.Duration  // set by Submit and RefuseAtOnce
 }
-
-// The largest figures that a request may give. No worker can hold a function beyond them, and they would distort the
-// policy's estimates.
-const (
-	MaxMemoryMB    = 1 << 20 // MiB
-	MaxConcurrency = 1024    // requests
-	MaxLoadMs      = 600_000 // milliseconds
-	MaxWaitMs      = 600_000 // milliseconds
-)
-
-// InRange reports whether v is a number from 0 to limit; NaN is not.
-func InRange(v, limit float64) bool { return v >= 0 && v <= limit }
