--- a/internal/frontend/webhook/deduplication.go
+++ b/internal/frontend/webhook/deduplication.go
@@ -8,9 +8,17 @@
 )
 
 const (
-	maxDeliveries         = 20000 // remembered at once; beyond it new ones are refused, which bounds the memory
-	maxWaitingConnections = 16    // for the outcome of one delivery; beyond it redeliveries are refused
-	digestBytes           = 16    // of a payload's SHA-256 that are compared and stored
+	// maxDeliveries is how many webhook-ids are remembered before first deliveries are refused, which bounds the memory.
+	// Orders stay until they expire, so that no more than this may come in one retention of the ledger. The ledger may
+	// restore more.
+	maxDeliveries = 20000
+
+	// maxWaitingConnections bounds the connections that wait for the outcome of one delivery, those included that the
+	// client has closed since. Redeliveries beyond it are refused.
+	maxWaitingConnections = 16
+
+	// digestBytes is how many bytes of a payload's SHA-256 are compared and stored.
+	digestBytes = 16
 )
 
 // delivery is what is known of a webhook-id: its request is pending, or its outcome is kept for redeliveries.
@@ -45,7 +53,8 @@
 }
 
 // respondToWaiting answers all connections that wait for the delivery, in the sequence in which they arrived,
-// and handles what each has received meanwhile.
+// and handles what each has received meanwhile. The outcome must have been kept, or the delivery removed, before: the next
+// HTTP request on such a connection may carry the same webhook-id.
 func (d *delivery) respondToWaiting(r response) {
 	waiting := d.waiting
 	d.waiting = nil
@@ -59,7 +68,7 @@
 type deduplicator struct {
 	deliveries   map[string]*delivery
 	bodyBytes    int // of the outcomes that are kept
-	maxBodyBytes int // no delivery is added while bodyBytes is above it
+	maxBodyBytes int // isFull reports true while bodyBytes is above it
 }
 
 // newDeduplicator returns a deduplicator that remembers nothing yet.
@@ -70,12 +79,12 @@
 // find returns what is known of a webhook-id, or nil.
 func (d *deduplicator) find(id string) *delivery { return d.deliveries[id] }
 
-// isFull reports whether no further delivery may be added.
+// isFull reports whether no further first delivery may be added. The caller checks it; add itself has no limit.
 func (d *deduplicator) isFull() bool {
 	return len(d.deliveries) >= maxDeliveries || d.bodyBytes > d.maxBodyBytes
 }
 
-// add remembers a delivery, which replaces any other with its webhook-id.
+// add remembers a delivery. No other with its webhook-id may be remembered: its body would stay in bodyBytes.
 func (d *deduplicator) add(added *delivery) { d.deliveries[added.id] = added }
 
 // remove forgets a delivery. The next one with its webhook-id is a first one.
--- a/internal/frontend/webhook/receiver.go
+++ b/internal/frontend/webhook/receiver.go
@@ -12,14 +12,14 @@
 	"functionrouter/policy"
 )
 
-// defaultRetryAfter is the Retry-After of what is refused without advice from the policy.
+// defaultRetryAfter is the Retry-After of what this package refuses with 503 by itself: the policy has given no advice.
 const defaultRetryAfter = time.Second
 
-// refusalLogInterval is the minimum time between two log lines about refused deliveries. Otherwise anyone who can connect
-// could fill the log.
+// refusalLogInterval is the minimum time between two log lines about deliveries without a valid signature or with a payload
+// that can't be used. Otherwise anyone who can connect could fill the log. Other refusals are not logged.
 const refusalLogInterval = time.Second
 
-// Why a delivery is refused although its signature is valid.
+// Why a delivery is refused although its signature is valid, besides the errors of its payload.
 var (
 	errPayloadMismatch = errors.New("webhook-id was used for another payload")
 	errOverloaded      = errors.New("too many deliveries are remembered or waiting")
@@ -28,18 +28,22 @@
 
 // RequestRouter routes the requests that deliveries carry. A *router.Router is one.
 type RequestRouter interface {
-	// Submit routes a request and returns its ID. now is the event loop's clock. The request's Responder gets the final
-	// answer, before Submit returns or later.
+	// Submit routes a request and returns its ID, which the Receiver ignores: it never cancels a request. now is the event
+	// loop's clock. The request's Responder gets the final answer once, before Submit returns or later on the event loop's
+	// goroutine. It may call Submit again before it returns.
 	Submit(now time.Duration, r router.Request) policy.RequestID
 }
 
-// Transport is a connection to a peer. An *eventloop.Conn is one.
+// Transport is a connection to a peer. An *eventloop.Conn is one. None of its methods calls the connection's handler
+// before it returns, other than HasOpenRequests.
 type Transport interface {
-	// Write queues bufs for sending. They belong to the Transport from then on.
+	// Write queues bufs for sending, one after the other. Neither the caller nor the Transport changes their bytes
+	// afterwards; the caller may write them again, also to another Transport.
 	Write(bufs ...[]byte)
-	// Close closes the connection at once.
+	// Close closes the connection at once and drops what has not been sent. A second call does nothing.
 	Close()
-	// CloseAfterFlush closes the connection when everything written has been sent.
+	// CloseAfterFlush closes the connection when everything written has been sent. Nothing more is received, and later
+	// writes are dropped.
 	CloseAfterFlush()
 }
 
@@ -47,17 +51,18 @@
 type Class struct {
 	Name          string
 	CarriesOrders bool          // its requests must never run twice: they go through the ledger
-	MaxWait       time.Duration // how long a request may wait for its final answer, and does where the payload gives no wait
+	MaxWait       time.Duration // bounds the wait for the final answer; it is the wait if the payload gives none
 }
 
-// Counters counts HTTP requests by what was done with them.
+// Counters counts HTTP requests by what was done with them. First deliveries whose request was submitted, and deliveries
+// that were refused with errOverloaded, are in Deliveries alone.
 type Counters struct {
 	Deliveries    uint64 // with the right path and method
 	Unauthorized  uint64 // of Deliveries: without a valid signature
-	Malformed     uint64 // that can't be parsed, have another path or method, or a payload that can't be used
-	Replayed      uint64 // redeliveries answered with the outcome of the first delivery
-	Joined        uint64 // redeliveries that waited for the outcome of the first delivery
-	LedgerRefused uint64 // orders that could not be recorded
+	Malformed     uint64 // that can't be parsed, or have another path or method; of Deliveries: that have an unusable payload
+	Replayed      uint64 // of Deliveries: redeliveries answered with the outcome of the first delivery
+	Joined        uint64 // of Deliveries: redeliveries that waited for the outcome of the first delivery
+	LedgerRefused uint64 // of Deliveries: orders that could not be recorded, or found no ledger
 }
 
 // Receiver serves signed webhooks. It belongs to the event loop's goroutine.
@@ -80,22 +85,29 @@
 
 // ReceiverOptions is what a Receiver is built from.
 type ReceiverOptions struct {
-	File           *Config // as the operators wrote it
-	Router         RequestRouter
-	Classes        []Class // as the settings list them: a request carries the index of its own
-	MaxReplayBytes int     // of the bodies that are kept for redeliveries, together
+	File    *Config // from ReadConfig; the Receiver keeps it and does not change it
+	Router  RequestRouter
+	Classes []Class // as the settings list them: a request carries the index of its own
 
-	Now       func() time.Duration // the event loop's clock
-	WallClock func() time.Time     // for signatures, which carry the time, and the ledger
+	// MaxReplayBytes bounds the bodies that are kept for redeliveries, together: above it, first deliveries are refused.
+	// Requests that are already pending may exceed it by their outcomes.
+	MaxReplayBytes int
 
-	// RunOnLoop runs a function on the event loop's goroutine. It may be called on any goroutine.
+	// Now is the event loop's clock.
+	Now func() time.Duration
+	// WallClock gives the time for signatures, which carry it, and for the ledger. It may be called on any goroutine, also
+	// on two at the same time.
+	WallClock func() time.Time
+
+	// RunOnLoop queues a function to be run later on the event loop's goroutine. It may be called on any goroutine, and
+	// must not block.
 	RunOnLoop func(func())
 }
 
 // NewReceiver returns a Receiver that hands requests to the router.
 //
-// It reads the keys and the ledger, and starts the ledger's writer, which Close ends. An error names the file that can't
-// be used.
+// It reads the keys, and reads and compacts the ledger. It starts the ledger's writer, which Close ends. An error of a key
+// names the key's file; that of a damaged ledger names the line, not the file.
 func NewReceiver(options ReceiverOptions) (*Receiver, error) {
 	r := &Receiver{
 		settings:     &options.File.Receiver,
@@ -140,7 +152,8 @@
 	return nil
 }
 
-// Close waits until the ledger's entries are written, and ends its writer. No delivery may arrive after it.
+// Close waits until the ledger's entries are written and synced, and ends its writer. It is called once, when the event
+// loop no longer runs: neither a delivery nor the final answer to an order may arrive afterwards.
 func (r *Receiver) Close() error {
 	if r.ledger == nil {
 		return nil
@@ -148,7 +161,7 @@
 	return r.ledger.close()
 }
 
-// Accept returns the handler of a connection that a client has opened.
+// Accept returns the handler of a connection that a client has opened. The event loop owns both.
 func (r *Receiver) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
 	return r.serve(c, c.RemoteAddr())
 }
@@ -158,7 +171,8 @@
 	return &connection{receiver: r, transport: transport, clientAddr: clientAddr}
 }
 
-// Sweep forgets outcomes that have expired at now, on the event loop's clock. It is to be called from time to time.
+// Sweep forgets the outcomes that have expired: those of orders by the wall clock, the others by now, the event loop's
+// clock. It must be called regularly: until then, expired outcomes count towards the limits.
 func (r *Receiver) Sweep(now time.Duration) {
 	r.deliveries.sweep(now-r.settings.DedupeFor, r.wallClock().Add(-r.settings.Ledger.Retention))
 }
@@ -178,6 +192,8 @@
 		c.refuse(err)
 		return
 	}
+	// A redelivery is answered before its payload is parsed: the checks of the payload, such as that of the retention, and
+	// the limit on deliveries must not keep a client from an outcome that is known.
 	digest := payloadDigest(body)
 	if known := r.deliveries.find(id); known != nil {
 		r.handleRedelivery(c, known, digest)
@@ -242,6 +258,8 @@
 		c.refuse(errNoLedger)
 		return
 	}
+	// The delivery is added first: the answer may come before submit returns, and a redelivery while the order is being
+	// recorded must find it.
 	d.waiting = []*connection{c}
 	r.deliveries.add(d)
 	if !d.isOrder {
@@ -249,13 +267,13 @@
 		return
 	}
 	r.ledger.recordStart(d.ledgerEntry(orderBegun), func(err error) {
-		r.runOnLoop(func() { r.submitRecorded(d, request, err) })
+		r.runOnLoop(func() { r.handleRecorded(d, request, err) })
 	})
 }
 
-// submitRecorded submits an order that the ledger has recorded. If the ledger has failed to, with err, the order is
-// refused, and its next delivery is a first one.
-func (r *Receiver) submitRecorded(d *delivery, request router.Request, err error) {
+// handleRecorded handles the end of an order's recording. It submits an order that has been recorded. If err says that the
+// ledger has failed to record it, the order is refused, and its next delivery is a first one.
+func (r *Receiver) handleRecorded(d *delivery, request router.Request, err error) {
 	if err != nil { // the ledger has logged it, unless its queue was full
 		r.Counters.LedgerRefused++
 		r.deliveries.remove(d)
@@ -271,7 +289,8 @@
 	r.router.Submit(r.now(), request)
 }
 
-// logRefusal logs why a delivery was refused, at most once in refusalLogInterval. The counters count all of them.
+// logRefusal logs why a delivery was refused, at most once in refusalLogInterval whatever the message. The counters
+// Unauthorized and Malformed count all of them.
 func (r *Receiver) logRefusal(message string, err error) {
 	now := r.now()
 	if now < r.nextRefusalLog {
--- a/internal/frontend/webhook/responder.go
+++ b/internal/frontend/webhook/responder.go
@@ -12,8 +12,8 @@
 	delivery *delivery
 }
 
-// Respond answers all connections that wait for the delivery. An answer after which the request may have run is kept for
-// redeliveries. Where it is proven that the request never ran, the next delivery of the webhook-id is a first one.
+// Respond answers all connections that wait for the delivery. The answer is kept for redeliveries, except a refusal with
+// the proof that the request never ran: the next delivery of the webhook-id is then a first one.
 func (r *responder) Respond(a router.Response) {
 	if a.Status == router.Refused && !a.MayHaveRun {
 		r.release(a)
@@ -22,7 +22,7 @@
 	r.complete(a)
 }
 
-// release forgets a delivery whose request never ran, and answers the connections that wait for it.
+// release forgets a delivery whose request was refused and never ran, and answers the connections that wait for it.
 func (r *responder) release(a router.Response) {
 	r.receiver.deliveries.remove(r.delivery)
 	if r.delivery.isOrder {
@@ -35,7 +35,7 @@
 	r.delivery.respondToWaiting(response{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
 }
 
-// complete keeps the outcome of a delivery whose request may have run, and answers the connections that wait for it.
+// complete keeps the outcome of a delivery and answers the connections that wait for it.
 func (r *responder) complete(a router.Response) {
 	r.receiver.deliveries.complete(r.delivery, r.receiver.now(), outcomeOf(a))
 	if r.delivery.isOrder {
@@ -44,7 +44,7 @@
 	r.delivery.respondToWaiting(r.delivery.outcome)
 }
 
-// outcomeOf returns the response to a delivery whose request may have run, and to its redeliveries.
+// outcomeOf returns the response to a delivery that is not released, and to its redeliveries.
 func outcomeOf(a router.Response) response {
 	switch {
 	case a.Status == router.Served:
@@ -52,7 +52,7 @@
 	case a.DeadlineExceeded:
 		return response{status: http.StatusGatewayTimeout}
 	default:
-		// Also a refused request that may have run: a redelivery must not run it again.
+		// The request has failed, or was refused and may have run: a redelivery must not run it again.
 		return response{status: http.StatusBadGateway}
 	}
 }
