--- a/internal/frontend/webhook/connection.go
+++ b/internal/frontend/webhook/connection.go
@@ -1,16 +1,13 @@
 package webhook
 
-import (
-	"net/netip"
-	"time"
-)
+import "net/netip"
 
 // maxDiscardedBytes is how much is received and discarded after an HTTP request that could not be parsed, before the
 // connection is closed.
 const maxDiscardedBytes = 256 << 10
 
 // connection is a client's connection. It handles one HTTP request at a time; pipelined ones wait in buffered. It is the
-// event loop's handler of the connection.
+// event loop's handler of the connection, and stays in delivery.waiting after its end until the outcome is known.
 type connection struct {
 	receiver   *Receiver
 	transport  Transport
@@ -20,24 +17,18 @@
 	head                 *requestHead // of the HTTP request whose body is still incomplete
 	httpRequestsReceived int          // complete ones
 
-	awaitingResponse bool // an HTTP request is owed a response
+	awaitingResponse bool // a complete HTTP request is owed a response
 	closesNext       bool // the next response is the last one
-	finished         bool // no further HTTP request is read
+	finished         bool // what arrives is discarded, and nothing is written any more
 	discardedBytes   int  // received after finished was set
 }
 
-// response is the answer to an HTTP request.
-type response struct {
-	status     int // HTTP status code
-	body       []byte
-	retryAfter time.Duration // of 503; 0: at least one second, see responseHead
-}
-
 // HasOpenRequests reports whether a response is owed.
 func (c *connection) HasOpenRequests() bool { return c.awaitingResponse }
 
 // MessageProgress returns how many complete HTTP requests have been received and whether the beginning of another has.
-// What a client sends after the last response counts as a beginning.
+// After finish it reports a beginning that never ends, so that the event loop closes the connection after its timeout for
+// one message, which is shorter than that for an idle connection.
 func (c *connection) MessageProgress() (complete int, partial bool) {
 	return c.httpRequestsReceived, c.finished || c.head != nil || len(c.buffered) > 0
 }
@@ -52,8 +43,9 @@
 		return
 	}
 	c.buffered = append(c.buffered, b...)
-	if c.awaitingResponse && len(c.buffered) > maxHeadBytes+maxBodyBytes {
-		// The client sends on without waiting for the response.
+	if c.awaitingResponse && len(c.buffered) > maxHeadBytes+maxHTTPBodyBytes {
+		// The client sends on without waiting for the response: the buffer must not grow without a bound. While no response
+		// is owed, the limits on an HTTP request bound it.
 		c.finish()
 		c.transport.Close()
 		return
@@ -62,7 +54,7 @@
 }
 
 // OnEndOfInput makes the next response the last one. A response that is owed is still written: a client that has closed
-// its side may still read.
+// its side may still read. Pipelined HTTP requests behind it are dropped without a response.
 func (c *connection) OnEndOfInput() { c.closesNext = true }
 
 // OnClose ends the connection. A pending request goes on: the client gets its outcome with a redelivery.
@@ -89,7 +81,8 @@
 	}
 }
 
-// readHead parses the head of the next HTTP request. It returns false if the head is incomplete, or was refused.
+// readHead parses the head of the next HTTP request, and writes 100 Continue if the client waits for it before it sends
+// the body. It returns false if the head is incomplete, or was refused.
 func (c *connection) readHead() bool {
 	head, size, err := parseRequestHead(c.buffered)
 	if err != nil {
@@ -109,11 +102,12 @@
 	return true
 }
 
-// takeHTTPRequest removes the first HTTP request, which is complete, from buffered. The returned parts keep its bytes.
+// takeHTTPRequest removes the body of the first HTTP request, which is complete, from buffered. From now on the request is
+// owed a response. What it returns points into the old buffer, which does not change any more.
 func (c *connection) takeHTTPRequest() (head *requestHead, body []byte) {
 	head = c.head
 	body = c.buffered[:head.contentLength:head.contentLength]
-	c.buffered = append([]byte(nil), c.buffered[head.contentLength:]...) // head and body point into the old buffer
+	c.buffered = append([]byte(nil), c.buffered[head.contentLength:]...)
 	c.head = nil
 	c.closesNext = head.closeRequested
 	c.awaitingResponse = true
@@ -121,12 +115,13 @@
 	return head, body
 }
 
-// refuse answers the current HTTP request with the status that err maps to.
+// refuse answers the current HTTP request, which may be incomplete, with the status that err maps to.
 func (c *connection) refuse(err error) {
 	c.respond(response{status: statusOf(err), retryAfter: defaultRetryAfter})
 }
 
-// respond writes the response to the current HTTP request, and ends the connection after the last one.
+// respond writes the response to the current HTTP request, and finishes the connection after the last one. It does not
+// handle what is buffered: the caller does. It writes nothing if the connection is finished.
 func (c *connection) respond(r response) {
 	requestComplete := c.awaitingResponse
 	c.awaitingResponse = false
@@ -143,5 +138,6 @@
 		c.transport.CloseAfterFlush()
 	}
 	// Otherwise the client may still be sending: closing now would reset the connection before the client has read the
-	// response (RFC 9112, section 9.6). The client closes it, or else maxDiscardedBytes or the idle timeout does.
+	// response (RFC 9112, section 9.6). The client closes it, or else maxDiscardedBytes or a timeout does; see
+	// MessageProgress.
 }
--- a/internal/frontend/webhook/connection_test.go
+++ b/internal/frontend/webhook/connection_test.go
@@ -101,7 +101,7 @@
 		transport := &testsupport.Transport{}
 		c := receiver.serve(transport, netip.AddrPort{})
 		c.OnData(signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", "x", noon)))
-		c.OnData(make([]byte, maxHeadBytes+maxBodyBytes))
+		c.OnData(make([]byte, maxHeadBytes+maxHTTPBodyBytes))
 		if transport.Closed {
 			t.Error("closed within the bound")
 		}
--- a/internal/frontend/webhook/doc.go
+++ b/internal/frontend/webhook/doc.go
@@ -10,7 +10,7 @@
 // A request is what a first delivery asks the router for. Its outcome is the HTTP response to the first delivery and to
 // each redelivery, unless the request was refused and proven never to have run: then the webhook-id is forgotten. An order
 // is a request that must never run twice, whatever the client and the machine do. A notice tells a receiver outside the
-// platform how a request ended; each send of it is an attempt, which is not an attempt of a request.
+// platform how an order ended; each send of it is an attempt of the notice, not of the order.
 //
 // # The way of a delivery
 //
--- a/internal/frontend/webhook/http_request.go
+++ b/internal/frontend/webhook/http_request.go
@@ -13,13 +13,13 @@
 
 // The limits on an HTTP request. They bound what a connection keeps of it.
 const (
-	maxHeadBytes    = 8 << 10  // the request line and the header lines
-	maxHeaderFields = 64       // header lines
-	maxBodyBytes    = 24 << 10 // a request of maxRequestBodyBytes in base64, which takes a third more, and its other fields
-)
+	maxHeadBytes    = 8 << 10 // the request line and the header lines, with the empty line that ends them
+	maxHeaderFields = 64      // header lines
 
-// maxRequestBodyBytes bounds the body of a delivery's request, once it is decoded from base64.
-const maxRequestBodyBytes = 16 << 10
+	// maxHTTPBodyBytes bounds the body of an HTTP request, which is a payload. One with a request body of
+	// maxRequestBodyBytes fits: base64 makes a third more of it, and 2 KiB are left for the other fields.
+	maxHTTPBodyBytes = 24 << 10
+)
 
 // Why an HTTP request can't be parsed. The end of its body is then unknown, so that no further one can be read from the
 // connection.
@@ -31,7 +31,7 @@
 	errTransferEncoding     = errors.New("transfer codings are not supported")
 	errContentLength        = errors.New("missing, repeated or malformed Content-Length")
 	errHeadTooLarge         = errors.New("request head is too large")
-	errBodyTooLarge         = errors.New("request body is too large")
+	errHTTPBodyTooLarge     = errors.New("request body is too large")
 )
 
 // Why an HTTP request that could be parsed is no delivery.
@@ -46,7 +46,7 @@
 	target          []byte
 	fields          []headerField
 	contentLength   int  // bytes of the body, which follows the head
-	closeRequested  bool // the client asked for the connection to be closed
+	closeRequested  bool // the last Connection field is "close" alone; a list is not understood
 	expectsContinue bool // the client waits for 100 Continue before it sends the body
 }
 
@@ -56,7 +56,8 @@
 	value []byte
 }
 
-// field returns the value of the last header field with the name, in any case, and the count of such fields.
+// field returns the value of the last header field with the name, and the count of such fields. Upper and lower case in
+// names are the same.
 func (h *requestHead) field(name string) (value []byte, count int) {
 	for _, f := range h.fields {
 		if len(f.name) == len(name) && bytes.EqualFold(f.name, []byte(name)) {
@@ -67,8 +68,8 @@
 	return value, count
 }
 
-// parseRequestHead parses the head at the front of b, in place. It returns the head's size in bytes, 0 while the head is
-// incomplete.
+// parseRequestHead parses the head at the front of b, in place: the parts of head point into b. It returns the head's size
+// in bytes, 0 while the head is incomplete.
 func parseRequestHead(b []byte) (head requestHead, size int, err error) {
 	end := bytes.Index(b[:min(len(b), maxHeadBytes)], []byte("\r\n\r\n"))
 	if end < 0 {
@@ -94,7 +95,8 @@
 	return head, end + len("\r\n\r\n"), nil
 }
 
-// checkIncompleteHead returns an error if no further bytes can complete b to a valid head.
+// checkIncompleteHead returns an error if b is too long for a head, or if its first line ends with a bare line feed. A bare
+// line feed in a later line is found by parseFields, once the head is complete.
 func checkIncompleteHead(b []byte) error {
 	if len(b) >= maxHeadBytes {
 		return errHeadTooLarge
@@ -175,8 +177,8 @@
 		}
 	}
 	length, err := strconv.Atoi(string(text))
-	if err != nil || length > maxBodyBytes { // digits alone fail only where the number is too large for an int
-		return 0, errBodyTooLarge
+	if err != nil || length > maxHTTPBodyBytes { // digits alone fail only where the number is too large for an int
+		return 0, errHTTPBodyTooLarge
 	}
 	return length, nil
 }
--- a/internal/frontend/webhook/http_response.go
+++ b/internal/frontend/webhook/http_response.go
@@ -7,6 +7,13 @@
 	"time"
 )
 
+// response is the answer to an HTTP request.
+type response struct {
+	status     int // HTTP status code
+	body       []byte
+	retryAfter time.Duration // of 503; see responseHead
+}
+
 // statusOf returns the status code (RFC 9110, section 15) of the response to an HTTP request that is refused with err.
 func statusOf(err error) int {
 	switch {
@@ -16,7 +23,7 @@
 		return http.StatusNotFound
 	case errors.Is(err, errMethodNotAllowed):
 		return http.StatusMethodNotAllowed
-	case errors.Is(err, errBodyTooLarge):
+	case errors.Is(err, errHTTPBodyTooLarge):
 		return http.StatusRequestEntityTooLarge
 	case errors.Is(err, errHeadTooLarge):
 		return http.StatusRequestHeaderFieldsTooLarge
@@ -38,7 +45,8 @@
 // continueResponse makes a client that expects it send the body of its HTTP request (RFC 9110, section 15.2.1).
 const continueResponse = protocolVersion + " 100 Continue\r\n\r\n"
 
-// responseHeadCapacity is the initial size of a response head's buffer, in bytes, so that one allocation is enough.
+// responseHeadCapacity is the initial size of a response head's buffer, in bytes. Each response head fits, so that the
+// buffer need not grow.
 const responseHeadCapacity = 192
 
 // responseHead is the head of a response.
@@ -46,7 +54,7 @@
 	status        int           // HTTP status code
 	contentLength int           // bytes
 	closes        bool          // the connection is closed after the response
-	retryAfter    time.Duration // of 503: sent in whole seconds, rounded up, at least one
+	retryAfter    time.Duration // of 503; sent in whole seconds, rounded up, at least one
 }
 
 // encode returns the head's bytes.
--- a/internal/frontend/webhook/payload.go
+++ b/internal/frontend/webhook/payload.go
@@ -15,6 +15,10 @@
 // payloadType is the type of the only event that the Receiver accepts.
 const payloadType = "call.requested"
 
+// maxRequestBodyBytes bounds the body of a delivery's request, once it is decoded from base64. It is the limit of the
+// Thrift frontend too.
+const maxRequestBodyBytes = 16 << 10
+
 // Why a payload is refused.
 var (
 	errNotJSON             = errors.New("payload can't be decoded")
@@ -30,7 +34,7 @@
 // webhook-id and the time.
 type payload struct {
 	Type      string    `json:"type"`
-	Timestamp time.Time `json:"timestamp"` // of the event; the same in each redelivery
+	Timestamp time.Time `json:"timestamp"` // of the event, RFC 3339; the same in each redelivery
 	Data      callData  `json:"data"`
 }
 
@@ -39,7 +43,7 @@
 type callData struct {
 	Class       string  `json:"class"`
 	FunctionKey string  `json:"key"`
-	WaitMs      float64 `json:"wait_ms"`   // how long the client waits, in milliseconds; 0: as long as the class allows
+	WaitMs      float64 `json:"wait_ms"`   // how long the client waits, in milliseconds; 0: the class's MaxWait
 	MemoryMB    float64 `json:"memory_mb"` // of one instance, in MiB
 	Concurrency float64 `json:"lanes"`     // requests that one instance runs at a time
 	LoadMs      float64 `json:"load_ms"`   // usual time to load an instance, in milliseconds; 0: not given
@@ -53,7 +57,8 @@
 	isOrder   bool // it must never run twice
 }
 
-// parsePayload parses a payload whose signature was verified.
+// parsePayload turns a payload whose signature was verified into a request. It does not keep body. Its errors are those
+// above; errNotJSON is wrapped with the decoder's.
 func (r *Receiver) parsePayload(body []byte) (deliveredRequest, error) {
 	var p payload
 	if err := json.Unmarshal(body, &p); err != nil {
@@ -104,15 +109,16 @@
 	return waitInRange && memoryInRange && concurrencyInRange && loadTimeInRange
 }
 
-// isWithinRetention reports whether the ledger, if it ever recorded an order of this event, has it still and keeps it
-// for as long as the delivery's signature is valid. An older order may have run and been forgotten.
+// isWithinRetention reports whether an order of this event may be a first delivery. It may not if the event is so old that
+// the ledger could have forgotten the order, or could forget it while this delivery's signature is still valid: the order
+// may have run, or the delivery may be sent again. It may not either if the event is more than a tolerance in the future.
 func (r *Receiver) isWithinRetention(eventTime time.Time) bool {
 	age := r.wallClock().Sub(eventTime)
-	oldest := r.settings.Ledger.Retention - signatureValidityInTolerances*r.settings.Tolerance
-	return age <= oldest && age >= -r.settings.Tolerance
+	maxAge := r.settings.Ledger.Retention - signatureValidityInTolerances*r.settings.Tolerance
+	return age <= maxAge && age >= -r.settings.Tolerance
 }
 
-// wait returns how long a request of the class may wait for its final answer. waitMs is from the payload.
+// wait returns how long a request may wait for its final answer. class is the index of its class, waitMs the payload's.
 func (r *Receiver) wait(class int, waitMs float64) time.Duration {
 	maxWait := r.classes[class].MaxWait
 	wait := milliseconds(waitMs)
--- a/internal/frontend/webhook/receiver.go
+++ b/internal/frontend/webhook/receiver.go
@@ -59,7 +59,7 @@
 type Counters struct {
 	Deliveries    uint64 // with the right path and method
 	Unauthorized  uint64 // of Deliveries: without a valid signature
-	Malformed     uint64 // that can't be parsed, or have another path or method; of Deliveries: that have an unusable payload
+	Malformed     uint64 // that can't be parsed, have another path or method, or a payload that can't be used
 	Replayed      uint64 // of Deliveries: redeliveries answered with the outcome of the first delivery
 	Joined        uint64 // of Deliveries: redeliveries that waited for the outcome of the first delivery
 	LedgerRefused uint64 // of Deliveries: orders that could not be recorded, or found no ledger
--- a/internal/frontend/webhook/signature.go
+++ b/internal/frontend/webhook/signature.go
@@ -60,7 +60,8 @@
 	return k.retiredAt.IsZero() || now.Before(k.retiredAt)
 }
 
-// readSecret reads a key file: secretPrefix and the secret in base64. Its errors never show parts of the secret.
+// readSecret reads a key file: secretPrefix and the secret in base64, perhaps with space around it. Its errors name the
+// file and never show parts of the secret.
 func readSecret(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -80,7 +81,7 @@
 	return secret, nil
 }
 
-// authenticationCode is the HMAC-SHA256 of id.timestamp.body.
+// authenticationCode returns the HMAC-SHA256 of the text that the specification has signed: ID.TIMESTAMP.BODY.
 func authenticationCode(secret []byte, id, timestamp string, body []byte) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte(id + "." + timestamp + "."))
@@ -88,7 +89,7 @@
 	return h.Sum(nil)
 }
 
-// sign returns the value of webhook-signature.
+// sign returns the value of webhook-signature. timestamp is in seconds since 1970, as webhook-timestamp gives it.
 func sign(secret []byte, id, timestamp string, body []byte) string {
 	return signatureVersion + base64.StdEncoding.EncodeToString(authenticationCode(secret, id, timestamp, body))
 }
@@ -98,7 +99,7 @@
 	id         string
 	timestamp  string    // as received: it is part of what is signed
 	sentAt     time.Time // the timestamp's time
-	signatures [][]byte
+	signatures [][]byte  // with their versions; they point into the HTTP request
 }
 
 // parseSignedHeaders parses the three header fields, each of which must occur once.
@@ -109,7 +110,7 @@
 	if idCount != 1 || timestampCount != 1 || listCount != 1 {
 		return nil, errMalformedSignature
 	}
-	// With dots in the ID one signed text could stand for two different deliveries; see authenticationCode.
+	// If an ID could have dots, one signed text could stand for two different deliveries; see authenticationCode.
 	if len(id) == 0 || len(id) > maxIDBytes || bytes.IndexByte(id, '.') >= 0 {
 		return nil, errMalformedSignature
 	}
@@ -156,8 +157,8 @@
 	return matches
 }
 
-// verifySignature returns a delivery's webhook-id where an active key signed it within tolerance of now. Its error is
-// errMalformedSignature, errNoMatchingKey or errStaleTimestamp.
+// verifySignature returns a delivery's webhook-id if an active key signed it and its timestamp is within tolerance of now.
+// Else its error is the first that applies of errMalformedSignature, errNoMatchingKey and errStaleTimestamp.
 func verifySignature(head *requestHead, body []byte, keys []signingKey, now time.Time, tolerance time.Duration) (id string, err error) {
 	headers, err := parseSignedHeaders(head)
 	if err != nil {
