--- a/internal/frontend/webhook/attempt.go
+++ b/internal/frontend/webhook/attempt.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// maxReplyBytes is how much of a reply is searched for its status line.
+// maxReplyBytes is how much of a reply is searched for its status line. It does not bound the header fields of an interim
+// reply, which are kept until they are complete or the attempt times out.
 const maxReplyBytes = 8 << 10
 
 // Why an attempt ended without a status.
@@ -26,8 +27,8 @@
 	notice    *notice
 	transport Transport
 	deadline  time.Duration // on the event loop's clock
-	reply     []byte        // received so far, without interim replies
-	ended     bool          // reported to the Sender
+	reply     []byte        // received so far, without complete interim replies
+	ended     bool          // reported to the Sender; nothing more is done
 }
 
 // OnOpen sends the notice, signed with the time of this attempt, or ends the attempt if the dial has failed.
@@ -39,11 +40,11 @@
 	if a.ended {
 		return
 	}
-	a.transport.Write(a.requestHead(), a.notice.body)
+	a.transport.Write(a.encodeRequestHead(), a.notice.body)
 }
 
-// requestHead returns the head of the HTTP request that carries the notice.
-func (a *attempt) requestHead() []byte {
+// encodeRequestHead returns the head of the HTTP request that carries the notice.
+func (a *attempt) encodeRequestHead() []byte {
 	target := a.sender.url
 	id := a.notice.id
 	body := a.notice.body
@@ -108,8 +109,8 @@
 	a.end(0, err)
 }
 
-// end closes the connection and reports the attempt's end to the Sender, once: with the reply's HTTP status, or 0 and an
-// error.
+// end closes the connection and reports the attempt's end to the Sender, once: with the reply's HTTP status and no error, or
+// with status 0. err then says why there is no reply; it is nil if the reply's status line is malformed.
 func (a *attempt) end(status int, err error) {
 	if a.ended {
 		return
--- a/internal/frontend/webhook/config.go
+++ b/internal/frontend/webhook/config.go
@@ -11,7 +11,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Config is what the webhook file sets (deploy/webhook.toml).
+// Config is what the webhook file sets (deploy/webhook.toml). A Receiver and a Sender
+// read it as long as they are used: it must not change.
 type Config struct {
 	Receiver ReceiverConfig `toml:"receiver"`
 	Sender   SenderConfig   `toml:"sender"`
@@ -30,10 +31,10 @@
 	Ledger    LedgerConfig  `toml:"ledger"`
 }
 
-// LedgerConfig sets the ledger of orders. Without a path orders are refused.
+// LedgerConfig sets the ledger of orders. Without a path orders are refused, and the rest is not checked.
 type LedgerConfig struct {
 	Path     string `toml:"path"`
-	MaxBytes int64  `toml:"max_bytes"` // of the file
+	MaxBytes int64  `toml:"max_bytes"` // of the file; what is retained at the start may exceed it
 	// Retention is how long an order is kept, counted from its event.
 	Retention time.Duration `toml:"retention"`
 }
@@ -42,13 +43,13 @@
 type SenderConfig struct {
 	Enabled bool   `toml:"enabled"`
 	URL     string `toml:"url"` // http://HOST/PATH
-	// Connect is the address to connect to, if it is not the URL's host.
+	// Connect is the HOST:PORT to connect to, if it is not the URL's. It is not checked.
 	Connect  string        `toml:"connect"`
 	Key      string        `toml:"key"`      // path of the key file
-	Queue    int           `toml:"queue"`    // the most notices that are open at once
+	Queue    int           `toml:"queue"`    // the most notices that are open at once, those with an attempt in flight included
 	Attempts int           `toml:"attempts"` // the most for one notice
-	Backoff  time.Duration `toml:"backoff"`  // between the first attempt and the second; see retryDelay
-	Timeout  time.Duration `toml:"timeout"`  // of an attempt
+	Backoff  time.Duration `toml:"backoff"`  // the longest random delay before the second attempt; see retryDelay
+	Timeout  time.Duration `toml:"timeout"`  // of an attempt, its dial included
 }
 
 // KeyConfig names a key file, and the time at which the key is retired.
@@ -63,10 +64,11 @@
 
 // The bounds of the settings.
 const (
-	minTolerance   = time.Second // timestamps are in whole seconds
-	minLedgerBytes = 1 << 17     // 128 KiB, twice the longest line of the ledger (maxLedgerLine)
+	minTolerance   = time.Second       // timestamps are in whole seconds
+	minLedgerBytes = 2 * maxLedgerLine // 128 KiB
 
-	// A shorter dedupe_for would forget an outcome while a redelivery may still be valid.
+	// With a shorter dedupe_for, an outcome would be forgotten while a redelivery may still be valid, and the request
+	// would run again.
 	minDedupeInTolerances = signatureValidityInTolerances
 
 	// Orders are refused in the last signatureValidityInTolerances of the retention; see isWithinRetention. This minimum
@@ -96,7 +98,8 @@
 
 func (e *settingError) Unwrap() error { return e.reason }
 
-// ReadConfig reads and checks a webhook file. Its errors name the file, and where there is one the setting.
+// ReadConfig reads and checks the webhook file at path. Its errors name the file, and if a setting can't be used, the
+// setting. That of a file that can't be read wraps the error of package fs. Neither the key files nor the ledger are read.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -105,7 +108,7 @@
 	return parseConfig(path, string(text))
 }
 
-// defaultConfig returns the settings of an empty file.
+// defaultConfig returns the settings of an empty file. deploy/webhook.toml shows the same, with what they do.
 func defaultConfig() *Config {
 	return &Config{
 		Receiver: ReceiverConfig{
--- a/internal/frontend/webhook/ledger.go
+++ b/internal/frontend/webhook/ledger.go
@@ -12,16 +12,18 @@
 // Why the ledger can't be opened, or can't take an order.
 var (
 	errLedgerInUse   = errors.New("ledger is in use")
-	errLedgerFull    = errors.New("ledger is full")
+	errLedgerFull    = errors.New("ledger is full") // the file, or the writer's queue
 	errLedgerFailed  = errors.New("ledger is out of use after a failed write")
 	errLedgerDamaged = errors.New("damaged")
 )
 
 const (
-	// ledgerQueueLength is how many entries may wait for the writer. While it is full, orders are refused.
+	// ledgerQueueLength is how many entries may wait for the writer. While the queue is full, orders are refused, and
+	// entries of ended and released orders are dropped.
 	ledgerQueueLength = 256
 
-	// compactionInterval is the minimum time between two compactions of a full ledger, each of which rewrites the file.
+	// compactionInterval is the minimum time from a compaction, that at the start included, to the next one of a full
+	// ledger: each rewrites the file.
 	compactionInterval = time.Minute
 
 	// ledgerFileMode keeps the outcomes of orders from other users.
@@ -32,13 +34,14 @@
 // entry is on the disk before the order is first sent to a worker. So an order without an entry has never been
 // sent, and one whose last entry is "begun" may have run.
 //
-// One goroutine, the writer, owns the file from the end of openLedger until close returns. The event loop's goroutine
-// only puts entries into the queue, so that a slow disk delays no other request.
+// One goroutine, the writer, owns the file from the end of openLedger until it closes writerDone. The event loop's
+// goroutine only puts entries into the queue, so that a slow disk delays no other request. One queue for all entries keeps
+// those of an order in sequence.
 type ledger struct {
 	queue      chan pendingWrite
 	writerDone chan struct{} // closed when the writer has written the last entry
 
-	// The rest belongs to the writer.
+	// The rest belongs to the writer, which calls wallClock too.
 	path           string
 	maxBytes       int64 // of the file
 	retention      time.Duration
@@ -47,19 +50,20 @@
 	lockFile       *os.File
 	size           int64 // of file, in bytes
 	lastCompaction time.Time
-	failed         bool // a write failed: what is on the disk is unknown, nothing more is written
+	failed         bool // a write, sync or compaction failed: what is on the disk is unknown, nothing more is written
 }
 
 // pendingWrite is an entry that waits for the writer.
 type pendingWrite struct {
 	entry ledgerEntry
-	// onDurable is called on the writer's goroutine when the entry has been synced (nil) or has failed. An entry
-	// without it is written without a sync.
+	// onDurable is called on the writer's goroutine when the entry has been synced (nil) or has failed. It must not block.
+	// An entry whose onDurable is nil needs no sync.
 	onDurable func(error)
 }
 
-// openLedger reads the ledger at path, compacts it, and starts its writer. It returns the entries that are still
-// retained, the last one of each order. The caller owns the ledger and ends its writer with close.
+// openLedger locks the ledger at path, reads and compacts it, and starts its writer. A file that does not exist is an empty
+// ledger. It returns the entries that the compaction has kept, one for each order. The caller owns the ledger and ends its
+// writer with close. wallClock is called on the writer's goroutine too.
 func openLedger(path string, maxBytes int64, retention time.Duration, wallClock func() time.Time) (*ledger, []ledgerEntry, error) {
 	l := &ledger{
 		path:       path,
@@ -83,8 +87,9 @@
 	return l, entries, nil
 }
 
-// lockLedger locks the ledger at path until the returned file is closed, or returns errLedgerInUse: two processes would
-// not see each other's orders. The lock has a file of its own, since a compaction replaces the ledger's.
+// lockLedger locks the ledger at path until the returned file is closed, or returns an error, which wraps errLedgerInUse if
+// the lock was refused: two processes would not see each other's orders. The lock has a file of its own, since a compaction
+// replaces the ledger's. The lock's file stays when the ledger is closed.
 func lockLedger(path string) (*os.File, error) {
 	lockFile, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, ledgerFileMode)
 	if err != nil {
@@ -97,8 +102,9 @@
 	return lockFile, nil
 }
 
-// recordStart records that an order is about to run. onDurable is called once, when the entry is on the disk or has
-// failed: on the writer's goroutine, or on the caller's before recordStart returns if the queue is full.
+// recordStart records that an order is about to run; the entry's state becomes orderBegun. onDurable is called once, with
+// nil when the entry is on the disk, or with the error: on the writer's goroutine, or if the queue is full, with
+// errLedgerFull on the caller's before recordStart returns. That error alone is not logged.
 func (l *ledger) recordStart(e ledgerEntry, onDurable func(error)) {
 	e.State = orderBegun
 	select {
@@ -108,8 +114,8 @@
 	}
 }
 
-// recordEnd records how an order ended, without a sync. If the entry is lost, the order counts as one that may have run,
-// and never runs again.
+// recordEnd records that an order was ended or released, without a sync. If the queue is full, the entry is dropped, which
+// is logged. If the entry is lost, the order counts after a restart as one that may have run, and never runs again.
 func (l *ledger) recordEnd(e ledgerEntry) {
 	select {
 	case l.queue <- pendingWrite{entry: e}:
@@ -145,8 +151,9 @@
 	}
 }
 
-// writeBatch appends the entries, syncs the file if one of them must be durable, and then calls each onDurable. Errors
-// are logged.
+// writeBatch appends the entries, syncs the file if one of them must be durable, and then calls each onDurable, in this
+// sequence: no order may run before its entry is on the disk. Errors are logged. A failed sync fails all entries of the
+// batch and all later ones.
 func (l *ledger) writeBatch(batch []pendingWrite) {
 	errs := make([]error, len(batch))
 	mustSync := false
@@ -191,9 +198,8 @@
 	return nil
 }
 
-// ensureSpace makes sure that the file may grow by so many bytes, by a compaction if need be. It returns errLedgerFull if
-// that does not help. A compaction rewrites the file, so a ledger that stays full is compacted at most once in
-// compactionInterval.
+// ensureSpace makes sure that the file may grow by the needed bytes, by a compaction if need be. It returns errLedgerFull if
+// the file is full and a compaction does not help or is not due (see compactionInterval).
 func (l *ledger) ensureSpace(needed int64) error {
 	if l.size+needed <= l.maxBytes {
 		return nil
@@ -212,7 +218,7 @@
 }
 
 // close waits until the writer has written all recorded entries and has ended, syncs the file and releases the ledger's
-// lock. Nothing may be recorded after it.
+// lock. It may be called once. Recording anything afterwards panics, since the queue is closed.
 func (l *ledger) close() error {
 	close(l.queue)
 	<-l.writerDone
--- a/internal/frontend/webhook/ledger_entry.go
+++ b/internal/frontend/webhook/ledger_entry.go
@@ -19,7 +19,7 @@
 const (
 	orderBegun    orderState = "begun" // it may run from now on
 	orderEnded    orderState = "ended" // with the entry's status and body
-	orderReleased orderState = "freed" // it is proven that it never ran: the next delivery is a first one
+	orderReleased orderState = "freed" // released: it is proven that it never ran, and the next delivery is a first one
 )
 
 // ledgerEntry is what the ledger records of an order. The fields' JSON names are stored: they must not change.
@@ -36,10 +36,13 @@
 const (
 	checksumDigits = 8
 	entryOffset    = checksumDigits + 1 // of the JSON text
-	maxLedgerLine  = 64 << 10           // bytes; a longer line is damage
+
+	// maxLedgerLine bounds a line, in bytes; a longer one can't be read. Nothing checks it on writing: the longest line is
+	// that of an ended order with a worker's result of 16 KiB, which base64 makes about 22 KiB.
+	maxLedgerLine = 64 << 10
 )
 
-// encodeEntry returns the entry's line.
+// encodeEntry returns the entry's line, with its line feed.
 func encodeEntry(e ledgerEntry) []byte {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -67,8 +70,9 @@
 	return e, nil
 }
 
-// readEntries calls visit for each line's entry. An incomplete last line is ignored: it was never synced, so its order was
-// not sent. Damage anywhere else is an error, since it is unknown then which orders ran.
+// readEntries calls visit for the entry of each line. An incomplete last line is ignored: it was never synced, so a begun
+// order was not sent, and an ended or released one still counts as begun. Damage anywhere else is an error, since it is
+// unknown then which orders ran. Errors name the line, not the file.
 func readEntries(r io.Reader, visit func(ledgerEntry)) error {
 	lines := bufio.NewReaderSize(r, maxLedgerLine)
 	for number := 1; ; number++ {
--- a/internal/frontend/webhook/ledger_file.go
+++ b/internal/frontend/webhook/ledger_file.go
@@ -7,8 +7,9 @@
 	"path/filepath"
 )
 
-// compact replaces the file with one that holds only the last entry of each order that is still retained. It returns
-// those entries, in the sequence in which their webhook-ids first occur in the old file.
+// compact replaces the file with one that holds the last entry of each order alone, and none of orders that have expired
+// or were released. It returns those entries, in the sequence in which their webhook-ids first occur in the old file. After
+// an error the file on the disk may be the old one or the new one, and l.file the old one: it must not be written any more.
 func (l *ledger) compact() ([]ledgerEntry, error) {
 	entries, err := readLastEntries(l.path)
 	if err != nil {
--- a/internal/frontend/webhook/notice.go
+++ b/internal/frontend/webhook/notice.go
@@ -11,7 +11,7 @@
 // notice is a notice that is open: neither delivered nor failed.
 type notice struct {
 	id        string        // its webhook-id, the same in each attempt
-	body      []byte        // the JSON of its noticePayload
+	body      []byte        // the JSON of its noticePayload; each attempt writes it, so it is never changed
 	attempts  int           // that have ended
 	notBefore time.Duration // the earliest start of the next attempt, on the event loop's clock
 }
@@ -19,13 +19,13 @@
 // noticePayload is the JSON of a notice. Its names are part of the wire.
 type noticePayload struct {
 	Type      string     `json:"type"`
-	Timestamp time.Time  `json:"timestamp"` // of the order's end
+	Timestamp time.Time  `json:"timestamp"` // of the order's end, RFC 3339 in UTC
 	Data      noticeData `json:"data"`
 }
 
 // noticeData says which order a notice is about.
 type noticeData struct {
-	RequestID   string `json:"id"`
+	RequestID   string `json:"id"`                   // router.Request.ID
 	WebhookID   string `json:"webhook_id,omitempty"` // of the order's deliveries; empty if it did not come by webhook
 	FunctionKey string `json:"key"`
 }
@@ -40,7 +40,7 @@
 	return prefix + outcome.String()
 }
 
-// newMessageID returns a random webhook-id.
+// newMessageID returns a random webhook-id for a notice.
 func newMessageID() string {
 	var b [16]byte
 	rand.Read(b[:]) // it never fails: see crypto/rand
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"net/http"
@@ -17,7 +16,7 @@
 	// maxConcurrentAttempts bounds the connections to the notices' receiver.
 	maxConcurrentAttempts = 4
 
-	// idleInterval is the time until the next call of Process where no notice waits for anything.
+	// idleInterval is the longest time until the next call of Process, if no notice waits for anything.
 	idleInterval = time.Hour
 
 	// defaultPort is that of http URLs.
@@ -28,11 +27,11 @@
 const (
 	maxBackoff                 = 10 * time.Minute
 	backoffDoublingsPerAttempt = 2  // the backoff grows fourfold
-	maxBackoffDoublings        = 20 // so that the shift does not overflow a time.Duration
+	maxBackoffDoublings        = 20 // a time.Duration overflows only if the initial backoff is above 2.4 hours
 )
 
-// Sender sends a signed notice of each order's outcome. It never delays a request: notices that find the queue full are
-// dropped and counted. It belongs to the event loop's goroutine.
+// Sender sends signed notices of how orders ended. It never delays a request: while Queue notices of the settings are open,
+// further ones are dropped and counted. It belongs to the event loop's goroutine.
 type Sender struct {
 	settings  *SenderConfig
 	url       *url.URL
@@ -52,20 +51,22 @@
 // SenderCounters counts notices by what was done with them. Each notice that was queued is Delivered, Failed or open.
 type SenderCounters struct {
 	Queued    uint64
-	Dropped   uint64 // not queued: the queue was full
+	Dropped   uint64 // not queued: too many were open
 	Delivered uint64 // accepted by their receiver
 	Retried   uint64 // failed attempts that another one follows
 	Failed    uint64 // notices that failed: no attempt follows the last one
 }
 
-// NewSender returns a Sender to the URL of the settings, and reads its key. dial opens a connection to address and reports
-// to h on the event loop's goroutine, after it has returned.
+// NewSender returns a Sender to the URL of the settings, and reads its key. An error of the key names its file.
+//
+// dial opens a connection to address, a HOST:PORT. It reports to h on the event loop's goroutine, and only after it has
+// returned: the Sender is not ready for the end of an attempt before that.
 func NewSender(cfg *Config, wallClock func() time.Time,
 	dial func(address string, timeout time.Duration, h eventloop.DialHandler) Transport) (*Sender, error) {
 	settings := &cfg.Sender
 	target, err := url.Parse(settings.URL)
 	if err != nil {
-		return nil, fmt.Errorf("sender.url: %w", err)
+		return nil, &settingError{"sender.url", err}
 	}
 	address := settings.Connect
 	if address == "" {
@@ -81,7 +82,8 @@
 	return &Sender{settings: settings, url: target, address: address, secret: secret, dial: dial, wallClock: wallClock}, nil
 }
 
-// Notify queues a notice of an order's outcome. now is the event loop's clock.
+// Notify queues a notice of an order's outcome, or drops and counts it. The caller decides which requests are orders; r may
+// be of any frontend, and is not kept. now is the event loop's clock. The attempt starts with the next call of Process.
 func (s *Sender) Notify(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	s.now = max(s.now, now)
 	if s.OpenNotices() >= s.settings.Queue {
@@ -104,8 +106,11 @@
 // OpenNotices returns how many notices have been neither delivered nor failed.
 func (s *Sender) OpenNotices() int { return len(s.queue) + s.inFlight }
 
-// Process starts the attempts that are due and ends those that take too long. now is the event loop's clock. It returns
-// when it must be called again at the latest.
+// Process starts the attempts that are due and ends those that take too long. now is the event loop's clock.
+//
+// It returns the time of the next start or timeout that it knows of, at which it must be called again at the latest. It must
+// also be called after Notify and after the end of an attempt, those included that it has ended itself: their retries are
+// not in the returned time. The program calls it in each turn of the event loop.
 func (s *Sender) Process(now time.Duration) time.Duration {
 	s.now = max(s.now, now)
 	nextStart := s.startAttempts(now)
@@ -114,7 +119,7 @@
 }
 
 // startAttempts starts an attempt for each notice that is due, up to maxConcurrentAttempts in flight. It returns when the
-// next notice is due.
+// next notice is due. Notices that wait for the end of another's attempt are not included: their time is not known.
 func (s *Sender) startAttempts(now time.Duration) (next time.Duration) {
 	next = now + idleInterval
 	waiting := s.queue[:0]
@@ -133,7 +138,8 @@
 	return next
 }
 
-// startAttempt opens the connection of a notice's next attempt.
+// startAttempt opens the connection of a notice's next attempt. The attempt must not end before dial returns: attemptEnded
+// appends to the queue, which startAttempts is filtering in place.
 func (s *Sender) startAttempt(now time.Duration, n *notice) {
 	s.inFlight++
 	a := &attempt{sender: s, notice: n, deadline: now + s.settings.Timeout}
@@ -160,9 +166,9 @@
 	return next
 }
 
-// attemptEnded handles the end of a notice's attempt with an HTTP status, or 0 and an error. A notice that was not accepted
-// with a 2xx status is queued for a retry with exponential backoff, until its attempts are used up or its receiver answers
-// 410 (Gone): then it has failed.
+// attemptEnded handles the end of a notice's attempt; status and err are those of attempt.end. A notice that was not
+// accepted with a 2xx status is queued for a retry with exponential backoff, until its attempts are used up or its receiver
+// answers 410 (Gone): then it has failed.
 func (s *Sender) attemptEnded(n *notice, status int, err error) {
 	s.inFlight--
 	n.attempts++
@@ -180,9 +186,9 @@
 	s.queue = append(s.queue, n)
 }
 
-// retryDelay returns the backoff after so many failed attempts: initial after the first, four times as long after each
-// further one, up to maxBackoff. Up to half of it is taken off at random, so that notices that failed together are not
-// retried together.
+// retryDelay returns the backoff after a number of failed attempts, 1 or more: initial after the first, four times as long
+// after each further one, up to maxBackoff. Up to half of it is taken off at random, so that notices that failed together
+// are not retried together.
 func retryDelay(initial time.Duration, failed int) time.Duration {
 	doublings := min(backoffDoublingsPerAttempt*(failed-1), maxBackoffDoublings)
 	delay := min(initial<<doublings, maxBackoff)
