--- a/internal/frontend/thrift/call.go
+++ b/internal/frontend/thrift/call.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"math"
 
@@ -10,12 +9,15 @@
 	"functionrouter/policy"
 )
 
-// maxOpenCalls is how many calls one connection may have open. Clients keep to 32, but may not yet have read replies
-// that were sent. The requests of calls beyond it are refused, so that a client that sends hundreds at once leaves
-// capacity to the others.
+// maxOpenCalls is how many calls one connection may have open. Clients keep to 32; a call ends here when its reply is
+// written, so that replies which the client has not read yet do not count. The requests of calls beyond it are refused, so
+// that a client that sends hundreds at once leaves capacity to the others.
 const maxOpenCalls = 64
 
-// call is an execute call that is owed a reply. It is the Responder of its request.
+// maxSequenceID is the highest sequence ID that a client may use: on the wire it is a signed number (i32).
+const maxSequenceID = math.MaxInt32
+
+// call is an execute call. It is the Responder of its request.
 type call struct {
 	connection *connection
 	sequenceID uint32           // the client's ID of the call
@@ -33,18 +35,15 @@
 	if len(body) > maxBodyBytes {
 		return errBodyTooLarge
 	}
-	// Sequence IDs go up. Under one that was used before, a reply could be taken for the other call's.
-	if sequenceID <= c.lastSequenceID || sequenceID > math.MaxInt32 {
+	// Sequence IDs go up. Under one that was used before, a reply could be taken for the other call's. This holds also for
+	// the calls below whose fields can't be used.
+	if sequenceID <= c.lastSequenceID || sequenceID > maxSequenceID {
 		return fmt.Errorf("%w: %d after %d", errSequenceID, sequenceID, c.lastSequenceID)
 	}
 	c.lastSequenceID = sequenceID
 
-	request, err := c.server.parseRequest(fields)
-	if err != nil {
-		var invalid *invalidFieldError
-		if !errors.As(err, &invalid) {
-			return err
-		}
+	request, invalid := c.server.parseRequest(fields)
+	if invalid != nil {
 		c.transport.Write(encodeLost(sequenceID, lostReason, invalid.field))
 		return nil
 	}
@@ -52,7 +51,8 @@
 	return nil
 }
 
-// submit hands the request of a call to the router, which refuses it at once if the connection has too many open calls.
+// submit hands the request of a call to the router. If the connection has too many open calls, it has the router refuse the
+// request at once, without a copy of its body. The bytes of body may change when submit has returned.
 func (c *connection) submit(sequenceID uint32, request router.Request, body []byte) {
 	newCall := &call{connection: c, sequenceID: sequenceID}
 	request.Responder = newCall
@@ -62,20 +62,20 @@
 		server.router.RefuseAtOnce(server.clock(), request)
 		return
 	}
-	request.Body = bytes.Clone(body) // so that a large read is not kept in memory for one small body in it
-	c.openCalls[sequenceID] = newCall
+	request.Body = bytes.Clone(body)  // so that a large read is not kept in memory for one small body in it
+	c.openCalls[sequenceID] = newCall // before Submit, which may call Respond, which removes it
 	requestID := server.router.Submit(server.clock(), request)
-	if !newCall.finished { // Submit may have called Respond
+	if !newCall.finished {
 		newCall.requestID = requestID
 	}
 }
 
 // handleInterrupt cancels the request of the call that the client no longer waits for. A call that is not open is
-// ignored: its reply may have crossed the message.
+// ignored: its reply may have crossed the message. The interrupt itself has no reply, even if it came as a call.
 func (c *connection) handleInterrupt(d *decoder) error {
 	var sequenceID uint32
 	err := d.structFields(func(fieldID uint16, t valueType) bool {
-		if fieldID != interruptSequenceID || t != typeI32 {
+		if fieldID != interruptSequenceIDField || t != typeI32 {
 			return false
 		}
 		sequenceID = d.uint32()
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// Respond writes the reply with the final answer. It writes nothing if the client has interrupted the call or closed
-// the connection.
+// Respond writes the reply with the final answer, and ends the call. It writes nothing if the call has been replied to or
+// cancelled. The response's body must not change afterwards.
 func (c *call) Respond(response router.Response) {
 	if c.finished {
 		return
@@ -120,7 +120,7 @@
 	}
 }
 
-// cancel cancels the call's request. No reply is written.
+// cancel cancels the request of an open call, and ends the call. No reply is written.
 func (c *call) cancel(cause router.CancelCause) {
 	delete(c.connection.openCalls, c.sequenceID)
 	if c.finished {
--- a/internal/frontend/thrift/connection.go
+++ b/internal/frontend/thrift/connection.go
@@ -33,14 +33,15 @@
 	partialFrame     []byte           // the received beginning of a frame, with its header
 	framesReceived   int              // complete ones
 	openCalls        map[uint32]*call // by sequence ID
-	lastSequenceID   uint32           // the highest of the execute calls so far
+	lastSequenceID   uint32           // the highest of the execute calls so far; those of other methods are not checked
 	stoppedReceiving bool             // what arrives now is ignored
 }
 
 // HasOpenRequests reports whether calls of the connection are owed a reply.
 func (c *connection) HasOpenRequests() bool { return len(c.openCalls) > 0 }
 
-// MessageProgress returns how many complete messages have been received and whether the beginning of another has.
+// MessageProgress returns how many complete messages have been received, those that violate the protocol included, and
+// whether the beginning of another has.
 func (c *connection) MessageProgress() (complete int, partial bool) {
 	return c.framesReceived, len(c.partialFrame) > 0
 }
@@ -71,7 +72,8 @@
 	c.partialFrame = bytes.Clone(rest) // so that a large read is not kept in memory for its tail
 }
 
-// handleFrames handles the complete frames at the front of b and returns the bytes after them.
+// handleFrames handles the complete frames at the front of b and returns the bytes after them, which point into b. An
+// error is a violation of the protocol; the frames after it are not handled.
 func (c *connection) handleFrames(b []byte) (rest []byte, err error) {
 	for len(b) >= frameHeaderBytes && !c.stoppedReceiving {
 		size := binary.BigEndian.Uint32(b)
@@ -92,7 +94,8 @@
 	return b, nil
 }
 
-// closeForViolation closes the connection of a client that broke the protocol. The open calls are replied to first.
+// closeForViolation closes the connection of a client that violated the protocol. The open calls are replied to first:
+// CloseAfterFlush drops later writes.
 func (c *connection) closeForViolation(err error) {
 	c.server.logViolation(err)
 	c.OnEndOfInput()
@@ -123,7 +126,8 @@
 	c.partialFrame = nil
 }
 
-// openCallsBySequenceID returns the open calls in the sequence in which the client sent them.
+// openCallsBySequenceID returns the open calls in the sequence in which the client sent them. It is a copy: to end a call
+// changes openCalls.
 func (c *connection) openCallsBySequenceID() []*call {
 	return slices.SortedFunc(maps.Values(c.openCalls), func(a, b *call) int {
 		return cmp.Compare(a.sequenceID, b.sequenceID)
--- a/internal/frontend/thrift/connection_test.go
+++ b/internal/frontend/thrift/connection_test.go
@@ -43,7 +43,7 @@
 			len(requests.submitted), requests.refused, len(c.openCalls), transport.Closed)
 	}
 	for i := range uint32(calls - maxOpenCalls) {
-		if sequenceID, field := readReply(t, transport); sequenceID != maxOpenCalls+1+i || field != resultBackoffID {
+		if sequenceID, field := readReply(t, transport); sequenceID != maxOpenCalls+1+i || field != resultBackoffField {
 			t.Fatalf("the reply to %d has field %d", sequenceID, field)
 		}
 	}
--- a/internal/frontend/thrift/decoder.go
+++ b/internal/frontend/thrift/decoder.go
@@ -28,13 +28,13 @@
 // The limits on what one message may make the decoder do and keep. The messages of the service stay below them.
 const (
 	maxMethodNameBytes = 64   // a name is copied into the reply to an unknown method
-	maxFields          = 64   // in the map of a request, which is allocated before they are decoded
+	maxRequestFields   = 64   // in the map of a request, which is allocated before they are decoded
 	maxNesting         = 8    // structs and containers around a value; skip recurses for each
 	maxElements        = 1024 // in a map, set or list that is skipped: its count is not compared with the message's length
 )
 
-// decoder decodes values from the front of a message, in place: what it returns points into the message. After the
-// first failure it returns zero values.
+// decoder decodes values from the front of a message, in place: the byte slices that it returns point into the message.
+// After the first failure it returns zero values, so that err need not be checked after each of them.
 type decoder struct {
 	remaining []byte // the part of the message that is not decoded yet
 	err       error  // the first failure, a violation of the protocol
@@ -82,11 +82,12 @@
 
 func (d *decoder) valueType() valueType { return valueType(d.uint8()) }
 
-// byteString decodes a string or binary value. A length beyond the message fails before anything is allocated.
+// byteString decodes a string or binary value. A length that is negative or beyond the message is a failure.
 func (d *decoder) byteString() []byte { return d.next(int(int32(d.uint32()))) }
 
-// structFields calls decode for each field of the struct that comes next. decode either decodes the field's value and
-// returns true, or returns false, and structFields skips the value.
+// structFields calls decode for each field of the struct that comes next, that of a message's arguments: nothing is around
+// it. decode either decodes the field's value and returns true, or it decodes nothing and returns false: then structFields
+// skips the value. A field that occurs twice is decoded twice. structFields returns the decoder's first failure.
 func (d *decoder) structFields(decode func(fieldID uint16, t valueType) bool) error {
 	for d.err == nil {
 		t := d.valueType()
@@ -95,18 +96,19 @@
 		}
 		fieldID := d.uint16()
 		if d.err == nil && !decode(fieldID, t) {
-			d.skip(t, 1)
+			d.skip(t, 1) // the struct is around the value
 		}
 	}
 	return d.err
 }
 
-// stringMap decodes a map of strings. The values point into the message.
+// stringMap decodes a map of strings: the keys are copied, the values point into the message. Of a key that stands twice
+// the last value counts. The types of an empty map have no meaning.
 func (d *decoder) stringMap() map[string][]byte {
 	keyType := d.valueType()
 	elementType := d.valueType()
 	count := d.uint32()
-	if count > maxFields {
+	if count > maxRequestFields {
 		d.fail(errTooManyElements)
 		return nil
 	}
--- a/internal/frontend/thrift/encoder.go
+++ b/internal/frontend/thrift/encoder.go
@@ -2,7 +2,8 @@
 
 import "encoding/binary"
 
-// appendFrame begins a frame: the frame's header, whose length setFrameLength fills in, and the message's header.
+// appendFrame begins a frame in b, which must be empty: the frame's header, whose length setFrameLength fills in, and the
+// message's header. The struct of the arguments or of the result follows.
 func appendFrame(b []byte, t messageType, method string, sequenceID uint32) []byte {
 	b = append(b, make([]byte, frameHeaderBytes)...)
 	b = appendUint32(b, strictVersion|uint32(t))
@@ -10,12 +11,13 @@
 	return appendUint32(b, sequenceID)
 }
 
-// setFrameLength writes the length into the header of a frame that holds extraBytes more than b.
+// setFrameLength writes the length into the header at the front of b. b is the frame, complete but for the extraBytes that
+// are sent after it.
 func setFrameLength(b []byte, extraBytes int) {
 	binary.BigEndian.PutUint32(b, uint32(len(b)-frameHeaderBytes+extraBytes))
 }
 
-// appendFieldHeader begins a struct's field; its value follows.
+// appendFieldHeader begins a struct's field; its value follows. After the last field, typeStop ends the struct.
 func appendFieldHeader(b []byte, fieldID uint16, t valueType) []byte {
 	return binary.BigEndian.AppendUint16(append(b, byte(t)), fieldID)
 }
--- a/internal/frontend/thrift/harness_test.go
+++ b/internal/frontend/thrift/harness_test.go
@@ -69,7 +69,7 @@
 
 // validFields are the fields of a request that can be used, as names and values in turn.
 var validFields = []string{
-	fieldClass, "repair-order", fieldID, "9b1f03aa5c7e2d41", fieldWait, "1500", fieldKey, "7f3a9c21e0b4d655",
+	fieldClass, "repair-order", fieldRequestID, "9b1f03aa5c7e2d41", fieldWait, "1500", fieldFunctionKey, "7f3a9c21e0b4d655",
 	fieldProperties, "memory_mb:512;lanes:2;load_ms:640",
 }
 
@@ -83,15 +83,15 @@
 // executeFrame returns the frame of an execute call with fields, given as names and values in turn.
 func executeFrame(sequenceID uint32, body string, fields ...string) []byte {
 	b := appendFrame(nil, messageCall, methodExecute, sequenceID)
-	b = appendStringMap(appendFieldHeader(b, executeFieldsID, typeMap), fields...)
-	b = appendString(appendFieldHeader(b, executeBodyID, typeString), body)
+	b = appendStringMap(appendFieldHeader(b, executeFieldsField, typeMap), fields...)
+	b = appendString(appendFieldHeader(b, executeBodyField, typeString), body)
 	return closeFrame(b)
 }
 
 // interruptFrame returns the frame that interrupts the call with the sequence ID.
 func interruptFrame(sequenceID uint32) []byte {
 	b := appendFrame(nil, messageOneway, methodInterrupt, 0)
-	return closeFrame(appendUint32(appendFieldHeader(b, interruptSequenceID, typeI32), sequenceID))
+	return closeFrame(appendUint32(appendFieldHeader(b, interruptSequenceIDField, typeI32), sequenceID))
 }
 
 // checkFrame returns the frame of a check call.
@@ -124,7 +124,7 @@
 	}
 	end := frameHeaderBytes + int(binary.BigEndian.Uint32(b))
 	d := decoder{remaining: b[frameHeaderBytes:end]}
-	header, err := d.messageHeader()
+	header, err := d.decodeHeader()
 	resultField = noResultField
 	if err == nil && header.messageType == messageReply {
 		err = d.structFields(func(id uint16, _ valueType) bool { resultField = id; return false })
--- a/internal/frontend/thrift/message.go
+++ b/internal/frontend/thrift/message.go
@@ -33,11 +33,11 @@
 	methodCheck     = "check"
 )
 
-// The arguments of the methods, by their field IDs.
+// The field IDs of the methods' arguments.
 const (
-	executeFieldsID     = 1
-	executeBodyID       = 2
-	interruptSequenceID = 1
+	executeFieldsField       = 1
+	executeBodyField         = 2
+	interruptSequenceIDField = 1
 )
 
 // messageHeader is the beginning of a message; the struct of its arguments follows.
@@ -47,8 +47,9 @@
 	sequenceID  uint32
 }
 
-// messageHeader decodes the header at the beginning of a message.
-func (d *decoder) messageHeader() (messageHeader, error) {
+// decodeHeader decodes the header at the beginning of a message. An error is a violation of the protocol. The type of the
+// message may be any number.
+func (d *decoder) decodeHeader() (messageHeader, error) {
 	firstWord := d.uint32()
 	method := d.byteString()
 	sequenceID := d.uint32()
@@ -63,7 +64,8 @@
 	return messageHeader{messageType: messageType(firstWord), method: string(method), sequenceID: sequenceID}, nil
 }
 
-// describe returns the type's name for errors, which stand in the log.
+// describe returns the type's name for errors, which stand in the log. It differs from String for numbers that are no type:
+// operators search the log for this text.
 func (t messageType) describe() string {
 	if t < messageCall || t > messageOneway {
 		return fmt.Sprintf("message type %d", byte(t))
@@ -71,10 +73,11 @@
 	return t.String()
 }
 
-// handleMessage handles the message in a frame. An error says how the message violates the protocol.
+// handleMessage handles the message in a frame. An error says how the message violates the protocol. An interrupt is
+// handled as a oneway message and as a call; any other oneway message is ignored.
 func (c *connection) handleMessage(frame []byte) error {
 	d := &decoder{remaining: frame}
-	header, err := d.messageHeader()
+	header, err := d.decodeHeader()
 	if err != nil {
 		return err
 	}
@@ -91,7 +94,7 @@
 		c.transport.Write(encodeUnknownMethod(header.method, header.sequenceID))
 		return nil
 	case isOneway:
-		return nil // it has no reply, whatever its method
+		return nil // nothing to reply to, whatever its method: execute and check too
 	}
 	return fmt.Errorf("%w: %v %q", errUnexpectedMessage, header.messageType.describe(), header.method)
 }
--- a/internal/frontend/thrift/model_test.go
+++ b/internal/frontend/thrift/model_test.go
@@ -112,14 +112,14 @@
 	position := rapid.SampledFrom(positions).Draw(t, "field")
 	m.lastSequenceID++
 	m.feed(t, executeFrame(m.lastSequenceID, "", fieldsWith(position, "nonsense")...))
-	if got, field := readReply(t, m.transport); got != m.lastSequenceID || field != resultLostID {
+	if got, field := readReply(t, m.transport); got != m.lastSequenceID || field != resultLostField {
 		t.Fatalf("the reply to %d has field %d", got, field)
 	}
 }
 
 func (m *connectionModel) check(t *rapid.T) {
 	m.feed(t, checkFrame(7))
-	if got, field := readReply(t, m.transport); got != 7 || field != resultSuccessID {
+	if got, field := readReply(t, m.transport); got != 7 || field != resultSuccessField {
 		t.Fatalf("the reply to %d has field %d", got, field)
 	}
 }
--- a/internal/frontend/thrift/request.go
+++ b/internal/frontend/thrift/request.go
@@ -12,14 +12,14 @@
 	"functionrouter/policy"
 )
 
-// The fields of an execute call, as they are named on the wire.
+// The fields of a request, as they are named on the wire.
 const (
-	fieldClass      = "class"
-	fieldTenant     = "tenant"
-	fieldID         = "id"    // 16 hex digits, new with every request
-	fieldKey        = "key"   // the function, 16 hex digits
-	fieldWait       = "wait"  // how long the client waits for the whole reply, in milliseconds
-	fieldProperties = "props" // PROPERTY:NUMBER;PROPERTY:NUMBER...
+	fieldClass       = "class"
+	fieldTenant      = "tenant"
+	fieldRequestID   = "id"    // 16 lower-case hex digits, new with every request
+	fieldFunctionKey = "key"   // the function, 16 lower-case hex digits
+	fieldWait        = "wait"  // how long the client waits for the whole reply, in milliseconds
+	fieldProperties  = "props" // PROPERTY:NUMBER;PROPERTY:NUMBER...
 )
 
 // The properties in fieldProperties, as they are named on the wire.
@@ -36,23 +36,24 @@
 	errOutOfRange   = errors.New("out of range")
 )
 
-// invalidFieldError says which field of an execute call can't be used, and why.
+// invalidFieldError says which field of a request can't be used, and why.
 type invalidFieldError struct {
 	field string // as on the wire; the client gets it as the reason
-	err   error
+	err   error  // neither sent nor logged
 }
 
 func (e *invalidFieldError) Error() string { return fmt.Sprintf("field %q: %v", e.field, e.err) }
 
 func (e *invalidFieldError) Unwrap() error { return e.err }
 
-// decodeExecuteArguments decodes the arguments of execute. What it returns points into the frame.
+// decodeExecuteArguments decodes the arguments of execute: the fields by name, and the body. The values and the body point
+// into the frame. An error is a violation of the protocol.
 func decodeExecuteArguments(d *decoder) (fields map[string][]byte, body []byte, err error) {
-	err = d.structFields(func(id uint16, t valueType) bool {
+	err = d.structFields(func(fieldID uint16, t valueType) bool {
 		switch {
-		case id == executeFieldsID && t == typeMap:
+		case fieldID == executeFieldsField && t == typeMap:
 			fields = d.stringMap()
-		case id == executeBodyID && t == typeString:
+		case fieldID == executeBodyField && t == typeString:
 			body = d.byteString()
 		default:
 			return false
@@ -62,9 +63,10 @@
 	return fields, body, err
 }
 
-// parseRequest turns the fields of an execute call into a request, without its body, Responder and client address. A
-// tenant that is missing or unknown is router.UnknownTenant. Each error is an *invalidFieldError.
-func (s *Server) parseRequest(fields map[string][]byte) (router.Request, error) {
+// parseRequest turns the fields of an execute call into a request, without its body, Responder and client address. It keeps
+// nothing of fields. A tenant that is missing or unknown is router.UnknownTenant. If several fields can't be used, the
+// error names the first in the sequence of the checks: clients see it.
+func (s *Server) parseRequest(fields map[string][]byte) (router.Request, *invalidFieldError) {
 	class, known := s.classes[string(fields[fieldClass])]
 	if !known {
 		return router.Request{}, &invalidFieldError{fieldClass, errUnknownClass}
@@ -73,14 +75,14 @@
 	if !known {
 		tenant = router.UnknownTenant
 	}
-	id := string(fields[fieldID])
+	id := string(fields[fieldRequestID])
 	if _, valid := router.ParseHexID(id); !valid {
-		return router.Request{}, &invalidFieldError{fieldID, errHexID}
+		return router.Request{}, &invalidFieldError{fieldRequestID, errHexID}
 	}
-	functionKey := string(fields[fieldKey])
+	functionKey := string(fields[fieldFunctionKey])
 	function, valid := router.ParseHexID(functionKey)
 	if !valid {
-		return router.Request{}, &invalidFieldError{fieldKey, errHexID}
+		return router.Request{}, &invalidFieldError{fieldFunctionKey, errHexID}
 	}
 	wait, err := parseNumber(string(fields[fieldWait]), router.MaxWaitMs)
 	if err != nil {
@@ -101,39 +103,39 @@
 	return request, nil
 }
 
-// parseProperties sets the request's memory, concurrency and load time from the text of fieldProperties. A property
-// that is not known must be a number too, but is not used.
+// parseProperties sets the request's memory, concurrency and load time from the text of fieldProperties, which may be
+// empty. Of a property that stands twice the last one counts. After an error the request can't be used.
 func parseProperties(text string, request *router.Request) error {
 	for text != "" {
 		var property string
 		property, text, _ = strings.Cut(text, ";")
 		name, number, _ := strings.Cut(property, ":")
-		maximum := math.MaxFloat64
-		switch name {
-		case propertyMemory:
-			maximum = router.MaxMemoryMB
-		case propertyConcurrency:
-			maximum = router.MaxConcurrency
-		case propertyLoadTime:
-			maximum = router.MaxLoadMs
-		}
-		value, err := parseNumber(number, maximum)
-		if err != nil {
+		if err := parseProperty(name, number, request); err != nil {
 			return fmt.Errorf("property %q: %w", name, err)
 		}
-		switch name {
-		case propertyMemory:
-			request.MemoryMB = value
-		case propertyConcurrency:
-			request.Concurrency = value
-		case propertyLoadTime:
-			request.LoadTime = milliseconds(value)
-		}
 	}
 	return nil
 }
 
-// parseNumber parses a decimal number from 0 to maximum.
+// parseProperty sets the field of the request that a property stands for. A property that is not known is not used, but
+// must be a number from 0 up too.
+func parseProperty(name, number string, request *router.Request) (err error) {
+	switch name {
+	case propertyMemory:
+		request.MemoryMB, err = parseNumber(number, router.MaxMemoryMB)
+	case propertyConcurrency:
+		request.Concurrency, err = parseNumber(number, router.MaxConcurrency)
+	case propertyLoadTime:
+		var loadMs float64
+		loadMs, err = parseNumber(number, router.MaxLoadMs)
+		request.LoadTime = milliseconds(loadMs)
+	default:
+		_, err = parseNumber(number, math.MaxFloat64)
+	}
+	return err
+}
+
+// parseNumber parses a number from 0 to maximum, in any form that Go has for a floating-point literal: 1500, 1.5e3, 0x10p4.
 func parseNumber(text string, maximum float64) (float64, error) {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
--- a/internal/frontend/thrift/request_test.go
+++ b/internal/frontend/thrift/request_test.go
@@ -54,7 +54,7 @@
 			t.Run(validFields[test.position-1]+"="+value, func(t *testing.T) {
 				c, requests, transport := newTestConnection()
 				c.OnData(executeFrame(1, "", fieldsWith(test.position, value)...))
-				if _, field := readReply(t, transport); len(requests.submitted) != 0 || field != resultLostID {
+				if _, field := readReply(t, transport); len(requests.submitted) != 0 || field != resultLostField {
 					t.Errorf("%d submitted, the reply has field %d", len(requests.submitted), field)
 				}
 			})
--- a/internal/frontend/thrift/violation_test.go
+++ b/internal/frontend/thrift/violation_test.go
@@ -77,7 +77,7 @@
 		{"value type", arguments(99, 0, 3), errUnknownType},
 		{"nesting", nestedFrame(20), errNestedTooDeep},
 		{"long list", arguments(byte(typeList), 0, 3, byte(typeBool), 0, 0, 4, 1), errTooManyElements},
-		{"many fields", executeFrame(1, "", make([]string, 2*(maxFields+1))...), errTooManyElements},
+		{"many fields", executeFrame(1, "", make([]string, 2*(maxRequestFields+1))...), errTooManyElements},
 		{"map of numbers", arguments(byte(typeMap), 0, 1, byte(typeString), byte(typeI16), 0, 0, 0, 1), errNotStringMap},
 		{"body too large", executeFrame(1, string(make([]byte, maxBodyBytes+1)), validFields...), errBodyTooLarge},
 		{"sequence ID 0", executeFrame(0, "", validFields...), errSequenceID},
