--- a/internal/ipfix/config.go
+++ b/internal/ipfix/config.go
@@ -16,7 +16,7 @@
 type Config struct {
 	Enabled   bool   `toml:"enabled"`
 	Collector string `toml:"collector"`          // IP:PORT, of UDP
-	Domain    uint32 `toml:"observation_domain"` // the Observation Domain ID, RFC 7011 section 3.1
+	Domain    uint32 `toml:"observation_domain"` // the Observation Domain ID, RFC 7011 section 3.1; 0: not specific
 }
 
 // ReadConfig reads and checks the export file at path. The collector's address is checked only if the export is enabled.
--- a/internal/ipfix/exporter.go
+++ b/internal/ipfix/exporter.go
@@ -12,14 +12,15 @@
 	// flushInterval is the time between two sends of the pending records. Records of one interval share messages.
 	flushInterval = time.Second
 
-	// redialDelay is the time from a dial, or from the loss of the socket, to the next dial.
+	// redialDelay is the time from the failure of a dial or of the socket to the next dial, counted from the last call of
+	// Process before the failure.
 	redialDelay = 5 * time.Second
 
 	// maxPendingRecords bounds the records that wait for a send. Those beyond it are dropped and counted.
 	maxPendingRecords = 1024
 
-	// templateInterval is the time between two messages with the templates. UDP may lose one, and collectors
-	// forget templates after a while (RFC 7011 section 8.4).
+	// templateInterval is the minimum time between two messages with the templates on one socket; the templates go with
+	// records alone. UDP may lose them, and collectors forget templates after a while (RFC 7011 section 8.4).
 	templateInterval = time.Minute
 )
 
@@ -28,10 +29,9 @@
 
 // Transport is a UDP socket that is connected to the collector. A *eventloop.UDPConn is one.
 type Transport interface {
-	// Write sends each of bufs as one datagram. They belong to the Transport from then on.
+	// Write sends each of bufs as one datagram, which may be lost. They belong to the Transport from then on. It does not
+	// call the handler before it returns.
 	Write(bufs ...[]byte)
-	// Close closes the socket.
-	Close()
 }
 
 // Counters counts records by what was done with them, and messages. What was sent may still be lost.
@@ -42,8 +42,8 @@
 	Messages uint64 // datagrams sent
 }
 
-// Exporter gathers flow records and sends them to a collector. It opens its socket, and opens it again after redialDelay
-// if it fails. It is the event loop's handler of the socket.
+// Exporter gathers flow records and sends them to a collector. It opens a socket, and another one after redialDelay if that
+// fails. It is the event loop's handler of the socket.
 type Exporter struct {
 	// Counters may be read on the event loop's goroutine.
 	Counters Counters
@@ -59,13 +59,15 @@
 
 	// Times on the event loop's clock.
 	now           time.Duration // at the last Process
-	nextDial      time.Duration // the earliest
+	nextDial      time.Duration // the earliest, while transport is nil
 	nextFlush     time.Duration // the earliest
-	nextTemplates time.Duration // the earliest; 0 after each dial
+	nextTemplates time.Duration // the earliest; 0 after each successful dial
 }
 
-// New returns an Exporter that opens its socket with dial, which reports to h on the event loop's goroutine. wallClock
-// gives the export time of messages.
+// New returns an Exporter to the collector of c; c.Enabled has no meaning here. wallClock gives the export time of messages.
+//
+// dial opens a socket to c.Collector. It reports to h on the event loop's goroutine, and only after it has returned: the
+// Exporter would else lose the report. A dial whose end is not reported is never repeated.
 func New(c *Config, wallClock func() time.Time, dial func(h eventloop.DialHandler) Transport) *Exporter {
 	return &Exporter{
 		collector: c.Collector,
@@ -75,7 +77,7 @@
 	}
 }
 
-// Add queues the record of a flow for the next send, or drops and counts it.
+// Add encodes the record of a flow and queues it for the next send, or drops and counts it.
 func (x *Exporter) Add(f Flow) {
 	x.Counters.Records++
 	if len(x.pending) >= maxPendingRecords {
@@ -90,8 +92,9 @@
 	x.pending = append(x.pending, r)
 }
 
-// Process opens the socket and sends the pending records, if either is due. now is the event loop's clock. It returns when
-// it must be called again at the latest.
+// Process opens the socket or sends the pending records, if it is due. now is the event loop's clock. It returns when it
+// must be called again at the latest. It must also be called after OnOpen and OnClose; the program calls it in each turn of
+// the event loop.
 func (x *Exporter) Process(now time.Duration) time.Duration {
 	x.now = now
 	if x.transport == nil {
@@ -108,7 +111,7 @@
 		return x.nextFlush
 	}
 	x.nextFlush = now + flushInterval
-	for len(x.pending) > 0 {
+	for len(x.pending) > 0 { // it ends since each message takes a record at least: see maxMessageBytes
 		x.sendMessage()
 	}
 	return x.nextFlush
@@ -128,6 +131,7 @@
 }
 
 // OnOpen handles the end of a dial. The first message on a new socket has the templates: its collector may not know them.
+// A dial that failed is handled, and logged, as the loss of the socket.
 func (x *Exporter) OnOpen(err error) {
 	if err != nil {
 		x.OnClose(err)
--- a/internal/ipfix/message.go
+++ b/internal/ipfix/message.go
@@ -15,7 +15,9 @@
 	noSetID = 0 // no set has this ID
 )
 
-// maxMessageBytes keeps a message within one Ethernet frame, so that none is fragmented (RFC 7011 section 10.3.3).
+// maxMessageBytes keeps a message within one Ethernet frame, so that none is fragmented (RFC 7011 section 10.3.3): it leaves
+// 100 of 1500 bytes to the headers of IP and UDP. The headers, the templates and the longest record must fit; they take
+// about 240 bytes.
 const maxMessageBytes = 1400
 
 // messageEncoder encodes the messages of one observation domain.
@@ -26,7 +28,8 @@
 }
 
 // encode returns a message with as many of records as fit, from the first on, and the count of those. Consecutive records
-// of one template share a set. With withTemplates the templates come first.
+// of one template share a set; the space for a set's header is left even so. If withTemplates is set, the templates come
+// first. The message belongs to the caller.
 func (e *messageEncoder) encode(
 	exportTime time.Time, withTemplates bool, records []record,
 ) (message []byte, count int) {
@@ -49,7 +52,7 @@
 		setSetLength(b, setStart)
 		count++
 	}
-	e.putHeader(b, exportTime)
+	e.putHeader(b, exportTime) // with the count before this message
 	e.sequence += uint32(count)
 	return b, count
 }
@@ -80,13 +83,13 @@
 	return b
 }
 
-// appendSetHeader begins a set; setSetLength fills in its length.
+// appendSetHeader begins a set, whose header is the set's ID and its length; setSetLength fills in the length.
 func appendSetHeader(b []byte, id uint16) []byte {
 	b = binary.BigEndian.AppendUint16(b, id)
 	return binary.BigEndian.AppendUint16(b, 0)
 }
 
-// setSetLength writes the length of the set that begins at start and ends with b.
+// setSetLength writes the length of the set that begins at start and ends with b. The header counts too.
 func setSetLength(b []byte, start int) {
 	binary.BigEndian.PutUint16(b[start+2:], uint16(len(b)-start))
 }
--- a/internal/ipfix/record.go
+++ b/internal/ipfix/record.go
@@ -35,8 +35,8 @@
 // variableLength is the length, in a template, of a field whose records give its length (RFC 7011 section 7).
 const variableLength = 65535
 
-// maxClassNameBytes bounds an exported class name; longer ones are cut. Below 255 bytes, one byte holds the length (RFC
-// 7011 section 7).
+// maxClassNameBytes bounds an exported class name; longer ones are cut. Below 255 bytes, the length takes one byte (RFC
+// 7011 section 7): newRecord writes it so.
 const maxClassNameBytes = 64
 
 // fieldSpecifier is a field of a template, RFC 7011 section 3.2.
@@ -48,7 +48,7 @@
 // template says which fields the records of a set hold, RFC 7011 section 3.4.1.
 type template struct {
 	id     uint16           // 256 or above
-	fields []fieldSpecifier // in the order of the record's bytes; newRecord encodes them so
+	fields []fieldSpecifier // in the order and with the lengths in which newRecord encodes them
 }
 
 // The templates. Records of requests over IPv4 and IPv6 differ in the addresses alone.
@@ -75,10 +75,10 @@
 
 // Flow is one request, on its way from the client to this program.
 type Flow struct {
-	Client netip.AddrPort
-	Server netip.AddrPort // the frontend's
-	Start  time.Time      // when the request was received
-	End    time.Time      // when it ended
+	Client netip.AddrPort // may be invalid; an IPv4 address may be mapped to IPv6; see newRecord
+	Server netip.AddrPort // the address on which the frontend listens; it must be valid
+	Start  time.Time      // when the request was received, on the wall clock
+	End    time.Time      // when it ended, on the wall clock
 	Octets uint64         // bytes of the request's body
 	Class  string         // exported as the application's name
 }
@@ -89,8 +89,8 @@
 	data       []byte
 }
 
-// newRecord encodes a flow. It returns false if the client has no address, or one of another family than the server's: no
-// template has the fields for it.
+// newRecord encodes a flow. It returns false if the client's address is not valid, or of another family than the server's:
+// no template has the fields for it. An IPv4 address that is mapped to IPv6 counts as IPv4.
 func newRecord(f Flow) (record, bool) {
 	client := f.Client.Addr().Unmap()
 	server := f.Server.Addr().Unmap()
