--- a/internal/frontend/webhook/receiver.go
+++ b/internal/frontend/webhook/receiver.go
@@ -9,7 +9,6 @@
 
 	"functionrouter/internal/eventloop"
 	"functionrouter/internal/router"
-	"functionrouter/policy"
 )
 
 // defaultRetryAfter is the Retry-After of what this package refuses with 503 by itself: the policy has given no advice.
@@ -26,34 +25,6 @@
 	errNoLedger        = errors.New("orders are not taken without a ledger")
 )
 
-// RequestRouter routes the requests that deliveries carry. A *router.Router is one.
-type RequestRouter interface {
-	// Submit routes a request and returns its ID, which the Receiver ignores: it never cancels a request. now is the event
-	// loop's clock. The request's Responder gets the final answer once, before Submit returns or later on the event loop's
-	// goroutine. It may call Submit again before it returns.
-	Submit(now time.Duration, r router.Request) policy.RequestID
-}
-
-// Transport is a connection to a peer. An *eventloop.Conn is one. None of its methods calls the connection's handler
-// before it returns, other than HasOpenRequests.
-type Transport interface {
-	// Write queues bufs for sending, one after the other. Neither the caller nor the Transport changes their bytes
-	// afterwards; the caller may write them again, also to another Transport.
-	Write(bufs ...[]byte)
-	// Close closes the connection at once and drops what has not been sent. A second call does nothing.
-	Close()
-	// CloseAfterFlush closes the connection when everything written has been sent. Nothing more is received, and later
-	// writes are dropped.
-	CloseAfterFlush()
-}
-
-// Class is a class of requests.
-type Class struct {
-	Name          string
-	CarriesOrders bool          // its requests must never run twice: they go through the ledger
-	MaxWait       time.Duration // bounds the wait for the final answer; it is the wait if the payload gives none
-}
-
 // Counters counts HTTP requests by what was done with them. First deliveries whose request was submitted, and deliveries
 // that were refused with errOverloaded, are in Deliveries alone.
 type Counters struct {
@@ -83,27 +54,6 @@
 	Counters Counters
 }
 
-// ReceiverOptions is what a Receiver is built from.
-type ReceiverOptions struct {
-	File    *Config // from ReadConfig; the Receiver keeps it and does not change it
-	Router  RequestRouter
-	Classes []Class // as the settings list them: a request carries the index of its own
-
-	// MaxReplayBytes bounds the bodies that are kept for redeliveries, together: above it, first deliveries are refused.
-	// Requests that are already pending may exceed it by their outcomes.
-	MaxReplayBytes int
-
-	// Now is the event loop's clock.
-	Now func() time.Duration
-	// WallClock gives the time for signatures, which carry it, and for the ledger. It may be called on any goroutine, also
-	// on two at the same time.
-	WallClock func() time.Time
-
-	// RunOnLoop queues a function to be run later on the event loop's goroutine. It may be called on any goroutine, and
-	// must not block.
-	RunOnLoop func(func())
-}
-
 // NewReceiver returns a Receiver that hands requests to the router.
 //
 // It reads the keys, and reads and compacts the ledger. It starts the ledger's writer, which Close ends. An error of a key
@@ -232,8 +182,8 @@
 	return nil
 }
 
-// handleRedelivery answers a redelivery with the outcome of the first delivery, as soon as it is known. digest is that of
-// the redelivery's payload.
+// handleRedelivery answers a redelivery with the outcome of the first delivery, as soon as it is known, or refuses it.
+// digest is that of the redelivery's payload.
 func (r *Receiver) handleRedelivery(c *connection, d *delivery, digest string) {
 	switch {
 	case d.digest != digest: // a client may not use a webhook-id for another payload
