--- a/internal/frontend/thrift/connection.go
+++ b/internal/frontend/thrift/connection.go
@@ -40,7 +40,7 @@
 // HasOpenRequests reports whether calls of the connection are owed a reply.
 func (c *connection) HasOpenRequests() bool { return len(c.openCalls) > 0 }
 
-// MessageProgress returns how many complete messages have been received, those that violate the protocol included, and
+// MessageProgress returns how many complete messages have been received, including those that violate the protocol, and
 // whether the beginning of another has.
 func (c *connection) MessageProgress() (complete int, partial bool) {
 	return c.framesReceived, len(c.partialFrame) > 0
--- a/internal/frontend/thrift/decoder.go
+++ b/internal/frontend/thrift/decoder.go
@@ -48,7 +48,7 @@
 	d.remaining = nil
 }
 
-// next returns the next n bytes, or nil where there are fewer.
+// next returns the next n bytes, or nil if there are fewer or n is negative: that is a failure.
 func (d *decoder) next(n int) []byte {
 	if n < 0 || n > len(d.remaining) {
 		d.fail(errTruncated)
@@ -102,8 +102,8 @@
 	return d.err
 }
 
-// stringMap decodes a map of strings: the keys are copied, the values point into the message. Of a key that stands twice
-// the last value counts. The types of an empty map have no meaning.
+// stringMap decodes a map of strings: the keys are copied, the values point into the message. If a key occurs twice,
+// its last value counts. The types of an empty map have no meaning.
 func (d *decoder) stringMap() map[string][]byte {
 	keyType := d.valueType()
 	elementType := d.valueType()
--- a/internal/frontend/thrift/message.go
+++ b/internal/frontend/thrift/message.go
@@ -73,8 +73,8 @@
 	return t.String()
 }
 
-// handleMessage handles the message in a frame. An error says how the message violates the protocol. An interrupt is
-// handled as a oneway message and as a call; any other oneway message is ignored.
+// handleMessage handles the message in a frame. An error says how the message violates the protocol. An interrupt may
+// be a oneway message or a call; any other oneway message is ignored.
 func (c *connection) handleMessage(frame []byte) error {
 	d := &decoder{remaining: frame}
 	header, err := d.decodeHeader()
--- a/internal/frontend/thrift/request.go
+++ b/internal/frontend/thrift/request.go
@@ -104,7 +104,7 @@
 }
 
 // parseProperties sets the request's memory, concurrency and load time from the text of fieldProperties, which may be
-// empty. Of a property that stands twice the last one counts. After an error the request can't be used.
+// empty. If a property occurs twice, the last one counts. After an error the request can't be used.
 func parseProperties(text string, request *router.Request) error {
 	for text != "" {
 		var property string
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// parseProperty sets the field of the request that a property stands for. A property that is not known is not used, but
-// must be a number from 0 up too.
+// parseProperty sets the field of the request that a property stands for. A property that is not known is not used, but it
+// too must be a number from 0 up.
 func parseProperty(name, number string, request *router.Request) (err error) {
 	switch name {
 	case propertyMemory:
--- a/internal/frontend/webhook/config.go
+++ b/internal/frontend/webhook/config.go
@@ -46,10 +46,10 @@
 	// Connect is the HOST:PORT to connect to, if it is not the URL's. It is not checked.
 	Connect  string        `toml:"connect"`
 	Key      string        `toml:"key"`      // path of the key file
-	Queue    int           `toml:"queue"`    // the most notices that are open at once, those with an attempt in flight included
+	Queue    int           `toml:"queue"`    // the most notices that are open at once, including those with an attempt in flight
 	Attempts int           `toml:"attempts"` // the most for one notice
 	Backoff  time.Duration `toml:"backoff"`  // the longest random delay before the second attempt; see retryDelay
-	Timeout  time.Duration `toml:"timeout"`  // of an attempt, its dial included
+	Timeout  time.Duration `toml:"timeout"`  // of an attempt, including its dial
 }
 
 // KeyConfig names a key file, and the time at which the key is retired.
--- a/internal/frontend/webhook/connection_test.go
+++ b/internal/frontend/webhook/connection_test.go
@@ -82,7 +82,7 @@
 // The connection of a client that sends on after an HTTP request that can't be parsed is closed in the end, and so is
 // that of a client that sends on without waiting for a response.
 func TestConnectionBoundsWhatItReads(t *testing.T) {
-	t.Run("behind a malformed request", func(t *testing.T) {
+	t.Run("after a malformed request", func(t *testing.T) {
 		receiver, _ := newTestReceiver(t, &fakeRouter{}, "")
 		transport := &testsupport.Transport{}
 		c := receiver.serve(transport, netip.AddrPort{})
--- a/internal/frontend/webhook/deduplication.go
+++ b/internal/frontend/webhook/deduplication.go
@@ -13,7 +13,7 @@
 	// restore more.
 	maxDeliveries = 20000
 
-	// maxWaitingConnections bounds the connections that wait for the outcome of one delivery, those included that the
+	// maxWaitingConnections bounds the connections that wait for the outcome of one delivery, including those that the
 	// client has closed since. Redeliveries beyond it are refused.
 	maxWaitingConnections = 16
 
@@ -93,7 +93,7 @@
 	d.bodyBytes -= len(removed.outcome.body)
 }
 
-// complete keeps the outcome of a delivery that was added.
+// complete keeps the outcome of a delivery that was added. It is called once at most for each.
 func (d *deduplicator) complete(completed *delivery, now time.Duration, outcome response) {
 	completed.completed = true
 	completed.completedAt = now
--- a/internal/frontend/webhook/endtoend_test.go
+++ b/internal/frontend/webhook/endtoend_test.go
@@ -22,7 +22,7 @@
 	want    int
 }
 
-// hostileDeliveries returns deliveries of so many orders: sent again as they were, signed anew for a later attempt,
+// hostileDeliveries returns deliveries of a number of orders: sent again as they were, signed anew for a later attempt,
 // tampered with, and signed with a retired key.
 func hostileDeliveries(rng *rand.Rand, orders int) (all []sentDelivery) {
 	for i := range orders {
--- a/internal/frontend/webhook/ledger.go
+++ b/internal/frontend/webhook/ledger.go
@@ -22,7 +22,7 @@
 	// entries of ended and released orders are dropped.
 	ledgerQueueLength = 256
 
-	// compactionInterval is the minimum time from a compaction, that at the start included, to the next one of a full
+	// compactionInterval is the minimum time from a compaction, including the one at the start, to the next one of a full
 	// ledger: each rewrites the file.
 	compactionInterval = time.Minute
 
--- a/internal/frontend/webhook/noticereceiver_test.go
+++ b/internal/frontend/webhook/noticereceiver_test.go
@@ -18,7 +18,7 @@
 
 	mu         sync.Mutex
 	attempts   map[string]int    // by the notice's webhook-id
-	orders     map[string]string // the webhook-id of the order that a notice is of, by the notice's
+	orders     map[string]string // an order's webhook-id, by that of its notice
 	deliveries [][]byte          // the notices taken, as deliveries to the receiver under test
 }
 
@@ -69,7 +69,7 @@
 	n.taken <- struct{}{}
 }
 
-// checkNotices checks that each of so many orders had one notice, taken at its second attempt.
+// checkNotices checks that a number of orders each had one notice, taken at its second attempt.
 func (n *noticeReceiver) checkNotices(t *testing.T, orders int) {
 	t.Helper()
 	n.mu.Lock()
--- a/internal/frontend/webhook/payload.go
+++ b/internal/frontend/webhook/payload.go
@@ -111,7 +111,7 @@
 
 // isWithinRetention reports whether an order of this event may be a first delivery. It may not if the event is so old that
 // the ledger could have forgotten the order, or could forget it while this delivery's signature is still valid: the order
-// may have run, or the delivery may be sent again. It may not either if the event is more than a tolerance in the future.
+// may have run, or the delivery may be sent again. Nor may it if the event is more than a tolerance in the future.
 func (r *Receiver) isWithinRetention(eventTime time.Time) bool {
 	age := r.wallClock().Sub(eventTime)
 	maxAge := r.settings.Ledger.Retention - signatureValidityInTolerances*r.settings.Tolerance
--- a/internal/frontend/webhook/receiver_test.go
+++ b/internal/frontend/webhook/receiver_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Guards rule 2 over a crash: an order that was in flight then may have run, so it fails and is not handed to the
-// router again.
+// Guards against a second run of an order after a crash: one that was in flight then may have run, so it fails and is not
+// handed to the router again.
 func TestOrderInFlightAtACrashIsNotRunAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	request := orderDelivery("m")
@@ -150,7 +150,7 @@
 	}
 	receiver.Sweep(expiry + 1)
 	if receiver.deliveries.find("completed") != nil || receiver.deliveries.bodyBytes != 0 {
-		t.Errorf("behind its expiry: %+v", receiver.deliveries)
+		t.Errorf("after its expiry: %+v", receiver.deliveries)
 	}
 	if receiver.deliveries.find("pending") == nil {
 		t.Error("a pending delivery was forgotten")
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -109,8 +109,8 @@
 // Process starts the attempts that are due and ends those that take too long. now is the event loop's clock.
 //
 // It returns the time of the next start or timeout that it knows of, at which it must be called again at the latest. It must
-// also be called after Notify and after the end of an attempt, those included that it has ended itself: their retries are
-// not in the returned time. The program calls it in each turn of the event loop.
+// also be called after Notify and after the end of an attempt, including one that it has ended itself: the retry is not in
+// the returned time. The program calls it in each turn of the event loop.
 func (s *Sender) Process(now time.Duration) time.Duration {
 	s.now = max(s.now, now)
 	nextStart := s.startAttempts(now)
--- a/internal/frontend/webhook/signature.go
+++ b/internal/frontend/webhook/signature.go
@@ -81,7 +81,7 @@
 	return secret, nil
 }
 
-// authenticationCode returns the HMAC-SHA256 of the text that the specification has signed: ID.TIMESTAMP.BODY.
+// authenticationCode returns the HMAC-SHA256 of the text that is signed by the specification: ID.TIMESTAMP.BODY.
 func authenticationCode(secret []byte, id, timestamp string, body []byte) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte(id + "." + timestamp + "."))
--- a/internal/ipfix/exporter.go
+++ b/internal/ipfix/exporter.go
@@ -66,8 +66,8 @@
 
 // New returns an Exporter to the collector of c; c.Enabled has no meaning here. wallClock gives the export time of messages.
 //
-// dial opens a socket to c.Collector. It reports to h on the event loop's goroutine, and only after it has returned: the
-// Exporter would else lose the report. A dial whose end is not reported is never repeated.
+// dial opens a socket to c.Collector. It reports to h on the event loop's goroutine, and only after it has returned:
+// otherwise the Exporter loses the report. A dial whose end is not reported is never repeated.
 func New(c *Config, wallClock func() time.Time, dial func(h eventloop.DialHandler) Transport) *Exporter {
 	return &Exporter{
 		collector: c.Collector,
