--- a/internal/frontend/webhook/connection_test.go
+++ b/internal/frontend/webhook/connection_test.go
@@ -82,7 +82,7 @@
 // The connection of a client that sends on after an HTTP request that can't be parsed is closed in the end, and so is
 // that of a client that sends on without waiting for a response.
 func TestConnectionBoundsWhatItReads(t *testing.T) {
-	t.Run("behind a malformed request", func(t *testing.T) {
+	t.Run("after a malformed request", func(t *testing.T) {
 		receiver, _ := newTestReceiver(t, &fakeRouter{}, "")
 		transport := &testsupport.Transport{}
 		c := receiver.serve(transport, netip.AddrPort{})
@@ -101,7 +101,7 @@
 		transport := &testsupport.Transport{}
 		c := receiver.serve(transport, netip.AddrPort{})
 		c.OnData(signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", "x", noon)))
-		c.OnData(make([]byte, maxHeadBytes+maxBodyBytes))
+		c.OnData(make([]byte, maxHeadBytes+maxHTTPBodyBytes))
 		if transport.Closed {
 			t.Error("closed within the bound")
 		}
