--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -7,15 +7,17 @@
 	"functionrouter/policy"
 )
 
-// answer is one answer of a worker: the words ID WORD FIELDS BODY, or ID PONG. Its parts point into the read buffer.
+// answer is one answer of a worker: the words ID WORD FIELDS BODY, of which the last two may be missing. Its parts point into
+// the read buffer, which is valid during OnData only.
 type answer struct {
 	wireID []byte // of the call that it answers
-	word   []byte // one of answerOutcomes
+	word   []byte // a key of answerOutcomes, which outcomeFor checks
 	fields []byte // name=value,name=value; "-" or nothing if there are none
 	body   []byte // of an attempt: the function's result
 }
 
-// parseAnswer names the words of an answer. Fields and body may be missing, and words beyond them are ignored.
+// parseAnswer names the words of an answer. Fields and body may be missing, and words beyond them are ignored. It fails with
+// errMalformedAnswer if there is no wire id or no word behind it.
 func parseAnswer(words [][]byte) (answer, error) {
 	if len(words) < 2 {
 		return answer{}, malformed("fewer than two words")
@@ -30,15 +32,16 @@
 	return a, nil
 }
 
-// outcomeFor maps the answer's word. It fails with errMalformedAnswer if call can't have that answer.
+// outcomeFor returns the outcome of call by the answer's word. It fails with errMalformedAnswer if the word is unknown or
+// doesn't belong to the call's kind, or if the call was not written yet.
 func (a answer) outcomeFor(call *pendingCall) (policy.Outcome, error) {
 	outcome, known := answerOutcomes[string(a.word)]
 	if !known {
 		return 0, malformed("unknown word")
 	}
-	answersCheck := string(a.word) == answerHealthy || string(a.word) == answerUnhealthy
-	isCheck := call.kind == healthCheckCall || call.kind == keepAliveCall
-	if answersCheck != isCheck {
+	isCheckWord := string(a.word) == answerHealthy || string(a.word) == answerUnhealthy
+	isCheckCall := call.kind == healthCheckCall || call.kind == keepAliveCall
+	if isCheckWord != isCheckCall {
 		return 0, malformed("%s in answer to %s", a.word, call.kind)
 	}
 	if !call.written {
@@ -47,19 +50,22 @@
 	return outcome, nil
 }
 
-// instanceStatus is the state of the function's instance as the answer to an attempt gives it.
+// instanceStatus returns the state of the function's instance as the answer to an attempt gives it, policy.InstanceUnknown
+// if it gives none or one that is not known.
 func (a answer) instanceStatus() policy.InstanceStatus {
 	return instanceStatuses[string(fieldValue(a.fields, fieldInstanceStatus))]
 }
 
-// instanceCount is the number of loaded instances that the answer to a load command gives, 0 if it gives none.
+// instanceCount returns the number of loaded instances that the answer to a load command gives, 0 if it gives none or no
+// integer. The number is not checked any further.
 func (a answer) instanceCount() int {
 	count, _ := strconv.Atoi(string(fieldValue(a.fields, fieldInstanceCount)))
 	return count
 }
 
-// parseLoadReport reads a load report, name:value;name:value, into the order of names. It returns nil for one that
-// lacks any of them; names that aren't asked for and values that aren't numbers are ignored.
+// parseLoadReport returns the values of a load report, name:value;name:value, in the order of names, or nil unless it holds
+// as many values of these names as there are names. It ignores other names and values that aren't numbers. It does not
+// expect a name twice.
 func parseLoadReport(text []byte, names []string) []float64 {
 	if len(text) == 0 {
 		return nil
@@ -86,7 +92,8 @@
 	return values
 }
 
-// fieldValue finds a field in a list name=value,name=value, nil if it is not there; "-" is an empty list.
+// fieldValue returns the value of the first field with this name in a list name=value,name=value, nil if there is none. "-"
+// is an empty list. The value points into list.
 func fieldValue(list []byte, name string) []byte {
 	for len(list) > 0 {
 		var pair []byte
--- a/internal/backend/call.go
+++ b/internal/backend/call.go
@@ -29,53 +29,53 @@
 // pendingCall is a command that has an answer and has not ended.
 //
 // It has two ids. The caller's is the AttemptID or the ControlID, by which its end is reported. The worker's is the wire
-// id: all attempts of one request have the same, which is why a connection carries each only once (see recentIDs).
+// id: all attempts of one request have the same, which is why a connection doesn't carry one again soon (see recentIDs).
 type pendingCall struct {
 	kind    callKind
 	attempt router.AttemptID // of an attempt
 	control router.ControlID // of a load command or a health check
 	wireID  string
 
-	// What is to be written; nil afterwards. The header of an attempt is encoded only then, with the time that is left.
-	header []byte
-	body   []byte
+	// What is to be written; nil afterwards.
+	command []byte // the complete command; nil for an attempt, whose header is encoded as it is written
+	body    []byte // of an attempt
 
 	// Of an attempt.
-	class    string
-	function string
-	deadline time.Duration // by which its answer is of use
+	class     string
+	function  string
+	budgetEnd time.Duration // when its budget is spent; an attempt that was not written until then is not sent
 
-	connection *connection
+	connection *connection   // that carries it; nil before connection.send
 	sentAt     time.Duration // when it was written
-	resends    int           // how often it was sent again because its connection ended
+	resends    int           // how often it was moved to another connection, because its connection ended
 	written    bool
 
 	// Of a load command: it asks for instances, which only a ready worker loads.
 	needsReadyWorker bool
 }
 
-// newAttemptCall returns the call of an attempt whose answer is of use until deadline.
-func newAttemptCall(attempt router.AttemptID, request *router.Request, class string, deadline time.Duration) *pendingCall {
+// newAttemptCall returns the call of an attempt whose budget is spent at budgetEnd.
+func newAttemptCall(attempt router.AttemptID, request *router.Request, class string, budgetEnd time.Duration) *pendingCall {
 	return &pendingCall{
-		kind:     attemptCall,
-		attempt:  attempt,
-		wireID:   request.ID,
-		body:     request.Body,
-		class:    class,
-		function: request.FunctionKey,
-		deadline: deadline,
+		kind:      attemptCall,
+		attempt:   attempt,
+		wireID:    request.ID,
+		body:      request.Body,
+		class:     class,
+		function:  request.FunctionKey,
+		budgetEnd: budgetEnd,
 	}
 }
 
 // encodeAttemptHeader returns the header of an attempt that is written at now. The budget that it gives the worker is what
-// is left then: the attempt may have waited for a dial. A budget is at least 1 ms.
+// is left then, since the attempt may have waited for a dial. It is rounded down to milliseconds and is at least 1 ms.
 func (call *pendingCall) encodeAttemptHeader(now time.Duration) []byte {
-	budget := max((call.deadline - now).Milliseconds(), 1)
+	budget := max((call.budgetEnd - now).Milliseconds(), 1)
 	fields := fmt.Sprintf("queue=%s,path=%s,budget=%d", call.class, call.function, budget)
 	return encodeHeader(len(call.body), commandRun, call.wireID, fields)
 }
 
-// newLoadCommandCall returns the command to have so many instances loaded; 0 asks only how many are.
+// newLoadCommandCall returns the command to keep this number of instances of a function loaded; 0 only asks how many are.
 func newLoadCommandCall(control router.ControlID, function policy.FunctionID, instances int) *pendingCall {
 	wireID := loadCommandWireID(control)
 	fields := fmt.Sprintf("path=%s,count=%d", formatFunctionID(function), instances)
@@ -83,7 +83,7 @@
 		kind:             loadCommandCall,
 		control:          control,
 		wireID:           wireID,
-		header:           encodeCommand(commandLoad, wireID, fields),
+		command:          encodeCommand(commandLoad, wireID, fields),
 		needsReadyWorker: instances > 0,
 	}
 }
@@ -95,7 +95,7 @@
 		kind:    healthCheckCall,
 		control: control,
 		wireID:  wireID,
-		header:  encodeCommand(commandHealthCheck, wireID),
+		command: encodeCommand(commandHealthCheck, wireID),
 	}
 }
 
@@ -103,14 +103,14 @@
 func newKeepAliveCall(number uint64) *pendingCall {
 	wireID := formatWireID(keepAlivePrefix, number)
 	return &pendingCall{
-		kind:   keepAliveCall,
-		wireID: wireID,
-		header: encodeCommand(commandKeepAlive, wireID),
+		kind:    keepAliveCall,
+		wireID:  wireID,
+		command: encodeCommand(commandKeepAlive, wireID),
 	}
 }
 
-// The wire ids of the kinds differ in their first letter. An attempt's is the request's ID, 16 hex digits; it has no
-// prefix and is longer than the others.
+// The wire ids of the kinds differ in their first letter. An attempt's is the request's ID, 16 hex digits without a prefix;
+// so a prefix must be no hex digit.
 const (
 	loadCommandPrefix = "h"
 	healthCheckPrefix = "p"
@@ -125,15 +125,18 @@
 	return formatWireID(healthCheckPrefix, uint64(control))
 }
 
+// formatWireID returns the wire id of a call that is not an attempt: its kind's prefix and its number, in decimal.
 func formatWireID(prefix string, number uint64) string {
 	return prefix + strconv.FormatUint(number, 10)
 }
 
+// formatFunctionID returns a function's id as router.Request.FunctionKey spells it.
 func formatFunctionID(function policy.FunctionID) string {
 	return fmt.Sprintf("%016x", uint64(function))
 }
 
-// inWireIDOrder returns calls in a fixed order: equal runs must hand the policy equal events.
+// inWireIDOrder returns calls in the order of their wire ids as text. Their ends are events for the policy, and equal runs
+// must give it equal events in equal order, which the iteration of a map would not.
 func inWireIDOrder(calls map[string]*pendingCall) []*pendingCall {
 	return slices.SortedFunc(maps.Values(calls), func(a, b *pendingCall) int { return cmp.Compare(a.wireID, b.wireID) })
 }
--- a/internal/backend/codec.go
+++ b/internal/backend/codec.go
@@ -11,17 +11,19 @@
 const (
 	// maxBulkSize is the limit of a bulk string. The longest is a body: 16 KiB, with some bytes to spare.
 	maxBulkSize = 16<<10 + 64
-	// maxAnswerSize is the limit of a complete answer: a body and the words beside it.
+	// maxAnswerSize is the limit of a complete answer without its last line end: a body, and 4 KiB for the words beside it.
 	maxAnswerSize = maxBulkSize + 4<<10
-	// maxWords is the limit on the number of words. An answer has four.
+	// maxWords is the limit on the number of words. An answer has two to four; parseAnswer ignores further ones.
 	maxWords = 8
-	// maxPrefixLine is the limit of a line such as "*4" or "$16384" with its end; the longest of use has 8 bytes.
+	// maxPrefixLine is the limit of a line such as "*4" or "$16384" with its end; the longest within the limits above has
+	// 8 bytes.
 	maxPrefixLine = 12
 	// minPrefixLine is the length of the shortest such line.
 	minPrefixLine = len("*0\r\n")
 )
 
-// headerSize is the capacity in bytes with which a command's header is allocated. Any header fits without growing.
+// headerSize is the capacity in bytes with which a command's header is allocated. A header with a class name of up to 60
+// bytes fits without growing.
 const headerSize = 160
 
 // The first bytes of RESP types.
@@ -33,7 +35,8 @@
 // lineEnd ends each line and each bulk string. It is never changed.
 var lineEnd = []byte("\r\n")
 
-// errMalformedAnswer says that a worker broke the protocol. Errors of the codec and of answers wrap it.
+// errMalformedAnswer says that a worker broke the protocol. Each error of the functions here and in answer.go wraps it; so
+// "fails with errMalformedAnswer" means an error for which errors.Is finds it.
 var errMalformedAnswer = errors.New("malformed answer")
 
 // malformed returns an error that wraps errMalformedAnswer and gives the formatted reason.
@@ -42,9 +45,9 @@
 }
 
 // decodeArray decodes the RESP array of bulk strings at the beginning of b and appends its words, which point into
-// b, to words. It also returns the array's size in bytes, 0 while the array is incomplete. It fails with
-// errMalformedAnswer. Announced lengths are checked before anything waits for their bytes, so that what a peer can
-// make the router buffer is bounded.
+// b, to words. It also returns the array's size in bytes. While the array is incomplete, it returns no words and 0. It
+// fails with errMalformedAnswer. A length is checked as soon as it is announced, before its bytes have arrived, so that
+// what a worker can make the router buffer is bounded.
 func decodeArray(b []byte, words [][]byte) ([][]byte, int, error) {
 	count, at, err := decodePrefix(b, 0, arrayMark, maxWords)
 	if err != nil || at == 0 {
--- a/internal/backend/commands.go
+++ b/internal/backend/commands.go
@@ -7,9 +7,10 @@
 	"functionrouter/policy"
 )
 
-// StartAttempt sends an attempt of a request to a worker, which may spend budget on it. The attempt ends as Unreachable if
-// the worker is not ready or no connection can carry the attempt. The request may be reused once StartAttempt has
-// returned; its body is kept without a copy and must not be changed.
+// StartAttempt sends an attempt of a request to a worker, which has budget from now on to answer it. No other attempt with
+// the id may be open. The attempt ends as Unreachable if the worker is not known or not ready, or if no connection can
+// carry the attempt. The request may be reused once StartAttempt has returned; its body is kept without a copy and must
+// not be changed.
 func (p *Pool) StartAttempt(workerID policy.WorkerID, attempt router.AttemptID, request *router.Request,
 	budget time.Duration) {
 	w := p.workers[workerID]
@@ -24,8 +25,8 @@
 	p.results.AttemptEnded(attempt, router.AttemptResult{Outcome: policy.Unreachable})
 }
 
-// CancelUnsent cancels an attempt that waits for a dial; no result follows. It returns false, and does nothing, if the
-// attempt has been written or has ended.
+// CancelUnsent cancels an attempt that waits for a dial; no result follows, and the dial goes on. It returns false, and does
+// nothing, if the attempt has been written or has ended.
 func (p *Pool) CancelUnsent(attempt router.AttemptID) bool {
 	call := p.attempts[attempt]
 	if call == nil || call.written {
@@ -37,8 +38,9 @@
 }
 
 // CancelAttempt cancels an attempt; no result follows, and the worker may run it all the same. Its connection does not
-// carry its wire id again: an answer that is on its way must not end another attempt of the same request. The cancel is
-// sent to the worker where the settings allow it.
+// carry its wire id again while recentIDs remembers it: an answer that is on its way must not end another attempt of the
+// same request. The cancel is sent to the worker where the settings allow it. The worker's id, a parameter of
+// router.WorkerPool, is not needed: the pool knows the attempt's connection.
 func (p *Pool) CancelAttempt(_ policy.WorkerID, attempt router.AttemptID) {
 	call := p.attempts[attempt]
 	if call == nil || p.CancelUnsent(attempt) {
@@ -51,19 +53,21 @@
 	}
 }
 
-// LoadInstance commands a worker to have this number of instances of a function loaded; 0 only asks for the number of
-// loaded ones. Unless it is 0, the command ends as Unreachable if the worker is not ready.
+// LoadInstance commands a worker to keep this number of instances of a function loaded; 0 only asks for the number of
+// loaded ones. The command ends as Unreachable if the worker is not known, if no connection can carry it or, unless the
+// number is 0, if the worker is not ready.
 func (p *Pool) LoadInstance(workerID policy.WorkerID, function policy.FunctionID, instances int, control router.ControlID) {
 	p.sendControl(workerID, newLoadCommandCall(control, function, instances))
 }
 
-// CheckHealth asks a worker, in whatever state it is, for a sign of life and for its load report.
+// CheckHealth asks a worker, in whatever state it is, for a sign of life and for its load report. The health check ends as
+// Unreachable if the worker is not known or no connection can carry it.
 func (p *Pool) CheckHealth(workerID policy.WorkerID, control router.ControlID) {
 	p.sendControl(workerID, newHealthCheckCall(control))
 }
 
-// sendControl sends a load command or a health check. The call ends as Unreachable if it needs a ready worker and this one
-// is not, or if no connection can carry it.
+// sendControl sends a load command or a health check. The call ends as Unreachable if the worker is not known, if the call
+// needs a ready worker and this one is not, or if no connection can carry it.
 func (p *Pool) sendControl(workerID policy.WorkerID, call *pendingCall) {
 	w := p.workers[workerID]
 	if w != nil && (w.acceptsNew() || !call.needsReadyWorker) {
@@ -75,8 +79,8 @@
 	p.endUnanswered(call, policy.Unreachable)
 }
 
-// CancelControl drops the load command or health check that the caller knows as control; no result follows. The worker may
-// carry it out all the same.
+// CancelControl cancels the load command or health check that the caller knows as control; no result follows. The worker
+// gets no message and may carry it out all the same. Its wire id is not remembered: a ControlID is used once.
 func (p *Pool) CancelControl(workerID policy.WorkerID, control router.ControlID) {
 	w := p.workers[workerID]
 	if w == nil {
@@ -85,15 +89,16 @@
 	for _, c := range w.connections {
 		for _, wireID := range []string{loadCommandWireID(control), healthCheckWireID(control)} {
 			if call := c.pending[wireID]; call != nil {
-				c.dequeue(call)
-				c.release(call)
+				c.dequeue(call) // if it waits for the dial
+				c.release(call) // if it was written
 			}
 		}
 	}
 }
 
-// UnloadInstance commands a worker to unload the idle instances of a function; it has no answer. Where no
-// connection is open it does nothing: idle instances expire by themselves, which makes them not worth a dial.
+// UnloadInstance commands a worker to unload the idle instances of a function; it has no answer. The command goes over the
+// oldest connection whose dial has ended, and is lost if the pool has just closed that one. Without such a connection
+// nothing is sent: an idle instance expires by itself, so that a dial is not worth its cost.
 func (p *Pool) UnloadInstance(workerID policy.WorkerID, function policy.FunctionID) {
 	w := p.workers[workerID]
 	if w == nil {
@@ -107,7 +112,7 @@
 	}
 }
 
-// endUnanswered reports the end of a call that got no answer.
+// endUnanswered reports the end of a call that got no answer. The connection has released the call before.
 func (p *Pool) endUnanswered(call *pendingCall, outcome policy.Outcome) {
 	switch call.kind {
 	case attemptCall:
@@ -116,7 +121,8 @@
 	case loadCommandCall:
 		p.results.LoadCommandEnded(call.control, outcome, 0)
 	case healthCheckCall:
-		if outcome == policy.NotSent { // a fault of this machine, which is no sign of life either
+		if outcome == policy.NotSent {
+			// The policy takes NotSent for an answer of the worker (see HealthCheckEnded), and there was none.
 			outcome = policy.Unreachable
 		}
 		p.results.HealthCheckEnded(call.control, outcome, nil)
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -24,17 +24,17 @@
 	pendingAttempts int
 	// queued holds the pending calls that wait for the dial, in the order of their sending.
 	queued []*pendingCall
-	// recentIDs holds the wire ids of attempts that were written and have ended.
+	// recentIDs holds the wire ids of attempts that were written and have ended or been cancelled, for a time.
 	recentIDs recentIDs
 
 	dialedAt   time.Duration
-	lastUsedAt time.Duration // when a call was last written or answered
+	lastUsedAt time.Duration // when a call was last written or answered; at first dialedAt
 
 	partial   partialAnswer
 	keepAlive keepAlive
 }
 
-// send writes call, or queues it until the dial has succeeded.
+// send writes call, or queues it until the dial has succeeded. Pool.preferenceFor must have found c eligible for it.
 func (c *connection) send(call *pendingCall) {
 	call.connection = c
 	c.pending[call.wireID] = call
@@ -48,7 +48,7 @@
 	c.write(call)
 }
 
-// write hands the call's command to the transport, which owns its bytes from then on.
+// write hands the call's command to the transport, which owns its bytes from then on: a call is written once.
 func (c *connection) write(call *pendingCall) {
 	call.written = true
 	call.sentAt = c.pool.now
@@ -56,14 +56,15 @@
 	if call.kind == attemptCall {
 		c.transport.Write(call.encodeAttemptHeader(c.pool.now), call.body, lineEnd)
 	} else {
-		c.transport.Write(call.header)
+		c.transport.Write(call.command)
 	}
-	call.header = nil
+	call.command = nil
 	call.body = nil
 }
 
-// release removes call from the pending calls, if it still is one. The wire id of an attempt that was written is not
-// used on this connection again.
+// release removes call from the pending calls, if it still is one. The connection then remembers the wire id of an attempt
+// that was written. A call that waits for the dial is released by dequeue or by the caller that empties the queue: one that
+// stayed in it would be written.
 func (c *connection) release(call *pendingCall) {
 	if c.pending[call.wireID] != call {
 		return
@@ -88,8 +89,8 @@
 	}
 }
 
-// failQueued ends the calls that wait for the dial, except health checks. A dial for which no call waits any longer is
-// cancelled.
+// failQueued ends the calls that wait for the dial because their worker is not ready any more: attempts as Unreachable, load
+// commands as WorkerOverloaded. Health checks stay. A dial for which no call waits any longer is cancelled.
 func (c *connection) failQueued() {
 	var kept []*pendingCall
 	for _, call := range c.queued {
@@ -100,7 +101,7 @@
 		c.release(call)
 		outcome := policy.Unreachable
 		if call.kind == loadCommandCall {
-			outcome = policy.WorkerOverloaded // the answer of a draining worker
+			outcome = policy.WorkerOverloaded // as a draining worker answers it
 		}
 		c.pool.endUnanswered(call, outcome)
 	}
@@ -110,7 +111,8 @@
 	}
 }
 
-// OnOpen handles the end of the dial.
+// OnOpen handles the end of the dial. It writes the queued calls in the order in which they were sent; an attempt whose
+// budget is spent ends as NotSent instead.
 func (c *connection) OnOpen(err error) {
 	if err != nil {
 		slog.Warn("worker dial failed", "address", c.worker.address, "error", err)
@@ -123,8 +125,8 @@
 	queued := c.queued
 	c.queued = nil
 	for _, call := range queued {
-		if call.kind == attemptCall && call.deadline <= c.pool.now {
-			c.release(call) // its client waits no longer
+		if call.kind == attemptCall && call.budgetEnd <= c.pool.now {
+			c.release(call)
 			c.pool.endUnanswered(call, policy.NotSent)
 			continue
 		}
@@ -132,15 +134,16 @@
 	}
 }
 
-// endOfFailedDial maps the error of a dial. A refusal or a timeout proves that nothing ran. A reset comes from a
-// process that runs, so that it would be wrong to call its worker unreachable: the queued calls get another dial.
+// endOfFailedDial returns what the error of a dial means for the queued calls, of which none was written. After most errors,
+// such as a refusal or a timeout, they end as Unreachable. A reset comes from a process that runs, so that it would be wrong
+// to call its worker unreachable at once: the calls get another dial. A local fault says nothing of the worker.
 func endOfFailedDial(err error) connectionEnd {
 	end := connectionEnd{
 		outcome: policy.Unreachable,
 		redial:  errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed),
 	}
 	if errors.Is(err, eventloop.ErrLocalFault) {
-		end.outcome = policy.NotSent // the worker is not to blame
+		end.outcome = policy.NotSent
 	}
 	return end
 }
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -7,14 +7,17 @@
 // # Results
 //
 // The end of each call is reported once to the ResultHandler, either during the method that starts the call or later,
-// unless the caller cancels the call first. A failure is reported as a policy.Outcome; no method returns an error. The
-// outcomes Unreachable, NotSent, FunctionNotLoaded and WorkerOverloaded prove that an attempt never ran; ConnectionReset
-// means that it may have run. The pool doesn't time calls out: the caller cancels a call that takes too long. The timeouts
-// here, of dials, idle connections, keep-alive checks and incomplete answers, are of connections; a call ends, or is sent
-// again, when its connection does.
-//
-// Errors of connections are logged, never returned. A connection whose worker breaks the protocol is closed with an error
-// that wraps errMalformedAnswer.
+// unless the caller cancels the call first. Keep-alive checks are calls of the pool itself and are not reported. A failure
+// is reported as a policy.Outcome; no method returns an error. The outcomes Unreachable, NotSent, FunctionNotLoaded and
+// WorkerOverloaded prove that an attempt never ran; ConnectionReset means that it may have run.
+//
+// The pool doesn't time out calls that it has written: the caller cancels a call that takes too long. An attempt whose
+// budget is spent while it waits for a dial ends as NotSent. The timeouts here, of dials, idle connections, keep-alive
+// checks and incomplete answers, are of connections; a call ends, or is sent again, when its connection ends.
+//
+// Errors of connections are never returned. They are logged, except the end of a connection without pending calls, which
+// workers close when it has been idle for long. A connection whose worker breaks the protocol is closed with an error that
+// wraps errMalformedAnswer.
 //
 // # Wire
 //
