--- a/internal/backend/connection_end.go
+++ b/internal/backend/connection_end.go
@@ -3,20 +3,23 @@
 import "functionrouter/policy"
 
 const (
-	// maxHealthCheckResends is how often a health check is sent again after its connection broke.
+	// maxHealthCheckResends is how often a health check is sent again after its connection broke. A worker that breaks one
+	// connection after another fails the health check in the end.
 	maxHealthCheckResends = 2
 
-	// maxDialRetries is how often a call that waits for a dial gets another one after a reset.
+	// maxDialRetries is how often a call that waits for a dial gets another one after a reset. After that it ends. Both
+	// limits compare with pendingCall.resends, which counts resends of either kind.
 	maxDialRetries = 2
 )
 
 // connectionEnd is what the end of a connection means for the calls that are pending on it.
 type connectionEnd struct {
-	outcome policy.Outcome // with which they end
-	redial  bool           // no call was written, and each is first sent again over another connection
+	outcome policy.Outcome // of the calls that are not sent again
+	redial  bool           // the calls, of which none was written, are sent over another connection where possible
 }
 
-// OnClose handles the end of an open connection: the attempts that were pending on it may have run.
+// OnClose handles the end of an open connection, by the worker, the network or the pool: the attempts that were pending on it
+// may have run.
 func (c *connection) OnClose(err error) {
 	if len(c.pending) > 0 {
 		c.pool.lostConnections.record(c.pool.now, c.worker.address, len(c.pending), err)
@@ -24,40 +27,47 @@
 	c.terminate(connectionEnd{outcome: policy.ConnectionReset})
 }
 
-// terminate removes c from its worker and ends the pending calls, except those that are sent again over another
-// connection. Calls are written as soon as the dial has succeeded, so that those of a failed dial were never sent, and
-// those of an open connection were.
+// terminate removes c from its worker, first of all, so that no call is sent over it again. It ends the pending calls in the
+// order of their wire ids, except those that are sent again over another connection. Calls are written as soon as the dial has succeeded, so that those of
+// a failed dial were never sent, and those of an open connection were.
 func (c *connection) terminate(end connectionEnd) {
 	c.worker.remove(c)
 	pending := inWireIDOrder(c.pending)
 	clear(c.pending)
 	c.queued = nil
 	for _, call := range pending {
-		switch {
-		case call.resendsAfter(end.outcome):
-			c.resendHealthCheck(call)
-		case end.redial && c.resendUnsent(call):
-		default:
+		if !c.resend(call, end) {
 			c.pool.endUnanswered(call, end.outcome)
 		}
 	}
 }
 
+// resend sends a call again over another connection, if its kind and the end of c allow that. It returns false if the call
+// has to end.
+func (c *connection) resend(call *pendingCall, end connectionEnd) bool {
+	if call.resendsAfter(end.outcome) {
+		c.resendHealthCheck(call)
+		return true
+	}
+	return end.redial && c.resendUnsent(call)
+}
+
 // resendsAfter reports whether a call is a health check that is sent again after its connection ended with outcome.
 func (call *pendingCall) resendsAfter(outcome policy.Outcome) bool {
 	return call.kind == healthCheckCall && outcome == policy.ConnectionReset && call.resends < maxHealthCheckResends
 }
 
-// resendHealthCheck sends a health check over another connection. A broken connection is no sign that its worker is
-// unhealthy, which others may well be using. A worker that died refuses a new one, and a healthy one answers on it.
+// resendHealthCheck sends a health check over another connection, or ends it as Unreachable if there is none. That one
+// connection broke does not show that its worker is unhealthy: on another one a healthy worker answers, and a worker that
+// died refuses the dial.
 func (c *connection) resendHealthCheck(call *pendingCall) {
 	again := newHealthCheckCall(call.control)
 	again.resends = call.resends + 1
 	c.pool.sendControl(c.worker.id, again)
 }
 
-// resendUnsent sends a call that has not been written over another connection. It returns false, and does nothing, if the
-// worker takes no calls, the call's retries are spent or no other connection can carry the call.
+// resendUnsent sends a call that has not been written over another connection. It returns false, and sends nothing, if the
+// worker is not ready, the call has been sent again maxDialRetries times, or no other connection can carry the call.
 func (c *connection) resendUnsent(call *pendingCall) bool {
 	if !c.worker.acceptsNew() || call.resends >= maxDialRetries {
 		return false
--- a/internal/backend/connection_state.go
+++ b/internal/backend/connection_state.go
@@ -13,14 +13,15 @@
 //	connecting  ready       the dial succeeds (OnOpen)
 //	connecting  closed      it is retired, which cancels the dial
 //	ready       draining    it is retired while calls are pending
-//	ready       closed      it is idle and no longer of use, or it fails
+//	ready       closed      it is closed while idle, or it fails
 //	draining    closed      its last call has ended, as the next sweep finds, or it fails
 //
-// An idle connection is of no use if it is retired, has been idle for too long, makes room for another one, or
-// Pool.CloseIdleConnections is called for its worker. A connection fails if its worker breaks the protocol, leaves an
-// answer incomplete, or doesn't answer the keep-alive check while it answers on other connections.
+// A ready connection is closed while idle if it is retired, has been idle for too long or makes room for another one.
+// Pool.CloseIdleConnections closes an idle one in either state. A connection fails if its worker breaks the protocol; a
+// ready one also fails if its worker leaves an answer incomplete, or doesn't answer the keep-alive check while it answers
+// on other connections. Sweeps do not look for these two faults on a draining one: its calls end by the caller's timeouts.
 //
-// A failed dial and a close by the worker are no transitions: they remove the connection from its worker (terminate), and
+// A failed dial and a close by the worker change no state: they remove the connection from its worker (terminate), and
 // nothing uses it afterwards. The same follows each transition to closed: at once after a dial that was cancelled, with
 // OnClose for an open connection.
 type connectionState uint8
@@ -42,20 +43,21 @@
 // takesCalls reports whether new calls may go over c, now or once its dial has succeeded.
 func (c *connection) takesCalls() bool { return c.state == connecting || c.state == ready }
 
-// close closes the connection; OnClose follows if it was open. No new call may go over it: the call would count as written.
+// close closes the connection; OnClose follows in a later turn if it was open. The state changes at once, so that no call
+// goes over it until then: the call would be lost, and yet count as written.
 func (c *connection) close() {
 	c.state = closed
 	c.transport.Close()
 }
 
-// closeWithError closes a connection that has failed, and logs why.
+// closeWithError closes a connection that has failed, and logs why and its state before.
 func (c *connection) closeWithError(err error) {
 	slog.Warn("worker connection closed", "address", c.worker.address, "state", c.state.String(), "error", err)
 	c.close()
 }
 
-// retire drains c: it takes no new calls and closes once the pending ones have ended. A dial is cancelled, and the calls
-// that wait for it end as Unreachable.
+// retire drains c: it takes no new calls and closes once the pending ones have ended, or at once if there are none. A dial
+// is cancelled, and the calls that wait for it end as Unreachable.
 func (c *connection) retire() {
 	switch {
 	case c.state == connecting:
--- a/internal/backend/keep_alive.go
+++ b/internal/backend/keep_alive.go
@@ -13,40 +13,29 @@
 	// keepAliveTimeout is how long a keep-alive check may go unanswered. After that the connection is closed if
 	// the worker has answered, on another one, a call that was sent after the keep-alive check.
 	keepAliveTimeout = 250 * time.Millisecond
-
-	// partialAnswerTimeout bounds the wait for the rest of an answer that has begun.
-	partialAnswerTimeout = 600 * time.Millisecond
 )
 
-var (
-	// errStalledAnswer says that an answer began and was not complete within partialAnswerTimeout.
-	errStalledAnswer = errors.New("answer stalled")
-
-	// errSilentConnection says that a connection stays silent while others to the same worker do not.
-	errSilentConnection = errors.New("connection is silent while others to the worker are not")
-)
+// errSilentConnection says that a connection stays silent while others to the same worker do not.
+var errSilentConnection = errors.New("connection is silent while others to the worker are not")
 
 // keepAlive holds what shows whether a connection still works. The keep-alive check is of one connection, and its result
-// stays in this package; the health check is of a worker, and its result goes to the policy. Any complete answer ends a
-// keep-alive check, not only its own.
+// stays in this package; the health check is of a worker, and its result goes to the policy. Any complete answer on the
+// connection answers a keep-alive check, not only its own; its call stays pending until its own answer comes.
 type keepAlive struct {
 	lastAnswerAt       time.Duration // when the last complete answer came
 	lastAnsweredSentAt time.Duration // when the latest of the answered calls was sent
 	checkSentAt        time.Duration // when the unanswered keep-alive check was sent; 0: there is none
 }
 
-// awaitsAnswer reports whether a keep-alive check is unanswered.
+// awaitsAnswer reports whether no complete answer has come since a keep-alive check was sent.
 func (k *keepAlive) awaitsAnswer() bool { return k.checkSentAt > 0 }
 
-// checkKeepAlive closes the connection if it has stalled or fallen silent. A connection that is cut off stays open
-// and silent, while others to the same worker may work: that is no reason to avoid the worker. Single bytes
-// prove nothing here; only complete answers count.
+// checkKeepAlive sends a keep-alive check over a connection that has fallen silent, and closes the connection if the check
+// stays unanswered while the worker answers on others. A connection that is cut off stays open and silent, while others to
+// the same worker may work: that is no reason to avoid the worker. A connection without attempts in flight is not checked,
+// and not closed here. Single bytes prove nothing; only complete answers count.
 func (c *connection) checkKeepAlive() {
 	now := c.pool.now
-	if len(c.partial.data) > 0 && now-c.partial.since > partialAnswerTimeout {
-		c.closeWithError(errStalledAnswer)
-		return
-	}
 	oldest := c.oldestAttemptSentAt()
 	if oldest == 0 || now-max(oldest, c.keepAlive.lastAnswerAt) <= keepAliveAfter {
 		return
--- a/internal/backend/lost_connection_log.go
+++ b/internal/backend/lost_connection_log.go
@@ -7,10 +7,13 @@
 	"functionrouter/internal/logging"
 )
 
-// lostConnectionLogInterval is the least time between two lines on lost connections. A worker that dies ends many at once.
+// lostConnectionLogInterval is the least time between two lines on lost connections. A worker that dies ends many
+// connections at once.
 const lostConnectionLogInterval = time.Second
 
-// lostConnectionLog logs the connections that ended while calls were pending on them, several in one line.
+// lostConnectionLog logs the connections that ended while calls were pending on them, several in one line. Only a lost
+// connection writes a line: what was counted after the last line is logged with the next one that is lost after the
+// interval, whose address and error the line gives.
 type lostConnectionLog struct {
 	throttle     logging.Throttle // counts the lost connections since the last line
 	pendingCalls int              // calls that were pending on these connections
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -2,22 +2,38 @@
 
 import (
 	"bytes"
+	"errors"
 	"time"
 
 	"functionrouter/internal/router"
 	"functionrouter/policy"
 )
 
-// maxKeptBuffer is the capacity in bytes above which an empty read buffer is released.
-const maxKeptBuffer = 4 << 10
+const (
+	// maxKeptBuffer is the capacity in bytes above which the buffer of a partial answer is released once it is empty. It
+	// bounds what a connection holds between large answers.
+	maxKeptBuffer = 4 << 10
+
+	// partialAnswerTimeout bounds the time from the first byte of an answer to its last.
+	partialAnswerTimeout = 600 * time.Millisecond
+)
+
+// errStalledAnswer says that an answer began and was not complete within partialAnswerTimeout.
+var errStalledAnswer = errors.New("answer stalled")
 
 // partialAnswer is the beginning of an answer whose rest has not come.
 type partialAnswer struct {
-	data  []byte
+	data  []byte        // empty if no answer has begun
 	since time.Duration // when its first byte came
 }
 
-// join returns what has come of the answer so far, with b behind it. The result is valid until the next call.
+// hasStalled reports whether the rest of an answer that has begun is overdue.
+func (p *partialAnswer) hasStalled(now time.Duration) bool {
+	return len(p.data) > 0 && now-p.since > partialAnswerTimeout
+}
+
+// join returns what has come of the answer so far, with b behind it. The result is b itself or points into the buffer, and is
+// valid until the next call of join or keep.
 func (p *partialAnswer) join(b []byte) []byte {
 	if len(p.data) == 0 {
 		return b
@@ -26,7 +42,8 @@
 	return p.data
 }
 
-// keep stores the rest that the answers in joined, the last result of join, have left at now.
+// keep stores rest, the part of joined behind its complete answers. joined is the last result of join, and now the time at
+// which its last bytes came. If no answer was complete, the partial answer is still the one from before.
 func (p *partialAnswer) keep(rest, joined []byte, now time.Duration) {
 	beginsNow := len(rest) < len(joined) || len(p.data) == 0
 	if len(rest) > 0 && beginsNow {
@@ -38,8 +55,8 @@
 	}
 }
 
-// OnData handles bytes from the worker. The beginning of an answer stays in a buffer that grows with it, so
-// that an answer that comes a few bytes at a time is not copied anew for each of them.
+// OnData handles bytes from the worker, which are valid during the call only. The beginning of an answer is kept in a buffer
+// that grows with it, so that an answer that comes a few bytes at a time is not copied anew for each of them.
 func (c *connection) OnData(b []byte) {
 	if c.state == closed {
 		return
@@ -73,8 +90,10 @@
 	return b, nil
 }
 
-// handleAnswer ends the pending call that an answer is to. An answer to none is ignored: it is a duplicate, or the answer
-// to a call that was cancelled. It fails with errMalformedAnswer.
+// handleAnswer ends the pending call that an answer is to. An answer to none only shows that the connection works: it is a
+// duplicate, or the answer to a call that was cancelled. handleAnswer fails with errMalformedAnswer.
+//
+// The call is released before its result is reported, since the handler may then call the pool.
 func (c *connection) handleAnswer(words [][]byte) error {
 	a, err := parseAnswer(words)
 	if err != nil {
@@ -97,7 +116,7 @@
 	return nil
 }
 
-// endAnswered reports the result of an answered call.
+// endAnswered reports the result of an answered call. The handler keeps the body, which is copied for it.
 func (p *Pool) endAnswered(call *pendingCall, outcome policy.Outcome, a answer) {
 	switch call.kind {
 	case attemptCall:
@@ -112,7 +131,7 @@
 		p.results.LoadCommandEnded(call.control, outcome, a.instanceCount())
 	case healthCheckCall:
 		p.results.HealthCheckEnded(call.control, outcome, p.loadReport(a))
-	case keepAliveCall: // handleAnswer has noted that the connection works
+	case keepAliveCall: // handleAnswer has recorded that the connection works
 	}
 }
 
--- a/internal/backend/selection.go
+++ b/internal/backend/selection.go
@@ -1,15 +1,18 @@
 package backend
 
 const (
-	// maxConnectionsPerWorker bounds the connections to one worker.
+	// maxConnectionsPerWorker bounds the connections to one worker, in any state. At the limit the open ones carry up to
+	// Config.MaxStreamsPerConnection attempts each.
 	maxConnectionsPerWorker = 10
 
-	// attemptsBeforeDial is how many attempts a connection holds before another is opened although it could
-	// take more: a connection that breaks ends all of its calls.
+	// attemptsBeforeDial is how many attempts a connection holds before another is opened, although it could take more: a
+	// connection that breaks ends all of its calls. A higher value opens fewer connections, and one that breaks then ends
+	// more calls.
 	attemptsBeforeDial = 4
 )
 
-// preference orders the connections that may carry a call: the highest is chosen.
+// preference orders the connections that may carry a call: one with the highest is chosen. The order of the constants
+// counts.
 type preference uint8
 
 const (
@@ -17,15 +20,16 @@
 	notEligible preference = iota // not eligible
 	// Its keep-alive check is unanswered.
 	unresponsive // unresponsive
-	// Calls wait for the end of its dial.
+	// It would queue the call until the end of its dial.
 	beingDialed // being dialed
 	// It is open, and no keep-alive check is unanswered.
 	responsive // responsive
 )
 
-// selectConnection returns the connection for call, or nil if there is none and none may be opened. It
-// chooses the most preferred connection with the fewest attempts. Where that one is unresponsive or has
-// attemptsBeforeDial attempts, it opens a new one, as long as the limits allow.
+// selectConnection returns the connection for call, or nil if there is none and none may be opened. It chooses the most
+// preferred connection with the fewest attempts. If there is none, or if that one is unresponsive or has attemptsBeforeDial
+// attempts, it dials a new one where the limits allow. For that it may close an idle connection (see reserveConnection).
+// The caller sends the call at once: a new connection without a call would be dialed in vain.
 func (p *Pool) selectConnection(w *worker, call *pendingCall) *connection {
 	best, highest := p.bestConnection(w, call)
 	if highest > unresponsive && best.pendingAttempts < attemptsBeforeDial {
@@ -55,7 +59,8 @@
 	return best, highest
 }
 
-// preferenceFor rates c for call. A connection carries no two calls with the same wire id at once.
+// preferenceFor rates c for call. A connection carries no two calls with the same wire id at once, because an answer names
+// its call by that alone.
 func (p *Pool) preferenceFor(c *connection, call *pendingCall) preference {
 	if !c.takesCalls() || c.transport == nil || c.pending[call.wireID] != nil {
 		return notEligible
@@ -73,16 +78,18 @@
 	}
 }
 
-// mayCarryAttempt reports whether c may carry one more attempt: it carries no more at once than a worker accepts, and none
-// whose wire id it remembers (see recentIDs).
+// mayCarryAttempt reports whether c may carry one more attempt, call: it carries no more at once than a worker accepts, and
+// none whose wire id it remembers (see recentIDs).
 func (p *Pool) mayCarryAttempt(c *connection, call *pendingCall) bool {
 	return c.pendingAttempts < p.cfg.MaxStreamsPerConnection &&
 		!c.recentIDs.contains(call.wireID) &&
 		!c.recentIDs.full()
 }
 
-// reserveConnection reports whether one more connection may be opened. At the limit on all connections, the
-// one that has been idle for longest is closed to make room, so that workers that appear late get connections.
+// reserveConnection reports whether one more connection may be opened. At the limit on all connections, it closes the one
+// that has been idle for longest to make room, so that workers that appear late get connections. It does so for each new
+// connection: a closed one counts until its OnClose. Call it only if a dial follows. Which one it closes of several that
+// have been idle equally long is left to the iteration of the map.
 func (p *Pool) reserveConnection() bool {
 	total := 0
 	var longestIdle *connection
@@ -107,7 +114,8 @@
 	return true
 }
 
-// dial opens a connection to w. It is not eligible for calls until Config.Dial has returned its transport.
+// dial opens a connection to w, whose state is the zero value, connecting. It is not eligible for calls until Config.Dial has
+// returned its transport.
 func (p *Pool) dial(w *worker) *connection {
 	c := &connection{
 		pool:       p,
--- a/internal/backend/sweep.go
+++ b/internal/backend/sweep.go
@@ -7,11 +7,12 @@
 	"functionrouter/policy"
 )
 
-// SweepInterval is how often Pool.Sweep should be called. Timeouts of connections are noticed that much later at most.
+// SweepInterval is the time after which Pool.Sweep should be called again. The timeouts of connections, those of dials aside,
+// are noticed that much later at most.
 const SweepInterval = 50 * time.Millisecond
 
-// idleCloseFraction is the part of the workers' idle timeout after which the pool closes an idle connection. The rest is
-// a margin for the time that a call takes to the worker.
+// idleCloseFraction is the part of the workers' idle timeout after which the pool closes an idle connection. The rest is a
+// margin for the time that a call takes to reach the worker, and for the SweepInterval.
 const idleCloseFraction = 0.8
 
 // Sweep does the periodic work at now, a reading of the event loop's clock: it closes connections that are idle or of no
@@ -29,26 +30,28 @@
 	}
 }
 
-// sweepConnection does the periodic work of one connection.
+// sweepConnection does the periodic work of one connection: the first of these steps that applies.
 func (p *Pool) sweepConnection(c *connection) {
 	c.recentIDs.rotate(p.now)
 	switch {
 	case c.state == connecting: // the dial has a timeout of its own
 	case c.state == ready && c.recentIDs.full():
-		c.retire() // a new connection carries more attempts; this one would carry none for seconds
-	case c.state != ready: // draining or closed
+		c.retire() // it would carry no attempt for seconds, and count towards maxConnectionsPerWorker
+	case c.state != ready: // draining, or closed and without its OnClose yet
 		if c.idle() {
 			c.close()
 		}
 	case c.idle() && p.now-c.lastUsedAt > p.idleCloseAfter():
 		c.close()
+	case c.partial.hasStalled(p.now):
+		c.closeWithError(errStalledAnswer)
 	default:
 		c.checkKeepAlive()
 	}
 }
 
-// idleCloseAfter is how long a connection may be idle. It is less than the workers' own limit: a call that
-// crosses a worker's close would count as one that may have run.
+// idleCloseAfter returns how long a connection may be idle. It is less than the workers' own limit: a call that is on its way
+// when the worker closes the connection would count as one that may have run.
 func (p *Pool) idleCloseAfter() time.Duration {
 	return time.Duration(idleCloseFraction * float64(p.cfg.IdleTimeout))
 }
