--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -18,7 +18,7 @@
 	transport Transport // nil until Config.Dial has returned
 	state     connectionState
 
-	// pending holds the calls without an answer, by wire id.
+	// pending holds the calls without an answer, the queued ones included, by wire id.
 	pending map[string]*pendingCall
 	// pendingAttempts is how many of the pending calls are attempts.
 	pendingAttempts int
@@ -119,7 +119,7 @@
 		c.terminate(endOfFailedDial(err))
 		return
 	}
-	if c.state == connecting {
+	if c.state == connecting { // a closed connection, whose dial should not be reported, must not become ready
 		c.state = ready
 	}
 	queued := c.queued
@@ -136,7 +136,8 @@
 
 // endOfFailedDial returns what the error of a dial means for the queued calls, of which none was written. After most errors,
 // such as a refusal or a timeout, they end as Unreachable. A reset comes from a process that runs, so that it would be wrong
-// to call its worker unreachable at once: the calls get another dial. A local fault says nothing of the worker.
+// to call its worker unreachable at once: the calls get another dial. So they do after net.ErrClosed, which no dial of
+// eventloop.Loop fails with. A local fault says nothing of the worker.
 func endOfFailedDial(err error) connectionEnd {
 	end := connectionEnd{
 		outcome: policy.Unreachable,
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// A dial that fails because this machine lacks a resource is not held against its worker.
+// A dial that fails because this machine lacks a resource is not held against its worker by the calls that waited for it,
+// except a health check: the policy takes each outcome but a few for a sign of life, and the worker gave none.
 func TestLocalFaultIsNotTheWorkers(t *testing.T) {
 	p := newTestPool()
 	a := attemptID(1)
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -122,7 +122,7 @@
 	c.follow()
 	c.socket.OnClose(errors.New("refused"))
 	if c.socket != nil || c.nextPoll > c.now+redialDelay {
-		t.Error("a closed socket isn't replaced at once")
+		t.Error("a closed socket isn't replaced after redialDelay")
 	}
 	c.Poll(c.nextPoll)
 	c.socket.OnOpen(nil)
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -33,7 +33,7 @@
 	questionTailLength = 4 // type, class
 )
 
-// Offsets of the fields of a message's header, in bytes; each has two. The id comes first.
+// Offsets of the fields of a message's header, in bytes. Each field is two bytes long. The id has offset 0.
 const (
 	flagsOffset           = 2
 	questionCountOffset   = 4
@@ -42,9 +42,10 @@
 	additionalCountOffset = 10
 )
 
-// Reasons why an answer can't be used. Others are a responseCodeError and errNoAddress.
+// Reasons why an answer can't be used. Two more are responseCodeError and, in endpoint.go, errNoAddress.
 var (
-	// errMalformed says that a message ends early, has an invalid name or too many records.
+	// errMalformed says that a message ends early, has an invalid name, a record whose data can't be read, or too many
+	// records.
 	errMalformed = errors.New("malformed DNS message")
 	// errNotResponse says that a message is a query.
 	errNotResponse = errors.New("not a response")
@@ -52,9 +53,9 @@
 	errTruncated = errors.New("response is truncated")
 	// errQuestionMismatch says that the question in a response is not the one of encodeQuery.
 	errQuestionMismatch = errors.New("response to another question")
-	// errNoSerial says that the serial is missing, which orders the lists.
+	// errNoSerial says that a response has no SOA record, which holds the list's serial.
 	errNoSerial = errors.New("response has no SOA record")
-	// errUnexpectedID says that a response is to a query that was answered before, is too old or was never sent.
+	// errUnexpectedID says that a response is to a query that was answered before, was given up or was never sent.
 	errUnexpectedID = errors.New("response matches no pending query")
 )
 
@@ -80,8 +81,9 @@
 	return binary.BigEndian.AppendUint16(b, classIN)
 }
 
-// parseResponse reads a response to a query of encodeQuery. It fails with one of the errors above, errUnexpectedID
-// excepted. It returns the id also on an error if the message has a header.
+// parseResponse reads a response to a query of encodeQuery. It fails with a responseCodeError or one of the errors above,
+// errUnexpectedID excepted. It returns the id also on an error if the message has a header. A response without a question
+// is accepted.
 func parseResponse(message []byte) (id uint16, r response, err error) {
 	p := parser{message: message}
 	header, err := p.header()
@@ -122,13 +124,14 @@
 	return nil
 }
 
-// parser reads a message from front to back. Compressed names point back into what it has read.
+// parser reads a message from front to back. Its methods fail with errMalformed where the message can't be read. Compressed
+// names point back to an earlier offset.
 type parser struct {
 	message []byte
 	offset  int
 }
 
-// take returns this many bytes that come next. It fails with errMalformed if the message has fewer.
+// take returns the next length bytes, which point into the message. It fails with errMalformed if fewer are left.
 func (p *parser) take(length int) ([]byte, error) {
 	if len(p.message)-p.offset < length {
 		return nil, errMalformed
@@ -148,8 +151,8 @@
 	return name, nil
 }
 
-// header reads the header, with which a message begins. The records of the three sections count together: all are read in
-// the same way, since a record's type tells what it is for.
+// header reads the header, with which a message begins. It adds up the records of the three sections: all are read in the
+// same way, since a record's type tells what it is for.
 func (p *parser) header() (messageHeader, error) {
 	b, err := p.take(headerLength)
 	if err != nil {
@@ -166,7 +169,8 @@
 	return h, nil
 }
 
-// question reads one question. It fails with errQuestionMismatch if it is not the question of encodeQuery.
+// question reads one question. It fails with errQuestionMismatch if its name or type is not that of encodeQuery; the class
+// is not compared.
 func (p *parser) question() error {
 	name, err := p.name()
 	if err != nil {
--- a/internal/discovery/dns_name.go
+++ b/internal/discovery/dns_name.go
@@ -7,15 +7,18 @@
 
 // Limits on one name.
 const (
-	maxNameLength = 255 // bytes, RFC 1035 section 2.3.4
-	maxPointers   = 16  // followed in turn; ours, against messages that make the parser work for nothing
+	// maxNameLength bounds the decoded text, in bytes. RFC 1035 section 2.3.4 bounds the name in the message, which is two
+	// bytes longer, so that names slightly over the RFC's limit are accepted.
+	maxNameLength = 255
+	// maxPointers bounds the pointers that are followed for one name. It is no limit of the RFC: it ends loops.
+	maxPointers = 16
 )
 
 // Compressed names, RFC 1035 section 4.1.4.
 const (
 	labelTag      = 0xc0   // the two highest bits of a label's length, which tell its type
 	pointerTag    = 0xc0   // the value of labelTag's bits for a pointer; 0 is a label, others are reserved
-	pointerOffset = 0x3fff // the bits of a pointer that are its offset
+	pointerOffset = 0x3fff // the bits of a pointer that are the offset to which it leads
 	pointerLength = 2      // bytes
 )
 
@@ -71,7 +74,8 @@
 }
 
 // followPointer returns the offset to which the pointer at offset leads. It fails with errMalformed unless that is before
-// the pointer: no loop is followed.
+// the pointer. That excludes a pointer to itself, but not a loop: labels that are read from there may lead to the same
+// pointer again. maxPointers and maxNameLength end such a loop.
 func followPointer(message []byte, offset int) (int, error) {
 	if offset+pointerLength > len(message) {
 		return 0, errMalformed
--- a/internal/discovery/dns_records.go
+++ b/internal/discovery/dns_records.go
@@ -5,7 +5,8 @@
 	"net/netip"
 )
 
-// maxRecords bounds the records of one message, all sections together. A worker has three.
+// maxRecords bounds the records of one message, all sections together. A worker has three, SRV, A and TXT: a list of up to
+// 341 workers and its SOA record fit.
 const maxRecords = 1024
 
 // Lengths of the fixed parts of resource records, in bytes.
@@ -19,15 +20,15 @@
 // dataLengthOffset is the offset in bytes of the length of the data in what follows a record's owner.
 const dataLengthOffset = 8
 
-// response is what is used of the answer to a query. Names are in lower case.
+// response is what is used of the answer to a query. Names are in lower case, without the final dot.
 type response struct {
 	serial    uint32                // of the SOA record
 	services  []serviceRecord       // one for each worker
-	addresses map[string]netip.Addr // of A records, by owner
+	addresses map[string]netip.Addr // of A records, by owner; the last counts
 	texts     map[string][]string   // of TXT records, by owner
 }
 
-// serviceRecord is an SRV record, RFC 2782. response.endpoint tells what its fields mean here.
+// serviceRecord is an SRV record, RFC 2782. response.endpoint says what its fields mean here.
 type serviceRecord struct {
 	priority uint16
 	weight   uint16
@@ -95,8 +96,9 @@
 	}, nil
 }
 
-// add takes a record into the response. It ignores types that aren't used, SRV records of other names, and SRV and A
-// records whose data has an impossible size. It fails with errMalformed if the data can't be read.
+// add takes a record into the response, whatever its class and section. It ignores types that aren't used, SRV records of
+// other names, SRV records whose data is too short for a target, and A records whose data has another size than an address.
+// It fails with errMalformed if the data can't be read.
 func (r *response) add(rec record) error {
 	size := rec.end - rec.start
 	switch {
@@ -124,8 +126,8 @@
 	return nil
 }
 
-// parseSRV reads the data of an SRV record, which is longer than srvFixedLength: priority, weight and port, of two bytes
-// each, and the target's name.
+// parseSRV reads the data of an SRV record, which must be longer than srvFixedLength: priority, weight and port, of two bytes
+// each, and the target's name. It does not check that the name ends with the data.
 func parseSRV(rec record) (serviceRecord, error) {
 	target, _, err := parseName(rec.message, rec.start+srvFixedLength)
 	if err != nil {
@@ -140,7 +142,7 @@
 	}, nil
 }
 
-// parseTXT returns the strings of a TXT record, each of which has its length in front.
+// parseTXT returns the strings of a TXT record, each of which has its length in front, as one byte.
 func parseTXT(rec record) ([]string, error) {
 	var texts []string
 	for data := rec.data(); len(data) > 0; {
@@ -154,7 +156,7 @@
 	return texts, nil
 }
 
-// parseSOA returns the serial of an SOA record, which comes after two names.
+// parseSOA returns the serial of an SOA record, which comes after two names: a name server and a mailbox.
 func parseSOA(rec record) (serial uint32, err error) {
 	offset := rec.start
 	for range 2 {
--- a/internal/discovery/initial.go
+++ b/internal/discovery/initial.go
@@ -11,10 +11,10 @@
 // errUnknownPhase says that a worker of the initial list has a phase that parsePhase doesn't know.
 var errUnknownPhase = errors.New("unknown phase")
 
-// InitialEndpoints is the initial list as the configuration holds it: the directory's events so far, of
-// which the first holds the complete list and later ones what changed.
+// InitialEndpoints is the initial list as the configuration holds it: the directory's events so far, in their order. Usually
+// the first holds the complete list, and later ones the workers that changed.
 type InitialEndpoints struct {
-	Offset uint32         `json:"offset"` // number of the last event
+	Offset uint32         `json:"offset"` // number of the last event, which need not be in Batch
 	Batch  []initialEvent `json:"batch"`
 }
 
@@ -27,7 +27,7 @@
 	} `json:"topology"`
 }
 
-// initialMember is one worker in an event; Endpoint has the meaning of its fields.
+// initialMember is one worker in an event; Endpoint explains the values.
 type initialMember struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"` // IP address and port
@@ -38,7 +38,8 @@
 	UpSinceMs int64   `json:"up_since_ms"` // Unix time
 }
 
-// endpoint converts a member of the configuration's list. It fails with errUnknownPhase or the error of the address.
+// endpoint converts a member of the configuration's list. It fails with errUnknownPhase, or with an error of netip if
+// HostPort is not an IP address and a port: host names are not resolved.
 func (m initialMember) endpoint() (Endpoint, error) {
 	if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
 		return Endpoint{}, err
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,10 +11,10 @@
 // endpointList is the newest list of workers.
 type endpointList struct {
 	serial    uint32              // number of the last event that it holds
-	endpoints map[string]Endpoint // by name
+	endpoints map[string]Endpoint // by name; none is gone
 }
 
-// newEndpointList returns an empty list with serial 0, which any other replaces.
+// newEndpointList returns an empty list with serial 0, which any list with a serial above 0 replaces.
 func newEndpointList() endpointList { return endpointList{endpoints: map[string]Endpoint{}} }
 
 // loadInitial applies the events of the configuration in their order. On an error the list is incomplete.
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// apply takes one changed worker into the list.
+// apply takes one worker of an event into the list, or out of it if the worker is gone.
 func (l *endpointList) apply(e Endpoint) {
 	if e.State == policy.Gone {
 		delete(l.endpoints, e.Name)
@@ -45,8 +45,9 @@
 	}
 }
 
-// update replaces the list by that of a response if that one is newer, and reports whether it did. If a worker of the
-// response has no address, it fails with errNoAddress and changes nothing.
+// update replaces the list by that of a response if that one has a higher serial, and reports whether it did. A list without
+// workers replaces it as well. If a worker of a newer list has no address, update fails with errNoAddress and changes
+// nothing. Of several workers with one name the last counts.
 func (l *endpointList) update(r response) (changed bool, err error) {
 	if r.serial <= l.serial {
 		return false, nil
--- a/internal/discovery/socket.go
+++ b/internal/discovery/socket.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// maxPendingQueries is how many of the last queries are pending at most. The answer to an older one is not usable.
+// maxPendingQueries bounds the queries of one socket that are pending; the oldest is given up for a new one. At a query each
+// pollInterval, an answer is usable for some 6 s.
 const maxPendingQueries = 32
 
-// socket is one socket to the directory and the handler of its events. A socket is current from its dial until it closes
-// or Client.Migrate replaces it; events of a replaced one are ignored. Each has pending queries of its own, so that a late
-// answer from a directory at an earlier address is no answer to a query of the current socket.
+// socket is one socket to the directory and the eventloop.DialHandler of its events. It is current from its dial until it
+// closes or Client.Migrate replaces it; afterwards its events are ignored. Each socket has pending queries of its own, so
+// that no answer counts that a directory sends to another socket.
 type socket struct {
 	client    *Client
 	transport Transport
@@ -21,7 +22,7 @@
 // isCurrent reports whether the client still uses the socket.
 func (s *socket) isCurrent() bool { return s.client.socket == s }
 
-// sendQuery sends a query under an id that can't be guessed and that no other pending one has (RFC 5452).
+// sendQuery sends a query under an id that is hard to guess (RFC 5452) and that no other pending one has.
 func (s *socket) sendQuery() {
 	id := uint16(rand.Uint32())
 	for slices.Contains(s.pending, id) {
@@ -32,7 +33,7 @@
 	s.transport.Write(encodeQuery(id))
 }
 
-// OnOpen handles the end of the dial: the first query is due at once, or the socket has failed.
+// OnOpen handles the end of the dial: the first query is due at once, or the dial has failed, which ends the socket.
 func (s *socket) OnOpen(err error) {
 	s.open = err == nil
 	if err != nil {
@@ -51,8 +52,9 @@
 	}
 }
 
-// OnData handles an answer. A directory slower than pollInterval answers a query that is no longer the latest; if only the
-// answer to the latest counted, none would. Lists are complete, so that a lost or overtaken answer does no harm.
+// OnData handles an answer, which may be to any pending query: a directory slower than pollInterval never answers the latest
+// one in time. Lists are complete, so that it does no harm if an answer is lost or overtaken by another. A query stays
+// pending if its answer can't be parsed.
 func (s *socket) OnData(message []byte) {
 	if !s.isCurrent() {
 		return
@@ -64,7 +66,7 @@
 	s.client.answerReceived(r, err)
 }
 
-// removePending ends the query with that id. It fails with errUnexpectedID if none is pending.
+// removePending removes the query with that id from the pending ones. It fails with errUnexpectedID if there is none.
 func (s *socket) removePending(id uint16) error {
 	i := slices.Index(s.pending, id)
 	if i < 0 {
