--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -7,8 +7,8 @@
 	"functionrouter/policy"
 )
 
-// answer is one answer of a worker: the words ID WORD FIELDS BODY, of which the last two may be missing. Its parts point into
-// the read buffer, which is valid during OnData only.
+// answer is one answer of a worker: the words ID WORD FIELDS BODY, of which the last two may be missing. Its parts point
+// into the read buffer, which is valid during OnData only.
 type answer struct {
 	wireID []byte // of the call that it answers
 	word   []byte // a key of answerOutcomes, which outcomeFor checks
@@ -16,8 +16,8 @@
 	body   []byte // of an attempt: the function's result
 }
 
-// parseAnswer names the words of an answer. Fields and body may be missing, and words beyond them are ignored. It fails with
-// errMalformedAnswer if there is no wire id or no word behind it.
+// parseAnswer names the words of an answer. Fields and body may be missing, and words beyond them are ignored. It fails
+// with errMalformedAnswer if there is no wire id or no word behind it.
 func parseAnswer(words [][]byte) (answer, error) {
 	if len(words) < 2 {
 		return answer{}, malformed("fewer than two words")
--- a/internal/backend/call.go
+++ b/internal/backend/call.go
@@ -12,7 +12,7 @@
 	"functionrouter/policy"
 )
 
-// callKind tells what a call asks of the worker.
+// callKind is what a call asks of the worker.
 type callKind uint8
 
 const (
--- a/internal/backend/codec_test.go
+++ b/internal/backend/codec_test.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// Guards against copying the beginning of an answer anew for each of its bytes.
+// Guards against copying the beginning of an answer anew for each of its bytes, which would allocate as often. A buffer
+// that doubles needs far fewer than 60 allocations.
 func TestPartialAnswerIsNotCopiedForEachByte(t *testing.T) {
 	p := newTestPool()
 	a := attemptID(1)
--- a/internal/backend/commands.go
+++ b/internal/backend/commands.go
@@ -8,9 +8,9 @@
 )
 
 // StartAttempt sends an attempt of a request to a worker, which has budget from now on to answer it. No other attempt with
-// the id may be open. The attempt ends as Unreachable if the worker is not known or not ready, or if no connection can
-// carry the attempt. The request may be reused once StartAttempt has returned; its body is kept without a copy and must
-// not be changed.
+// the id may be open, and the request's class must be one of Config.Classes. The attempt ends as Unreachable if the worker
+// is not known or not ready, or if no connection can carry the attempt. The request may be reused once StartAttempt has
+// returned; its body is kept without a copy and must not be changed.
 func (p *Pool) StartAttempt(workerID policy.WorkerID, attempt router.AttemptID, request *router.Request,
 	budget time.Duration) {
 	w := p.workers[workerID]
@@ -25,8 +25,8 @@
 	p.results.AttemptEnded(attempt, router.AttemptResult{Outcome: policy.Unreachable})
 }
 
-// CancelUnsent cancels an attempt that waits for a dial; no result follows, and the dial goes on. It returns false, and does
-// nothing, if the attempt has been written or has ended.
+// CancelUnsent cancels an attempt that waits for a dial; no result follows, and the dial goes on. It returns false, and
+// does nothing, if the attempt has been written or has ended.
 func (p *Pool) CancelUnsent(attempt router.AttemptID) bool {
 	call := p.attempts[attempt]
 	if call == nil || call.written {
@@ -112,7 +112,7 @@
 	}
 }
 
-// endUnanswered reports the end of a call that got no answer. The connection has released the call before.
+// endUnanswered reports the end of a call that got no answer and that no connection holds any more.
 func (p *Pool) endUnanswered(call *pendingCall, outcome policy.Outcome) {
 	switch call.kind {
 	case attemptCall:
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -1,13 +1,9 @@
 package backend
 
 import (
-	"errors"
 	"log/slog"
-	"net"
-	"syscall"
 	"time"
 
-	"functionrouter/internal/eventloop"
 	"functionrouter/policy"
 )
 
@@ -89,8 +85,8 @@
 	}
 }
 
-// failQueued ends the calls that wait for the dial because their worker is not ready any more: attempts as Unreachable, load
-// commands as WorkerOverloaded. Health checks stay. A dial for which no call waits any longer is cancelled.
+// failQueued ends the calls that wait for the dial because their worker is not ready any more: attempts as Unreachable,
+// load commands as WorkerOverloaded. Health checks stay. A dial for which no call waits any longer is cancelled.
 func (c *connection) failQueued() {
 	var kept []*pendingCall
 	for _, call := range c.queued {
@@ -133,18 +129,3 @@
 		c.write(call)
 	}
 }
-
-// endOfFailedDial returns what the error of a dial means for the queued calls, of which none was written. After most errors,
-// such as a refusal or a timeout, they end as Unreachable. A reset comes from a process that runs, so that it would be wrong
-// to call its worker unreachable at once: the calls get another dial. So they do after net.ErrClosed, which no dial of
-// eventloop.Loop fails with. A local fault says nothing of the worker.
-func endOfFailedDial(err error) connectionEnd {
-	end := connectionEnd{
-		outcome: policy.Unreachable,
-		redial:  errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed),
-	}
-	if errors.Is(err, eventloop.ErrLocalFault) {
-		end.outcome = policy.NotSent
-	}
-	return end
-}
--- a/internal/backend/connection_end.go
+++ b/internal/backend/connection_end.go
@@ -1,6 +1,13 @@
 package backend
 
-import "functionrouter/policy"
+import (
+	"errors"
+	"net"
+	"syscall"
+
+	"functionrouter/internal/eventloop"
+	"functionrouter/policy"
+)
 
 const (
 	// maxHealthCheckResends is how often a health check is sent again after its connection broke. A worker that breaks one
@@ -18,8 +25,23 @@
 	redial  bool           // the calls, of which none was written, are sent over another connection where possible
 }
 
-// OnClose handles the end of an open connection, by the worker, the network or the pool: the attempts that were pending on it
-// may have run.
+// endOfFailedDial returns what the error of a dial means for the queued calls, of which none was written. After most
+// errors, such as a refusal or a timeout, they end as Unreachable. A reset comes from a process that runs, so that it
+// would be wrong to call its worker unreachable at once: the calls get another dial. So they do after net.ErrClosed,
+// which no dial of eventloop.Loop fails with. A local fault says nothing of the worker.
+func endOfFailedDial(err error) connectionEnd {
+	end := connectionEnd{
+		outcome: policy.Unreachable,
+		redial:  errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed),
+	}
+	if errors.Is(err, eventloop.ErrLocalFault) {
+		end.outcome = policy.NotSent
+	}
+	return end
+}
+
+// OnClose handles the end of an open connection, by the worker, the network or the pool: the attempts that were pending
+// on it may have run.
 func (c *connection) OnClose(err error) {
 	if len(c.pending) > 0 {
 		c.pool.lostConnections.record(c.pool.now, c.worker.address, len(c.pending), err)
@@ -27,9 +49,9 @@
 	c.terminate(connectionEnd{outcome: policy.ConnectionReset})
 }
 
-// terminate removes c from its worker, first of all, so that no call is sent over it again. It ends the pending calls in the
-// order of their wire ids, except those that are sent again over another connection. Calls are written as soon as the dial has succeeded, so that those of
-// a failed dial were never sent, and those of an open connection were.
+// terminate removes c from its worker, first of all, so that no call is sent over it again. It ends the pending calls in
+// the order of their wire ids, except those that are sent again over another connection. Calls are written as soon as the
+// dial has succeeded, so that those of a failed dial were never sent, and those of an open connection were.
 func (c *connection) terminate(end connectionEnd) {
 	c.worker.remove(c)
 	pending := inWireIDOrder(c.pending)
--- a/internal/backend/keep_alive.go
+++ b/internal/backend/keep_alive.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// With the sweeps between them, these two close a connection that was cut off some 0.5 s after the oldest attempt in flight
+// was sent, as long as the worker answers on others.
 const (
 	// keepAliveAfter is how long a connection with attempts in flight may go without a complete answer. After that a
 	// keep-alive check is sent over it, and it is avoided until an answer comes.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -15,12 +15,13 @@
 // is nil if the worker sent no complete one. The handler owns the body and the load report.
 //
 // AttemptEnded may call the Pool if the outcome is policy.Served. During any other report the Pool must not be called: it
-// may be ending several calls one after another, and one that is cancelled meanwhile would be reported or sent all the same.
+// may be ending several calls one after another, and one that is cancelled meanwhile would be reported or sent all the
+// same.
 type ResultHandler interface {
 	// AttemptEnded reports how an attempt ended. The Pool has forgotten the attempt by then.
 	AttemptEnded(attempt router.AttemptID, result router.AttemptResult)
 	// LoadCommandEnded reports how a load command ended; instances is the number of loaded instances that the worker
-	// gave, 0 if it gave none.
+	// gave, 0 if it gave none. The pool doesn't check the number.
 	LoadCommandEnded(control router.ControlID, outcome policy.Outcome, instances int)
 	// HealthCheckEnded reports how a health check ended.
 	HealthCheckEnded(control router.ControlID, outcome policy.Outcome, loadReport []float64)
@@ -74,16 +75,16 @@
 	}
 }
 
-// SetNow advances the pool's clock to now, a reading of the event loop's clock. Call it at the beginning of each turn of the
-// loop. A time before the present one is ignored.
+// SetNow advances the pool's clock to now, a reading of the event loop's clock. Call it at the beginning of each turn of
+// the loop. A time before the present one is ignored.
 func (p *Pool) SetNow(now time.Duration) { p.now = max(p.now, now) }
 
-// UpdateEndpoint sets a worker's address, a "host:port" ("": unchanged), and its state. A worker that is not known is added,
-// unless it is gone. startedAt is when its process started (0: unknown). Connections to an earlier address or process are
-// drained; their dials are cancelled, and the calls that wait for these end as Unreachable.
+// UpdateEndpoint sets a worker's address, a "host:port" ("": unchanged), and its state. A worker that is not known is
+// added, unless it is gone. startedAt is when its process started (0: unknown). Connections to an earlier address or
+// process are drained; their dials are cancelled, and the calls that wait for these end as Unreachable.
 //
-// Unless the worker is ready, the attempts and load commands that wait for a dial to it end unsent, with the outcomes that
-// failQueued gives: the dial may succeed after the time in which sends to a draining worker are allowed. The idle
+// Unless the worker is ready, the attempts that wait for a dial to it end as Unreachable and the load commands as
+// WorkerOverloaded: the dial may succeed after the time in which sends to a draining worker are allowed. The idle
 // connections to a worker that is gone are closed.
 func (p *Pool) UpdateEndpoint(workerID policy.WorkerID, addr string, state policy.WorkerState, startedAt time.Duration) {
 	w := p.workers[workerID]
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -32,8 +32,8 @@
 	return len(p.data) > 0 && now-p.since > partialAnswerTimeout
 }
 
-// join returns what has come of the answer so far, with b behind it. The result is b itself or points into the buffer, and is
-// valid until the next call of join or keep.
+// join returns what has come of the answer so far, with b behind it. The result is b itself or points into the buffer,
+// and is valid until the next call of join or keep.
 func (p *partialAnswer) join(b []byte) []byte {
 	if len(p.data) == 0 {
 		return b
@@ -55,8 +55,8 @@
 	}
 }
 
-// OnData handles bytes from the worker, which are valid during the call only. The beginning of an answer is kept in a buffer
-// that grows with it, so that an answer that comes a few bytes at a time is not copied anew for each of them.
+// OnData handles bytes from the worker, which are valid during the call only. The beginning of an answer is kept in a
+// buffer that grows with it, so that an answer that comes a few bytes at a time is not copied anew for each of them.
 func (c *connection) OnData(b []byte) {
 	if c.state == closed {
 		return
--- a/internal/backend/selection.go
+++ b/internal/backend/selection.go
@@ -114,8 +114,8 @@
 	return true
 }
 
-// dial opens a connection to w, whose state is the zero value, connecting. It is not eligible for calls until Config.Dial has
-// returned its transport.
+// dial opens a connection to w, whose state is the zero value, connecting. It is not eligible for calls until Config.Dial
+// has returned its transport.
 func (p *Pool) dial(w *worker) *connection {
 	c := &connection{
 		pool:       p,
--- a/internal/backend/sweep.go
+++ b/internal/backend/sweep.go
@@ -7,8 +7,8 @@
 	"functionrouter/policy"
 )
 
-// SweepInterval is the time after which Pool.Sweep should be called again. The timeouts of connections, those of dials aside,
-// are noticed that much later at most.
+// SweepInterval is the time after which Pool.Sweep should be called again. The timeouts of connections, those of dials
+// aside, are noticed that much later at most.
 const SweepInterval = 50 * time.Millisecond
 
 // idleCloseFraction is the part of the workers' idle timeout after which the pool closes an idle connection. The rest is a
@@ -50,8 +50,8 @@
 	}
 }
 
-// idleCloseAfter returns how long a connection may be idle. It is less than the workers' own limit: a call that is on its way
-// when the worker closes the connection would count as one that may have run.
+// idleCloseAfter returns how long a connection may be idle. It is less than the workers' own limit: a call that is on its
+// way when the worker closes the connection would count as one that may have run.
 func (p *Pool) idleCloseAfter() time.Duration {
 	return time.Duration(idleCloseFraction * float64(p.cfg.IdleTimeout))
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -55,8 +55,8 @@
 	return &Client{address: address, dial: dial, onUpdate: onUpdate, list: newEndpointList()}
 }
 
-// LoadInitial takes the initial list and passes it to onUpdate. Call it once, before Poll. It fails if a worker's address or
-// phase can't be read; then onUpdate is not called, and the Client must not be used.
+// LoadInitial takes the initial list and passes it to onUpdate. Call it once, before Poll. It fails if a worker's address
+// or phase can't be read; then onUpdate is not called, and the Client must not be used.
 func (c *Client) LoadInitial(initial InitialEndpoints) error {
 	if err := c.list.loadInitial(initial); err != nil {
 		return err
@@ -89,9 +89,9 @@
 	}
 }
 
-// Poll dials or sends a query if one of them is due at now, and returns the time at which it should be called next. An event
-// of a socket or Migrate may make that time earlier: call Poll after each turn of the event loop. While a dial has not
-// ended, no query is sent.
+// Poll dials or sends a query if one of them is due at now, and returns the time at which it should be called next. An
+// event of a socket or Migrate may make that time earlier: call Poll after each turn of the event loop. While a dial has
+// not ended, no query is sent.
 func (c *Client) Poll(now time.Duration) (next time.Duration) {
 	c.now = now
 	if now < c.nextPoll {
@@ -124,8 +124,8 @@
 	c.nextPoll = c.now + redialDelay
 }
 
-// answerReceived takes the list of an answer if it is newer. err says why the answer can't be used; nil: it could be parsed.
-// An answer that can't be used, also because its list lacks a worker's address, changes nothing and is logged.
+// answerReceived takes the list of an answer if it is newer. err says why the answer can't be used; nil: it could be
+// parsed. An answer that can't be used, also because its list lacks a worker's address, changes nothing and is logged.
 func (c *Client) answerReceived(r response, err error) {
 	changed := false
 	if err == nil {
--- a/internal/discovery/dns_records.go
+++ b/internal/discovery/dns_records.go
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// parseSRV reads the data of an SRV record, which must be longer than srvFixedLength: priority, weight and port, of two bytes
-// each, and the target's name. It does not check that the name ends with the data.
+// parseSRV reads the data of an SRV record, which must be longer than srvFixedLength: priority, weight and port, of two
+// bytes each, and the target's name. It does not check that the name ends with the data.
 func parseSRV(rec record) (serviceRecord, error) {
 	target, _, err := parseName(rec.message, rec.start+srvFixedLength)
 	if err != nil {
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -3,15 +3,16 @@
 //
 // # Lists
 //
-// Each list has a serial, the number of the last event that it holds. A list from the directory is complete, even if it is
-// empty, and replaces the one before if its serial is higher. Serials are compared as plain numbers, without the wrap-around
-// of RFC 1982. A list reaches the owner through the function given to New, sorted by name. An answer that can't be used
-// changes nothing: the last list stays in use for as long as the directory is away.
+// Each list has a serial, the number of the last event that it holds. A list from the directory is complete, even if it
+// is empty, and replaces the one before if its serial is higher. Serials are compared as plain numbers, without the
+// wrap-around of RFC 1982. A list reaches the owner through the function given to New, sorted by name. An answer that
+// can't be used changes nothing: the last list stays in use for as long as the directory is away.
 //
 // # Errors
 //
-// Client.LoadInitial alone returns an error. Failures to reach the directory and answers that can't be used are logged, and
-// the client goes on polling. After one such line there is none until a usable answer or a change of the directory's address.
+// Client.LoadInitial alone returns an error. Failures to reach the directory and answers that can't be used are logged,
+// and the client goes on polling. After one such line there is none until a usable answer or a change of the directory's
+// address.
 //
 // # Concurrency and time
 //
--- a/internal/discovery/initial.go
+++ b/internal/discovery/initial.go
@@ -11,8 +11,8 @@
 // errUnknownPhase says that a worker of the initial list has a phase that parsePhase doesn't know.
 var errUnknownPhase = errors.New("unknown phase")
 
-// InitialEndpoints is the initial list as the configuration holds it: the directory's events so far, in their order. Usually
-// the first holds the complete list, and later ones the workers that changed.
+// InitialEndpoints is the initial list as the configuration holds it: the directory's events so far, in their order.
+// Usually the first holds the complete list, and later ones the workers that changed.
 type InitialEndpoints struct {
 	Offset uint32         `json:"offset"` // number of the last event, which need not be in Batch
 	Batch  []initialEvent `json:"batch"`
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// update replaces the list by that of a response if that one has a higher serial, and reports whether it did. A list without
-// workers replaces it as well. If a worker of a newer list has no address, update fails with errNoAddress and changes
-// nothing. Of several workers with one name the last counts.
+// update replaces the list by that of a response if that one has a higher serial, and reports whether it did. A list
+// without workers replaces it as well. If a worker of a newer list has no address, update fails with errNoAddress and
+// changes nothing. Of several workers with one name the last counts.
 func (l *endpointList) update(r response) (changed bool, err error) {
 	if r.serial <= l.serial {
 		return false, nil
--- a/internal/discovery/socket.go
+++ b/internal/discovery/socket.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// maxPendingQueries bounds the queries of one socket that are pending; the oldest is given up for a new one. At a query each
-// pollInterval, an answer is usable for some 6 s.
+// maxPendingQueries bounds the queries of one socket that are pending; the oldest is given up for a new one. At a query
+// each pollInterval, an answer is usable for some 6 s.
 const maxPendingQueries = 32
 
 // socket is one socket to the directory and the eventloop.DialHandler of its events. It is current from its dial until it
@@ -52,9 +52,9 @@
 	}
 }
 
-// OnData handles an answer, which may be to any pending query: a directory slower than pollInterval never answers the latest
-// one in time. Lists are complete, so that it does no harm if an answer is lost or overtaken by another. A query stays
-// pending if its answer can't be parsed.
+// OnData handles an answer, which may be to any pending query: a directory slower than pollInterval never answers the
+// latest one in time. Lists are complete, so that it does no harm if an answer is lost or overtaken by another. A query
+// stays pending if its answer can't be parsed.
 func (s *socket) OnData(message []byte) {
 	if !s.isCurrent() {
 		return
