--- a/internal/backend/commands.go
+++ b/internal/backend/commands.go
@@ -14,7 +14,7 @@
 func (p *Pool) StartAttempt(workerID policy.WorkerID, attempt router.AttemptID, request *router.Request,
 	budget time.Duration) {
 	w := p.workers[workerID]
-	if w != nil && w.acceptsNew() {
+	if w != nil && w.isReady() {
 		call := newAttemptCall(attempt, request, p.cfg.Classes[request.Class], p.now+budget)
 		if c := p.selectConnection(w, call); c != nil {
 			p.attempts[attempt] = call
@@ -70,7 +70,7 @@
 // needs a ready worker and this one is not, or if no connection can carry it.
 func (p *Pool) sendControl(workerID policy.WorkerID, call *pendingCall) {
 	w := p.workers[workerID]
-	if w != nil && (w.acceptsNew() || !call.needsReadyWorker) {
+	if w != nil && (w.isReady() || !call.needsReadyWorker) {
 		if c := p.selectConnection(w, call); c != nil {
 			c.send(call)
 			return
@@ -105,7 +105,7 @@
 		return
 	}
 	for _, c := range w.connections {
-		if c.state != connecting {
+		if c.state != stateConnecting {
 			c.transport.Write(encodeCommand(commandUnload, formatFunctionID(function)))
 			return
 		}
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -37,7 +37,7 @@
 	if call.kind == attemptCall {
 		c.pendingAttempts++
 	}
-	if c.state == connecting {
+	if c.state == stateConnecting {
 		c.queued = append(c.queued, call)
 		return
 	}
@@ -102,7 +102,7 @@
 		c.pool.endUnanswered(call, outcome)
 	}
 	c.queued = kept
-	if c.state == connecting && len(kept) == 0 {
+	if c.state == stateConnecting && len(kept) == 0 {
 		c.retire()
 	}
 }
@@ -115,8 +115,8 @@
 		c.terminate(endOfFailedDial(err))
 		return
 	}
-	if c.state == connecting { // a closed connection, whose dial should not be reported, must not become ready
-		c.state = ready
+	if c.state == stateConnecting { // a closed connection, whose dial should not be reported, must not become ready
+		c.state = stateReady
 	}
 	queued := c.queued
 	c.queued = nil
--- a/internal/backend/connection_end.go
+++ b/internal/backend/connection_end.go
@@ -91,7 +91,7 @@
 // resendUnsent sends a call that has not been written over another connection. It returns false, and sends nothing, if the
 // worker is not ready, the call has been sent again maxDialRetries times, or no other connection can carry the call.
 func (c *connection) resendUnsent(call *pendingCall) bool {
-	if !c.worker.acceptsNew() || call.resends >= maxDialRetries {
+	if !c.worker.isReady() || call.resends >= maxDialRetries {
 		return false
 	}
 	call.resends++
--- a/internal/backend/connection_state.go
+++ b/internal/backend/connection_state.go
@@ -6,7 +6,8 @@
 	"functionrouter/policy"
 )
 
-// connectionState is where a connection stands between its dial and its close. These are all transitions:
+// connectionState is where a connection stands between its dial and its close. It is no policy.WorkerState, although two
+// names are alike: a ready worker may have draining connections. These are all transitions:
 //
 //	from        to          event
 //	-           connecting  the pool dials (Pool.dial)
@@ -28,25 +29,25 @@
 
 const (
 	// Calls wait in the connection's queue for the end of the dial.
-	connecting connectionState = iota // connecting
+	stateConnecting connectionState = iota // connecting
 	// Calls are written as they come.
-	ready // ready
+	stateReady // ready
 	// The connection takes no new calls and closes once the pending ones have ended.
-	draining // draining
+	stateDraining // draining
 	// The pool has closed the connection: what the worker still sends is ignored.
-	closed // closed
+	stateClosed // closed
 )
 
 // idle reports whether no call is pending on c.
 func (c *connection) idle() bool { return len(c.pending) == 0 }
 
 // takesCalls reports whether new calls may go over c, now or once its dial has succeeded.
-func (c *connection) takesCalls() bool { return c.state == connecting || c.state == ready }
+func (c *connection) takesCalls() bool { return c.state == stateConnecting || c.state == stateReady }
 
 // close closes the connection; OnClose follows in a later turn if it was open. The state changes at once, so that no call
 // goes over it until then: the call would be lost, and yet count as written.
 func (c *connection) close() {
-	c.state = closed
+	c.state = stateClosed
 	c.transport.Close()
 }
 
@@ -60,12 +61,12 @@
 // is cancelled, and the calls that wait for it end as Unreachable.
 func (c *connection) retire() {
 	switch {
-	case c.state == connecting:
+	case c.state == stateConnecting:
 		c.close()
 		c.terminate(connectionEnd{outcome: policy.Unreachable})
 	case c.idle():
 		c.close()
-	case c.state == ready:
-		c.state = draining
+	case c.state == stateReady:
+		c.state = stateDraining
 	}
 }
--- a/internal/backend/enum_string.go
+++ b/internal/backend/enum_string.go
@@ -29,10 +29,10 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[connecting-0]
-	_ = x[ready-1]
-	_ = x[draining-2]
-	_ = x[closed-3]
+	_ = x[stateConnecting-0]
+	_ = x[stateReady-1]
+	_ = x[stateDraining-2]
+	_ = x[stateClosed-3]
 }
 
 const _connectionState_name = "connectingreadydrainingclosed"
--- a/internal/backend/keep_alive.go
+++ b/internal/backend/keep_alive.go
@@ -24,9 +24,9 @@
 // stays in this package; the health check is of a worker, and its result goes to the policy. Any complete answer on the
 // connection answers a keep-alive check, not only its own; its call stays pending until its own answer comes.
 type keepAlive struct {
-	lastAnswerAt       time.Duration // when the last complete answer came
-	lastAnsweredSentAt time.Duration // when the latest of the answered calls was sent
-	checkSentAt        time.Duration // when the unanswered keep-alive check was sent; 0: there is none
+	lastAnswerAt           time.Duration // when the last complete answer came
+	lastAnsweredCallSentAt time.Duration // when the latest of the answered calls was sent
+	checkSentAt            time.Duration // when the unanswered keep-alive check was sent; 0: there is none
 }
 
 // awaitsAnswer reports whether no complete answer has come since a keep-alive check was sent.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -127,7 +127,7 @@
 		return
 	}
 	for _, c := range w.connections {
-		if c.state != connecting && c.idle() {
+		if c.state != stateConnecting && c.idle() {
 			c.close()
 		}
 	}
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -58,7 +58,7 @@
 // OnData handles bytes from the worker, which are valid during the call only. The beginning of an answer is kept in a
 // buffer that grows with it, so that an answer that comes a few bytes at a time is not copied anew for each of them.
 func (c *connection) OnData(b []byte) {
-	if c.state == closed {
+	if c.state == stateClosed {
 		return
 	}
 	joined := c.partial.join(b)
@@ -111,7 +111,7 @@
 	}
 	c.release(call)
 	c.lastUsedAt = c.pool.now
-	c.keepAlive.lastAnsweredSentAt = max(c.keepAlive.lastAnsweredSentAt, call.sentAt)
+	c.keepAlive.lastAnsweredCallSentAt = max(c.keepAlive.lastAnsweredCallSentAt, call.sentAt)
 	c.pool.endAnswered(call, outcome, a)
 	return nil
 }
--- a/internal/backend/selection.go
+++ b/internal/backend/selection.go
@@ -71,7 +71,7 @@
 	switch {
 	case c.keepAlive.awaitsAnswer():
 		return unresponsive
-	case c.state == connecting:
+	case c.state == stateConnecting:
 		return beingDialed
 	default:
 		return responsive
@@ -96,7 +96,7 @@
 	for _, w := range p.workers {
 		total += len(w.connections)
 		for _, c := range w.connections {
-			if c.state != ready || !c.idle() {
+			if c.state != stateReady || !c.idle() {
 				continue
 			}
 			if longestIdle == nil || c.lastUsedAt < longestIdle.lastUsedAt {
@@ -114,7 +114,7 @@
 	return true
 }
 
-// dial opens a connection to w, whose state is the zero value, connecting. It is not eligible for calls until Config.Dial
+// dial opens a connection to w, whose state is the zero value, stateConnecting. It is not eligible for calls until Config.Dial
 // has returned its transport.
 func (p *Pool) dial(w *worker) *connection {
 	c := &connection{
--- a/internal/backend/sweep.go
+++ b/internal/backend/sweep.go
@@ -34,10 +34,10 @@
 func (p *Pool) sweepConnection(c *connection) {
 	c.recentIDs.rotate(p.now)
 	switch {
-	case c.state == connecting: // the dial has a timeout of its own
-	case c.state == ready && c.recentIDs.full():
+	case c.state == stateConnecting: // the dial has a timeout of its own
+	case c.state == stateReady && c.recentIDs.full():
 		c.retire() // it would carry no attempt for seconds, and count towards maxConnectionsPerWorker
-	case c.state != ready: // draining, or closed and without its OnClose yet
+	case c.state != stateReady: // draining, or closed and without its OnClose yet
 		if c.idle() {
 			c.close()
 		}
--- a/internal/backend/worker.go
+++ b/internal/backend/worker.go
@@ -15,8 +15,8 @@
 	connections []*connection // in the order of their dials
 }
 
-// acceptsNew reports whether new attempts and load commands may be sent to the worker.
-func (w *worker) acceptsNew() bool { return w.state == policy.Ready }
+// isReady reports whether new attempts and load commands may be sent to the worker, by the endpoint list.
+func (w *worker) isReady() bool { return w.state == policy.Ready }
 
 // remove takes c off the worker's connections, if it is one of them. It changes the slice in place: a loop whose body may
 // end a connection runs over a clone.
@@ -41,5 +41,5 @@
 // answeredCallSentAfter reports whether the worker has answered a call that was sent after t, on any of its present
 // connections.
 func (w *worker) answeredCallSentAfter(t time.Duration) bool {
-	return slices.ContainsFunc(w.connections, func(c *connection) bool { return c.keepAlive.lastAnsweredSentAt > t })
+	return slices.ContainsFunc(w.connections, func(c *connection) bool { return c.keepAlive.lastAnsweredCallSentAt > t })
 }
