--- a/cmd/functionrouter/config.go
+++ b/cmd/functionrouter/config.go
@@ -12,18 +12,18 @@
 	"functionrouter/policy"
 )
 
-// Defaults of limits that are absent or not above zero. The platform always gives them; the defaults are its largest
-// limits on scored days.
+// Defaults of limits that are absent or not above zero. The platform always gives them; the defaults are the largest that
+// it is known to give.
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
+	defaultMemoryMB = 192  // MiB
+	defaultSockets  = 1024 // file descriptors
 )
 
 // The least limits that are accepted: the shares in limits.go are tested down to these. Below them the Go runtime and
 // the descriptors of the process itself would leave almost nothing for requests.
 const (
-	minMemoryMB = 32
-	minSockets  = 64
+	minMemoryMB = 32 // MiB
+	minSockets  = 64 // file descriptors
 )
 
 var (
@@ -54,19 +54,23 @@
 // Unwrap returns the cause, for errors.Is and errors.As.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// config is the configuration that the platform gives a router. Its keys are the platform's.
+// config is the configuration that the platform gives a router. Its keys are the platform's; others are ignored. It does
+// not change once parseConfig has returned it, so that goroutines may share it.
 type config struct {
-	Name             string                     `json:"name"`
-	Listen           string                     `json:"listen"`
-	Seed             string                     `json:"seed"` // 16 hex digits
+	Name             string                     `json:"name"`   // of the router, for the log alone
+	Listen           string                     `json:"listen"` // IP address and port for Thrift clients
+	Seed             string                     `json:"seed"`   // hexadecimal, of 64 bits at most
 	Limits           processLimits              `json:"limits"`
-	DirectoryAddress string                     `json:"names"`
+	DirectoryAddress string                     `json:"names"` // IP address and port
 	InitialEndpoints discovery.InitialEndpoints `json:"known"`
 	Settings         json.RawMessage            `json:"settings"`
 
-	seed      uint64            // parsed from Seed
-	policy    policy.Config     // the part of Settings that decisions depend on
-	transport transportSettings // the part of Settings that connections depend on
+	seed uint64 // parsed from Seed
+
+	// What decisions and what connections depend on, both parsed from Settings. Their classes and tenants are those of
+	// the settings, in the same order: one index is good for both.
+	policy    policy.Config
+	transport transportSettings
 }
 
 // processLimits is what the process may use.
@@ -88,7 +92,9 @@
 	return parseConfig(path, text, getenv)
 }
 
-// parseConfig parses and checks the text of the file at path. Its errors are of type *ConfigError.
+// parseConfig parses and checks the text of the file at path, and reports the first fault that it finds. The policy's part
+// of the settings is parsed but checked by policy.New alone, so that a reload does not check it. Its errors are of type
+// *ConfigError.
 func parseConfig(path string, text []byte, getenv func(string) string) (*config, error) {
 	fault := func(field string, cause error) (*config, error) {
 		return nil, &ConfigError{Path: path, Field: field, Err: cause}
@@ -122,7 +128,7 @@
 	return c, nil
 }
 
-// applyEnvironment replaces what the environment overrides.
+// applyEnvironment replaces the name and the address by those of the environment, where it sets them.
 func (c *config) applyEnvironment(getenv func(string) string) {
 	if name := getenv(nameVariable); name != "" {
 		c.Name = name
--- a/cmd/functionrouter/counters.go
+++ b/cmd/functionrouter/counters.go
@@ -8,10 +8,12 @@
 	"functionrouter/policy"
 )
 
-// outcomeCounts is how many attempts, load commands or health checks ended with each policy.Outcome.
+// outcomeCounts is how many attempts, load commands or health checks ended with each policy.Outcome, as router.Counters
+// holds them.
 type outcomeCounts = [policy.FunctionNotLoaded + 1]uint64
 
-// logCounters logs all counters, one message for each group. They count from the start of the process.
+// logCounters logs all counters, one message for each group, always in this order. They count from the start of the
+// process.
 func (s *server) logCounters() {
 	c := &s.router.Counters
 	for f := range c.Received {
@@ -40,7 +42,8 @@
 		"client_disconnected", c.ClientDisconnected[f])
 }
 
-// logConnectionCounters logs how many connections were accepted, and how many of them ended for each cause that occurred.
+// logConnectionCounters logs how many client connections were accepted, and how many ended for each cause that occurred.
+// Those of eventloop.OverLimit were never accepted.
 func (s *server) logConnectionCounters() {
 	attributes := []any{"accepted", s.loop.AcceptedCount()}
 	for cause, count := range s.loop.CloseCounts() {
@@ -80,7 +83,7 @@
 	slog.Info("health check counters", withOutcomes([]any{"sent", c.HealthChecks}, &c.HealthCheckOutcomes)...)
 }
 
-// withOutcomes appends an attribute for each outcome that occurred.
+// withOutcomes appends an attribute for each outcome that occurred, in the order of policy.Outcome.
 func withOutcomes(attributes []any, counts *outcomeCounts) []any {
 	for outcome, count := range counts {
 		if count > 0 {
--- a/cmd/functionrouter/endpoint_log.go
+++ b/cmd/functionrouter/endpoint_log.go
@@ -10,10 +10,11 @@
 // endpointLog logs what a new endpoint list changes. Each change of one worker brings a list of all workers: logged
 // whole, the lists would hide everything else in the log.
 type endpointLog struct {
-	logged map[string]discovery.Endpoint // the last list, by name
+	logged map[string]discovery.Endpoint // the last list, by the workers' names; nil before the first
 }
 
-// record logs a line for each endpoint that list adds, changes or lacks, and one for the list.
+// record logs a line for each endpoint that list adds or changes, in its order, then one for each that it lacks, and one
+// for the list.
 func (l *endpointLog) record(list []discovery.Endpoint) {
 	previous := l.logged
 	l.logged = make(map[string]discovery.Endpoint, len(list))
--- a/cmd/functionrouter/endpoints.go
+++ b/cmd/functionrouter/endpoints.go
@@ -7,8 +7,9 @@
 	"functionrouter/policy"
 )
 
-// updateEndpoints passes a new endpoint list to the router and then to the pool. The order matters: attempts that the
-// pool ends because of the list are retried by this list, not by the one before.
+// updateEndpoints is the directory client's callback for a new endpoint list, which it passes to the router and then to the
+// pool. The order matters: attempts that the pool ends because of the list are retried by this list, not by the one
+// before. The start times come first, since policyEndpoint reads them.
 func (s *server) updateEndpoints(list []discovery.Endpoint) {
 	s.startTimes.update(list, s.loop.Now(), s.discovery.LastAnswerAt(), s.loop.TimeFromWallClock)
 	update := policy.EndpointUpdate{Kind: policy.FullUpdate}
@@ -25,7 +26,7 @@
 	s.pool.RetainEndpoints(present)
 }
 
-// policyEndpoint converts an endpoint to the policy's form.
+// policyEndpoint converts an endpoint to the policy's form. Its start must be in s.startTimes.
 func (s *server) policyEndpoint(e discovery.Endpoint) policy.Endpoint {
 	return policy.Endpoint{
 		Worker:    e.ID(),
--- a/cmd/functionrouter/extensions.go
+++ b/cmd/functionrouter/extensions.go
@@ -17,8 +17,8 @@
 // maxIdleInterval is when extensions that have nothing to do ask to be called again. Any long time serves.
 const maxIdleInterval = time.Hour
 
-// extensions are the optional parts beside the platform's frontend. Each is nil if it is off, as all are on the
-// platform.
+// extensions are the optional parts beside the platform's frontend: receiver, sender and exporter. Each is nil if it is
+// off, as all three are on the platform. All methods belong to the loop's goroutine.
 type extensions struct {
 	cfg  *config
 	loop *eventloop.Loop
@@ -27,11 +27,13 @@
 	sender   *webhook.Sender   // signed notices of how requests ended
 	exporter *ipfix.Exporter   // flow records
 
-	frontendAddrs [2]netip.AddrPort // where each router.Frontend listens, for the flow records
+	// frontendAddrs is where the frontends router.Thrift and router.Webhook listen, for the flow records.
+	frontendAddrs [2]netip.AddrPort
 }
 
 // newExtensions reads the files of the extensions and adds the parts that they enable to the loop. The webhook frontend
-// sends its requests to requestRouter.
+// sends its requests to requestRouter. It fails if a file, or a key or ledger that a file names, can't be used; parts that
+// it has added by then stay open.
 func newExtensions(cfg *config, loop *eventloop.Loop, requestRouter webhook.RequestRouter) (*extensions, error) {
 	x := &extensions{cfg: cfg, loop: loop}
 	x.frontendAddrs[router.Thrift] = netip.MustParseAddrPort(cfg.Listen) // readConfig checked it
@@ -48,7 +50,7 @@
 	return x, nil
 }
 
-// requestEnded is the router's Config.OnRequestEnd: it queues a notice and a flow record.
+// requestEnded is the router's Config.OnRequestEnd: it queues a notice and a flow record, where these are on.
 func (x *extensions) requestEnded(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	if x.sender != nil {
 		x.notify(now, r, outcome)
@@ -58,7 +60,8 @@
 	}
 }
 
-// extensionFile returns the file to read: the one that the variable names, or the default if it exists, or none.
+// extensionFile returns the path of the file to read: the one that the variable names, or else the default, or "" if that
+// does not exist. A default that can't be examined for another reason is returned too: its reader reports the error.
 func extensionFile(variable, defaultFile string) string {
 	if path := operatorVariable(os.Getenv, variable); path != "" {
 		return path
@@ -96,7 +99,8 @@
 	return x.sender.OpenNotices()
 }
 
-// close writes what must be on disk before the program ends.
+// close waits until the ledger is on disk, and logs an error of that. It must be called once the loop has stopped, so that
+// no delivery arrives after it.
 func (x *extensions) close() {
 	if x.receiver == nil {
 		return
@@ -106,7 +110,7 @@
 	}
 }
 
-// logCounters logs the counters of the parts that are on.
+// logCounters logs the counters of the parts that are on, from the start of the process.
 func (x *extensions) logCounters() {
 	if x.receiver != nil {
 		logWebhookCounters(&x.receiver.Counters)
--- a/cmd/functionrouter/flow_export.go
+++ b/cmd/functionrouter/flow_export.go
@@ -12,7 +12,8 @@
 // flowExportFile turns on the export of flow records (RFC 7011); flowExportVariable names another file.
 const flowExportFile = "deploy/ipfix.toml"
 
-// addFlowExport turns on the export if the file at path enables it.
+// addFlowExport turns on the export if the file at path enables it. The exporter opens its socket when it is first
+// processed.
 func (x *extensions) addFlowExport(path string) error {
 	file, err := ipfix.ReadConfig(path)
 	if err != nil {
@@ -28,7 +29,7 @@
 	return nil
 }
 
-// exportFlow adds a record of a request that has just ended.
+// exportFlow adds a record of a request that has just ended, at now on the loop's clock. Its times are the wall clock's.
 func (x *extensions) exportFlow(now time.Duration, r *router.Request) {
 	end := time.Now()
 	x.exporter.Add(ipfix.Flow{
--- a/cmd/functionrouter/limits.go
+++ b/cmd/functionrouter/limits.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// fullMemoryMB is the memory for which the bounds below are chosen, in MiB: the platform's limit on scored days. With
-// less memory the bounds shrink in proportion; with more they stay.
+// fullMemoryMB is the memory for which the bounds in bytes below are chosen, in MiB: the limit that the platform usually sets.
+// With less memory these bounds shrink in proportion, with more they stay the same: see scaleToMemory.
 const fullMemoryMB = 192
 
-// Bounds on what is held for peers, in bytes, at fullMemoryMB. They add up to 72 MiB of the 192.
+// Bounds on what is held for peers, in bytes, at fullMemoryMB. They add up to 72 MiB of the 192. With the open requests
+// beside their bodies, see openRequestsPerMB, they stay within half of the memory.
 const (
 	maxUnreadBytes        = 32 << 20 // written for peers that do not read
 	maxBodyBytes          = 24 << 20 // bodies of open requests
 	maxWebhookResultBytes = 16 << 20 // results kept for webhooks that are delivered again
 )
 
-// openRequestsPerMB bounds the open requests by the memory. At 2 KiB each, bodies aside, they take a sixteenth of it.
+// openRequestsPerMB bounds the open requests by the memory, whether that is less or more than fullMemoryMB. At 2 KiB
+// each, bodies aside, they take a sixteenth of it.
 const openRequestsPerMB = 32
 
 // The Go runtime's soft limit is six tenths of the memory. It has to stay well below the limit at which the platform
@@ -28,26 +30,27 @@
 	// reserve leave.
 	clientDescriptorDivisor = 3
 
-	// reservedDescriptors are kept for what is neither a client nor a worker: pollers, listeners, the directory,
+	// reservedDescriptors are reserved for what is neither a client nor a worker: pollers, listeners, the directory,
 	// notices, files, and an accepted connection beyond the limit until it is closed.
 	reservedDescriptors = 32
 
-	// reservedDescriptorDivisor limits the reserve to a quarter of the descriptors if there are few.
+	// reservedDescriptorDivisor bounds the reserve to a quarter of the descriptors, for limits below 128.
 	reservedDescriptorDivisor = 4
 )
 
 const (
-	// healthCheckTimeout is how long a worker may take to answer a health check.
+	// healthCheckTimeout is how long a worker may take to answer a health check; then it ends as policy.TimedOut.
 	healthCheckTimeout = 250 * time.Millisecond
 
 	// maxRefusalRetryAfter bounds the Retry-After of a request that is refused at once; the settings may bound it further.
 	maxRefusalRetryAfter = time.Second
 
-	// maxFlushDeadline is the most that the platform counts of the longest deadline: it kills a router 0.7 s after that,
-	// counted from SIGTERM.
+	// The platform kills a router that has not ended by L + 0.7 s after SIGTERM, where L is the longest deadline of all
+	// classes, counted as maxFlushDeadline at most.
 	maxFlushDeadline = 3 * time.Second
 
-	// flushMargin is the part of these 0.7 s that requests and notices may take; it leaves 0.2 s for a machine that stalls.
+	// flushMargin is the part of these 0.7 s in which open requests are still answered and notices delivered. The other
+	// 0.2 s are left for the end of the program, logCloseTimeout included, and for a machine that stalls.
 	flushMargin = 500 * time.Millisecond
 )
 
@@ -56,7 +59,7 @@
 	return int64(c.Limits.MemoryMB) << 20 * goMemoryNumerator / goMemoryDenominator
 }
 
-// maxClientConnections is how many accepted connections there may be.
+// maxClientConnections is how many accepted connections may be open at once, over all frontends.
 func (c *config) maxClientConnections() int { return c.Limits.Sockets / clientDescriptorDivisor }
 
 // maxWorkerConnections is how many connections to workers there may be: what the clients and the reserve leave.
@@ -65,7 +68,7 @@
 	return c.Limits.Sockets - c.maxClientConnections() - reserve
 }
 
-// scaleToMemory scales a bound that is right for fullMemoryMB to the memory limit.
+// scaleToMemory scales a bound in bytes that is chosen for fullMemoryMB to the memory limit. It never raises the bound.
 func (c *config) scaleToMemory(bytes int) int {
 	return bytes * min(c.Limits.MemoryMB, fullMemoryMB) / fullMemoryMB
 }
@@ -75,7 +78,7 @@
 	return min(c.transport.Limits.MaxOpenRequests, c.Limits.MemoryMB*openRequestsPerMB)
 }
 
-// flushTimeout is how long after SIGTERM requests may last and notices may take to be delivered.
+// flushTimeout is how long after SIGTERM requests are answered at the latest and notices are waited for.
 func (c *config) flushTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.policy.Classes {
@@ -84,8 +87,8 @@
 	return min(longest, maxFlushDeadline) + flushMargin
 }
 
-// refusalRetryAfter is the Retry-After of requests that are refused at once because the router is full; 0 if the
-// settings allow none.
+// refusalRetryAfter is the Retry-After of the refusals that the policy does not decide: those at once, by the deadline
+// guard, and of a client that has ended its side of the connection. It is 0 if the settings allow none.
 func (c *config) refusalRetryAfter() time.Duration {
 	if !c.policy.AllowRetryAfter {
 		return 0
--- a/cmd/functionrouter/main.go
+++ b/cmd/functionrouter/main.go
@@ -17,12 +17,13 @@
 	"functionrouter/internal/logging"
 )
 
-// logCloseTimeout is how long the program, at its end, waits for the reader of its log.
+// logCloseTimeout is how long the program, at its end, waits for the reader of its log. It is part of the time that
+// flushMargin leaves before the platform kills the program.
 const logCloseTimeout = 100 * time.Millisecond
 
 // main runs the router and reports an error of its start in one plain line, after the log.
 func main() {
-	// The end of the log's reader must not end the router: the runtime raises SIGPIPE for standard error.
+	// The end of the log's reader must not end the router: without this a write to its closed pipe kills the process.
 	signal.Ignore(syscall.SIGPIPE)
 	log := logging.NewWriter(os.Stderr)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
@@ -34,7 +35,7 @@
 	}
 }
 
-// run reads the configuration and serves until a signal ends the program.
+// run reads the configuration and serves until a signal ends the program. It returns an error only if the start fails.
 func run() error {
 	readEnvironment := func() (*config, error) { return readConfig(os.Getenv) }
 	cfg, err := readEnvironment()
--- a/cmd/functionrouter/reload.go
+++ b/cmd/functionrouter/reload.go
@@ -5,8 +5,9 @@
 	"reflect"
 )
 
-// reload applies what can change while the program runs: the directory's address. It logs the other keys that fresh
-// changes, since these need a restart. A configuration that can't be used changes nothing.
+// reload applies what can change while the program runs: the directory's address. It logs the other keys in which fresh
+// differs from the configuration of the start, since these need a restart: each further reload names them again. A
+// configuration that can't be used, for which err says why, changes nothing.
 func (s *server) reload(fresh *config, err error) {
 	if err != nil {
 		slog.Error("configuration reload failed", "error", err)
@@ -19,8 +20,8 @@
 	}
 }
 
-// needsRestart names the keys that fresh changes and that a reload does not apply. The seed and the initial endpoints
-// are left out: they matter only when the process starts.
+// needsRestart names the keys in which fresh differs from c and that a reload does not apply. The seed and the initial
+// endpoints are left out: they matter only when the process starts.
 func (c *config) needsRestart(fresh *config) (changed []string) {
 	if c.Name != fresh.Name {
 		changed = append(changed, "name")
--- a/cmd/functionrouter/serve.go
+++ b/cmd/functionrouter/serve.go
@@ -13,16 +13,17 @@
 // kernel.
 const maxProcs = 4
 
-// The intervals of the periodic tasks, those of the pool aside.
+// The intervals of the periodic tasks; that of the pool is backend.SweepInterval.
 const (
 	extensionSweepInterval = time.Second
 	countersLogInterval    = 5 * time.Second
 )
 
-// serve runs the function router until a signal ends it. On SIGHUP it applies what reread returns. It returns an error
-// only if the start fails.
+// serve runs the function router on the calling goroutine until a signal ends it. On SIGHUP it applies what reread
+// returns, which is called on another goroutine. It returns an error only if the start fails. It sets limits of the Go
+// runtime that last beyond its return.
 func serve(cfg *config, reread func() (*config, error)) error {
-	signals := watchSignals()
+	signals := watchSignals() // first, so that a signal during the start is handled once the loop runs
 	defer signals.close()
 	runtime.GOMAXPROCS(maxProcs)
 	debug.SetMemoryLimit(cfg.goMemoryLimit())
@@ -34,8 +35,8 @@
 		return err
 	}
 	slog.Info("started", "name", cfg.Name, "listen", cfg.Listen)
-	signals.forward(s, reread)
-	s.housekeeping.lastCountersLog = s.loop.Now()
+	signals.forward(s, reread)                    // it posts to the loop, which must have been started
+	s.housekeeping.lastCountersLog = s.loop.Now() // else the first turn would log counters that are all 0
 	s.loop.Run(s.beginTurn, s.endTurn)
 	s.extensions.close()
 	s.logCounters()
@@ -43,22 +44,26 @@
 	return nil
 }
 
-// housekeeping is when each periodic task last ran, on the loop's clock.
+// housekeeping is when each periodic task last ran, on the loop's clock; 0 makes it due in the first turn.
 type housekeeping struct {
 	lastPoolSweep      time.Duration
 	lastExtensionSweep time.Duration
 	lastCountersLog    time.Duration
 }
 
-// beginTurn sets the time of a turn of the event loop, before the turn's events are handled.
+// beginTurn sets the time of a turn of the event loop, before the turn's events are handled: the handlers take it from
+// the router and the pool.
 func (s *server) beginTurn(now time.Duration) {
 	s.router.SetNow(now)
 	s.pool.SetNow(now)
 }
 
-// endTurn does what is due after a turn's events have been handled. It returns the latest time for the next turn.
+// endTurn does what is due after a turn's events have been handled. It returns the latest time for the next turn. The
+// extensions come after the router, so that they send notices and flow records of the requests that it has just ended.
 func (s *server) endTurn(now time.Duration) (next time.Duration) {
-	next = min(s.router.Process(now), s.discovery.Poll(now), s.extensions.process(now))
+	next = s.router.Process(now)
+	next = min(next, s.discovery.Poll(now))
+	next = min(next, s.extensions.process(now))
 	s.runPeriodicTasks(now)
 	if s.shutdown.begun() {
 		s.advanceShutdown(now)
@@ -67,7 +72,7 @@
 	return next
 }
 
-// runPeriodicTasks runs the periodic tasks that are due.
+// runPeriodicTasks runs the periodic tasks that are due at now.
 func (s *server) runPeriodicTasks(now time.Duration) {
 	h := &s.housekeeping
 	if now-h.lastPoolSweep >= backend.SweepInterval {
--- a/cmd/functionrouter/server.go
+++ b/cmd/functionrouter/server.go
@@ -27,7 +27,9 @@
 	shutdown     shutdown
 }
 
-// newServer builds the parts and joins them. The loop is not started: nothing listens yet.
+// newServer builds the parts and joins them. The loop is not started: nothing listens yet. The order counts: LoadInitial
+// calls updateEndpoints, which needs the router, the pool and s.discovery. After an error the program must end, since an
+// open ledger is not closed.
 func newServer(cfg *config) (*server, error) {
 	decisions, err := policy.New(cfg.policy, cfg.seed)
 	if err != nil {
@@ -65,7 +67,7 @@
 	return s, nil
 }
 
-// loopConfig is the configuration of the event loop.
+// loopConfig returns the limits of the event loop.
 func (c *config) loopConfig() eventloop.Config {
 	return eventloop.Config{
 		MaxAcceptedConnections: c.maxClientConnections(),
@@ -73,7 +75,7 @@
 	}
 }
 
-// routerLimits is the configuration of the router.
+// routerLimits returns the limits of the request table.
 func (c *config) routerLimits() router.Limits {
 	return router.Limits{
 		MaxOpenRequests:    c.maxOpenRequests(),
@@ -85,14 +87,14 @@
 	}
 }
 
-// poolConfig is the configuration of the connections to workers.
+// poolConfig returns the configuration of the connections to workers. Its Dial uses s.loop, which must be set.
 func (s *server) poolConfig() backend.Config {
 	limits := s.cfg.transport.Limits
 	return backend.Config{
 		Classes:                 s.cfg.transport.classNames(),
 		LoadReportFields:        s.cfg.policy.LoadReportFields,
 		DialTimeout:             milliseconds(limits.DialTimeoutMs),
-		IdleTimeout:             milliseconds(limits.KeepaliveMs),
+		IdleTimeout:             milliseconds(limits.IdleTimeoutMs),
 		MaxStreamsPerConnection: limits.StreamsPerConnection,
 		MaxConnections:          s.cfg.maxWorkerConnections(),
 		AllowCancel:             s.cfg.policy.AllowCancel,
@@ -102,7 +104,7 @@
 	}
 }
 
-// dialDirectory opens a socket to the directory.
+// dialDirectory opens a UDP socket to the directory.
 func (s *server) dialDirectory(addr string, h eventloop.DialHandler) discovery.Transport {
 	return s.loop.DialUDP(addr, h)
 }
--- a/cmd/functionrouter/shutdown.go
+++ b/cmd/functionrouter/shutdown.go
@@ -8,14 +8,14 @@
 
 const (
 	// shutdownGracePeriod is how long after SIGTERM new requests are still routed; later ones are refused. Clients connect
-	// for 0.4 s after SIGTERM, and send requests on open connections for another 0.2 s.
+	// for 0.4 s after SIGTERM, and send requests on open connections for another 0.2 s; 0.05 s are added for the way.
 	shutdownGracePeriod = 650 * time.Millisecond
 
-	// shutdownQuietPeriod is how long no client must have been connected before a server that shuts down ends: a client
-	// that has just connected may still wait to be accepted.
+	// shutdownQuietPeriod is how long there must have been no client connection before a server that shuts down ends: a
+	// client that has just connected may still wait to be accepted.
 	shutdownQuietPeriod = 200 * time.Millisecond
 
-	// shutdownCheckInterval is how often, at least, a server that shuts down checks whether it is done.
+	// shutdownCheckInterval is the longest time between two checks of whether a shutdown is complete.
 	shutdownCheckInterval = 10 * time.Millisecond
 
 	// shutdownLogInterval is the time between two log lines on what a shutdown waits for.
@@ -25,7 +25,7 @@
 // shutdown is the state of a graceful shutdown. All times are on the loop's clock.
 type shutdown struct {
 	startedAt    time.Duration // 0 before it begins
-	lastClientAt time.Duration // when a client was last connected
+	lastClientAt time.Duration // when a client connection was last seen open; at first startedAt
 	lastLogAt    time.Duration // when logShutdown last wrote a line
 	flushTimeout time.Duration // see config.flushTimeout
 }
@@ -33,7 +33,7 @@
 // begun reports whether the server is shutting down.
 func (s *shutdown) begun() bool { return s.startedAt > 0 }
 
-// handleTermination logs the counters, and begins to shut down unless that has begun.
+// handleTermination logs the counters, and begins the shutdown unless one has begun.
 func (s *server) handleTermination(sig os.Signal) {
 	s.logCounters()
 	if s.shutdown.begun() {
@@ -43,8 +43,8 @@
 	slog.Info("shutdown started", "signal", sig.String())
 }
 
-// beginShutdown starts the graceful shutdown. Counted from now, no request lasts longer than the flush timeout, whatever
-// time its client has left: each must be answered before the platform kills the process.
+// beginShutdown starts the graceful shutdown. Each request, open or yet to come, is answered by the end of the flush
+// timeout, counted from now, whatever time its client has left: the platform kills the process soon after.
 func (s *server) beginShutdown(now time.Duration) {
 	s.shutdown.startedAt = now
 	s.shutdown.lastClientAt = now
@@ -52,10 +52,10 @@
 	s.router.BeginShutdown(now, now+s.shutdown.flushTimeout)
 }
 
-// advanceShutdown stops the loop once the grace period is over, all clients have closed their connections, no request is
-// open, and the notices are delivered or the flush timeout has passed. Until then clients may send requests; after the
-// grace period the router refuses them. It closes no connection by itself: a request may be on its way, and its client
-// may have no other router to send it to.
+// advanceShutdown stops the loop once the grace period is over, no client connection has been open for the quiet period, no
+// request is open, and the notices are delivered or the flush timeout has passed. Until then clients may send requests;
+// after the grace period the router refuses them. It closes no connection by itself: a request may be on its way, and its
+// client may have no other router to send it to. It is called in each turn of the loop once the shutdown has begun.
 func (s *server) advanceShutdown(now time.Duration) {
 	elapsed := now - s.shutdown.startedAt
 	graceOver := elapsed >= shutdownGracePeriod
--- a/cmd/functionrouter/signals.go
+++ b/cmd/functionrouter/signals.go
@@ -6,20 +6,19 @@
 	"syscall"
 )
 
-// signalWatcher receives the process's signals and passes them on to the event loop. It owns two goroutines, which end
-// after close.
+// signalWatcher receives the process's signals and passes them on to the event loop. Once forward has been called it has
+// two goroutines, which end after close.
 type signalWatcher struct {
-	// Each purpose has a channel, so that many SIGHUPs or SIGUSR1s can't displace a SIGTERM. A signal that arrives while its
-	// channel is full is dropped: the one in the channel has the same effect.
+	// Each purpose has a channel, so that many SIGHUPs or SIGUSR1s can't displace a SIGTERM. A channel holds one signal. A
+	// signal that arrives while its channel is full is dropped: the one in the channel has the same effect.
 	terminations chan os.Signal // SIGTERM and SIGINT
 	reports      chan os.Signal // SIGUSR1
-	// hangups holds one SIGHUP: the first that arrives while the file is being read has it read once more, further ones
-	// are dropped.
+	// hangups holds a SIGHUP that arrives while the file is being read, which makes it be read once more.
 	hangups chan os.Signal
-	closed  chan struct{}
+	closed  chan struct{} // closed by close
 }
 
-// watchSignals begins to receive signals. It keeps them until forward is called.
+// watchSignals begins to receive signals. Until forward is called it keeps the first of each channel.
 func watchSignals() *signalWatcher {
 	w := &signalWatcher{
 		terminations: make(chan os.Signal, 1),
@@ -42,7 +41,7 @@
 	close(w.closed)
 }
 
-// forward starts the goroutines that pass signals on to s.
+// forward starts the goroutines that pass signals on to s, whose loop must have been started. It is called once.
 func (w *signalWatcher) forward(s *server, reread func() (*config, error)) {
 	go w.forwardHangups(s, reread)
 	go w.forwardSignals(s)
--- a/cmd/functionrouter/start_times.go
+++ b/cmd/functionrouter/start_times.go
@@ -6,12 +6,12 @@
 	"functionrouter/internal/discovery"
 )
 
-// maxNoticeDelay is how long after a worker's start the directory's answers may still lack it: 4.5 s, counted from the
-// time at which the directory fell silent, and some slack.
+// maxNoticeDelay is how long before an answer of the directory a worker may have started that the answer does not list
+// yet. While the directory is silent, a change counts as announced after 4.5 s (docs/QUESTIONS.md); the rest is slack.
 const maxNoticeDelay = 5 * time.Second
 
-// maxRememberedStarts is how many starts are remembered of workers that are not in the list: a worker that returns to the
-// list with the same start was not started anew.
+// maxRememberedStarts bounds the starts that are remembered of workers which the list lacks. They are remembered because
+// a worker that returns to the list with the same start has not started anew. Beyond the bound all of them are forgotten.
 const maxRememberedStarts = 1024
 
 // startTimes converts the starts of workers, which the directory gives by the wall clock, to times on the loop's clock. A
@@ -21,20 +21,28 @@
 	converted map[startKey]time.Duration
 }
 
-// startKey names one start of a worker.
+// startKey identifies one start of a worker.
 type startKey struct {
-	worker string
-	unixMs int64
+	worker string // its name
+	unixMs int64  // by the directory's wall clock
 }
 
-// update converts the starts in a new list. fromWallClock converts a time of the wall clock. previousAnswer is when the
-// directory gave its answer before this one; it is 0 if this is the first, whose workers may have started at any time.
-func (s *startTimes) update(list []discovery.Endpoint, now, previousAnswer time.Duration, fromWallClock func(time.Time) time.Duration) {
+// startKeyOf returns the key of the start that the list gives for a worker.
+func startKeyOf(e discovery.Endpoint) startKey {
+	return startKey{worker: e.Name, unixMs: e.StartedUnixMs}
+}
+
+// update converts the starts in a new list that it does not know yet. fromWallClock converts a time of the wall clock to
+// the loop's. previousAnswer is when the directory gave the usable answer before the one with this list, on the loop's
+// clock; 0 means that there was none, so that the listed workers may have started at any time.
+func (s *startTimes) update(
+	list []discovery.Endpoint, now, previousAnswer time.Duration, fromWallClock func(time.Time) time.Duration,
+) {
 	if s.converted == nil {
 		s.converted = map[startKey]time.Duration{}
 	}
 	for _, e := range list {
-		key := startKey{e.Name, e.StartedUnixMs}
+		key := startKeyOf(e)
 		if _, known := s.converted[key]; !known && e.StartedUnixMs > 0 {
 			s.converted[key] = boundStart(fromWallClock(time.UnixMilli(e.StartedUnixMs)), now, previousAnswer)
 		}
@@ -49,19 +57,18 @@
 	kept := make(map[startKey]time.Duration, len(list))
 	for _, e := range list {
 		if startedAt := s.of(e); startedAt > 0 {
-			kept[startKey{e.Name, e.StartedUnixMs}] = startedAt
+			kept[startKeyOf(e)] = startedAt
 		}
 	}
 	s.converted = kept
 }
 
-// of returns when a worker of the last list started, 0 if that is not known.
-func (s *startTimes) of(e discovery.Endpoint) time.Duration {
-	return s.converted[startKey{e.Name, e.StartedUnixMs}]
-}
+// of returns when a worker of the last list started, on the loop's clock; 0 if that is not known or was long ago.
+func (s *startTimes) of(e discovery.Endpoint) time.Duration { return s.converted[startKeyOf(e)] }
 
-// boundStart returns a time of start that agrees with the time at which it was noticed. If the converted time does not
-// agree, the clocks differ, and all that is known is that the start was not before the previous answer and not after now.
+// boundStart returns a time of start that agrees with now, at which the start was noticed. If the converted time does not
+// agree, the clocks differ, and the start is taken to be between the previous answer and now: at now if the converted time
+// is later than that, at the previous answer if it is too early.
 func boundStart(converted, now, previousAnswer time.Duration) time.Duration {
 	switch {
 	case converted > now:
@@ -69,5 +76,5 @@
 	case previousAnswer > 0 && converted < previousAnswer-maxNoticeDelay:
 		return previousAnswer
 	}
-	return max(converted, 1) // 0 means that the start is not known
+	return max(converted, 1) // of would report 0 as not known
 }
--- a/cmd/functionrouter/transport_settings.go
+++ b/cmd/functionrouter/transport_settings.go
@@ -9,13 +9,14 @@
 // Defaults of settings that are absent or not above zero. The platform always gives them; the defaults are of the size
 // that it gives.
 const (
-	defaultDialTimeoutMs        = 250
-	defaultKeepaliveMs          = 30_000
+	defaultDialTimeoutMs        = 250    // milliseconds
+	defaultIdleTimeoutMs        = 30_000 // milliseconds
 	defaultMaxOpenRequests      = 20_000
 	defaultStreamsPerConnection = 32
 )
 
-// transportSettings is what the connections need of the settings and the policy does not.
+// transportSettings is the part of the settings that is of use outside of the policy: to frontends, connections and the
+// endpoint list. The policy knows zones, classes and tenants by their positions alone.
 type transportSettings struct {
 	FailureDomains []string        `json:"failureDomains"` // names of the zones
 	Classes        []namedSetting  `json:"classes"`
@@ -23,20 +24,22 @@
 	Limits         transportLimits `json:"limits"`
 }
 
-// namedSetting is a class or a tenant. Connections need only its name.
+// namedSetting is a class or a tenant, of which only the name is read here.
 type namedSetting struct {
 	Name string `json:"name"`
 }
 
-// transportLimits bounds the connections.
+// transportLimits bounds connections to workers and open requests.
 type transportLimits struct {
-	DialTimeoutMs        float64 `json:"dialTimeoutMs"`
-	KeepaliveMs          float64 `json:"keepaliveMs"` // idle connections to workers are closed after this
-	MaxOpenRequests      int     `json:"maxOpen"`
-	StreamsPerConnection int     `json:"streamsPerConn"`
+	DialTimeoutMs float64 `json:"dialTimeoutMs"` // of a dial to a worker, in milliseconds
+	// IdleTimeoutMs is after how many milliseconds the workers close an idle connection. The pool closes it earlier.
+	IdleTimeoutMs        float64 `json:"keepaliveMs"`
+	MaxOpenRequests      int     `json:"maxOpen"`        // may be less: see config.maxOpenRequests
+	StreamsPerConnection int     `json:"streamsPerConn"` // attempts in flight on one connection to a worker
 }
 
-// parse reads the part of the settings that connections depend on.
+// parse reads the settings and sets the defaults. It fails if the JSON has another form or a class has no name; t is not
+// to be used then.
 func (t *transportSettings) parse(settings []byte) error {
 	if err := json.Unmarshal(settings, t); err != nil {
 		return err
@@ -47,7 +50,7 @@
 		}
 	}
 	setDefault(&t.Limits.DialTimeoutMs, defaultDialTimeoutMs)
-	setDefault(&t.Limits.KeepaliveMs, defaultKeepaliveMs)
+	setDefault(&t.Limits.IdleTimeoutMs, defaultIdleTimeoutMs)
 	setDefault(&t.Limits.MaxOpenRequests, defaultMaxOpenRequests)
 	setDefault(&t.Limits.StreamsPerConnection, defaultStreamsPerConnection)
 	return nil
@@ -74,5 +77,5 @@
 	}
 }
 
-// milliseconds converts a setting that is given in milliseconds.
+// milliseconds converts a setting that is given in milliseconds. It drops fractions of a nanosecond.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/cmd/functionrouter/webhooks.go
+++ b/cmd/functionrouter/webhooks.go
@@ -14,7 +14,7 @@
 // webhookFile turns on the webhook frontend and the notices; webhookVariable names another file.
 const webhookFile = "deploy/webhook.toml"
 
-// addWebhooks turns on the parts that the file at path enables.
+// addWebhooks turns on the receiver and the sender, if the file at path enables them.
 func (x *extensions) addWebhooks(path string, requestRouter webhook.RequestRouter) error {
 	file, err := webhook.ReadConfig(path)
 	if err != nil {
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// addReceiver turns on the webhook frontend.
+// addReceiver turns on the webhook frontend: it opens the ledger and adds a listener to the loop. Requests of every class
+// that is not idempotent by itself count as orders, also of one that is idempotent with a key.
 func (x *extensions) addReceiver(file *webhook.Config, requestRouter webhook.RequestRouter) error {
 	var classes []webhook.Class
 	for i, class := range x.cfg.policy.Classes {
@@ -66,7 +67,8 @@
 	return nil
 }
 
-// notify queues a notice of how a request ended, if it is a request that must not run twice.
+// notify queues a notice of how a request ended, whichever frontend it came from, if its class is not idempotent. Requests
+// that are idempotent with a key get no notice, although the webhook frontend records them as orders.
 func (x *extensions) notify(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	if x.cfg.policy.Classes[r.Class].Idempotency == policy.NotIdempotent {
 		x.sender.Notify(now, r, outcome)
