--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// update rewrites the golden files from what the program answers now.
+// update makes TestActionsMatchTheGoldenFiles rewrite the golden files with what the program answers now.
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// emittedActions are the codes of the actions that the module emits.
+// emittedActions are the codes of the actions that the module emits today. policy.Action names the others.
 var emittedActions = []byte{
 	actionSetTimer,
 	actionFailRequest,
@@ -58,7 +58,7 @@
 	}
 }
 
-// play runs the program against a world and returns all of its replies.
+// play runs the program against a world, which reacts to each reply, and returns all replies with their headers.
 func play(t *testing.T, w *world) (replies []byte) {
 	t.Helper()
 	events, toProgram := io.Pipe()
@@ -66,7 +66,7 @@
 	ended := make(chan error, 1)
 	go func() {
 		err := run(events, actions)
-		actions.CloseWithError(err) // nil means io.EOF to the reader
+		actions.CloseWithError(err) // nil means io.EOF to the reader; so a wait for a reply ends
 		events.CloseWithError(err)
 		ended <- err
 	}()
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// run answers each batch of in with one reply on out, until in ends.
+// run answers each batch of in with one reply on out, until in ends. It returns nil only if in ends between two batches;
+// a batch that is malformed or can't be handled gets no reply.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
 	writer := bufio.NewWriterSize(out, bufferSize)
@@ -52,12 +53,13 @@
 
 // host holds the simulated routers of this process. They share nothing but buffers.
 type host struct {
-	routers map[simwire.RouterIndex]*policy.Policy
-	reply   simwire.Reply
-	actions []policy.Action // reused
+	routers map[simwire.RouterIndex]*policy.Policy // those that run
+	reply   simwire.Reply                          // to the present batch
+	actions []policy.Action                        // of the last event; the array is reused
 }
 
-// handle passes each event of a batch to its simulated router and gathers the actions in reply.
+// handle passes each event of a batch to its simulated router, in their order, and gathers the actions in h.reply. After
+// an error the reply is incomplete and must not be sent.
 func (h *host) handle(batch simwire.Batch) error {
 	for _, record := range batch.Records {
 		switch event := record.Event.(type) {
@@ -70,7 +72,7 @@
 		case policy.Event:
 			simulatedRouter, running := h.routers[record.Router]
 			if !running {
-				continue // it was killed, and its requests ended with it
+				continue // it was killed, or has not been started
 			}
 			h.actions = simulatedRouter.Handle(batch.Now, event, h.actions[:0])
 			h.reply.Add(record.Router, h.actions)
@@ -79,7 +81,7 @@
 	return nil
 }
 
-// start starts a simulated router, or starts it anew, without any state.
+// start starts a simulated router, or starts it anew, without any state. It fails if its settings can't be used.
 func (h *host) start(index simwire.RouterIndex, event simwire.RouterStarted) error {
 	config, err := simwire.ParseSettings(event.Settings)
 	if err != nil {
--- a/cmd/simadapter/wire_test.go
+++ b/cmd/simadapter/wire_test.go
@@ -53,7 +53,7 @@
 	outcomeNotLoaded
 )
 
-// Instance statuses of the wire: the lower bits of an outcome's info byte.
+// Instance statuses of the wire: the lower three bits of an outcome's info byte.
 const (
 	statusUnknown = iota
 	statusWarm
@@ -79,8 +79,8 @@
 
 // Flags of an arriving request.
 const (
-	flagWorkHint = 1
-	flagRetry    = 2
+	flagWorkHint = 1 // the work hint is valid
+	flagRepeat   = 2 // the client has sent it before
 )
 
 // allPeers addresses a gossip message to every other simulated router.
@@ -113,7 +113,7 @@
 	return 0
 }
 
-// wireReader reads fields from the front of rest. It panics where they are missing.
+// wireReader reads fields from the front of rest. It panics where they are missing: the reply was malformed.
 type wireReader struct {
 	rest []byte
 }
--- a/cmd/simadapter/world_actions_test.go
+++ b/cmd/simadapter/world_actions_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// applyReply carries out the actions of a reply's records.
+// applyReply carries out the actions of a reply's records. It fails for an unknown action.
 func (w *world) applyReply(records []byte) error {
 	fields := &wireReader{rest: records}
 	for len(fields.rest) > 0 {
@@ -19,7 +19,7 @@
 	return nil
 }
 
-// apply reads the fields of an action and carries it out.
+// apply reads all fields of an action and carries it out, where the world reacts to it.
 func (w *world) apply(code byte, router int, fields *wireReader) error {
 	switch code {
 	case actionSetTimer:
@@ -69,7 +69,7 @@
 	w.schedule(30, router, eventEndpointUpdate, func() []byte { return w.listFor(router, listFull) })
 }
 
-// worker returns the worker with that id; one that isn't known has nothing loaded.
+// worker returns the worker with that id, or a new one with nothing loaded, in no list, if there is none.
 func (w *world) worker(id uint64) *simWorker {
 	for _, worker := range w.workers {
 		if worker.id == id {
@@ -79,7 +79,7 @@
 	return &simWorker{id: id, loaded: map[uint64]float64{}}
 }
 
-// loadInstance carries out a load command, which fails now and then.
+// loadInstance carries out a load command, which fails in 3 of 12 cases.
 func (w *world) loadInstance(router int, count byte, function, workerID uint64) {
 	worker := w.worker(workerID)
 	after := 200 + 700*w.rng.Float64()
@@ -104,7 +104,7 @@
 	})
 }
 
-// checkHealth answers a health check, or lets it time out.
+// checkHealth answers a health check, or lets it time out in 1 of 5 cases and always for a worker that is gone.
 func (w *world) checkHealth(router int, workerID uint64) {
 	worker := w.worker(workerID)
 	outcome := byte(outcomeServed)
@@ -121,7 +121,7 @@
 	})
 }
 
-// gossip delivers a message to its receivers, a little later.
+// gossip delivers a message to one or all of the other simulated routers, 2 ms later.
 func (w *world) gossip(from int, to uint32, data []byte) {
 	for n := range w.routers {
 		if n == from || to != allPeers && int(to) != n {
--- a/cmd/simadapter/world_requests_test.go
+++ b/cmd/simadapter/world_requests_test.go
@@ -12,13 +12,14 @@
 type simRequest struct {
 	class    int
 	function uint64
-	attempts int
+	attempts int        // that were sent
 	open     int        // number of the attempt that is in flight, or noAttempt
-	worker   *simWorker // of the open attempt
-	closed   bool
+	worker   *simWorker // of the latest attempt
+	closed   bool       // it has its final answer, or its client has cancelled it
 }
 
-// arrive schedules the arrival of a request at a simulated router and draws whether its client cancels it.
+// arrive schedules the arrival of a request at a simulated router and draws whether its client cancels it. The third class
+// is drawn in the scenario with three routers alone; that with work hints has two classes, and draws once more for them.
 func (w *world) arrive(router int) {
 	w.lastID++
 	id := w.lastID
@@ -28,7 +29,7 @@
 	}
 	r := &simRequest{class: class, function: w.drawFunction(id), open: noAttempt}
 	timeLeft := 200 + float64(w.rng.IntN(2800))
-	flags := byte(w.rng.IntN(2) * flagRetry)
+	flags := byte(w.rng.IntN(2) * flagRepeat)
 	tenant := uint16(w.rng.IntN(2))
 	work := 40 + float64(w.rng.IntN(200))
 	if w.workHints {
@@ -43,7 +44,7 @@
 		b = append(b, flags)
 		b = binary.BigEndian.AppendUint64(b, r.function)
 		b = appendFloat32(b, float32(1+r.function%4)) // concurrency of an instance
-		b = appendFloat32(b, 512)                     // its memory
+		b = appendFloat32(b, 512)                     // its memory, in MiB
 		b = binary.BigEndian.AppendUint16(b, uint16(class))
 		b = appendFloat(b, work)
 		return appendFloat(b, timeLeft)
@@ -64,7 +65,7 @@
 	return function
 }
 
-// cancelRequest schedules that the client of a request cancels it.
+// cancelRequest schedules that the client of a request cancels it, if it is open by then.
 func (w *world) cancelRequest(router int, id uint32, r *simRequest) {
 	requests := w.routers[router].requests
 	w.schedule(float64(w.rng.IntN(400)), router, eventClientCancelled, func() []byte {
@@ -76,14 +77,15 @@
 	})
 }
 
-// closeRequest ends a request with its final answer.
+// closeRequest ends a request with its final answer. An attempt that is in flight goes on.
 func (w *world) closeRequest(router int, id uint32) {
 	if r := w.routers[router].requests[id]; r != nil {
 		r.closed = true
 	}
 }
 
-// sendAttempt begins an attempt and draws how it will end.
+// sendAttempt begins an attempt and draws how it will end. Its event is lost if it is cancelled before. It fails for a
+// request that has never arrived.
 func (w *world) sendAttempt(router int, id uint32, workerID uint64) error {
 	r := w.routers[router].requests[id]
 	if r == nil {
@@ -97,7 +99,7 @@
 	worker.running++
 	end := w.drawOutcome(worker, r)
 	sentAt := w.now
-	streamed := r.class == 2 && w.missWhenNotLoaded
+	streamed := r.class == 2 && w.missWhenNotLoaded // the one class whose settings say so
 	if streamed && end.outcome == outcomeServed {
 		w.scheduleResponseStart(end.after/2, router, id, r, workerID)
 	}
@@ -134,12 +136,13 @@
 // attemptEnd is how an attempt ends. Times are milliseconds.
 type attemptEnd struct {
 	outcome  byte
-	status   byte // of the function's instance at the worker
-	after    float64
-	duration float64
+	status   byte    // of the function's instance at the worker
+	after    float64 // from the send until the end, as drawn
+	duration float64 // as reported: until the batch in which it ended
 }
 
-// drawOutcome draws how an attempt ends: by a fault, or by what the worker has loaded.
+// drawOutcome draws how an attempt ends: by a fault, or by what the worker has loaded. Where the attempt makes the worker
+// load the function, the load begins now.
 func (w *world) drawOutcome(worker *simWorker, r *simRequest) attemptEnd {
 	runTime := 20 + 90*w.rng.ExpFloat64() + 12*float64(worker.running)
 	switch draw := w.rng.IntN(100); {
@@ -171,7 +174,8 @@
 	return attemptEnd{outcome: outcomeServed, status: statusLoadStarted, after: runTime + loadTime}
 }
 
-// cancelAttempt ends an attempt that is in flight; in one of three cases the worker ignores it.
+// cancelAttempt ends an attempt that is in flight; in one of three cases the worker ignores it. The event names the first
+// worker, wherever the attempt was, and the worker's attempt still counts as running: the golden files hold it so.
 func (w *world) cancelAttempt(router int, id uint32, number int) {
 	r := w.routers[router].requests[id]
 	if r == nil || r.open != number || w.rng.IntN(3) == 0 {
@@ -188,7 +192,8 @@
 	})
 }
 
-// encodeAttemptEnded returns the fields of the event; some outcomes carry the worker's load report.
+// encodeAttemptEnded returns the fields of the event. The outcomes served and overloaded carry the worker's load report.
+// closed says whether the request has its final answer or was cancelled.
 func encodeAttemptEnded(id uint32, workerID uint64, number int, closed bool, end attemptEnd, worker *simWorker) []byte {
 	concurrency := byte(worker.running % 5)
 	b := binary.BigEndian.AppendUint32(nil, id)
--- a/cmd/simadapter/world_test.go
+++ b/cmd/simadapter/world_test.go
@@ -7,28 +7,33 @@
 	"slices"
 )
 
-// meanBatchInterval is the mean time between two batches, in milliseconds: nextBatch draws 1 to 12.
-const meanBatchInterval = 6.5
+// maxBatchInterval is the longest time between two batches, in milliseconds; the shortest is 1.
+const maxBatchInterval = 12
 
-// scenario describes a world against which simulated routers are played.
+// meanBatchInterval is the mean time between two batches, in milliseconds.
+const meanBatchInterval = (1 + maxBatchInterval) / 2.0
+
+// scenario describes a world against which simulated routers are played. Its own fields must fit its settings: the world
+// does not read these.
 type scenario struct {
-	name                 string
-	seed                 uint64
-	settings             string
+	name                 string // of the golden file
+	seed                 uint64 // of the world; each simulated router gets a seed drawn from it
+	settings             string // of the simulated routers, JSON
 	routerCount          int
 	workerCount          int
-	functionCount        int
+	functionCount        int // functions that are requested often
 	batches              int
-	arrivalsPerSecond    int
+	arrivalsPerSecond    int  // at all simulated routers together
 	missWhenNotLoaded    bool // workers reject a request for a function that they have not loaded
 	requiresSubscription bool // a router gets worker lists only while it is subscribed
 	workHints            bool // requests carry a work hint
 }
 
-// world is a toy deployment in simulated time: workers, clients and a directory, with random faults. The same
+// world is a small deployment in simulated time: workers, clients and a directory, with random faults. The same
 // seed and the same actions always give the same events. Times are milliseconds.
 //
-// The golden files depend on the order in which rng is drawn from and in which events are scheduled.
+// The golden files depend on each draw from rng, on the order of the draws, and on the order in which events are scheduled:
+// a change of one changes all that follows.
 type world struct {
 	scenario
 	rng     *rand.Rand
@@ -43,7 +48,7 @@
 // pendingEvent is an event that is due later.
 type pendingEvent struct {
 	due         float64
-	sequence    int // of events that are due at the same time, the lowest is first
+	sequence    int // position in world.pending; of events that are due at the same time, the lowest is first
 	router      int
 	incarnation *simulatedRouter // the event is lost if the router was started anew meanwhile
 	code        byte
@@ -54,7 +59,7 @@
 type simWorker struct {
 	id      uint64
 	state   byte
-	started float64
+	started float64            // when its process last started; 0: long ago
 	loaded  map[uint64]float64 // function to the time at which its load ends
 	running int                // attempts in flight
 }
@@ -84,8 +89,8 @@
 	return w
 }
 
-// start starts a simulated router. It schedules the start, the cached worker list and, if lists need no subscription, a
-// full one.
+// start starts a simulated router after a time. It schedules the start, then the cached worker list and, if lists need no
+// subscription, a full one.
 func (w *world) start(router int, after float64) {
 	w.routers[router] = &simulatedRouter{requests: map[uint32]*simRequest{}}
 	seed := w.rng.Uint64()
@@ -112,7 +117,7 @@
 
 // nextBatch advances the clock, draws random events and returns the batch of all events that are due.
 func (w *world) nextBatch(seq uint32) []byte {
-	w.now += float64(1 + w.rng.IntN(12))
+	w.now += float64(1 + w.rng.IntN(maxBatchInterval))
 	w.drawArrivals()
 	w.drawFault()
 	slices.SortStableFunc(w.pending, func(a, b pendingEvent) int {
@@ -162,7 +167,8 @@
 	}
 }
 
-// drawFault draws whether something goes wrong; in most batches nothing does.
+// drawFault draws whether something goes wrong in this batch: 3 in 1,500 batches restart a worker, 3 change a worker's
+// state, 1 breaks a subscription and 1 kills a simulated router.
 func (w *world) drawFault() {
 	switch draw := w.rng.IntN(1500); {
 	case draw < 3:
@@ -185,7 +191,7 @@
 	w.announce(listDelta)
 }
 
-// changeWorkerState draws a worker and its new state.
+// changeWorkerState draws a worker and its new state, and whether the lists that announce it are full.
 func (w *world) changeWorkerState() {
 	worker := w.workers[w.rng.IntN(len(w.workers))]
 	worker.state = []byte{workerGone, workerReady, workerReady, workerDraining}[w.rng.IntN(4)]
@@ -225,9 +231,10 @@
 	return w.encodeList(mode)
 }
 
-// encodeList returns the fields of an event with the worker list; a failed one has no entries.
+// encodeList returns the fields of an event with the worker list; listFailed has no entries.
 func (w *world) encodeList(mode byte) []byte {
-	b := binary.BigEndian.AppendUint32([]byte{mode}, uint32(w.now))
+	version := uint32(w.now)
+	b := binary.BigEndian.AppendUint32([]byte{mode}, version)
 	if mode == listFailed {
 		return binary.BigEndian.AppendUint32(b, 0)
 	}
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -10,7 +10,8 @@
 const allPeers = math.MaxUint32
 
 // action appends one action's record: its header, then its fields in the wire's order. The reasons of refused and
-// failed requests are left out, since the wire does not carry them.
+// failed requests are left out, since the wire does not carry them. Numbers wider than their field are cut off, not
+// checked.
 func (e *encoder) action(router RouterIndex, action policy.Action) {
 	switch a := action.(type) {
 	case policy.SendAttempt:
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -14,8 +14,8 @@
 	float32Length = 4
 )
 
-// decoder reads fields from the front of rest. The first error stays in err; later fields then read as zero or
-// as what comes next, so that a record's fields can be read without a check after each.
+// decoder reads fields from the front of rest. The first error stays in err, so that a record's fields can be read without
+// a check after each. What is read after an error has no meaning.
 type decoder struct {
 	rest []byte
 	err  error
@@ -28,7 +28,7 @@
 	}
 }
 
-// take returns the next bytes, a field of fixed length; zeros if they are missing.
+// take returns the next bytes, a field of fixed length; zeros if they are missing. They are part of rest's array.
 func (d *decoder) take(length int) []byte {
 	if length > len(d.rest) {
 		d.fail(errTruncated)
@@ -61,7 +61,8 @@
 func (d *decoder) request() policy.RequestID   { return policy.RequestID(d.u32()) }
 func (d *decoder) function() policy.FunctionID { return policy.FunctionID(d.u64()) }
 
-// worker reads a worker's address and port, which together are its id.
+// worker reads a worker's IPv4 address and port, which together are its id: the port in the lower 16 bits, the address
+// in the 32 above them.
 func (d *decoder) worker() policy.WorkerID {
 	b := d.take(workerLength)
 	address := policy.WorkerID(binary.BigEndian.Uint32(b))
@@ -69,7 +70,7 @@
 	return address<<16 | port
 }
 
-// loadReport reads a worker's load report; nil where there is none.
+// loadReport reads a worker's load report: a count and that many values; nil where the count is 0.
 func (d *decoder) loadReport() []float64 {
 	count := int(d.u8())
 	if count*float32Length > len(d.rest) {
@@ -91,8 +92,8 @@
 	return decodeCode(d, "worker state", d.u8(), workerStates)
 }
 
-// decodeCode returns the meaning of a code of that field, which stands at the code's position in meanings. A code
-// beyond them is an error and gives the zero value.
+// decodeCode returns the meaning of a code, which stands at the code's position in meanings. A code beyond them is an error
+// that names field, and gives the zero value.
 func decodeCode[T any](d *decoder, field string, code uint8, meanings []T) T {
 	if int(code) >= len(meanings) {
 		d.fail(unknownCodeError{field, code})
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -8,7 +8,7 @@
 	"functionrouter/policy"
 )
 
-// encoder appends records to b.
+// encoder appends fields to b, each in the wire's form.
 type encoder struct {
 	b []byte
 }
@@ -21,7 +21,7 @@
 func (e *encoder) request(id policy.RequestID)   { e.u32(uint32(id)) }
 func (e *encoder) function(id policy.FunctionID) { e.u64(uint64(id)) }
 
-// worker appends a worker's address and port, which together are its id.
+// worker appends a worker's IPv4 address and port, which together are its id: the lower 48 bits, see decoder.worker.
 func (e *encoder) worker(id policy.WorkerID) {
 	e.u32(uint32(id >> 16))
 	e.u16(uint16(id))
@@ -36,7 +36,7 @@
 	}
 }
 
-// counted appends a string of bytes behind its length.
+// counted appends bytes behind their length in 16 bits. They must be fewer than 64 KiB.
 func (e *encoder) counted(data []byte) {
 	e.u16(uint16(len(data)))
 	e.b = append(e.b, data...)
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -2,16 +2,16 @@
 
 import "functionrouter/policy"
 
-// RouterStarted says that a simulated router starts.
+// RouterStarted says that a simulated router starts, or starts anew without any state.
 type RouterStarted struct {
 	Seed     uint64 // for the simulated router's random numbers
-	Settings []byte // JSON, for ParseSettings
+	Settings []byte // JSON, for ParseSettings; the receiver owns it
 }
 
 // RouterKilled says that a simulated router was killed, with all of its state.
 type RouterKilled struct{}
 
-// record reads the next record.
+// record reads the next record. It returns the decoder's first error.
 func (d *decoder) record() (Record, error) {
 	code := d.u8()
 	r := Record{Router: RouterIndex(d.u16())}
@@ -19,7 +19,7 @@
 	return r, d.err
 }
 
-// event reads the fields of an event.
+// event reads the fields of the event with this code. Its result is one of the types that Record.Event names.
 func (d *decoder) event(code uint8) any {
 	switch code {
 	case codeResponseStarted:
@@ -60,17 +60,18 @@
 // The bits of a request's flags that are used.
 const (
 	flagWorkHint = 1 << 0 // the work hint is valid
-	flagRetry    = 1 << 1 // the client has sent the request before
+	flagRepeat   = 1 << 1 // the client has sent the request before
 )
 
-// requestArrived reads a request that a client has sent.
+// requestArrived reads a request that a client has sent. The field of the work hint is always there; without its flag it
+// has no meaning.
 func (d *decoder) requestArrived() policy.RequestArrived {
 	var e policy.RequestArrived
 	e.Request = d.request()
 	e.Tenant = int(d.u16())
 	e.LoadTime = d.millis32()
 	flags := d.u8()
-	e.IsRetry = flags&flagRetry != 0
+	e.IsRetry = flags&flagRepeat != 0
 	e.Function = d.function()
 	e.Concurrency = d.f32()
 	e.MemoryMB = d.f32()
@@ -83,14 +84,14 @@
 	return e
 }
 
-// responseStarted reads the start of a worker's response. It skips the worker and the time since the send, which the
-// attempt's number makes superfluous.
+// responseStarted reads the start of a worker's response. It skips the worker, which the attempt determines, and the time
+// since the send, which the policy does not use.
 func (d *decoder) responseStarted() policy.ResponseStarted {
 	var e policy.ResponseStarted
 	e.Request = d.request()
 	e.Attempt = int(d.u16())
 	d.worker()
-	d.f64()
+	d.millis() // since the send
 	return e
 }
 
@@ -108,8 +109,8 @@
 	return e
 }
 
-// splitInfo splits the info byte of an outcome: the instance's status in the lower three bits, above it how many
-// requests of the function the worker held.
+// splitInfo splits the info byte of an outcome: the instance's status in the lower three bits, and in the others how many
+// requests of the function were at the worker. A status that is not listed counts as unknown.
 func splitInfo(info uint8) (status policy.InstanceStatus, concurrency int) {
 	const statusBits = 3
 	const statusMask = 1<<statusBits - 1
@@ -153,7 +154,8 @@
 const endpointLength = 24
 
 // endpointUpdate reads an endpoint list. It checks the count of the entries before it reads them, so that a malformed
-// count takes no memory.
+// count takes no memory. It skips the version of the list. The code of the kind comes first on the wire and is checked
+// last, so that a truncated list is reported as such, whatever its kind.
 func (d *decoder) endpointUpdate() policy.EndpointUpdate {
 	kindCode := d.u8()
 	d.u32() // version of the list
@@ -172,7 +174,7 @@
 	return e
 }
 
-// endpoint reads one entry of an endpoint list.
+// endpoint reads one entry of an endpoint list, which is endpointLength long.
 func (d *decoder) endpoint() policy.Endpoint {
 	var e policy.Endpoint
 	e.Worker = d.worker()
--- a/internal/simwire/events_test.go
+++ b/internal/simwire/events_test.go
@@ -53,7 +53,7 @@
 	{"gossip received", "08 0003 0002 0003 616263", policy.GossipReceived{From: 2, Data: []byte("abc")}},
 	{"router started", "09 0003 0000000000000009 00000002 7b7d", RouterStarted{Seed: 9, Settings: []byte("{}")}},
 	{
-		"request arrived, a retry with no hint",
+		"request arrived, a repeat with no hint",
 		"0a 0003 00000007 0002 44610000 02 0000007c55d20a01 40000000 43c00000 0001 4028000000000000 406e000000000000",
 		policy.RequestArrived{
 			Request:     7,
--- a/internal/simwire/frames.go
+++ b/internal/simwire/frames.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// batchHeaderLength is the length of a batch's header, in bytes.
+// batchHeaderLength is the length of a batch's header, in bytes: three u32 and the clock, an f64.
 const batchHeaderLength = 20
 
 // maxFrameLength bounds the bytes after a header, so that a malformed length is found before it is read. The batches
@@ -36,8 +36,8 @@
 // Batch is one batch of events, all of which happen at the same time.
 type Batch struct {
 	Seq     uint32        // repeated in the reply
-	Now     time.Duration // the simulator's clock
-	Records []Record
+	Now     time.Duration // on the simulator's clock; never negative
+	Records []Record      // in the wire's order, in which they are to be handled
 }
 
 // RouterIndex is the number by which the wire names a simulated router.
@@ -49,8 +49,9 @@
 	Event  any // a policy.Event, a RouterStarted or a RouterKilled
 }
 
-// ReadBatch reads one batch. It returns io.EOF where the input ends before a batch, and another error where the
-// input ends within it or the batch is malformed; no further batch can be read then.
+// ReadBatch reads one batch, and no byte beyond it. It returns io.EOF where the input ends before a batch, and another
+// error where the input ends within it or the batch is malformed; no further batch can be read then. It blocks until the
+// batch is complete.
 func ReadBatch(r io.Reader) (Batch, error) {
 	h, err := readBatchHeader(r)
 	if err != nil {
@@ -79,7 +80,7 @@
 type batchHeader struct {
 	seq     uint32
 	length  uint32 // of the records, in bytes
-	records uint32
+	records uint32 // their count
 	now     time.Duration
 }
 
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -13,8 +13,9 @@
 // Error names the semantics.
 func (e unknownSemanticsError) Error() string { return fmt.Sprintf("unknown semantics %q", string(e)) }
 
-// ParseSettings converts the settings of a router, JSON, to a policy.Config. Unknown keys are ignored. It
-// fails where the text isn't JSON of the expected form or a class has unknown semantics.
+// ParseSettings converts the settings of a router, JSON, to a policy.Config. Unknown keys are ignored, and absent ones
+// count as zero, except that OverQuotaWeight is then 1. It fails where the text isn't JSON of the expected form or a class
+// has unknown semantics; impossible values are rejected by policy.New.
 func ParseSettings(text []byte) (policy.Config, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -27,7 +28,7 @@
 	return config, nil
 }
 
-// settings mirrors the keys that are used. Times are in milliseconds.
+// settings mirrors the keys that are used; docs/GLOSSARY.md explains them. Times are in milliseconds.
 type settings struct {
 	PeersTotal     int              `json:"peersTotal"`
 	Zone           int              `json:"zone"`
@@ -118,8 +119,8 @@
 	return 0, unknownSemanticsError(semantics)
 }
 
-// parseGroup converts the group of a keyed class, the workers among which a repeated request runs once. An absent or
-// unknown group counts as "cell", the narrowest promise.
+// parseGroup converts the group of a keyed class: the workers that share the memory of its idempotency keys. An absent or
+// unknown group counts as "cell", the smallest of them, which promises the least.
 func parseGroup(group string) policy.DedupScope {
 	switch group {
 	case "all":
@@ -142,7 +143,7 @@
 	How    string   `json:"how"`
 }
 
-// apply sets the part of config that is about load reports.
+// apply sets what the policy expects of load reports.
 func (r reportSettings) apply(config *policy.Config) {
 	config.LoadReportFields = r.Fields
 	config.InlineLoadReports = r.How == "inline"
@@ -159,7 +160,7 @@
 	MaxRetryAfterMs float64 `json:"maxRetryAfterMs"`
 }
 
-// apply sets the part of config that is about limits.
+// apply sets what the router may do, and how often.
 func (l limitSettings) apply(config *policy.Config) {
 	config.AllowCancel = l.Cancel
 	config.AllowHealthChecks = l.MayProbe
@@ -170,7 +171,7 @@
 	config.MaxRetryAfter = fromMillis(l.MaxRetryAfterMs)
 }
 
-// ruleSettings is "rules": how the workers behave at a start, in overload and before they leave.
+// ruleSettings is "rules": the age of the list, and how workers behave at a start, in overload and before they leave.
 type ruleSettings struct {
 	AskWithinMs  float64 `json:"askWithinMs"`
 	ColdFrom     float64 `json:"coldFrom"`
@@ -180,7 +181,7 @@
 	FallMultiple float64 `json:"fallMultiple"`
 }
 
-// apply sets the part of config that is about rules.
+// apply sets the age of the list, slow start, overload and draining.
 func (r ruleSettings) apply(config *policy.Config) {
 	config.ImplicitListAge = fromMillis(r.AskWithinMs)
 	config.SlowStartCapacity = r.ColdFrom
@@ -203,7 +204,7 @@
 	WarmNotes        bool    `json:"warmNotes"`
 }
 
-// apply sets the part of config that is about functions.
+// apply sets what the policy knows of functions and of load commands.
 func (f functionSettings) apply(config *policy.Config) {
 	config.MissWhenNotLoaded = f.IfCold == "miss"
 	config.InstanceKeepAlive = fromMillis(f.LingerIdleMs)
