--- a/example/toy/answer_test.go
+++ b/example/toy/answer_test.go
@@ -11,7 +11,7 @@
 // replyStart begins a reply to execute: version, the method's name, and the sequence number 1.
 const replyStart = "80010002 00000007 65786563757465 00000001"
 
-// answers are replies of the router, by what they must be printed as.
+// answers are replies of the router, and what must be printed for them.
 var answers = []struct {
 	name   string
 	digits string // of the frame, after replyStart
--- a/example/toy/call.go
+++ b/example/toy/call.go
@@ -19,7 +19,7 @@
 // dialInterval is the pause between two attempts to connect to the router.
 const dialInterval = 200 * time.Millisecond
 
-// call sends one call to the router and prints the answer.
+// call sends one call to the router and prints the answer, for which it waits without a limit.
 func call() error {
 	conn, err := dialRouter()
 	if err != nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// dialRouter connects to the router, as soon as that listens.
+// dialRouter connects to the router, for which it waits as long as routerStartTimeout until it listens.
 func dialRouter() (net.Conn, error) {
 	deadline := time.Now().Add(routerStartTimeout)
 	for {
--- a/example/toy/directory.go
+++ b/example/toy/directory.go
@@ -25,7 +25,11 @@
 	dnsRecordTTL = 1 // seconds
 )
 
-// dnsSection is where the header has the count of a section's records.
+// listSerial is the serial number of the list, which never changes here. It is that of the list in example/config.json, so
+// that a router with that file takes the answers and changes nothing.
+const listSerial = 1
+
+// dnsSection is a section of a message, as the offset of its record count in the header.
 type dnsSection int
 
 const (
@@ -34,10 +38,10 @@
 	additionalSection dnsSection = 10
 )
 
-// zone is the domain of the workers.
-const zone = "pool.lan"
+// serviceDomain is the domain under which the directory lists the workers.
+const serviceDomain = "pool.lan"
 
-// serveDirectory answers every query with the list of workers, until the socket fails.
+// serveDirectory answers every query with the list of workers, whatever it asks for, until the socket fails.
 func serveDirectory(socket net.PacketConn) error {
 	buf := make([]byte, dnsMaxQuery)
 	for {
@@ -52,14 +56,14 @@
 }
 
 // workerList returns the response to query: the workers' ports, the list's serial number, and the address and
-// attributes of each worker's host.
+// attributes of each worker's host. The response begins with the query, which must hold nothing but one question.
 func workerList(query []byte) []byte {
 	response := dnsMessage(bytes.Clone(query))
 	response[dnsFlagsOffset] |= dnsIsResponse
 	for i, addr := range workerAddrs {
-		response.add(answerSection, "_back._tcp."+zone, dnsTypeSRV, serviceData(hostName(i), addr))
+		response.add(answerSection, "_back._tcp."+serviceDomain, dnsTypeSRV, serviceData(hostName(i), addr))
 	}
-	response.add(authoritySection, zone, dnsTypeSOA, serialData(1))
+	response.add(authoritySection, serviceDomain, dnsTypeSOA, serialData(listSerial))
 	for i := range workerAddrs {
 		response.add(additionalSection, hostName(i), dnsTypeA, []byte{127, 0, 0, 1})
 		response.add(additionalSection, hostName(i), dnsTypeTXT, []byte("\x06cell=0"))
@@ -67,10 +71,11 @@
 	return response
 }
 
-// hostName is the name of a worker, by its position in workerAddrs.
+// hostName is the DNS name of a worker's host, by the worker's position in workerAddrs: the worker's name, its zone, and a
+// domain that the router does not read.
 func hostName(i int) string { return fmt.Sprintf("s-%d.here.hosts", i+1) }
 
-// serviceData is the data of an SRV record: priority 0, weight 10, and the port of addr.
+// serviceData is the data of an SRV record: priority 0 (ready), weight 10 (size 1), the port of addr, and the host.
 func serviceData(host, addr string) []byte {
 	_, portText, _ := strings.Cut(addr, ":")
 	port, err := strconv.ParseUint(portText, 10, 16)
@@ -81,17 +86,19 @@
 	return append(data, dnsName(host)...)
 }
 
-// serialData is the data of an SOA record whose other fields are zero.
+// serialData is the data of an SOA record: two names and the serial number, which alone counts here, and four intervals,
+// which are zero.
 func serialData(serial uint32) []byte {
-	data := append(dnsName(zone), dnsName(zone)...)
+	const intervalsLength = 4 * 4 // bytes
+	data := append(dnsName(serviceDomain), dnsName(serviceDomain)...)
 	data = binary.BigEndian.AppendUint32(data, serial)
-	return append(data, make([]byte, 16)...)
+	return append(data, make([]byte, intervalsLength)...)
 }
 
 // dnsMessage is a DNS message whose header counts the records of its sections.
 type dnsMessage []byte
 
-// add appends a record to section. The sections must be filled in their order.
+// add appends a record to section, which may have 255 at most. The sections must be filled in their order.
 func (m *dnsMessage) add(section dnsSection, name string, recordType uint16, data []byte) {
 	(*m)[section+1]++ // the low byte of the count
 	*m = append(*m, dnsName(name)...)
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -7,7 +7,8 @@
 //	toy hook ID   send one repair-order as a signed webhook with that webhook-id
 //
 // It is run in the repository's root, beside a router with EDGE_CONFIG=example/config.json; either may be started first.
-// It is no model of the protocols: it checks little of what it reads, and sends only what the router needs to work.
+// "toy hook" also needs FUNCTIONROUTER_WEBHOOK=example/webhook.toml at the router. It is no model of the protocols: it
+// checks little of what it reads, and sends only what the router needs to work.
 package main
 
 import (
@@ -28,7 +29,7 @@
 // workerAddrs are the workers of example/config.json.
 var workerAddrs = []string{"127.0.0.1:10181", "127.0.0.1:10182"}
 
-// functionKey names the function that is called.
+// functionKey identifies the function that is called: any 16 hexadecimal digits.
 const functionKey = "7f3a9c21e0b4d655"
 
 var errUsage = errors.New("usage: toy [try | call | hook ID]")
@@ -40,7 +41,7 @@
 	}
 }
 
-// run does what the arguments ask for.
+// run does what the arguments ask for. It returns errUsage if they ask for nothing that it knows.
 func run(args []string) error {
 	switch {
 	case len(args) == 0:
@@ -65,7 +66,7 @@
 	return <-failed
 }
 
-// try runs the directory and the workers during one call.
+// try runs the directory and the workers during one call. It returns the error of whichever fails first.
 func try() error {
 	failed, err := startServers()
 	if err != nil {
@@ -81,8 +82,8 @@
 	}
 }
 
-// startServers starts the directory and the workers. failed receives the error of the first that fails; the others end
-// with the process.
+// startServers starts the directory and the workers. failed receives the error of each that fails; the others end with the
+// process. If one can't listen, an error is returned, and those that were started go on.
 func startServers() (failed <-chan error, err error) {
 	serverErrors := make(chan error, len(workerAddrs)+1)
 	for _, addr := range workerAddrs {
--- a/example/toy/resp.go
+++ b/example/toy/resp.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// maxRESPLine is the most bytes of a line that gives a count or a length.
+// maxRESPLine is the most bytes of a line that gives a count or a length, with its mark and line break: five digits.
 const maxRESPLine = 8
 
 // writeArray writes words as a RESP array of bulk strings.
@@ -43,7 +43,8 @@
 	return words, nil
 }
 
-// readNumber reads a line of a mark and a number, as "*3" or "$12".
+// readNumber reads a line of a mark and a number, as "*3" or "$12". It fails for another mark and for a line that is too
+// long.
 func readNumber(in *bufio.Reader, mark byte) (int, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
--- a/example/toy/thrift.go
+++ b/example/toy/thrift.go
@@ -10,7 +10,8 @@
 // The parts of Thrift's strict binary protocol and framed transport that a call needs. The service is described in
 // package internal/frontend/thrift.
 const (
-	thriftFrameHeader  = 4 // bytes
+	thriftFrameHeader  = 4 // bytes: the frame's length
+	thriftLengthSize   = 4 // bytes of a length, the widest number that is read
 	thriftVersionCall  = 0x80010001
 	thriftVersionReply = 0x80010002
 
@@ -21,12 +22,12 @@
 	thriftTypeMap    = 13
 )
 
-// maxAnswerBytes is the most bytes of an answer that are read.
+// maxAnswerBytes is the most bytes of an answer that are read. A longer answer is cut off, which makes it malformed.
 const maxAnswerBytes = 1 << 16
 
 var errMalformedAnswer = errors.New("malformed data")
 
-// answerStatuses are the results of execute, by the ID of the field that is set: Answer, Backoff and Lost.
+// answerStatuses are the results of execute, by the ID of the field that is set: 0 is Answer, 1 Backoff and 2 Lost.
 var answerStatuses = []string{"served", "refused", "failed"}
 
 // executeFrame is a call of execute(1: map<string, string> fields, 2: binary body), with its frame header. fields are
@@ -48,6 +49,7 @@
 	return b
 }
 
+// appendThriftString appends a string behind its length.
 func appendThriftString(b []byte, s string) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(len(s)))
 	return append(b, s...)
@@ -110,19 +112,20 @@
 	malformed bool
 }
 
-// take returns the next bytes; a few zeros if they are missing.
+// take returns the next bytes. If they are missing, it returns zeros: enough for a number, whatever length was asked for.
 func (d *thriftDecoder) take(length int) []byte {
 	if length > len(d.rest) {
 		d.malformed = true
-		return make([]byte, min(length, thriftFrameHeader))
+		return make([]byte, min(length, thriftLengthSize))
 	}
 	taken := d.rest[:length]
 	d.rest = d.rest[length:]
 	return taken
 }
 
-func (d *thriftDecoder) uint32() uint32 { return binary.BigEndian.Uint32(d.take(4)) }
+func (d *thriftDecoder) uint32() uint32 { return binary.BigEndian.Uint32(d.take(thriftLengthSize)) }
 
+// bytes reads a string or binary behind its length.
 func (d *thriftDecoder) bytes() []byte { return d.take(int(d.uint32())) }
 
 // fieldHeader reads the type of a struct's next field and its ID. The end of the struct has no ID.
@@ -134,7 +137,7 @@
 	return valueType, binary.BigEndian.Uint16(d.take(2))
 }
 
-// stringMap reads a map of strings as names and values in turn.
+// stringMap reads a map from strings to strings as names and values in turn.
 func (d *thriftDecoder) stringMap() (namesAndValues []string) {
 	d.take(2) // the types of names and values
 	for count := 2 * int(d.uint32()); count > 0 && !d.malformed; count-- {
--- a/example/toy/webhook.go
+++ b/example/toy/webhook.go
@@ -13,10 +13,14 @@
 	"time"
 )
 
-// webhookKeyFile has the secret that signs webhooks, in base64 behind "whsec_".
-const webhookKeyFile = "example/hook.key"
+// webhookKeyFile has the secret that signs webhooks, in base64 behind webhookKeyPrefix.
+const (
+	webhookKeyFile   = "example/hook.key"
+	webhookKeyPrefix = "whsec_"
+)
 
-// sendWebhook sends a repair-order as a webhook with the given webhook-id and prints the response.
+// sendWebhook sends a repair-order as a webhook with the given webhook-id and prints the response: its status, its body and
+// its Retry-After.
 func sendWebhook(id string) error {
 	secret, err := readWebhookKey()
 	if err != nil {
@@ -42,14 +46,14 @@
 	if err != nil {
 		return nil, err
 	}
-	secret, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(strings.TrimSpace(string(text)), "whsec_"))
+	secret, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(strings.TrimSpace(string(text)), webhookKeyPrefix))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", webhookKeyFile, err)
 	}
 	return secret, nil
 }
 
-// webhookRequest returns a request signed as Standard Webhooks has it (standardwebhooks.com).
+// webhookRequest returns a request signed by the Standard Webhooks specification (https://www.standardwebhooks.com).
 func webhookRequest(id string, secret []byte, now time.Time) (*http.Request, error) {
 	body := webhookBody(now)
 	timestamp := strconv.FormatInt(now.Unix(), 10)
@@ -65,7 +69,8 @@
 	return request, nil
 }
 
-// webhookBody is the event. Its time stays the same over redeliveries: here it is the start of the hour.
+// webhookBody is the event. A redelivery must repeat it byte for byte. So its time is the start of the hour: a webhook that
+// is sent again in the same hour is a redelivery.
 func webhookBody(now time.Time) string {
 	return fmt.Sprintf(`{"type":"call.requested","timestamp":%q,"data":{"class":"repair-order","key":%q,"wait_ms":1500,`+
 		`"memory_mb":512,"lanes":1,"load_ms":640,"body":%q}}`,
--- a/internal/logging/throttle.go
+++ b/internal/logging/throttle.go
@@ -17,8 +17,8 @@
 func (t *Throttle) Add() { t.events++ }
 
 // Ready reports whether a line is due at now: events were counted, and the last line is longer ago than
-// Interval. It returns how many events the line stands for and begins to count anew: the caller has to log the line.
-// All calls must take now from one monotonic clock. If that starts near 0, no line is due in the first Interval.
+// Interval. If one is due, Ready returns how many events the line stands for and counts anew, so that the caller must log
+// the line. All calls must take now from one monotonic clock. If that starts near 0, no line is due in the first Interval.
 func (t *Throttle) Ready(now time.Duration) (events int, due bool) {
 	if t.events == 0 || now-t.lastLine <= t.Interval {
 		return 0, false
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// maxBufferedBytes is how many bytes of the log may wait for a slow destination. Lines beyond it are dropped.
+	// maxBufferedBytes is how many bytes of the log may wait for a slow destination, beside those of the write that is in
+	// progress, which are as many at most. Lines beyond it are dropped.
 	maxBufferedBytes = 256 << 10
 
 	// writePeriod is the least time between two writes, so that lines of the same moment are written together.
@@ -17,10 +18,10 @@
 
 // Writer buffers log lines and writes them to its destination on a goroutine of its own. Write never blocks on the
 // destination: a log that nobody reads must not delay the work that is logged. Lines that do not fit into the buffer are
-// dropped, and their number is written with the next lines. It is safe for concurrent use.
+// dropped, and their number is written after the next lines that are. It is safe for concurrent use.
 type Writer struct {
 	destination io.Writer     // used by the goroutine of run alone
-	wake        chan struct{} // holds one token while there is something to write
+	wake        chan struct{} // holds one token once a line came that run has not seen
 	stop        chan struct{} // closed by Close
 	done        chan struct{} // closed when the goroutine of run has ended
 
@@ -29,8 +30,8 @@
 	dropped  int        // lines dropped since the last write to the destination
 }
 
-// NewWriter returns a Writer to destination and starts its goroutine, which alone may use destination from then on. Close
-// must be called once, at the end.
+// NewWriter returns a Writer to destination and starts its goroutine, which alone may use destination until Close
+// has returned. Close must be called once, at the end.
 func NewWriter(destination io.Writer) *Writer {
 	w := &Writer{
 		destination: destination,
@@ -42,8 +43,8 @@
 	return w
 }
 
-// Write buffers or drops one line of the log, which it copies. It never fails: a dropped line counts as written. Lines
-// that are written after Close stay in the buffer.
+// Write buffers or drops one whole line of the log, its line break included, which it copies. It never fails: a dropped
+// line counts as written. Lines that come after Close may be lost.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if len(w.buffered)+len(line) > maxBufferedBytes {
@@ -59,8 +60,8 @@
 	return len(line), nil
 }
 
-// Close writes what is buffered and ends the goroutine. It returns after timeout at the latest, although the goroutine
-// may still be writing: the destination may have stalled. A second call panics.
+// Close writes what is buffered and ends the goroutine. If that takes longer than timeout, since the destination has
+// stalled, it returns while the goroutine is still writing. A second call panics.
 func (w *Writer) Close(timeout time.Duration) {
 	close(w.stop)
 	select {
@@ -84,8 +85,8 @@
 	}
 }
 
-// writeBuffered writes what is buffered, and the number of lines that were dropped since the last write. An error of the destination
-// is ignored and costs these lines: there is nowhere else to report it.
+// writeBuffered writes what is buffered, and the number of lines that were dropped since the last write. An error of the
+// destination is ignored and costs these lines: there is nowhere else to report it.
 func (w *Writer) writeBuffered() {
 	w.mu.Lock()
 	batch := w.buffered
--- a/internal/testsupport/testsupport.go
+++ b/internal/testsupport/testsupport.go
@@ -12,11 +12,12 @@
 	_ "pgregory.net/rapid" // defines the flags that RunWithFixedSeeds sets
 )
 
-// propertySeed is the seed of all property tests.
+// propertySeed is the seed of all property tests, for package rapid. Any number serves; another one plays other events.
 const propertySeed = "20261201"
 
-// RunWithFixedSeeds is the body of a TestMain. It fixes the seed of the property tests, so that each run gives the same
-// verdict, runs the tests and exits.
+// RunWithFixedSeeds is the body of a TestMain. It runs the tests and exits with their status. It fixes the seed of the
+// property tests, so that each run gives the same verdict, over a seed on the command line too, and keeps rapid from
+// writing files of failed runs into the repository.
 func RunWithFixedSeeds(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": propertySeed, "rapid.nofailfile": "true"} {
@@ -28,5 +29,6 @@
 	os.Exit(m.Run())
 }
 
-// DiscardLog makes the default logger drop every line, for tests whose runs would fill the output.
+// DiscardLog makes the default logger drop every line until the process ends, for a TestMain whose tests would fill the
+// output.
 func DiscardLog() { slog.SetDefault(slog.New(slog.DiscardHandler)) }
--- a/internal/testsupport/transport.go
+++ b/internal/testsupport/transport.go
@@ -3,7 +3,8 @@
 import "bytes"
 
 // Transport is a fake connection to a peer, for tests of what writes to an eventloop.Conn or eventloop.UDPConn. It
-// keeps what is written to it. Its zero value is an open connection.
+// keeps what is written to it, also after Closed, and calls no handler. Its zero value is an open connection. It is not
+// safe for concurrent use.
 type Transport struct {
 	Written bytes.Buffer
 	Closed  bool // by Close or CloseAfterFlush
