--- a/cmd/functionrouter/cancel_test.go
+++ b/cmd/functionrouter/cancel_test.go
@@ -46,10 +46,7 @@
 func TestCancelBeforeRetry(t *testing.T) {
 	for _, test := range cancellations {
 		t.Run(test.name, func(t *testing.T) {
-			first := startFakeWorker(t)
-			second := startFakeWorker(t)
-			h := startHarness(t, manyAttempts,
-				listedWorker{name: "s-1", addr: first.addr}, listedWorker{name: "s-2", addr: second.addr})
+			h, first, second := startWithTwoWorkers(t)
 			c := h.connect()
 			other := h.connect()
 			c.sendCall("safe", "00000000000000a1", "one")
@@ -69,8 +66,8 @@
 // process continues.
 func TestCallOfGoneClientAfterAPause(t *testing.T) {
 	worker := startFakeWorker(t)
-	h, _ := newHarness(t, newFakeDirectory(t), 1024, "", listedWorker{name: "s-1", addr: worker.addr})
-	process := h.startProcess(1024)
+	h, _ := newHarness(t, newFakeDirectory(t), testSockets, "", listedWorker{name: "s-1", addr: worker.addr})
+	process := h.startProcess(testSockets)
 	gone := h.connect()
 	other := h.connect()
 	gone.checkHealth()
@@ -80,9 +77,7 @@
 	pause(t, process)
 	gone.sendCall("safe", "00000000000000a1", "of a client that has gone")
 	gone.close()
-	if err := process.Signal(unix.SIGCONT); err != nil {
-		t.Fatal(err)
-	}
+	signalProcess(t, process, unix.SIGCONT)
 	other.checkHealth()
 	other.sendCall("safe", "00000000000000a2", "of one that waits")
 	r := worker.nextRequest()
--- a/cmd/functionrouter/client_test.go
+++ b/cmd/functionrouter/client_test.go
@@ -25,9 +25,10 @@
 type testClient struct {
 	net.Conn
 	t            *testing.T
-	lastSequence uint32
+	lastSequence uint32 // sequence number of the latest call
 }
 
+// newTestClient returns a client on conn, which is closed at the end of the test. All it does must end within testTimeout.
 func newTestClient(t *testing.T, conn net.Conn) *testClient {
 	t.Helper()
 	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -45,6 +46,7 @@
 	}
 }
 
+// appendSized appends a string behind its length.
 func appendSized(b []byte, s string) []byte {
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(s))), s...)
 }
@@ -77,6 +79,7 @@
 	return frameMessage(thriftCall, "execute", c.lastSequence, args...)
 }
 
+// sendBytes sends b, which need not be a whole frame.
 func (c *testClient) sendBytes(b []byte) {
 	c.t.Helper()
 	if _, err := c.Write(b); err != nil {
@@ -157,7 +160,8 @@
 }
 
 // checkHealth asks the router whether it is ready. It also is a barrier: once it has been answered twice, the router
-// has read all that was readable before.
+// has read all that was readable before. The first answer may come in the same turn of the loop as other input, and
+// before that is read.
 func (c *testClient) checkHealth() (ready bool) {
 	c.t.Helper()
 	for range 2 {
--- a/cmd/functionrouter/connections_test.go
+++ b/cmd/functionrouter/connections_test.go
@@ -17,10 +17,7 @@
 		{class: "unsafe", want: "failed", retried: false},
 	} {
 		t.Run(test.class, func(t *testing.T) {
-			first := startFakeWorker(t)
-			second := startFakeWorker(t)
-			h := startHarness(t, manyAttempts,
-				listedWorker{name: "s-1", addr: first.addr}, listedWorker{name: "s-2", addr: second.addr})
+			h, first, second := startWithTwoWorkers(t)
 			c := h.connect()
 			c.sendCall(test.class, "00000000000000a1", "one")
 			if err := first.nextRequestOfEither(second).conn.Close(); err != nil {
@@ -77,7 +74,7 @@
 	half.checkHealth()
 	frame := half.callFrame("safe", "00000000000000a1", "in two pieces", 5*time.Second)
 	half.sendBytes(frame[:len(frame)/2])
-	for range 1024 / clientDescriptorDivisor { // as many as may be accepted
+	for range testSockets / clientDescriptorDivisor { // as many as may be accepted
 		h.connect().checkHealth()
 	}
 	half.sendBytes(frame[len(frame)/2:])
--- a/cmd/functionrouter/dial_test.go
+++ b/cmd/functionrouter/dial_test.go
@@ -9,15 +9,6 @@
 	"testing"
 )
 
-// Members of the settings, for startHarness.
-const (
-	// longDialTimeout makes a dial to a full worker last until the worker accepts: the kernel sends the connect anew
-	// after a second.
-	longDialTimeout = `"limits":{"dialTimeoutMs":15000},`
-
-	manyAttempts = `"limits":{"maxAttempts":6},`
-)
-
 // A dial that completes after its worker began to drain, or was removed, carries nothing; the request that waited for
 // it goes to another worker at once.
 func TestDialCompletesAfterDrain(t *testing.T) {
@@ -50,29 +41,6 @@
 	}
 }
 
-// connectingSockets returns how many sockets of this machine are connecting to addr (proc(5), net/tcp).
-func connectingSockets(t *testing.T, addr string) int {
-	t.Helper()
-	const synSent = "02"
-	parsed, err := netip.ParseAddrPort(addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	ip := parsed.Addr().As4()
-	remote := fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(ip[:]), parsed.Port())
-	table, err := os.ReadFile("/proc/net/tcp")
-	if err != nil {
-		t.Fatal(err)
-	}
-	count := 0
-	for line := range strings.Lines(string(table)) {
-		if fields := strings.Fields(line); len(fields) > 3 && fields[2] == remote && fields[3] == synSent {
-			count++
-		}
-	}
-	return count
-}
-
 // A dial that completes after its timeout carries nothing: its request went elsewhere at the timeout.
 func TestDialCompletesAfterTimeout(t *testing.T) {
 	worker := startFullWorker(t)
@@ -114,3 +82,26 @@
 	last.nextRequest().respond("HIT", "done")
 	c.expectStatus("served")
 }
+
+// connectingSockets returns how many sockets of this machine are connecting to addr (proc(5), net/tcp).
+func connectingSockets(t *testing.T, addr string) int {
+	t.Helper()
+	const synSent = "02"
+	parsed, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ip := parsed.Addr().As4()
+	remote := fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(ip[:]), parsed.Port())
+	table, err := os.ReadFile("/proc/net/tcp")
+	if err != nil {
+		t.Fatal(err)
+	}
+	count := 0
+	for line := range strings.Lines(string(table)) {
+		if fields := strings.Fields(line); len(fields) > 3 && fields[2] == remote && fields[3] == synSent {
+			count++
+		}
+	}
+	return count
+}
--- a/cmd/functionrouter/endpoint_log_test.go
+++ b/cmd/functionrouter/endpoint_log_test.go
@@ -19,12 +19,12 @@
 	var l endpointLog
 	for _, step := range []struct {
 		list                     []discovery.Endpoint
-		updated, removed, missed string
+		updated, removed, absent string // texts of the lines
 	}{
 		{list: []discovery.Endpoint{first, second}, updated: "worker=s-2"},
-		{list: []discovery.Endpoint{first, second}, missed: "worker=s-1"},
-		{list: []discovery.Endpoint{first, draining}, updated: "worker=s-2", missed: "worker=s-1"},
-		{list: []discovery.Endpoint{draining}, removed: "worker=s-1", missed: "worker=s-2"},
+		{list: []discovery.Endpoint{first, second}, absent: "worker=s-1"},
+		{list: []discovery.Endpoint{first, draining}, updated: "worker=s-2", absent: "worker=s-1"},
+		{list: []discovery.Endpoint{draining}, removed: "worker=s-1", absent: "worker=s-2"},
 	} {
 		from := captured.end()
 		l.record(step.list)
@@ -32,7 +32,7 @@
 		if !strings.Contains(text, `msg="endpoint list applied"`) ||
 			step.updated != "" && !strings.Contains(text, `msg="endpoint updated" `+step.updated) ||
 			step.removed != "" && !strings.Contains(text, `msg="endpoint removed" `+step.removed) ||
-			step.missed != "" && strings.Contains(text, step.missed) {
+			step.absent != "" && strings.Contains(text, step.absent) {
 			t.Errorf("the list %v logged %q", step.list, text)
 		}
 	}
--- a/cmd/functionrouter/fake_worker_test.go
+++ b/cmd/functionrouter/fake_worker_test.go
@@ -24,7 +24,7 @@
 
 	mu       sync.Mutex
 	listenFD int         // until startAccepting; -1 afterwards
-	closers  []io.Closer // the listener, its connections, and those that fill its backlog
+	closers  []io.Closer // the listener, its connections, and one that fills its backlog
 }
 
 // workerRequest is a request as a worker received it.
@@ -167,7 +167,7 @@
 	return strconv.Atoi(strings.TrimSpace(line[1:]))
 }
 
-// serveAll serves all requests from now on.
+// serveAll serves all requests from now on. No other method may wait for requests any more.
 func (w *fakeWorker) serveAll() {
 	go func() {
 		for r := range w.requests {
@@ -196,7 +196,8 @@
 	}
 }
 
-// expectNoRequest checks that no further request has come to the worker.
+// expectNoRequest checks that no further request has come to the worker so far. It does not wait: a test that calls it has
+// waited for something that the router would have done later.
 func (w *fakeWorker) expectNoRequest() {
 	w.t.Helper()
 	select {
@@ -206,7 +207,8 @@
 	}
 }
 
-// reply is a response in RESP. The words are HIT for a result, FAULT for an error, and so on.
+// reply is a response in RESP, with the fields "-", which mean nothing. The words are HIT for a result, FAULT for an error,
+// and so on.
 func (r workerRequest) reply(word, body string) string {
 	return fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$%d\r\n%s\r\n",
 		len(r.id), r.id, len(word), word, len(body), body)
--- a/cmd/functionrouter/fault_proxy_test.go
+++ b/cmd/functionrouter/fault_proxy_test.go
@@ -23,6 +23,14 @@
 	connectionFaultCount
 )
 
+// The figures of the faults.
+const (
+	maxResetDelayMs = 100                   // of resetSoon, in milliseconds
+	maxPassingBytes = 3000                  // that the worker sends before cutAnswer and stallAnswers begin
+	dribbleBytes    = 7                     // in one write of dribbleAnswers: less than any answer
+	answerDelay     = 20 * time.Millisecond // of delayAnswers
+)
+
 // faultProxy stands between the router and a worker. Each connection that it carries has a fault, drawn from its seed.
 type faultProxy struct {
 	listener net.Listener
@@ -97,16 +105,16 @@
 	_ = server.Close()
 }
 
-// carryAnswers copies what the worker sends, with the fault.
+// carryAnswers copies what the worker sends, with the fault, until either end closes.
 func (p *faultProxy) carryAnswers(client, server net.Conn, fault connectionFault) {
 	defer func() { _ = errors.Join(client.Close(), server.Close()) }() // they may have ended
 	if fault == resetSoon {
-		time.AfterFunc(time.Duration(p.draw(100))*time.Millisecond, func() {
+		time.AfterFunc(time.Duration(p.draw(maxResetDelayMs))*time.Millisecond, func() {
 			_ = client.(*net.TCPConn).SetLinger(0) // Close sends a reset
 			_ = client.Close()
 		})
 	}
-	passing := 1 + p.draw(3000) // bytes until the fault begins
+	passing := 1 + p.draw(maxPassingBytes) // bytes until the fault begins
 	buffer := make([]byte, 4096)
 	for {
 		n, err := server.Read(buffer)
@@ -122,13 +130,13 @@
 			_, _ = io.Copy(io.Discard, server) // until the connection ends
 			return
 		case fault == delayAnswers:
-			time.Sleep(20 * time.Millisecond)
+			time.Sleep(answerDelay)
 		case fault == dribbleAnswers:
-			for len(answers) > 7 {
-				if _, err := client.Write(answers[:7]); err != nil {
+			for len(answers) > dribbleBytes {
+				if _, err := client.Write(answers[:dribbleBytes]); err != nil {
 					return
 				}
-				answers = answers[7:]
+				answers = answers[dribbleBytes:]
 			}
 		}
 		passing -= n
--- a/cmd/functionrouter/harness_test.go
+++ b/cmd/functionrouter/harness_test.go
@@ -15,6 +15,18 @@
 // testTimeout bounds each wait of a test; none of them is expected to last.
 const testTimeout = 20 * time.Second
 
+// testSockets is the limit on descriptors in the tests that need no other.
+const testSockets = 1024
+
+// Members of the settings, for startHarness.
+const (
+	// longDialTimeout makes a dial to a full worker last until the worker accepts: the kernel sends the connect anew
+	// after a second.
+	longDialTimeout = `"limits":{"dialTimeoutMs":15000},`
+
+	manyAttempts = `"limits":{"maxAttempts":6},`
+)
+
 // harness is a router on real sockets, with a directory, workers and clients under the test's control.
 type harness struct {
 	t             *testing.T
@@ -23,10 +35,10 @@
 	listen        string
 	directory     *fakeDirectory
 	log           *logCapture
-	reloadResults chan error // of each SIGHUP
-	exited        chan struct{}
+	reloadResults chan error    // one for each SIGHUP; reread blocks while a second one waits
+	exited        chan struct{} // closed when serve has returned
 	clients       []*testClient // that have connected
-	exitError     error         // set when exited is closed
+	exitError     error         // of serve; set before exited is closed
 }
 
 // listedWorker is a worker as the directory lists it.
@@ -40,7 +52,7 @@
 // unsafe (not idempotent); extraSettings, JSON members that end in a comma, go beside them.
 func startHarness(t *testing.T, extraSettings string, initial ...listedWorker) *harness {
 	t.Helper()
-	h, cfg := newHarness(t, newFakeDirectory(t), 1024, extraSettings, initial...)
+	h, cfg := newHarness(t, newFakeDirectory(t), testSockets, extraSettings, initial...)
 	ignoreSIGTERM(t)
 	h.log.install(t)
 	go func() {
@@ -52,6 +64,16 @@
 	return h
 }
 
+// startWithTwoWorkers is startHarness with two workers, and attempts enough for both.
+func startWithTwoWorkers(t *testing.T) (h *harness, first, second *fakeWorker) {
+	t.Helper()
+	first = startFakeWorker(t)
+	second = startFakeWorker(t)
+	h = startHarness(t, manyAttempts,
+		listedWorker{name: "s-1", addr: first.addr}, listedWorker{name: "s-2", addr: second.addr})
+	return h, first, second
+}
+
 // ignoreSIGTERM keeps a SIGTERM that arrives as the router ends from ending the tests too.
 func ignoreSIGTERM(t *testing.T) {
 	t.Helper()
@@ -117,14 +139,15 @@
 		listen, sockets, directory, known, extraSettings)
 }
 
-// reread reads the configuration on SIGHUP, and tells reload what came of it.
+// reread reads the configuration on SIGHUP, and passes the error to reload.
 func (h *harness) reread() (*config, error) {
 	cfg, err := readConfig(func(name string) string { return map[string]string{configVariable: h.configPath}[name] })
 	h.reloadResults <- err
 	return cfg, err
 }
 
-// reload makes the router read text as its configuration, and returns the error of that.
+// reload makes the router read text as its configuration, and returns the error of that. The loop may not have applied the
+// configuration yet.
 func (h *harness) reload(text string) error {
 	h.t.Helper()
 	if err := os.WriteFile(h.configPath, []byte(text), 0o600); err != nil {
--- a/cmd/functionrouter/load_clients_test.go
+++ b/cmd/functionrouter/load_clients_test.go
@@ -13,6 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
+// maxCallPause is the longest time between two calls of a client of clientLoad.
+const maxCallPause = 2 * time.Millisecond
+
 // functionProperties are the figures of a small function that loads fast.
 const functionProperties = "memory_mb:128;lanes:2;load_ms:10"
 
@@ -50,6 +53,14 @@
 	return fmt.Sprintf("%v: call %s of %s, behind %d answered ones: %v", l.at, l.id, l.client, l.callsAnswered, l.reason)
 }
 
+// reportLost fails the test for each call that was lost.
+func reportLost(t *testing.T, lost []lostCall) {
+	t.Helper()
+	for _, l := range lost {
+		t.Errorf("lost at %v", l)
+	}
+}
+
 // start runs count clients until stop. Their pauses are drawn from seed.
 func (l *clientLoad) start(count int, seed uint64) {
 	began := time.Now()
@@ -76,7 +87,7 @@
 	return l.lost
 }
 
-// useConnection sends calls on a new connection. It returns false if a call was lost.
+// useConnection sends calls on a new connection. It returns false if a call was lost, or the router can't be connected to.
 func (l *clientLoad) useConnection(random *rand.Rand, began time.Time) bool {
 	conn, err := net.Dial("tcp", l.address)
 	if err != nil {
@@ -93,11 +104,17 @@
 		id := fmt.Sprintf("%016x", l.callCount.Add(1))
 		if err := l.call(client, id); err != nil {
 			l.mu.Lock()
-			l.lost = append(l.lost, lostCall{id, time.Since(began), conn.LocalAddr().String(), sent, err})
+			l.lost = append(l.lost, lostCall{
+				id:            id,
+				at:            time.Since(began),
+				client:        conn.LocalAddr().String(),
+				callsAnswered: sent,
+				reason:        err,
+			})
 			l.mu.Unlock()
 			return false
 		}
-		time.Sleep(time.Duration(random.Int64N(int64(2 * time.Millisecond))))
+		time.Sleep(time.Duration(random.Int64N(int64(maxCallPause))))
 	}
 	return true
 }
--- a/cmd/functionrouter/log_capture_test.go
+++ b/cmd/functionrouter/log_capture_test.go
@@ -11,8 +11,8 @@
 // logCapture keeps the router's log, so that a test can wait for a line.
 type logCapture struct {
 	mu      sync.Mutex
-	text    strings.Builder
-	written chan struct{} // closed at the next line
+	text    strings.Builder // a test may read it without mu if only its own goroutine logs
+	written chan struct{}   // closed at the next line
 }
 
 func newLogCapture() *logCapture { return &logCapture{written: make(chan struct{})} }
--- a/cmd/functionrouter/lost_answers_test.go
+++ b/cmd/functionrouter/lost_answers_test.go
@@ -3,95 +3,24 @@
 import (
 	"fmt"
 	"os"
-	"strings"
 	"testing"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// pinToOneCore gives the process one core, as it has in service. The faults that these tests look for hide on several.
-func pinToOneCore(t *testing.T, process *os.Process) {
-	t.Helper()
-	var allowed unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &allowed); err != nil {
-		t.Fatal(err)
-	}
-	for cpu := range len(allowed) * 64 {
-		if !allowed.IsSet(cpu) {
-			continue
-		}
-		var one unix.CPUSet
-		one.Set(cpu)
-		if err := setAffinityOfAllThreads(process.Pid, &one); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-}
-
-// serviceSettings are further settings as a deployment has them.
-const serviceSettings = `"granularityMs":4,"limits":{"cancel":true,"dialTimeoutMs":250,"keepaliveMs":30000,"maxAttempts":3,
- "maxOpen":20000,"maxRetryAfterMs":1000,"mayProbe":true,"retryAfter":true,"secondCopies":true,"streamsPerConn":32},
- "peersTotal":1,"rules":{"coldFrom":0.18,"coldMs":17000,"drainGraceMs":1000,"fallMs":1000,"fallMultiple":2},`
-
-// maxAttemptsInService is the limit on attempts in serviceSettings.
-const maxAttemptsInService = 3
-
-// withDeadline returns the text of a configuration with another deadline for all classes.
-func withDeadline(text string, deadline time.Duration) string {
-	text = strings.ReplaceAll(text, `"goalTimeMs":3000`, `"goalTimeMs":200`)
-	return strings.ReplaceAll(text, `"deadlineMs":6000`, fmt.Sprintf(`"deadlineMs":%d`, deadline.Milliseconds()))
-}
-
-// startPinnedRouter starts the router as a process of its own on one core, with a worker that serves all requests.
-func startPinnedRouter(t *testing.T, adaptConfig func(string) string) (h *harness, process *os.Process) {
-	t.Helper()
-	return startPinnedProcess(t, adaptConfig, listedWorker{name: "s-1", addr: startEchoWorker(t, nil).addr})
-}
-
-// startPinnedProcess starts the router as a process of its own on one core. adaptConfig changes the text of its
-// configuration.
-func startPinnedProcess(
-	t *testing.T, adaptConfig func(string) string, listed ...listedWorker,
-) (h *harness, process *os.Process) {
-	t.Helper()
-	h, _ = newHarness(t, newFakeDirectory(t), 1024, serviceSettings, listed...)
-	h.configText = adaptConfig(h.configText)
-	if err := os.WriteFile(h.configPath, []byte(h.configText), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	process = h.startProcess(1024)
-	pinToOneCore(t, process)
-	return h, process
-}
-
-// reportLost fails the test for each call that was lost.
-func reportLost(t *testing.T, lost []lostCall) {
-	t.Helper()
-	for _, l := range lost {
-		t.Errorf("lost at %v", l)
-	}
-}
-
-// expectExit waits until the process has ended, which must be by itself and without an error.
-func expectExit(t *testing.T, process *os.Process) {
-	t.Helper()
-	state, err := process.Wait()
-	if err != nil || !state.Success() {
-		t.Errorf("the process ended with %v, %v", state, err)
-	}
-}
-
 // Whatever other clients do to their connections, one that waits for its answer gets it.
 func TestCallsAreAnsweredBesideUnfriendlyPeers(t *testing.T) {
 	const playFor = 1500 * time.Millisecond
-	kinds := unfriendlyPeers
 	for _, test := range []struct {
 		name  string
 		kinds []unfriendlyPeer
 	}{
-		{"reset", kinds[:1]}, {"partial", kinds[1:2]}, {"garbage", kinds[2:3]}, {"half-close", kinds[3:4]}, {"mixed", kinds},
+		{"reset", peersNamed(t, "reset")},
+		{"partial", peersNamed(t, "partial")},
+		{"garbage", peersNamed(t, "garbage")},
+		{"half-close", peersNamed(t, "half-close")},
+		{"mixed", unfriendlyPeers},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h, _ := startPinnedRouter(t, func(text string) string { return text })
@@ -120,9 +49,7 @@
 			clients.start(24, 1)
 			time.Sleep(200 * time.Millisecond)
 			for _, s := range []os.Signal{unix.SIGTERM, unix.SIGHUP, unix.SIGTERM, unix.SIGINT, unix.SIGUSR1} {
-				if err := process.Signal(s); err != nil {
-					t.Fatal(err)
-				}
+				signalProcess(t, process, s)
 				time.Sleep(10 * time.Millisecond)
 			}
 			time.Sleep(deadline + 700*time.Millisecond)
@@ -143,9 +70,7 @@
 	before.sendCall("unsafe", "00000000000000a1", "before SIGTERM")
 	worker.nextRequest()
 	start := time.Now()
-	if err := process.Signal(unix.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
+	signalProcess(t, process, unix.SIGTERM)
 	for after.checkHealth() { // until the router knows of the signal
 	}
 	after.sendCall("safe", "00000000000000a2", "after SIGTERM")
@@ -161,21 +86,6 @@
 	expectExit(t, process)
 }
 
-// startBesideFaultyWorkers starts the router as a process of its own on one core, with three workers that are behind a
-// faultProxy each. adaptConfig changes the text of its configuration.
-func startBesideFaultyWorkers(
-	t *testing.T, seed uint64, counts *attemptCounts, adaptConfig func(string) string,
-) (h *harness, process *os.Process) {
-	t.Helper()
-	var listed []listedWorker
-	for i := range 3 {
-		worker := startEchoWorker(t, counts)
-		proxy := startFaultProxy(t, worker.addr, seed*10+uint64(i))
-		listed = append(listed, listedWorker{name: fmt.Sprintf("s-%d", i), addr: proxy.addr()})
-	}
-	return startPinnedProcess(t, adaptConfig, listed...)
-}
-
 // Whatever fault the connections to workers have, and while the configuration is reloaded, each call gets one answer in
 // time, with its own body if it was served. A call that must not run twice is not retried if it may have run.
 func TestCallsAreAnsweredBesideFaultyWorkers(t *testing.T) {
@@ -189,9 +99,7 @@
 			clients.start(16, seed)
 			peers := startPeers(t, h.listen, 4, seed, unfriendlyPeers...)
 			time.Sleep(playFor / 2)
-			if err := process.Signal(unix.SIGHUP); err != nil {
-				t.Fatal(err)
-			}
+			signalProcess(t, process, unix.SIGHUP)
 			time.Sleep(playFor / 2)
 			lost := clients.stop()
 			peers.stop()
@@ -220,9 +128,7 @@
 			clients.start(16, seed)
 			peers := startPeers(t, h.listen, 4, seed, unfriendlyPeers...)
 			time.Sleep(200 * time.Millisecond)
-			if err := process.Signal(unix.SIGTERM); err != nil {
-				t.Fatal(err)
-			}
+			signalProcess(t, process, unix.SIGTERM)
 			time.Sleep(untilKill)
 			peers.stop()
 			reportLost(t, clients.stop())
@@ -238,17 +144,15 @@
 	const wait = time.Second
 	const paused = 600 * time.Millisecond
 	worker := startFakeWorker(t) // answers nothing
-	h, _ := newHarness(t, newFakeDirectory(t), 1024, serviceSettings, listedWorker{name: "s-1", addr: worker.addr})
-	process := h.startProcess(1024)
+	h, _ := newHarness(t, newFakeDirectory(t), testSockets, serviceSettings, listedWorker{name: "s-1", addr: worker.addr})
+	process := h.startProcess(testSockets)
 	c := h.connect()
 	c.checkHealth()
 	pause(t, process)
 	sent := time.Now()
 	c.sendBytes(c.callFrame("safe", "00000000000000a1", "one", wait))
 	time.Sleep(paused) // the pause is what is tested
-	if err := process.Signal(unix.SIGCONT); err != nil {
-		t.Fatal(err)
-	}
+	signalProcess(t, process, unix.SIGCONT)
 	c.response()
 	if took := time.Since(sent); took > wait {
 		t.Errorf("answered after %v of %v", took, wait)
--- /dev/null
+++ b/cmd/functionrouter/pinned_router_test.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// serviceSettings are further settings as a deployment has them.
+const serviceSettings = `"granularityMs":4,"limits":{"cancel":true,"dialTimeoutMs":250,"keepaliveMs":30000,"maxAttempts":3,
+ "maxOpen":20000,"maxRetryAfterMs":1000,"mayProbe":true,"retryAfter":true,"secondCopies":true,"streamsPerConn":32},
+ "peersTotal":1,"rules":{"coldFrom":0.18,"coldMs":17000,"drainGraceMs":1000,"fallMs":1000,"fallMultiple":2},`
+
+// maxAttemptsInService is the limit on attempts in serviceSettings.
+const maxAttemptsInService = 3
+
+// withDeadline returns the text of a configuration with another deadline for all classes, and an objective of 200 ms.
+func withDeadline(text string, deadline time.Duration) string {
+	text = strings.ReplaceAll(text, `"goalTimeMs":3000`, `"goalTimeMs":200`)
+	return strings.ReplaceAll(text, `"deadlineMs":6000`, fmt.Sprintf(`"deadlineMs":%d`, deadline.Milliseconds()))
+}
+
+// startPinnedRouter is startPinnedProcess with one worker, which serves all requests.
+func startPinnedRouter(t *testing.T, adaptConfig func(string) string) (h *harness, process *os.Process) {
+	t.Helper()
+	return startPinnedProcess(t, adaptConfig, listedWorker{name: "s-1", addr: startEchoWorker(t, nil).addr})
+}
+
+// startPinnedProcess starts the router as a process of its own on one core. adaptConfig changes the text of its
+// configuration.
+func startPinnedProcess(
+	t *testing.T, adaptConfig func(string) string, listed ...listedWorker,
+) (h *harness, process *os.Process) {
+	t.Helper()
+	h, _ = newHarness(t, newFakeDirectory(t), testSockets, serviceSettings, listed...)
+	h.configText = adaptConfig(h.configText)
+	if err := os.WriteFile(h.configPath, []byte(h.configText), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	process = h.startProcess(testSockets)
+	pinToOneCore(t, process)
+	return h, process
+}
+
+// pinToOneCore gives the process one core, as it has in service. The faults that these tests look for
+// rarely show on several.
+func pinToOneCore(t *testing.T, process *os.Process) {
+	t.Helper()
+	var allowed unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &allowed); err != nil {
+		t.Fatal(err)
+	}
+	for cpu := range len(allowed) * 64 {
+		if !allowed.IsSet(cpu) {
+			continue
+		}
+		var one unix.CPUSet
+		one.Set(cpu)
+		if err := setAffinityOfAllThreads(process.Pid, &one); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+}
+
+// startBesideFaultyWorkers starts the router as a process of its own on one core, with three workers that are behind a
+// faultProxy each. adaptConfig changes the text of its configuration.
+func startBesideFaultyWorkers(
+	t *testing.T, seed uint64, counts *attemptCounts, adaptConfig func(string) string,
+) (h *harness, process *os.Process) {
+	t.Helper()
+	var listed []listedWorker
+	for i := range 3 {
+		worker := startEchoWorker(t, counts)
+		proxy := startFaultProxy(t, worker.addr, seed*10+uint64(i))
+		listed = append(listed, listedWorker{name: fmt.Sprintf("s-%d", i), addr: proxy.addr()})
+	}
+	return startPinnedProcess(t, adaptConfig, listed...)
+}
--- a/cmd/functionrouter/process_control_test.go
+++ b/cmd/functionrouter/process_control_test.go
@@ -45,9 +45,7 @@
 // pause stops the process until SIGCONT, and returns once all its threads have stopped.
 func pause(t *testing.T, process *os.Process) {
 	t.Helper()
-	if err := process.Signal(unix.SIGSTOP); err != nil {
-		t.Fatal(err)
-	}
+	signalProcess(t, process, unix.SIGSTOP)
 	for stopped := false; !stopped; {
 		threads, err := threadsOf(process.Pid)
 		if err != nil {
@@ -69,3 +67,20 @@
 	_, state, found := strings.Cut(string(text), ") ") // behind the name, which may hold anything
 	return found && strings.HasPrefix(state, "T")
 }
+
+// expectExit waits until the process has ended, which must be by itself and without an error.
+func expectExit(t *testing.T, process *os.Process) {
+	t.Helper()
+	state, err := process.Wait()
+	if err != nil || !state.Success() {
+		t.Errorf("the process ended with %v, %v", state, err)
+	}
+}
+
+// signalProcess sends a signal to the process.
+func signalProcess(t *testing.T, process *os.Process, s os.Signal) {
+	t.Helper()
+	if err := process.Signal(s); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/cmd/functionrouter/process_harness_test.go
@@ -0,0 +1,78 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"os/exec"
+	"strconv"
+	"syscall"
+	"testing"
+)
+
+// descriptorsVariable makes the test program be the router itself, with that many file descriptors.
+const descriptorsVariable = "FUNCTIONROUTER_TEST_AS_ROUTER"
+
+// TestMain runs the tests, or the router where descriptorsVariable is set.
+func TestMain(m *testing.M) {
+	if count := os.Getenv(descriptorsVariable); count != "" {
+		if err := limitDescriptors(count); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(2)
+		}
+		main()
+		return
+	}
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil))) // as main does
+	os.Exit(m.Run())
+}
+
+// limitDescriptors sets the process's limit on file descriptors.
+func limitDescriptors(count string) error {
+	n, err := strconv.ParseUint(count, 10, 64)
+	if err != nil {
+		return err
+	}
+	return syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n})
+}
+
+// routerCommand is the command that runs the router as a process of its own.
+func routerCommand(configPath string, descriptors int) *exec.Cmd {
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), configVariable+"="+configPath, fmt.Sprintf("%s=%d", descriptorsVariable, descriptors))
+	return cmd
+}
+
+// startProcess starts the router as a process of its own, from nothing but its configuration, and returns once it answers.
+// The test kills it at its end. The harness's log and signals do not reach it. descriptors is its limit on file
+// descriptors, whatever the configuration says.
+func (h *harness) startProcess(descriptors int) *os.Process {
+	h.t.Helper()
+	var log bytes.Buffer
+	h.t.Cleanup(func() {
+		if h.t.Failed() {
+			h.t.Logf("the router's log:\n%s", log.String())
+		}
+	})
+	return h.startProcessWithLog(descriptors, &log)
+}
+
+// startProcessWithLog is startProcess with another receiver of the log.
+func (h *harness) startProcessWithLog(descriptors int, log io.Writer) *os.Process {
+	h.t.Helper()
+	cmd := routerCommand(h.configPath, descriptors)
+	cmd.Stderr = log
+	if err := cmd.Start(); err != nil {
+		h.t.Fatal(err)
+	}
+	h.t.Cleanup(func() {
+		_ = cmd.Process.Kill() // a test may have killed it
+		_ = cmd.Wait()         // reports that it was killed
+	})
+	c := h.connect()
+	c.checkHealth()
+	c.close()
+	return cmd.Process
+}
--- a/cmd/functionrouter/process_test.go
+++ b/cmd/functionrouter/process_test.go
@@ -1,84 +1,18 @@
 package main
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
 	"strings"
 	"syscall"
 	"testing"
 )
 
-// descriptorsVariable makes the test program be the router itself, with that many file descriptors.
-const descriptorsVariable = "FUNCTIONROUTER_TEST_AS_ROUTER"
-
-func TestMain(m *testing.M) {
-	if count := os.Getenv(descriptorsVariable); count != "" {
-		if err := limitDescriptors(count); err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			os.Exit(2)
-		}
-		main()
-		return
-	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil))) // as main does
-	os.Exit(m.Run())
-}
-
-// limitDescriptors sets the process's limit on file descriptors.
-func limitDescriptors(count string) error {
-	n, err := strconv.ParseUint(count, 10, 64)
-	if err != nil {
-		return err
-	}
-	return syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n})
-}
-
-// routerCommand is the command that runs the router as a process of its own.
-func routerCommand(configPath string, descriptors int) *exec.Cmd {
-	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), configVariable+"="+configPath, fmt.Sprintf("%s=%d", descriptorsVariable, descriptors))
-	return cmd
-}
-
-// startProcess starts the router as a process of its own, from nothing but its configuration. The harness's log and
-// signals do not reach it.
-func (h *harness) startProcess(descriptors int) *os.Process {
-	h.t.Helper()
-	var log bytes.Buffer
-	h.t.Cleanup(func() {
-		if h.t.Failed() {
-			h.t.Logf("the router's log:\n%s", log.String())
-		}
-	})
-	return h.startProcessWithLog(descriptors, &log)
-}
-
-// startProcessWithLog is startProcess with another receiver of the log.
-func (h *harness) startProcessWithLog(descriptors int, log io.Writer) *os.Process {
-	h.t.Helper()
-	cmd := routerCommand(h.configPath, descriptors)
-	cmd.Stderr = log
-	if err := cmd.Start(); err != nil {
-		h.t.Fatal(err)
-	}
-	h.t.Cleanup(func() {
-		_ = cmd.Process.Kill() // a test may have killed it
-		_ = cmd.Wait()         // reports that it was killed
-	})
-	c := h.connect()
-	c.checkHealth()
-	c.close()
-	return cmd.Process
-}
-
 // Idle clients take all the descriptors that clients may have, and go on coming, while the directory is away. Those in
 // reserve are enough to query the directory once it is there, to dial the worker that it lists, and to take a request.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
@@ -222,13 +156,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			worker := startEchoWorker(t, nil)
-			h, _ := newHarness(t, newFakeDirectory(t), 1024, serviceSettings, listedWorker{name: "s-1", addr: worker.addr})
+			h, _ := newHarness(t, newFakeDirectory(t), testSockets, serviceSettings, listedWorker{name: "s-1", addr: worker.addr})
 			reader, writer, err := os.Pipe()
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { _ = reader.Close() }) // the test may have closed it
-			process := h.startProcessWithLog(1024, writer)
+			process := h.startProcessWithLog(testSockets, writer)
 			if err := writer.Close(); err != nil {
 				t.Fatal(err)
 			}
@@ -236,9 +170,7 @@
 			c := h.connect()
 			const pipeBytes = 64 << 10 // what a pipe holds (pipe(7)); a report of the counters takes over 1 KiB
 			for i := range 2 * pipeBytes / 1024 {
-				if err := process.Signal(syscall.SIGUSR1); err != nil {
-					t.Fatal(err)
-				}
+				signalProcess(t, process, syscall.SIGUSR1)
 				c.sendCall("safe", fmt.Sprintf("%016x", 0xa1+i), "one")
 				c.response()
 			}
