--- a/cmd/functionrouter/config.go
+++ b/cmd/functionrouter/config.go
@@ -55,7 +55,7 @@
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 // config is the configuration that the platform gives a router. Its keys are the platform's; others are ignored. It does
-// not change once parseConfig has returned it, so that goroutines may share it.
+// not change once parseConfig has returned it.
 type config struct {
 	Name             string                     `json:"name"`   // of the router, for the log alone
 	Listen           string                     `json:"listen"` // IP address and port for Thrift clients
--- a/cmd/functionrouter/endpoints_test.go
+++ b/cmd/functionrouter/endpoints_test.go
@@ -109,7 +109,7 @@
 	c.expectStatus("served")
 }
 
-// A process starts with a list whose workers have gone; a worker that only the directory knows serves.
+// A process starts with a list whose workers no longer run; a worker that only the directory lists serves.
 func TestStaleInitialEndpoints(t *testing.T) {
 	gone := newFakeWorker(t)
 	worker := startFakeWorker(t)
--- a/cmd/functionrouter/fake_directory_test.go
+++ b/cmd/functionrouter/fake_directory_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// nextQuery waits for a query. The router takes an answer to any of its last 32.
+// nextQuery waits for a query. The router takes an answer to any of its last 32 that has none yet.
 func (d *fakeDirectory) nextQuery() directoryQuery {
 	d.t.Helper()
 	packet := make([]byte, 512)
@@ -108,7 +108,7 @@
 	return slices.Concat(dnsLabel(w.name), dnsLabel("aarhus"), dnsLabel("hosts"), []byte{0})
 }
 
-// srvData is the worker's SRV record, of weight 10; its priority tells whether the worker drains.
+// srvData is the data of the worker's SRV record: priority 0 (ready) or 1 (draining), weight 10 (size 1), port and host.
 func (w listedWorker) srvData() []byte {
 	priority := byte(0)
 	if w.draining {
--- a/cmd/functionrouter/limits.go
+++ b/cmd/functionrouter/limits.go
@@ -42,7 +42,7 @@
 	// healthCheckTimeout is how long a worker may take to answer a health check; then it ends as policy.TimedOut.
 	healthCheckTimeout = 250 * time.Millisecond
 
-	// maxRefusalRetryAfter bounds the Retry-After of a request that is refused at once; the settings may bound it further.
+	// maxRefusalRetryAfter bounds refusalRetryAfter; the settings may bound it further.
 	maxRefusalRetryAfter = time.Second
 
 	// The platform kills a router that has not ended by L + 0.7 s after SIGTERM, where L is the longest deadline of all
--- a/cmd/functionrouter/load_clients_test.go
+++ b/cmd/functionrouter/load_clients_test.go
@@ -50,7 +50,7 @@
 }
 
 func (l lostCall) String() string {
-	return fmt.Sprintf("%v: call %s of %s, behind %d answered ones: %v", l.at, l.id, l.client, l.callsAnswered, l.reason)
+	return fmt.Sprintf("%v: call %s of %s, after %d answered ones: %v", l.at, l.id, l.client, l.callsAnswered, l.reason)
 }
 
 // reportLost fails the test for each call that was lost.
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// attemptCounts counts the attempts of each request that have come whole to any worker, by the request's body.
+// attemptCounts counts the attempts of each request that any worker has received completely, by the request's body.
 type attemptCounts struct {
 	mu     sync.Mutex
 	byBody map[string]int
--- a/cmd/functionrouter/lost_answers_test.go
+++ b/cmd/functionrouter/lost_answers_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// All at once: workers behind faults, unfriendly peers, and SIGTERM, after which clients go on sending on open connections
+// Faulty workers and unfriendly peers together, and then SIGTERM, after which clients go on sending on open connections
 // until the earliest kill. Each call is answered before it.
 func TestCallsAreAnsweredUntilTheKillBesideFaults(t *testing.T) {
 	const deadline = 300 * time.Millisecond
--- a/cmd/functionrouter/process_test.go
+++ b/cmd/functionrouter/process_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// Idle clients take all the descriptors that clients may have, and go on coming, while the directory is away. Those in
+// Idle clients take all the descriptors that clients may have, and more connect, while the directory is down. Those in
 // reserve are enough to query the directory once it is there, to dial the worker that it lists, and to take a request.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	const sockets = 128
@@ -43,7 +43,7 @@
 }
 
 // A process that may open fewer descriptors than its configuration says runs out of them: accepts, dials and queries
-// fail. It answers the requests that it has all the same, and serves again once there are descriptors.
+// fail. It still answers the requests that it has, and serves again once there are descriptors.
 func TestDescriptorExhaustion(t *testing.T) {
 	const configured = 1024
 	const available = 48
@@ -109,8 +109,8 @@
 	}
 }
 
-// A process is killed just after it accepted a connection and with a request in flight, and starts again with its old
-// list: the clients of the old one see their connections end at once, and the new one follows the directory's list.
+// A process is killed just after it accepted a connection and with a request in flight, and another is started with its
+// old list: the clients of the first see their connections end, and the second takes the directory's list.
 func TestRestartAfterKill(t *testing.T) {
 	first := startFakeWorker(t)
 	second := startFakeWorker(t)
@@ -140,7 +140,7 @@
 	}
 }
 
-// The collector of the router's log stops reading it, or ends: calls are answered all the same.
+// The collector of the router's log stops reading it, or ends: calls are still answered.
 func TestLogWithoutAReader(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/cmd/functionrouter/shutdown.go
+++ b/cmd/functionrouter/shutdown.go
@@ -8,7 +8,7 @@
 
 const (
 	// shutdownGracePeriod is how long after SIGTERM new requests are still routed; later ones are refused. Clients connect
-	// for 0.4 s after SIGTERM, and send requests on open connections for another 0.2 s; 0.05 s are added for the way.
+	// for 0.4 s after SIGTERM, and send requests on open connections for another 0.2 s; the rest is a margin.
 	shutdownGracePeriod = 650 * time.Millisecond
 
 	// shutdownQuietPeriod is how long there must have been no client connection before a server that shuts down ends: a
--- a/cmd/functionrouter/start_times_test.go
+++ b/cmd/functionrouter/start_times_test.go
@@ -38,7 +38,7 @@
 			if got := s.of(e); got != test.want {
 				t.Errorf("started at %v, want %v", got, test.want)
 			}
-			// Once converted, a start stays, whatever the clock does.
+			// A start is converted once: a later step of the clock does not change it.
 			s.update([]discovery.Endpoint{e}, now+time.Minute, now+59*time.Second, func(time.Time) time.Duration { return 1 })
 			if got := s.of(e); got != test.want {
 				t.Errorf("a minute later, started at %v, want %v", got, test.want)
@@ -47,7 +47,7 @@
 	}
 }
 
-// A worker that a list lacks for a while has not started anew; and what is remembered of workers that have gone is bounded.
+// A worker that a list lacks for a while keeps its start, and the number of starts that are remembered is bounded.
 func TestStartTimesOfWorkersThatAreBack(t *testing.T) {
 	const now = 2 * time.Hour
 	e := discovery.Endpoint{Name: "s-1", StartedUnixMs: 1}
--- a/cmd/functionrouter/unfriendly_peers_test.go
+++ b/cmd/functionrouter/unfriendly_peers_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// unfriendlyPeer opens a connection to the router and ends it at an odd moment. What it sends counts for nobody.
+// unfriendlyPeer is a kind of client that opens a connection to the router and ends it at an odd moment. No test awaits the
+// answers to what it sends.
 type unfriendlyPeer struct {
 	name string
 	play func(conn *net.TCPConn, seed uint64)
@@ -20,9 +21,9 @@
 // maxPeerPause is the longest time between two connections of an unfriendly peer.
 const maxPeerPause = 3 * time.Millisecond
 
-// peerFrame is a call of a peer's.
+// peerFrame is the frame of a call of an unfriendly peer.
 func peerFrame(seed uint64) []byte {
-	id := fmt.Sprintf("%016x", seed|1<<63) // no client's
+	id := fmt.Sprintf("%016x", seed|1<<63) // a clientLoad's ids are small numbers
 	return (&testClient{}).callFrame("safe", id, "of nobody", time.Second, "props", functionProperties)
 }
 
--- a/cmd/simadapter/wire_test.go
+++ b/cmd/simadapter/wire_test.go
@@ -62,9 +62,9 @@
 	statusLoadFailed
 )
 
-// Modes of the wire's worker lists.
+// Modes of the wire's endpoint lists.
 const (
-	listDelta = iota
+	listIncremental = iota
 	listFull
 	listCached
 	listFailed
--- a/cmd/simadapter/world_actions_test.go
+++ b/cmd/simadapter/world_actions_test.go
@@ -63,13 +63,14 @@
 	w.schedule(after, router, eventTimerFired, func() []byte { return token })
 }
 
-// subscribe begins or ends a subscription; the full worker list follows it.
+// subscribe begins or ends a subscription; the full endpoint list follows it.
 func (w *world) subscribe(router int, on bool) {
 	w.routers[router].subscribed = on
 	w.schedule(30, router, eventEndpointUpdate, func() []byte { return w.listFor(router, listFull) })
 }
 
-// worker returns the worker with that id, or a new one with nothing loaded, in no list, if there is none.
+// worker returns the worker with that id. If there is none, it returns a new one with nothing loaded, which it does not
+// keep.
 func (w *world) worker(id uint64) *simWorker {
 	for _, worker := range w.workers {
 		if worker.id == id {
--- a/cmd/simadapter/world_test.go
+++ b/cmd/simadapter/world_test.go
@@ -25,7 +25,7 @@
 	batches              int
 	arrivalsPerSecond    int  // at all simulated routers together
 	missWhenNotLoaded    bool // workers reject a request for a function that they have not loaded
-	requiresSubscription bool // a router gets worker lists only while it is subscribed
+	requiresSubscription bool // a router gets endpoint lists only while it is subscribed
 	workHints            bool // requests carry a work hint
 }
 
@@ -89,7 +89,7 @@
 	return w
 }
 
-// start starts a simulated router after a time. It schedules the start, then the cached worker list and, if lists need no
+// start starts a simulated router after a time. It schedules the start, then the cached endpoint list and, if lists need no
 // subscription, a full one.
 func (w *world) start(router int, after float64) {
 	w.routers[router] = &simulatedRouter{requests: map[uint32]*simRequest{}}
@@ -188,14 +188,14 @@
 	worker.started = w.now
 	worker.state = workerReady
 	worker.loaded = map[uint64]float64{}
-	w.announce(listDelta)
+	w.announce(listIncremental)
 }
 
 // changeWorkerState draws a worker and its new state, and whether the lists that announce it are full.
 func (w *world) changeWorkerState() {
 	worker := w.workers[w.rng.IntN(len(w.workers))]
 	worker.state = []byte{workerGone, workerReady, workerReady, workerDraining}[w.rng.IntN(4)]
-	w.announce([]byte{listDelta, listFull}[w.rng.IntN(2)])
+	w.announce([]byte{listIncremental, listFull}[w.rng.IntN(2)])
 }
 
 // breakSubscription ends the subscription of a simulated router.
@@ -223,7 +223,7 @@
 	}
 }
 
-// listFor returns the worker list for a simulated router, or nil if the router needs a subscription and has none.
+// listFor returns the endpoint list for a simulated router, or nil if the router needs a subscription and has none.
 func (w *world) listFor(router int, mode byte) []byte {
 	if w.requiresSubscription && !w.routers[router].subscribed {
 		return nil
@@ -231,7 +231,7 @@
 	return w.encodeList(mode)
 }
 
-// encodeList returns the fields of an event with the worker list; listFailed has no entries.
+// encodeList returns the fields of an event with the endpoint list; listFailed has no entries.
 func (w *world) encodeList(mode byte) []byte {
 	version := uint32(w.now)
 	b := binary.BigEndian.AppendUint32([]byte{mode}, version)
--- a/example/toy/answer_test.go
+++ b/example/toy/answer_test.go
@@ -72,7 +72,7 @@
 	want := "\x00\x00\x00\x39\x80\x01\x00\x01\x00\x00\x00\x07execute\x00\x00\x00\x01" +
 		"\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01\x00\x00\x00\x05class\x00\x00\x00\x04safe" +
 		"\x0b\x00\x02\x00\x00\x00\x04body\x00"
-	if got := executeFrame([]string{"class", "safe"}, "body"); !bytes.Equal(got, []byte(want)) {
+	if got := executeFrame([]field{{"class", "safe"}}, "body"); !bytes.Equal(got, []byte(want)) {
 		t.Errorf("the frame is\n%x, want\n%x", got, want)
 	}
 }
--- a/example/toy/call.go
+++ b/example/toy/call.go
@@ -53,14 +53,14 @@
 	}
 }
 
-// callFields are the fields of a call, as names and values in turn.
-func callFields() []string {
-	return []string{
-		"class", "dim-level",
-		"id", fmt.Sprintf("%016x", rand.Uint64()),
-		"wait", "1500",
-		"key", functionKey,
-		"props", "memory_mb:512;lanes:2;load_ms:640",
+// callFields are the fields of a call, in the order in which they are sent. Its id is a new one each time.
+func callFields() []field {
+	return []field{
+		{"class", "dim-level"},
+		{"id", fmt.Sprintf("%016x", rand.Uint64())},
+		{"wait", "1500"}, // milliseconds
+		{"key", functionKey},
+		{"props", "memory_mb:512;lanes:2;load_ms:640"},
 	}
 }
 
@@ -68,7 +68,7 @@
 type answer struct {
 	status string // served, refused or failed
 	body   []byte
-	fields []string // names and values in turn
+	fields []field
 }
 
 // String shows the answer on a line for each of its parts, a body that is no text as a hex dump.
@@ -82,8 +82,8 @@
 	default:
 		fmt.Fprintf(&text, "body:\n%s", hex.Dump(a.body))
 	}
-	for i := 0; i+1 < len(a.fields); i += 2 {
-		fmt.Fprintf(&text, "field:  %s = %s\n", a.fields[i], a.fields[i+1])
+	for _, f := range a.fields {
+		fmt.Fprintf(&text, "field:  %s = %s\n", f.name, f.value)
 	}
 	return text.String()
 }
--- a/example/toy/thrift.go
+++ b/example/toy/thrift.go
@@ -30,17 +30,23 @@
 // answerStatuses are the results of execute, by the ID of the field that is set: 0 is Answer, 1 Backoff and 2 Lost.
 var answerStatuses = []string{"served", "refused", "failed"}
 
-// executeFrame is a call of execute(1: map<string, string> fields, 2: binary body), with its frame header. fields are
-// names and values in turn.
-func executeFrame(fields []string, body string) []byte {
+// field is an entry of the fields of a call or an answer.
+type field struct {
+	name  string
+	value string
+}
+
+// executeFrame is a call of execute(1: map<string, string> fields, 2: binary body), with its frame header.
+func executeFrame(fields []field, body string) []byte {
 	b := make([]byte, thriftFrameHeader)
 	b = binary.BigEndian.AppendUint32(b, thriftVersionCall)
 	b = appendThriftString(b, "execute")
 	b = binary.BigEndian.AppendUint32(b, 1) // the sequence number
 	b = append(b, thriftTypeMap, 0, 1, thriftTypeString, thriftTypeString)
-	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)/2))
-	for _, word := range fields {
-		b = appendThriftString(b, word)
+	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)))
+	for _, f := range fields {
+		b = appendThriftString(b, f.name)
+		b = appendThriftString(b, f.value)
 	}
 	b = append(b, thriftTypeString, 0, 2)
 	b = appendThriftString(b, body)
@@ -97,7 +103,7 @@
 		case thriftTypeString:
 			a.body = d.bytes()
 		case thriftTypeMap:
-			a.fields = d.stringMap()
+			a.fields = d.fieldMap()
 		case thriftTypeBool:
 			d.take(1)
 		default:
@@ -137,11 +143,12 @@
 	return valueType, binary.BigEndian.Uint16(d.take(2))
 }
 
-// stringMap reads a map from strings to strings as names and values in turn.
-func (d *thriftDecoder) stringMap() (namesAndValues []string) {
+// fieldMap reads a map from names to values. The last field is incomplete if the map is malformed.
+func (d *thriftDecoder) fieldMap() (fields []field) {
 	d.take(2) // the types of names and values
-	for count := 2 * int(d.uint32()); count > 0 && !d.malformed; count-- {
-		namesAndValues = append(namesAndValues, string(d.bytes()))
+	for count := d.uint32(); count > 0 && !d.malformed; count-- {
+		name := string(d.bytes())
+		fields = append(fields, field{name: name, value: string(d.bytes())})
 	}
-	return namesAndValues
+	return fields
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -154,8 +154,8 @@
 const endpointLength = 24
 
 // endpointUpdate reads an endpoint list. It checks the count of the entries before it reads them, so that a malformed
-// count takes no memory. It skips the version of the list. The code of the kind comes first on the wire and is checked
-// last, so that a truncated list is reported as such, whatever its kind.
+// count takes no memory. It skips the version of the list. The code of the kind is checked only after the fields behind it
+// have been read, so that a list that is cut short there is reported as truncated, whatever its kind.
 func (d *decoder) endpointUpdate() policy.EndpointUpdate {
 	kindCode := d.u8()
 	d.u32() // version of the list
