--- a/cmd/functionrouter/config.go
+++ b/cmd/functionrouter/config.go
@@ -68,7 +68,7 @@
 	seed uint64 // parsed from Seed
 
 	// What decisions and what connections depend on, both parsed from Settings. Their classes and tenants are those of
-	// the settings, in the same order: one index is good for both.
+	// the settings, in the same order: the index of a class or tenant is the same in both.
 	policy    policy.Config
 	transport transportSettings
 }
--- a/cmd/functionrouter/config_test.go
+++ b/cmd/functionrouter/config_test.go
@@ -46,7 +46,12 @@
 }
 
 func TestReadConfigErrors(t *testing.T) {
-	for _, test := range []struct{ name, replaced, replacement, field string }{
+	for _, test := range []struct {
+		name        string
+		replaced    string
+		replacement string
+		field       string
+	}{
 		{"listen", `"listen":"127.0.0.1:10080"`, `"listen":"nowhere"`, "listen"},
 		{"directory", `"names":"127.0.0.1:1053"`, `"names":""`, "names"},
 		{"seed", `"8c1f30d27a5be964"`, `"seed"`, "seed"},
@@ -84,7 +89,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, test := range []struct{ name, replaced, replacement, want string }{
+	for _, test := range []struct {
+		name        string
+		replaced    string
+		replacement string
+		want        string
+	}{
 		{"directory", "127.0.0.1:1053", "127.0.0.2:1053", "[]"},
 		{"seed", `"8c1f30d27a5be964"`, `"1"`, "[]"},
 		{"listen", "127.0.0.1:10080", "127.0.0.2:10080", "[listen]"},
--- a/cmd/functionrouter/connections_test.go
+++ b/cmd/functionrouter/connections_test.go
@@ -10,8 +10,9 @@
 // other fails at once.
 func TestWorkerClosesDuringRequest(t *testing.T) {
 	for _, test := range []struct {
-		class, want string
-		retried     bool
+		class   string
+		want    string
+		retried bool
 	}{
 		{class: "safe", want: "served", retried: true},
 		{class: "unsafe", want: "failed", retried: false},
--- a/cmd/functionrouter/endpoint_log_test.go
+++ b/cmd/functionrouter/endpoint_log_test.go
@@ -18,8 +18,10 @@
 	draining.State = policy.Draining
 	var l endpointLog
 	for _, step := range []struct {
-		list                     []discovery.Endpoint
-		updated, removed, absent string // texts of the lines
+		list    []discovery.Endpoint
+		updated string // the worker of an "endpoint updated", if there must be one
+		removed string // the worker of an "endpoint removed", if there must be one
+		absent  string // what no line may hold
 	}{
 		{list: []discovery.Endpoint{first, second}, updated: "worker=s-2"},
 		{list: []discovery.Endpoint{first, second}, absent: "worker=s-1"},
--- a/cmd/functionrouter/extensions.go
+++ b/cmd/functionrouter/extensions.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// openNotices is how many notices are not delivered yet.
+// openNotices is how many notices have been neither delivered nor given up.
 func (x *extensions) openNotices() int {
 	if x.sender == nil {
 		return 0
@@ -99,8 +99,8 @@
 	return x.sender.OpenNotices()
 }
 
-// close waits until the ledger is on disk, and logs an error of that. It must be called once the loop has stopped, so that
-// no delivery arrives after it.
+// close waits until the ledger is on disk, and logs an error of that. It must be called after the loop has stopped, so that
+// no delivery arrives later. Flow records that have not been sent are dropped.
 func (x *extensions) close() {
 	if x.receiver == nil {
 		return
--- a/cmd/functionrouter/harness_test.go
+++ b/cmd/functionrouter/harness_test.go
@@ -24,6 +24,7 @@
 	// after a second.
 	longDialTimeout = `"limits":{"dialTimeoutMs":15000},`
 
+	// manyAttempts allows more attempts of a request than any test has workers for.
 	manyAttempts = `"limits":{"maxAttempts":6},`
 )
 
@@ -43,9 +44,10 @@
 
 // listedWorker is a worker as the directory lists it.
 type listedWorker struct {
-	name, addr    string
+	name          string
+	addr          string
 	draining      bool
-	startedUnixMs int64
+	startedUnixMs int64 // 0: long ago
 }
 
 // startHarness runs a router whose configuration lists initial. Its settings have two classes, safe (idempotent) and
@@ -83,7 +85,9 @@
 }
 
 // newHarness writes the configuration of a router that listens at a free address. It starts no router.
-func newHarness(t *testing.T, directory *fakeDirectory, sockets int, extraSettings string, initial ...listedWorker) (*harness, *config) {
+func newHarness(
+	t *testing.T, directory *fakeDirectory, sockets int, extraSettings string, initial ...listedWorker,
+) (*harness, *config) {
 	t.Helper()
 	h := &harness{
 		t:             t,
--- a/cmd/functionrouter/limits.go
+++ b/cmd/functionrouter/limits.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// fullMemoryMB is the memory for which the bounds in bytes below are chosen, in MiB: the limit that the platform usually sets.
-// With less memory these bounds shrink in proportion, with more they stay the same: see scaleToMemory.
+// fullMemoryMB is the memory for which the bounds in bytes below are chosen, in MiB: the limit that the platform usually
+// sets. With less memory these bounds shrink in proportion, with more they stay the same: see scaleToMemory.
 const fullMemoryMB = 192
 
 // Bounds on what is held for peers, in bytes, at fullMemoryMB. They add up to 72 MiB of the 192. With the open requests
--- a/cmd/functionrouter/pinned_router_test.go
+++ b/cmd/functionrouter/pinned_router_test.go
@@ -18,7 +18,8 @@
 // maxAttemptsInService is the limit on attempts in serviceSettings.
 const maxAttemptsInService = 3
 
-// withDeadline returns the text of a configuration with another deadline for all classes, and an objective of 200 ms.
+// withDeadline returns the text of a configuration of configJSON with another deadline for all classes, and an objective of
+// 200 ms.
 func withDeadline(text string, deadline time.Duration) string {
 	text = strings.ReplaceAll(text, `"goalTimeMs":3000`, `"goalTimeMs":200`)
 	return strings.ReplaceAll(text, `"deadlineMs":6000`, fmt.Sprintf(`"deadlineMs":%d`, deadline.Milliseconds()))
@@ -46,8 +47,8 @@
 	return h, process
 }
 
-// pinToOneCore gives the process one core, as it has in service. The faults that these tests look for
-// rarely show on several.
+// pinToOneCore gives the process one core, as it has in service. The faults that these tests look for rarely show on
+// several.
 func pinToOneCore(t *testing.T, process *os.Process) {
 	t.Helper()
 	var allowed unix.CPUSet
--- a/cmd/functionrouter/process_harness_test.go
+++ b/cmd/functionrouter/process_harness_test.go
@@ -51,6 +51,7 @@
 func (h *harness) startProcess(descriptors int) *os.Process {
 	h.t.Helper()
 	var log bytes.Buffer
+	// Cleanups run last in, first out: the process has ended, and written its log, before this one reads the log.
 	h.t.Cleanup(func() {
 		if h.t.Failed() {
 			h.t.Logf("the router's log:\n%s", log.String())
--- a/cmd/functionrouter/process_test.go
+++ b/cmd/functionrouter/process_test.go
@@ -86,7 +86,10 @@
 		}
 	})
 	good := configJSON(t, taken.Addr().String(), "127.0.0.1:9", 256, "")
-	for _, test := range []struct{ name, text string }{
+	for _, test := range []struct {
+		name string
+		text string
+	}{
 		{"half a file", good[:len(good)/2]},
 		{"no classes", strings.Replace(good, `"classes"`, `"klasses"`, 1)},
 		{"impossible deadline", strings.Replace(good, `"deadlineMs":6000`, `"deadlineMs":-1`, 1)},
--- a/cmd/functionrouter/serve.go
+++ b/cmd/functionrouter/serve.go
@@ -19,8 +19,8 @@
 	countersLogInterval    = 5 * time.Second
 )
 
-// serve runs the function router on the calling goroutine until a signal ends it. On SIGHUP it applies what reread
-// returns, which is called on another goroutine. It returns an error only if the start fails. It sets limits of the Go
+// serve runs the function router on the calling goroutine until a signal ends it. On each SIGHUP it calls reread, on
+// another goroutine, and applies what that returns. It returns an error only if the start fails. It sets limits of the Go
 // runtime that last beyond its return.
 func serve(cfg *config, reread func() (*config, error)) error {
 	signals := watchSignals() // first, so that a signal during the start is handled once the loop runs
@@ -59,7 +59,8 @@
 }
 
 // endTurn does what is due after a turn's events have been handled. It returns the latest time for the next turn. The
-// extensions come after the router, so that they send notices and flow records of the requests that it has just ended.
+// extensions come after the router, so that they send notices and flow records of the requests that it has just ended, and
+// the shutdown comes last, so that it sees what is left.
 func (s *server) endTurn(now time.Duration) (next time.Duration) {
 	next = s.router.Process(now)
 	next = min(next, s.discovery.Poll(now))
--- a/cmd/functionrouter/signals.go
+++ b/cmd/functionrouter/signals.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// signalWatcher receives the process's signals and passes them on to the event loop. Once forward has been called it has
-// two goroutines, which end after close.
+// signalWatcher receives the process's signals and passes them on to the event loop. forward starts its two goroutines,
+// which end after close.
 type signalWatcher struct {
 	// Each purpose has a channel, so that many SIGHUPs or SIGUSR1s can't displace a SIGTERM. A channel holds one signal. A
 	// signal that arrives while its channel is full is dropped: the one in the channel has the same effect.
