--- a/cmd/functionrouter/load_clients_test.go
+++ b/cmd/functionrouter/load_clients_test.go
@@ -13,6 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
+// answerTolerance is how much later than its client waits an answer may come, on a machine that is busy.
+const answerTolerance = 500 * time.Millisecond
+
 // maxCallPause is the longest time between two calls of a client of clientLoad.
 const maxCallPause = 2 * time.Millisecond
 
@@ -20,14 +23,15 @@
 const functionProperties = "memory_mb:128;lanes:2;load_ms:10"
 
 // clientLoad is a number of well-behaved clients, each on a goroutine of its own. It follows each call that they send
-// to its answer. A call is lost if its connection ends before the answer, if the answer is wrong, or if it comes after
-// the time that the client waits.
+// to its answer. A call is lost if its connection ends before the answer, if the answer is wrong, or if it comes later
+// than answerTolerance after the time that the client waits.
 type clientLoad struct {
 	t       *testing.T
 	address string
 	wait    time.Duration // that a client has for each call
 	classes []string      // of the calls, in turn; safe alone if there are none
-	// callsPerConnection is how many calls a client sends before it connects anew; 0: it keeps its connection.
+	// callsPerConnection is how many calls at most a client sends before it connects again, drawn for each connection; 0: it
+	// keeps its connection.
 	callsPerConnection int
 
 	stopping  atomic.Bool
@@ -61,7 +65,7 @@
 	}
 }
 
-// start runs count clients until stop. Their pauses are drawn from seed.
+// start runs count clients until stop. Their pauses, and the calls on each connection, are drawn from seed.
 func (l *clientLoad) start(count int, seed uint64) {
 	began := time.Now()
 	for i := range count {
@@ -121,8 +125,7 @@
 
 // call sends a call and waits for its answer. An error says how it was lost.
 func (l *clientLoad) call(client *testClient, id string) error {
-	// A little more than the wait, for a machine that is busy.
-	if err := client.SetDeadline(time.Now().Add(l.wait + 500*time.Millisecond)); err != nil {
+	if err := client.SetDeadline(time.Now().Add(l.wait + answerTolerance)); err != nil {
 		return err
 	}
 	class := "safe"
@@ -158,7 +161,8 @@
 	a.byBody[body]++
 }
 
-// report fails the test for each request that was sent too often: an unsafe one more than once, since it may have run.
+// report fails the test for each request that was sent too often: an unsafe one more than once, since it may have run, or a
+// safe one more than maxAttempts times.
 func (a *attemptCounts) report(t *testing.T, maxAttempts int) {
 	t.Helper()
 	a.mu.Lock()
@@ -172,6 +176,7 @@
 }
 
 // startEchoWorker starts a worker that answers each request with its own body, and enters it in counts, if that is not nil.
+// Its requests channel is read by a goroutine of its own.
 func startEchoWorker(t *testing.T, counts *attemptCounts) *fakeWorker {
 	t.Helper()
 	const backlog = 128 // as a real server has it
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -29,7 +29,7 @@
 // workerAddrs are the workers of example/config.json.
 var workerAddrs = []string{"127.0.0.1:10181", "127.0.0.1:10182"}
 
-// functionKey identifies the function that is called: any 16 hexadecimal digits.
+// functionKey identifies the function that is called: any 16 hexadecimal digits in lower case.
 const functionKey = "7f3a9c21e0b4d655"
 
 var errUsage = errors.New("usage: toy [try | call | hook ID]")
