--- a/cmd/functionrouter/fault_proxy_test.go
+++ b/cmd/functionrouter/fault_proxy_test.go
@@ -109,10 +109,7 @@
 func (p *faultProxy) carryAnswers(client, server net.Conn, fault connectionFault) {
 	defer func() { _ = errors.Join(client.Close(), server.Close()) }() // they may have ended
 	if fault == resetSoon {
-		time.AfterFunc(time.Duration(p.draw(maxResetDelayMs))*time.Millisecond, func() {
-			_ = client.(*net.TCPConn).SetLinger(0) // Close sends a reset
-			_ = client.Close()
-		})
+		resetAfter(client, time.Duration(p.draw(maxResetDelayMs))*time.Millisecond)
 	}
 	passing := 1 + p.draw(maxPassingBytes) // bytes until the fault begins
 	buffer := make([]byte, 4096)
@@ -132,11 +129,8 @@
 		case fault == delayAnswers:
 			time.Sleep(answerDelay)
 		case fault == dribbleAnswers:
-			for len(answers) > dribbleBytes {
-				if _, err := client.Write(answers[:dribbleBytes]); err != nil {
-					return
-				}
-				answers = answers[dribbleBytes:]
+			if answers, err = dribble(client, answers); err != nil {
+				return
 			}
 		}
 		passing -= n
@@ -145,3 +139,22 @@
 		}
 	}
 }
+
+// resetAfter resets the connection after a time, unless it is closed by then.
+func resetAfter(conn net.Conn, delay time.Duration) {
+	time.AfterFunc(delay, func() {
+		_ = conn.(*net.TCPConn).SetLinger(0) // Close sends a reset
+		_ = conn.Close()
+	})
+}
+
+// dribble writes answers in pieces of dribbleBytes. It returns the last piece, which it does not write.
+func dribble(conn net.Conn, answers []byte) (last []byte, err error) {
+	for len(answers) > dribbleBytes {
+		if _, err := conn.Write(answers[:dribbleBytes]); err != nil {
+			return nil, err
+		}
+		answers = answers[dribbleBytes:]
+	}
+	return answers, nil
+}
--- a/internal/logging/reference_test.go
+++ b/internal/logging/reference_test.go
@@ -81,15 +81,20 @@
 			t.Errorf("%s: no message in the row %s", path, line)
 			continue
 		}
-		row := referenceRow{text: line}
-		if level := slices.Index(header, "level"); level >= 0 {
-			row.level = cells[level]
-		}
-		rows[found[1]] = row
+		rows[found[1]] = newReferenceRow(line, header, cells)
 	}
 	return rows
 }
 
+// newReferenceRow returns what the line, a row with these cells, says below its table's header.
+func newReferenceRow(line string, header, cells []string) referenceRow {
+	row := referenceRow{text: line}
+	if level := slices.Index(header, "level"); level >= 0 {
+		row.level = cells[level]
+	}
+	return row
+}
+
 // tableCells returns the cells of a table's row, without the spaces around them.
 func tableCells(line string) []string {
 	cells := strings.Split(strings.Trim(line, "|"), "|")
