--- a/cmd/functionrouter/load_clients_test.go
+++ b/cmd/functionrouter/load_clients_test.go
@@ -13,18 +13,25 @@
 	"golang.org/x/sys/unix"
 )
 
+// answerTolerance is how much later than its client waits an answer may come, on a machine that is busy.
+const answerTolerance = 500 * time.Millisecond
+
+// maxCallPause is the longest time between two calls of a client of clientLoad.
+const maxCallPause = 2 * time.Millisecond
+
 // functionProperties are the figures of a small function that loads fast.
 const functionProperties = "memory_mb:128;lanes:2;load_ms:10"
 
 // clientLoad is a number of well-behaved clients, each on a goroutine of its own. It follows each call that they send
-// to its answer. A call is lost if its connection ends before the answer, if the answer is wrong, or if it comes after
-// the time that the client waits.
+// to its answer. A call is lost if its connection ends before the answer, if the answer is wrong, or if it comes later
+// than answerTolerance after the time that the client waits.
 type clientLoad struct {
 	t       *testing.T
 	address string
 	wait    time.Duration // that a client has for each call
 	classes []string      // of the calls, in turn; safe alone if there are none
-	// callsPerConnection is how many calls a client sends before it connects anew; 0: it keeps its connection.
+	// callsPerConnection is how many calls at most a client sends before it connects again, drawn for each connection; 0: it
+	// keeps its connection.
 	callsPerConnection int
 
 	stopping  atomic.Bool
@@ -47,10 +54,18 @@
 }
 
 func (l lostCall) String() string {
-	return fmt.Sprintf("%v: call %s of %s, behind %d answered ones: %v", l.at, l.id, l.client, l.callsAnswered, l.reason)
+	return fmt.Sprintf("%v: call %s of %s, after %d answered ones: %v", l.at, l.id, l.client, l.callsAnswered, l.reason)
+}
+
+// reportLost fails the test for each call that was lost.
+func reportLost(t *testing.T, lost []lostCall) {
+	t.Helper()
+	for _, l := range lost {
+		t.Errorf("lost at %v", l)
+	}
 }
 
-// start runs count clients until stop. Their pauses are drawn from seed.
+// start runs count clients until stop. Their pauses, and the calls on each connection, are drawn from seed.
 func (l *clientLoad) start(count int, seed uint64) {
 	began := time.Now()
 	for i := range count {
@@ -76,7 +91,7 @@
 	return l.lost
 }
 
-// useConnection sends calls on a new connection. It returns false if a call was lost.
+// useConnection sends calls on a new connection. It returns false if a call was lost, or the router can't be connected to.
 func (l *clientLoad) useConnection(random *rand.Rand, began time.Time) bool {
 	conn, err := net.Dial("tcp", l.address)
 	if err != nil {
@@ -93,19 +108,24 @@
 		id := fmt.Sprintf("%016x", l.callCount.Add(1))
 		if err := l.call(client, id); err != nil {
 			l.mu.Lock()
-			l.lost = append(l.lost, lostCall{id, time.Since(began), conn.LocalAddr().String(), sent, err})
+			l.lost = append(l.lost, lostCall{
+				id:            id,
+				at:            time.Since(began),
+				client:        conn.LocalAddr().String(),
+				callsAnswered: sent,
+				reason:        err,
+			})
 			l.mu.Unlock()
 			return false
 		}
-		time.Sleep(time.Duration(random.Int64N(int64(2 * time.Millisecond))))
+		time.Sleep(time.Duration(random.Int64N(int64(maxCallPause))))
 	}
 	return true
 }
 
 // call sends a call and waits for its answer. An error says how it was lost.
 func (l *clientLoad) call(client *testClient, id string) error {
-	// A little more than the wait, for a machine that is busy.
-	if err := client.SetDeadline(time.Now().Add(l.wait + 500*time.Millisecond)); err != nil {
+	if err := client.SetDeadline(time.Now().Add(l.wait + answerTolerance)); err != nil {
 		return err
 	}
 	class := "safe"
@@ -129,7 +149,7 @@
 	return nil
 }
 
-// attemptCounts counts the attempts of each request that have come whole to any worker, by the request's body.
+// attemptCounts counts the attempts of each request that any worker has received completely, by the request's body.
 type attemptCounts struct {
 	mu     sync.Mutex
 	byBody map[string]int
@@ -141,7 +161,8 @@
 	a.byBody[body]++
 }
 
-// report fails the test for each request that was sent too often: an unsafe one more than once, since it may have run.
+// report fails the test for each request that was sent too often: an unsafe one more than once, since it may have run, or a
+// safe one more than maxAttempts times.
 func (a *attemptCounts) report(t *testing.T, maxAttempts int) {
 	t.Helper()
 	a.mu.Lock()
@@ -155,6 +176,7 @@
 }
 
 // startEchoWorker starts a worker that answers each request with its own body, and enters it in counts, if that is not nil.
+// Its requests channel is read by a goroutine of its own.
 func startEchoWorker(t *testing.T, counts *attemptCounts) *fakeWorker {
 	t.Helper()
 	const backlog = 128 // as a real server has it
--- a/cmd/functionrouter/process_test.go
+++ b/cmd/functionrouter/process_test.go
@@ -1,85 +1,19 @@
 package main
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
 	"strings"
 	"syscall"
 	"testing"
 )
 
-// descriptorsVariable makes the test program be the router itself, with that many file descriptors.
-const descriptorsVariable = "FUNCTIONROUTER_TEST_AS_ROUTER"
-
-func TestMain(m *testing.M) {
-	if count := os.Getenv(descriptorsVariable); count != "" {
-		if err := limitDescriptors(count); err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			os.Exit(2)
-		}
-		main()
-		return
-	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil))) // as main does
-	os.Exit(m.Run())
-}
-
-// limitDescriptors sets the process's limit on file descriptors.
-func limitDescriptors(count string) error {
-	n, err := strconv.ParseUint(count, 10, 64)
-	if err != nil {
-		return err
-	}
-	return syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n})
-}
-
-// routerCommand is the command that runs the router as a process of its own.
-func routerCommand(configPath string, descriptors int) *exec.Cmd {
-	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), configVariable+"="+configPath, fmt.Sprintf("%s=%d", descriptorsVariable, descriptors))
-	return cmd
-}
-
-// startProcess starts the router as a process of its own, from nothing but its configuration. The harness's log and
-// signals do not reach it.
-func (h *harness) startProcess(descriptors int) *os.Process {
-	h.t.Helper()
-	var log bytes.Buffer
-	h.t.Cleanup(func() {
-		if h.t.Failed() {
-			h.t.Logf("the router's log:\n%s", log.String())
-		}
-	})
-	return h.startProcessWithLog(descriptors, &log)
-}
-
-// startProcessWithLog is startProcess with another receiver of the log.
-func (h *harness) startProcessWithLog(descriptors int, log io.Writer) *os.Process {
-	h.t.Helper()
-	cmd := routerCommand(h.configPath, descriptors)
-	cmd.Stderr = log
-	if err := cmd.Start(); err != nil {
-		h.t.Fatal(err)
-	}
-	h.t.Cleanup(func() {
-		_ = cmd.Process.Kill() // a test may have killed it
-		_ = cmd.Wait()         // reports that it was killed
-	})
-	c := h.connect()
-	c.checkHealth()
-	c.close()
-	return cmd.Process
-}
-
-// Idle clients take all the descriptors that clients may have, and go on coming, while the directory is away. Those in
+// Idle clients take all the descriptors that clients may have, and more connect, while the directory is down. Those in
 // reserve are enough to query the directory once it is there, to dial the worker that it lists, and to take a request.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	const sockets = 128
@@ -109,7 +43,7 @@
 }
 
 // A process that may open fewer descriptors than its configuration says runs out of them: accepts, dials and queries
-// fail. It answers the requests that it has all the same, and serves again once there are descriptors.
+// fail. It still answers the requests that it has, and serves again once there are descriptors.
 func TestDescriptorExhaustion(t *testing.T) {
 	const configured = 1024
 	const available = 48
@@ -152,7 +86,10 @@
 		}
 	})
 	good := configJSON(t, taken.Addr().String(), "127.0.0.1:9", 256, "")
-	for _, test := range []struct{ name, text string }{
+	for _, test := range []struct {
+		name string
+		text string
+	}{
 		{"half a file", good[:len(good)/2]},
 		{"no classes", strings.Replace(good, `"classes"`, `"klasses"`, 1)},
 		{"impossible deadline", strings.Replace(good, `"deadlineMs":6000`, `"deadlineMs":-1`, 1)},
@@ -175,8 +112,8 @@
 	}
 }
 
-// A process is killed just after it accepted a connection and with a request in flight, and starts again with its old
-// list: the clients of the old one see their connections end at once, and the new one follows the directory's list.
+// A process is killed just after it accepted a connection and with a request in flight, and another is started with its
+// old list: the clients of the first see their connections end, and the second takes the directory's list.
 func TestRestartAfterKill(t *testing.T) {
 	first := startFakeWorker(t)
 	second := startFakeWorker(t)
@@ -206,7 +143,7 @@
 	}
 }
 
-// The collector of the router's log stops reading it, or ends: calls are answered all the same.
+// The collector of the router's log stops reading it, or ends: calls are still answered.
 func TestLogWithoutAReader(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -222,13 +159,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			worker := startEchoWorker(t, nil)
-			h, _ := newHarness(t, newFakeDirectory(t), 1024, serviceSettings, listedWorker{name: "s-1", addr: worker.addr})
+			h, _ := newHarness(t, newFakeDirectory(t), testSockets, serviceSettings, listedWorker{name: "s-1", addr: worker.addr})
 			reader, writer, err := os.Pipe()
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { _ = reader.Close() }) // the test may have closed it
-			process := h.startProcessWithLog(1024, writer)
+			process := h.startProcessWithLog(testSockets, writer)
 			if err := writer.Close(); err != nil {
 				t.Fatal(err)
 			}
@@ -236,9 +173,7 @@
 			c := h.connect()
 			const pipeBytes = 64 << 10 // what a pipe holds (pipe(7)); a report of the counters takes over 1 KiB
 			for i := range 2 * pipeBytes / 1024 {
-				if err := process.Signal(syscall.SIGUSR1); err != nil {
-					t.Fatal(err)
-				}
+				signalProcess(t, process, syscall.SIGUSR1)
 				c.sendCall("safe", fmt.Sprintf("%016x", 0xa1+i), "one")
 				c.response()
 			}
