--- a/internal/frontend/webhook/response_test.go
+++ b/internal/frontend/webhook/response_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"functionrouter/internal/eventloop"
 	"functionrouter/internal/router"
 	"functionrouter/internal/testsupport"
 )
@@ -57,17 +58,7 @@
 			requests := &fakeRouter{}
 			transport := &testsupport.Transport{}
 			receiver, _ := newTestReceiver(t, requests, "")
-			c := receiver.serve(transport, netip.AddrPort{})
-			switch name {
-			case "close":
-				c.OnData([]byte(strings.Replace(good, "\r\n", "\r\nConnection: Close\r\n", 1)))
-			case "expects continue":
-				head, body, _ := strings.Cut(strings.Replace(good, "\r\n", "\r\nExpect: 100-continue\r\n", 1), "\r\n\r\n")
-				c.OnData([]byte(head + "\r\n\r\n"))
-				c.OnData([]byte(body))
-			default:
-				c.OnData([]byte(test.request))
-			}
+			sendFor(name, receiver.serve(transport, netip.AddrPort{}), good, test.request)
 			if test.response != nil {
 				requests.requests[0].Responder.Respond(*test.response)
 			}
@@ -80,3 +71,17 @@
 		})
 	}
 }
+
+// sendFor sends a test's HTTP request, or what the test of that name makes of a good one.
+func sendFor(name string, c eventloop.AcceptedHandler, good, request string) {
+	switch name {
+	case "close":
+		c.OnData([]byte(strings.Replace(good, "\r\n", "\r\nConnection: Close\r\n", 1)))
+	case "expects continue":
+		head, body, _ := strings.Cut(strings.Replace(good, "\r\n", "\r\nExpect: 100-continue\r\n", 1), "\r\n\r\n")
+		c.OnData([]byte(head + "\r\n\r\n"))
+		c.OnData([]byte(body))
+	default:
+		c.OnData([]byte(request))
+	}
+}
