--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,7 +6,7 @@
 	// The ratios of the delay to the latency objective at which load shedding begins. Higher, and queues eat
 	// the objective; lower, and requests are shed that would have been served in time.
 	shedStart       = 0.5
-	shedStartBehind = 0.25 // where a class of more value is served too
+	shedStartBehind = 0.25 // where the settings have a class of more value
 	shedStartFirst  = 0.15 // for requests beyond their quota, or predicted to miss their objective
 
 	// shedSlope is how fast the chance to be shed grows with that ratio: from 0 at the start to 1 half an
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -16,7 +16,8 @@
 //   - rules.go: the check that every action passes. No mistake elsewhere sends an attempt that a rule
 //     forbids.
 //   - requests.go, attempts.go: the life of a request from its arrival to its one final answer.
-//   - placement.go: the steps from a request to a worker. prediction.go: the score, as a formula.
+//   - placement.go: the steps from a request to a worker. prediction.go: the predicted latency, as a formula,
+//     which a bonus makes the score.
 //   - rendezvous.go: where a function that must be loaded is loaded. Rendezvous hashing (highest random
 //     weight) ranks workers alike at all routers; a popular function is spread over several replicas, of
 //     which each router keeps to one.
