--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -3,11 +3,12 @@
 import (
 	"bytes"
 	"errors"
-	"log/slog"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
+
+	"functionrouter/internal/testsupport"
 )
 
 // An answer with a newer list is reported with all that it says of the workers.
@@ -192,10 +193,7 @@
 
 // A directory that fails several times a second is logged once until it answers again.
 func TestFailuresAreLoggedOnce(t *testing.T) {
-	var logged bytes.Buffer
-	previous := slog.Default()
-	slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
-	t.Cleanup(func() { slog.SetDefault(previous) })
+	logged := testsupport.CaptureLog(t)
 	c := newTestClient(t)
 	wantLines := func(event string, want int) {
 		t.Helper()
--- a/internal/frontend/thrift/request.go
+++ b/internal/frontend/thrift/request.go
@@ -6,7 +6,6 @@
 	"math"
 	"strconv"
 	"strings"
-	"time"
 
 	"functionrouter/internal/frontend/fieldvalue"
 	"functionrouter/internal/router"
@@ -96,7 +95,7 @@
 		Tenant:      tenant,
 		FunctionKey: functionKey,
 		Function:    policy.FunctionID(function),
-		Deadline:    s.inputTime() + router.AnswerBudget(milliseconds(wait)),
+		Deadline:    s.inputTime() + router.AnswerBudget(fieldvalue.Milliseconds(wait)),
 	}
 	if err := parseProperties(string(fields[fieldProperties]), &request); err != nil {
 		return router.Request{}, &invalidFieldError{fieldProperties, err}
@@ -129,7 +128,7 @@
 	case propertyLoadTime:
 		var loadMs float64
 		loadMs, err = parseNumber(number, fieldvalue.MaxLoadMs)
-		request.LoadTime = milliseconds(loadMs)
+		request.LoadTime = fieldvalue.Milliseconds(loadMs)
 	default:
 		_, err = parseNumber(number, math.MaxFloat64)
 	}
@@ -147,8 +146,3 @@
 	}
 	return value, nil
 }
-
-// milliseconds returns a duration that is given in milliseconds.
-func milliseconds(value float64) time.Duration {
-	return time.Duration(value * float64(time.Millisecond))
-}
--- a/internal/frontend/thrift/violation_test.go
+++ b/internal/frontend/thrift/violation_test.go
@@ -3,8 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"log"
-	"log/slog"
 	"math"
 	"net/netip"
 	"strings"
@@ -109,17 +107,7 @@
 
 // Guards the log: otherwise anyone who can connect could fill it with violations.
 func TestViolationsAreLoggedOnceASecond(t *testing.T) {
-	var lines bytes.Buffer
-	previous := slog.Default()
-	previousOutput := log.Writer()
-	previousFlags := log.Flags()
-	t.Cleanup(func() {
-		slog.SetDefault(previous)
-		log.SetOutput(previousOutput)
-		log.SetFlags(previousFlags)
-	})
-	slog.SetDefault(slog.New(slog.NewTextHandler(&lines, nil)))
-
+	lines := testsupport.CaptureLog(t)
 	now := testNow
 	server := New(Config{Router: &fakeRouter{}, Clock: func() time.Duration { return now }})
 	violate := func() {
--- a/internal/frontend/webhook/payload.go
+++ b/internal/frontend/webhook/payload.go
@@ -94,7 +94,7 @@
 		Function:    policy.FunctionID(function),
 		MemoryMB:    p.Data.MemoryMB,
 		Concurrency: p.Data.Concurrency,
-		LoadTime:    milliseconds(p.Data.LoadMs),
+		LoadTime:    fieldvalue.Milliseconds(p.Data.LoadMs),
 		Body:        p.Data.Body,
 		Deadline:    r.now() + router.AnswerBudget(r.wait(class, p.Data.WaitMs)),
 	}
@@ -122,18 +122,13 @@
 // wait returns how long a request may wait for its final answer. class is the index of its class, waitMs the payload's.
 func (r *Receiver) wait(class int, waitMs float64) time.Duration {
 	maxWait := r.classes[class].MaxWait
-	wait := milliseconds(waitMs)
+	wait := fieldvalue.Milliseconds(waitMs)
 	if wait == 0 || wait > maxWait {
 		return maxWait
 	}
 	return wait
 }
 
-// milliseconds returns a duration that is given in milliseconds.
-func milliseconds(value float64) time.Duration {
-	return time.Duration(value * float64(time.Millisecond))
-}
-
 // newRequestID returns a random ID for the workers, which do not know webhook-ids.
 func newRequestID() string {
 	var b [8]byte
--- a/internal/router/no_result_log_test.go
+++ b/internal/router/no_result_log_test.go
@@ -1,17 +1,16 @@
 package router
 
 import (
-	"bytes"
-	"log/slog"
 	"strings"
 	"testing"
 
+	"functionrouter/internal/testsupport"
 	"functionrouter/policy"
 )
 
 // A request whose client disconnected is in the log with its id and age; a second one within the interval is not.
 func TestNoResultLogNamesDisconnectedRequests(t *testing.T) {
-	log := captureLog(t)
+	log := testsupport.CaptureLog(t)
 	l := newNoResultLog()
 	p := &pendingRequest{Request: Request{ID: "00000000000000a1", ReceivedAt: testStart, Deadline: testStart + 50*ms}}
 	l.record(testStart+20*ms, p, RequestCancelled, ClientDisconnected.String())
@@ -24,7 +23,7 @@
 
 // A request that its client interrupted, and one that was refused, are not in the log.
 func TestNoResultLogOmitsInterruptedAndRefusedRequests(t *testing.T) {
-	log := captureLog(t)
+	log := testsupport.CaptureLog(t)
 	r, _ := newTestRouter(t, 1)
 	interrupted, _ := submit(r, idempotentClass)
 	r.Cancel(testStart+ms, interrupted, ClientInterrupted)
@@ -34,13 +33,3 @@
 		t.Errorf("answer %+v, logged %s", resp, log)
 	}
 }
-
-// captureLog returns what the default logger writes until the test ends.
-func captureLog(t *testing.T) *bytes.Buffer {
-	t.Helper()
-	log := &bytes.Buffer{}
-	previous := slog.Default()
-	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
-	t.Cleanup(func() { slog.SetDefault(previous) })
-	return log
-}
--- a/internal/testsupport/testsupport.go
+++ b/internal/testsupport/testsupport.go
@@ -3,8 +3,10 @@
 package testsupport
 
 import (
+	"bytes"
 	"flag"
 	"fmt"
+	"log"
 	"log/slog"
 	"os"
 	"testing"
@@ -32,3 +34,20 @@
 // DiscardLog makes the default logger drop every line until the process ends, for a TestMain whose tests would fill the
 // output.
 func DiscardLog() { slog.SetDefault(slog.New(slog.DiscardHandler)) }
+
+// CaptureLog returns what the default logger writes until the test ends, as text. Package log, which the default logger
+// takes over, is restored then too. Only the test's goroutine may log meanwhile.
+func CaptureLog(tb testing.TB) *bytes.Buffer {
+	tb.Helper()
+	previous := slog.Default()
+	previousOutput := log.Writer()
+	previousFlags := log.Flags()
+	tb.Cleanup(func() {
+		slog.SetDefault(previous)
+		log.SetOutput(previousOutput)
+		log.SetFlags(previousFlags)
+	})
+	lines := &bytes.Buffer{}
+	slog.SetDefault(slog.New(slog.NewTextHandler(lines, nil)))
+	return lines
+}
