--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -6,12 +6,12 @@
 	"functionrouter/policy"
 )
 
-// allPeers addresses gossip to every other simulated router.
+// allPeers is the recipient of gossip that goes to every other simulated router.
 const allPeers = math.MaxUint32
 
-// action appends one action's record: its header, then its fields in the wire's order. The reasons of refused and
-// failed requests are left out, since the wire does not carry them. Numbers wider than their field are cut off, not
-// checked.
+// action appends the record of one action: its header, then its fields in the order of the wire. It omits the reasons
+// of refused and failed requests, because the wire has no field for them. A number that is wider than its field is
+// truncated without an error.
 func (e *encoder) action(router RouterIndex, action policy.Action) {
 	switch a := action.(type) {
 	case policy.SendAttempt:
@@ -48,17 +48,17 @@
 		e.header(codeFetchEndpoints, router)
 	case policy.LogLine:
 		e.header(codeLogLine, router)
-		e.counted([]byte(a.Text))
+		e.lengthPrefixed([]byte(a.Text))
 	}
 }
 
-// requestRecord begins a record whose first field is a request.
+// requestRecord appends the header and the first field of a record whose first field is a request.
 func (e *encoder) requestRecord(code uint8, router RouterIndex, request policy.RequestID) {
 	e.header(code, router)
 	e.request(request)
 }
 
-// workerRecord begins a record whose first field is a worker.
+// workerRecord appends the header and the first field of a record whose first field is a worker.
 func (e *encoder) workerRecord(code uint8, router RouterIndex, worker policy.WorkerID) {
 	e.header(code, router)
 	e.worker(worker)
@@ -72,13 +72,13 @@
 	e.worker(a.Worker)
 }
 
-// sendGossip appends the record of a gossip message to one or all of the other simulated routers.
+// sendGossip appends the record of a gossip message to one other simulated router, or to all of them.
 func (e *encoder) sendGossip(router RouterIndex, a policy.SendGossip) {
-	to := uint32(a.To)
+	recipient := uint32(a.To)
 	if a.To < 0 {
-		to = allPeers
+		recipient = allPeers
 	}
 	e.header(codeSendGossip, router)
-	e.u32(to)
-	e.counted(a.Data)
+	e.u32(recipient)
+	e.lengthPrefixed(a.Data)
 }
--- a/internal/simwire/actions_test.go
+++ b/internal/simwire/actions_test.go
@@ -8,7 +8,7 @@
 	"functionrouter/policy"
 )
 
-func TestReplySample(t *testing.T) {
+func TestReplyEncodesTheSampleFrame(t *testing.T) {
 	var reply Reply
 	reply.Add(3, []policy.Action{
 		policy.SendAttempt{Request: 0x5d3a91c4, Worker: 0x0a124a07232b, Timeout: 80 * time.Millisecond},
@@ -57,7 +57,7 @@
 			"48 0003 01 0000007c55d20a01 0a9011f22354",
 		},
 		{"unload instance", policy.UnloadInstance{Worker: 1, Function: 2}, "4a 0003 000000000001 0000000000000002"},
-		{"health check worker", policy.CheckHealth{Worker: 1}, "49 0003 000000000001"},
+		{"check health", policy.CheckHealth{Worker: 1}, "49 0003 000000000001"},
 		{"send gossip to all", policy.SendGossip{To: -1, Data: []byte("hi 7")}, "46 0003 ffffffff 0004 68692037"},
 		{"send gossip to one", policy.SendGossip{To: 2}, "46 0003 00000002 0000"},
 		{"set timer", policy.SetTimer{After: 500 * time.Millisecond, Token: 77}, "41 0003 407f400000000000 000000000000004d"},
--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -2,7 +2,7 @@
 
 import "functionrouter/policy"
 
-// Codes of the event records, each with the simulator's name.
+// Codes of the event records. Each comment gives the simulator's name of the record.
 const (
 	codeResponseStarted  = 1  // ACK_FIRST
 	codeAttemptEnded     = 2  // OUTCOME
@@ -17,7 +17,7 @@
 	codeLoadCommandEnded = 11 // READY_THERE
 )
 
-// Codes of the action records, each with the simulator's name.
+// Codes of the action records. Each comment gives the simulator's name of the record.
 const (
 	codeSetTimer             = 65 // AFTER
 	codeCloseIdleConnections = 66 // HANG_UP
@@ -34,7 +34,7 @@
 	codeRefuseRequest        = 78 // DECLINE
 )
 
-// outcomes are the outcomes of attempts, load commands and health checks, by their codes.
+// outcomes maps the codes on the wire to the outcomes of attempts, load commands and health checks.
 var outcomes = []policy.Outcome{
 	0: policy.Served,
 	1: policy.Errored,
@@ -47,14 +47,14 @@
 	8: policy.FunctionNotLoaded,
 }
 
-// workerStates are the states of the workers in an endpoint list, by their codes.
+// workerStates maps the codes on the wire to the states of the workers in an endpoint list.
 var workerStates = []policy.WorkerState{
 	0: policy.Gone,
 	1: policy.Ready,
 	2: policy.Draining,
 }
 
-// updateKinds are the kinds of endpoint updates, which the wire calls list modes, by their codes.
+// updateKinds maps the codes on the wire, which the simulator calls list modes, to the kinds of endpoint updates.
 var updateKinds = []policy.EndpointUpdateKind{
 	0: policy.IncrementalUpdate,
 	1: policy.FullUpdate,
@@ -62,8 +62,8 @@
 	3: policy.UpdateFailed,
 }
 
-// instanceStatuses are the statuses of a function instance in an attempt's outcome, by their codes. A code that is not
-// listed counts as unknown.
+// instanceStatuses maps the codes in the outcome of an attempt to the statuses of the function's instance at the
+// worker. A code that is not listed stands for policy.InstanceUnknown.
 var instanceStatuses = []policy.InstanceStatus{
 	0: policy.InstanceUnknown,
 	1: policy.InstanceWarm,
--- a/internal/simwire/codes_test.go
+++ b/internal/simwire/codes_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestListModeCodes(t *testing.T) {
+func TestEndpointUpdateKindCodes(t *testing.T) {
 	for code, want := range []policy.EndpointUpdateKind{
 		0: policy.IncrementalUpdate,
 		1: policy.FullUpdate,
@@ -53,8 +53,9 @@
 	}
 }
 
-// The first error of a list stays: a list that is cut short before its count is truncated, whatever its mode.
-func TestTruncatedListOfUnknownMode(t *testing.T) {
+// The decoder must report the first error of an endpoint list: a list that ends before its number of entries is
+// reported as truncated, even if the code of its mode is unknown too.
+func TestTruncatedListOfUnknownModeIsReportedAsTruncated(t *testing.T) {
 	d := decoder{rest: []byte{9, 0, 0, 0, 41}}
 	if d.endpointUpdate(); !errors.Is(d.err, errTruncated) {
 		t.Errorf("got %v, want %v", d.err, errTruncated)
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -14,21 +14,22 @@
 	float32Length = 4
 )
 
-// decoder reads fields from the front of rest. The first error stays in err, so that a record's fields can be read without
-// a check after each. What is read after an error has no meaning.
+// decoder reads fields from the front of rest. It keeps the first error in err, so that a caller can read all fields of
+// a record and check for an error once. Values that are read after an error are meaningless.
 type decoder struct {
 	rest []byte
 	err  error
 }
 
-// fail keeps an error, unless there is one already.
+// fail records an error, unless an earlier one is recorded already.
 func (d *decoder) fail(err error) {
 	if d.err == nil {
 		d.err = err
 	}
 }
 
-// take returns the next bytes, a field of fixed length; zeros if they are missing. They are part of rest's array.
+// take returns the next field, which has a fixed length in bytes. If fewer bytes are left, it fails and returns zeros.
+// The result shares its array with rest.
 func (d *decoder) take(length int) []byte {
 	if length > len(d.rest) {
 		d.fail(errTruncated)
@@ -40,7 +41,8 @@
 	return field
 }
 
-// bytes returns a copy of the next bytes, a field whose length the record gives; nil if that is 0.
+// bytes returns a copy of the next field, whose length in bytes the record states. It returns nil if the length is 0 or
+// if fewer bytes are left, which is an error.
 func (d *decoder) bytes(length uint32) []byte {
 	if uint64(length) > uint64(len(d.rest)) {
 		d.fail(errTruncated)
@@ -61,8 +63,8 @@
 func (d *decoder) request() policy.RequestID   { return policy.RequestID(d.u32()) }
 func (d *decoder) function() policy.FunctionID { return policy.FunctionID(d.u64()) }
 
-// worker reads a worker's IPv4 address and port, which together are its id: the port in the lower 16 bits, the address
-// in the 32 above them.
+// worker reads a worker's IPv4 address and port and combines them into its id: the port is the lowest 16 bits, the
+// address the 32 bits above them.
 func (d *decoder) worker() policy.WorkerID {
 	b := d.take(workerLength)
 	address := policy.WorkerID(binary.BigEndian.Uint32(b))
@@ -70,7 +72,8 @@
 	return address<<16 | port
 }
 
-// loadReport reads a worker's load report: a count and that many values; nil where the count is 0.
+// loadReport reads a worker's load report: the number of values, then the values. It returns nil if the number is 0 or
+// if fewer values are left, which is an error.
 func (d *decoder) loadReport() []float64 {
 	count := int(d.u8())
 	if count*float32Length > len(d.rest) {
@@ -92,13 +95,13 @@
 	return decodeCode(d, "worker state", d.u8(), workerStates)
 }
 
-// decodeCode returns the meaning of a code, which stands at the code's position in meanings. A code beyond them is an error
-// that names field, and gives the zero value.
-func decodeCode[T any](d *decoder, field string, code uint8, meanings []T) T {
-	if int(code) >= len(meanings) {
+// decodeCode returns the value at index code of values. If code is out of their range, it fails with an error that
+// names field, and returns the zero value.
+func decodeCode[T any](d *decoder, field string, code uint8, values []T) T {
+	if int(code) >= len(values) {
 		d.fail(unknownCodeError{field, code})
-		var none T
-		return none
+		var zero T
+		return zero
 	}
-	return meanings[code]
+	return values[code]
 }
--- a/internal/simwire/doc.go
+++ b/internal/simwire/doc.go
@@ -1,25 +1,30 @@
-// Package simwire translates between the simulator's frames and the types of package policy, and its settings
-// into a policy.Config. It only translates: every decision is taken by package policy.
+// Package simwire translates between the simulator's frames and the types of package policy, and translates the
+// simulator's settings into a policy.Config. It makes no routing decisions; package policy makes all of them.
 //
 // # Frames
 //
-// The simulator plays many simulated routers at once and sends what happens to them in batches. A batch of events
-// comes in one frame ([ReadBatch]) and is answered by one frame of actions ([Reply]). All numbers are big-endian;
-// times are milliseconds on the wire, and durations since the start of the simulator's clock in the code.
+// The simulator runs many simulated routers at once and sends their events in batches. Each batch of events arrives in
+// one frame ([ReadBatch]) and is answered with one frame of actions ([Reply]). All numbers are big-endian. Times are
+// milliseconds on the wire. In the code they are of type time.Duration, and a point in time is the duration since the
+// start of the simulator's clock.
 //
-//	batch:  sequence number u32, length of the records u32, count of the records u32, clock f64, records
+//	batch:  sequence number u32, length of the records u32, number of records u32, clock f64, records
 //	reply:  sequence number u32, length of the records u32, records
 //	record: code u8, simulated router u16, the fields of the event or action
 //
-// Lengths are in bytes. Fields have no lengths or names of their own: the order in which the functions of events.go read
-// them and those of actions.go write them is the wire's.
+// Lengths are in bytes. Fields carry no names: their order on the wire is the order in which the functions in events.go
+// read them and the functions in actions.go write them. A field of variable length is preceded by its length or its
+// number of entries; every other field has a fixed length.
 //
 // # Names
 //
-// The simulator has its own names for what package policy calls by the terms of docs/GLOSSARY.md. Two files
-// translate them, and no other knows the simulator's names: codes.go for the codes of records, outcomes, worker states,
-// list modes and instance statuses, settings.go for the keys of the settings. What the simulator calls an instance is a
-// simulated router here; an instance is a loaded function.
+// The simulator uses its own names for the concepts that package policy names as in docs/GLOSSARY.md. Only two files
+// contain the simulator's names: codes.go translates the codes of records, outcomes, worker states, list modes and
+// instance statuses; settings.go translates the keys of the settings. The simulator calls a simulated router an
+// instance; in this package, an instance is a loaded function.
 //
-// Nothing here is safe for concurrent use of one value. What ReadBatch and ParseSettings return belongs to the caller.
+// # Concurrency and ownership
+//
+// No value of this package's types is safe for concurrent use. The caller owns the values that ReadBatch and
+// ParseSettings return.
 package simwire
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -8,7 +8,7 @@
 	"functionrouter/policy"
 )
 
-// encoder appends fields to b, each in the wire's form.
+// encoder appends fields to b in the format of the wire.
 type encoder struct {
 	b []byte
 }
@@ -21,7 +21,8 @@
 func (e *encoder) request(id policy.RequestID)   { e.u32(uint32(id)) }
 func (e *encoder) function(id policy.FunctionID) { e.u64(uint64(id)) }
 
-// worker appends a worker's IPv4 address and port, which together are its id: the lower 48 bits, see decoder.worker.
+// worker appends a worker's IPv4 address and port, which are the lower 48 bits of its id; decoder.worker documents
+// their layout.
 func (e *encoder) worker(id policy.WorkerID) {
 	e.u32(uint32(id >> 16))
 	e.u16(uint16(id))
@@ -36,13 +37,13 @@
 	}
 }
 
-// counted appends bytes behind their length in 16 bits. They must be fewer than 64 KiB.
-func (e *encoder) counted(data []byte) {
+// lengthPrefixed appends the length of data as a u16, then data, which must be shorter than 64 KiB.
+func (e *encoder) lengthPrefixed(data []byte) {
 	e.u16(uint16(len(data)))
 	e.b = append(e.b, data...)
 }
 
-// header begins a record.
+// header appends the header of a record: its code and its simulated router.
 func (e *encoder) header(code uint8, router RouterIndex) {
 	e.u8(code)
 	e.u16(uint16(router))
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -2,13 +2,13 @@
 
 import "functionrouter/policy"
 
-// RouterStarted says that a simulated router starts, or starts anew without any state.
+// RouterStarted says that a simulated router starts, or restarts without any state.
 type RouterStarted struct {
-	Seed     uint64 // for the simulated router's random numbers
-	Settings []byte // JSON, for ParseSettings; the receiver owns it
+	Seed     uint64 // of the simulated router's random number generator
+	Settings []byte // JSON text for ParseSettings; the caller of ReadBatch owns it
 }
 
-// RouterKilled says that a simulated router was killed, with all of its state.
+// RouterKilled says that a simulated router was killed and lost all of its state.
 type RouterKilled struct{}
 
 // record reads the next record. It returns the decoder's first error.
@@ -19,7 +19,8 @@
 	return r, d.err
 }
 
-// event reads the fields of the event with this code. Its result is one of the types that Record.Event names.
+// event reads the fields of the event with this code. The result has one of the types that Record.Event lists. An
+// unknown code is an error, and the result is nil.
 func (d *decoder) event(code uint8) any {
 	switch code {
 	case codeResponseStarted:
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// routerStarted reads the start of a simulated router.
+// routerStarted reads the fields of the start of a simulated router.
 func (d *decoder) routerStarted() RouterStarted {
 	var e RouterStarted
 	e.Seed = d.u64()
@@ -57,14 +58,14 @@
 	return e
 }
 
-// The bits of a request's flags that are used.
+// Bits of a request's flags. The other bits are ignored.
 const (
 	flagWorkHint = 1 << 0 // the work hint is valid
 	flagRepeat   = 1 << 1 // the client has sent the request before
 )
 
-// requestArrived reads a request that a client has sent. The field of the work hint is always there; without its flag it
-// has no meaning.
+// requestArrived reads the fields of a request that a client has sent. The field of the work hint is always present; it
+// is valid only if flagWorkHint is set.
 func (d *decoder) requestArrived() policy.RequestArrived {
 	var e policy.RequestArrived
 	e.Request = d.request()
@@ -84,23 +85,23 @@
 	return e
 }
 
-// responseStarted reads the start of a worker's response. It skips the worker, which the attempt determines, and the time
-// since the send, which the policy does not use.
+// responseStarted reads the fields of the start of a worker's response. It skips the worker, because the attempt
+// determines the worker, and the time since the attempt was sent, because the policy does not use that time.
 func (d *decoder) responseStarted() policy.ResponseStarted {
 	var e policy.ResponseStarted
 	e.Request = d.request()
 	e.Attempt = int(d.u16())
 	d.worker()
-	d.millis() // since the send
+	d.millis() // time since the attempt was sent
 	return e
 }
 
-// attemptEnded reads the outcome of an attempt.
+// attemptEnded reads the fields of the outcome of an attempt.
 func (d *decoder) attemptEnded() policy.AttemptEnded {
 	var e policy.AttemptEnded
 	e.Request = d.request()
 	e.Worker = d.worker()
-	e.InstanceStatus, e.FunctionConcurrency = splitInfo(d.u8())
+	e.InstanceStatus, e.FunctionConcurrency = splitInfoByte(d.u8())
 	e.RequestClosed = d.u8() != 0
 	e.Outcome = d.outcome()
 	e.Attempt = int(d.u16())
@@ -109,9 +110,10 @@
 	return e
 }
 
-// splitInfo splits the info byte of an outcome: the instance's status in the lower three bits, and in the others how many
-// requests of the function were at the worker. A status that is not listed counts as unknown.
-func splitInfo(info uint8) (status policy.InstanceStatus, concurrency int) {
+// splitInfoByte splits the info byte of an attempt's outcome. The lower three bits hold the code of the status of the
+// function's instance; a code that is not listed stands for policy.InstanceUnknown. The upper five bits hold the number
+// of requests for the function that were at the worker.
+func splitInfoByte(info uint8) (status policy.InstanceStatus, concurrency int) {
 	const statusBits = 3
 	const statusMask = 1<<statusBits - 1
 	status = policy.InstanceUnknown
@@ -121,7 +123,7 @@
 	return status, int(info >> statusBits)
 }
 
-// healthCheckEnded reads the outcome of a health check.
+// healthCheckEnded reads the fields of the outcome of a health check.
 func (d *decoder) healthCheckEnded() policy.HealthCheckEnded {
 	var e policy.HealthCheckEnded
 	e.Duration = d.millis()
@@ -131,7 +133,7 @@
 	return e
 }
 
-// loadCommandEnded reads the outcome of a load command.
+// loadCommandEnded reads the fields of the outcome of a load command.
 func (d *decoder) loadCommandEnded() policy.LoadCommandEnded {
 	var e policy.LoadCommandEnded
 	e.Worker = d.worker()
@@ -142,7 +144,7 @@
 	return e
 }
 
-// gossipReceived reads a message from another simulated router.
+// gossipReceived reads the fields of a message from another simulated router.
 func (d *decoder) gossipReceived() policy.GossipReceived {
 	var e policy.GossipReceived
 	e.From = int(d.u16())
@@ -153,9 +155,10 @@
 // endpointLength is the length of one entry of an endpoint list, in bytes.
 const endpointLength = 24
 
-// endpointUpdate reads an endpoint list. It checks the count of the entries before it reads them, so that a malformed
-// count takes no memory. It skips the version of the list. The code of the kind is checked only after the fields behind it
-// have been read, so that a list that is cut short there is reported as truncated, whatever its kind.
+// endpointUpdate reads an endpoint list and skips the list's version. It compares the number of entries with the
+// remaining bytes before it reads the entries, so that a malformed number does not make it allocate memory. It checks
+// the code of the kind only after it has read the version and the number of entries, so that a list that ends within
+// these two fields is reported as truncated, even if the code of its kind is unknown too.
 func (d *decoder) endpointUpdate() policy.EndpointUpdate {
 	kindCode := d.u8()
 	d.u32() // version of the list
@@ -174,7 +177,7 @@
 	return e
 }
 
-// endpoint reads one entry of an endpoint list, which is endpointLength long.
+// endpoint reads one entry of an endpoint list, which takes endpointLength bytes.
 func (d *decoder) endpoint() policy.Endpoint {
 	var e policy.Endpoint
 	e.Worker = d.worker()
@@ -182,7 +185,7 @@
 	e.State = d.workerState()
 	e.Weight = d.f32()
 	e.Cell = int(d.u16())
-	d.u8() // kind of the machine
+	d.u8() // machine kind, not used
 	e.StartedAt = d.millis()
 	return e
 }
--- a/internal/simwire/events_test.go
+++ b/internal/simwire/events_test.go
@@ -11,7 +11,7 @@
 
 const sampleWorker = policy.WorkerID(0x0a9011f22354)
 
-// eventRecords holds one record or more of every event, of simulated router 3.
+// eventRecords holds a record of every event, all of simulated router 3, and the event that it must decode to.
 var eventRecords = []struct {
 	name   string
 	digits string
@@ -53,7 +53,7 @@
 	{"gossip received", "08 0003 0002 0003 616263", policy.GossipReceived{From: 2, Data: []byte("abc")}},
 	{"router started", "09 0003 0000000000000009 00000002 7b7d", RouterStarted{Seed: 9, Settings: []byte("{}")}},
 	{
-		"request arrived, a repeat with no hint",
+		"request arrived, a repeat without a work hint",
 		"0a 0003 00000007 0002 44610000 02 0000007c55d20a01 40000000 43c00000 0001 4028000000000000 406e000000000000",
 		policy.RequestArrived{
 			Request:     7,
@@ -79,7 +79,7 @@
 			d := decoder{rest: fromHex(t, test.digits)}
 			got, err := d.record()
 			if err != nil || len(d.rest) > 0 {
-				t.Fatalf("%v, %d bytes left", err, len(d.rest))
+				t.Fatalf("got error %v and %d unread bytes, want neither", err, len(d.rest))
 			}
 			if want := (Record{Router: 3, Event: test.want}); !reflect.DeepEqual(got, want) {
 				t.Errorf("got  %+v\nwant %+v", got, want)
@@ -94,16 +94,16 @@
 		digits string
 		want   error
 	}{
-		{"no simulated router", "07 00", errTruncated},
+		{"index of the simulated router cut short", "07 00", errTruncated},
 		{"field cut short", "07 0003 0000000000004d", errTruncated},
 		{"load report cut short", "05 0003 4014000000000000 03 0a9011f22354 02 00000000", errTruncated},
 		{"gossip cut short", "08 0003 0002 0003 6162", errTruncated},
-		{"list cut short", "06 0003 02 00000029 ffffffff 0a9011f22354", errTruncated},
-		{"record code", "44 0003", unknownCodeError{"record code", 0x44}},
-		{"outcome", "05 0003 4014000000000000 09 0a9011f22354 00", unknownCodeError{"outcome", 9}},
-		{"list mode", "06 0003 04 00000029 00000000", unknownCodeError{"list mode", 4}},
+		{"endpoint list cut short", "06 0003 02 00000029 ffffffff 0a9011f22354", errTruncated},
+		{"unknown record code", "44 0003", unknownCodeError{"record code", 0x44}},
+		{"unknown outcome", "05 0003 4014000000000000 09 0a9011f22354 00", unknownCodeError{"outcome", 9}},
+		{"unknown list mode", "06 0003 04 00000029 00000000", unknownCodeError{"list mode", 4}},
 		{
-			"worker state", "06 0003 02 00000029 00000001 0a9011f22354 0000 03 3fc00000 0000 00 40b7d40000000000",
+			"unknown worker state", "06 0003 02 00000029 00000001 0a9011f22354 0000 03 3fc00000 0000 00 40b7d40000000000",
 			unknownCodeError{"worker state", 3},
 		},
 	} {
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestSplitInfo(t *testing.T) {
+func TestSplitInfoByte(t *testing.T) {
 	for _, test := range []struct {
 		info        uint8
 		status      policy.InstanceStatus
@@ -128,11 +128,11 @@
 		{3, policy.LoadAwaited, 0},
 		{4 + 30*8, policy.LoadFailed, 30},
 		{5, policy.InstanceUnknown, 0},
-		{7 + 2*8, policy.InstanceUnknown, 2}, // a status that isn't known yet
+		{7 + 2*8, policy.InstanceUnknown, 2}, // a status code that is not listed
 	} {
-		status, concurrency := splitInfo(test.info)
+		status, concurrency := splitInfoByte(test.info)
 		if status != test.status || concurrency != test.concurrency {
-			t.Errorf("%#x: got %v, %d; want %v, %d", test.info, status, concurrency, test.status, test.concurrency)
+			t.Errorf("info %#x: got %v, %d; want %v, %d", test.info, status, concurrency, test.status, test.concurrency)
 		}
 	}
 }
--- a/internal/simwire/frames_test.go
+++ b/internal/simwire/frames_test.go
@@ -23,13 +23,13 @@
 	return b
 }
 
-// sampleBatch is the example of the wire's description.
+// sampleBatch is the example batch of the simulator's description of the wire format.
 const sampleBatch = `0000000c 00000042 00000003 40c06e2000000000
 	0a 0003 5d3a91c4 0000 44610000 01 0000007c55d20a01 40000000 43c00000 0000 4028000000000000 406e000000000000
 	07 0003 000000000000004d
 	03 0005 0e6f2b19`
 
-func TestReadBatchSample(t *testing.T) {
+func TestReadBatchDecodesTheSampleFrame(t *testing.T) {
 	got, err := ReadBatch(bytes.NewReader(fromHex(t, sampleBatch)))
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 		{"too few records announced", changed(11, 2), errTrailingBytes},
 		{"length too small", changed(7, 0x41), errTruncated},
 		{"length too large", changed(4, 0xff), errFrameTooLong},
-		{"negative clock", changed(12, 0xff), errBadClock},
+		{"negative clock", changed(12, 0xff), errClockOutOfRange},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := ReadBatch(bytes.NewReader(test.input)); !errors.Is(err, test.want) {
@@ -88,7 +88,7 @@
 		for length := 1; length < len(sample); length++ {
 			_, err := ReadBatch(bytes.NewReader(sample[:length]))
 			if err == nil || errors.Is(err, io.EOF) {
-				t.Fatalf("cut at %d: %v", length, err)
+				t.Fatalf("cut short after %d bytes: got error %v, want one other than io.EOF", length, err)
 			}
 		}
 	})
@@ -100,7 +100,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		batch, err := ReadBatch(bytes.NewReader(b))
 		if err == nil && batch.Now < 0 {
-			t.Errorf("clock %v", batch.Now)
+			t.Errorf("clock %v is negative", batch.Now)
 		}
 	})
 }
--- a/internal/simwire/millis.go
+++ b/internal/simwire/millis.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxMillis bounds the times that are converted, in milliseconds; it is some 30 years.
+// maxMillis is the largest number of milliseconds that is converted to a Duration. It is about 30 years.
 const maxMillis = 1e12
 
-// fromMillis converts milliseconds to a Duration; what is no number, or out of range, becomes 0.
+// fromMillis converts milliseconds to a Duration. It returns 0 for NaN and for an absolute value above maxMillis.
 func fromMillis(ms float64) time.Duration {
 	if math.IsNaN(ms) || math.Abs(ms) > maxMillis {
 		return 0
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -7,15 +7,16 @@
 	"functionrouter/policy"
 )
 
-// unknownSemanticsError reports a class's "semantics" that this version doesn't know.
+// unknownSemanticsError holds a value of the key "semantics" of a class that ParseSettings does not support.
 type unknownSemanticsError string
 
-// Error names the semantics.
+// Error returns a message that quotes the value.
 func (e unknownSemanticsError) Error() string { return fmt.Sprintf("unknown semantics %q", string(e)) }
 
-// ParseSettings converts the settings of a router, JSON, to a policy.Config. Unknown keys are ignored, and absent ones
-// count as zero, except that OverQuotaWeight is then 1. It fails where the text isn't JSON of the expected form or a class
-// has unknown semantics; impossible values are rejected by policy.New.
+// ParseSettings converts the settings of a router, a JSON object, to a policy.Config. It ignores unknown keys. An
+// absent key sets its field to the zero value, except that OverQuotaWeight is then 1. ParseSettings fails if the text
+// is not JSON, if a value has the wrong type, or if a class has unknown semantics. It does not check whether values are
+// valid; policy.New does.
 func ParseSettings(text []byte) (policy.Config, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -28,7 +29,7 @@
 	return config, nil
 }
 
-// settings mirrors the keys that are used; docs/GLOSSARY.md explains them. Times are in milliseconds.
+// settings holds the keys that the package uses; docs/GLOSSARY.md explains them. Times are in milliseconds.
 type settings struct {
 	PeersTotal     int              `json:"peersTotal"`
 	Zone           int              `json:"zone"`
@@ -44,7 +45,7 @@
 	Specifics      functionSettings `json:"specifics"`
 }
 
-// config converts the settings section by section.
+// config converts the settings to a policy.Config.
 func (s settings) config() (policy.Config, error) {
 	config := policy.Config{
 		RouterCount:          s.PeersTotal,
@@ -74,7 +75,7 @@
 	return config, nil
 }
 
-// classSettings is an entry of "classes", a class of requests.
+// classSettings is one entry of "classes" and describes a class of requests.
 type classSettings struct {
 	DeadlineMs float64 `json:"deadlineMs"`
 	GoalTimeMs float64 `json:"goalTimeMs"`
@@ -87,7 +88,7 @@
 	Worth      float64 `json:"worth"`
 }
 
-// class converts the class. Its name is of no use to the policy.
+// class converts the entry to a policy.Class. It ignores the name of the class, which the policy does not use.
 func (c classSettings) class() (policy.Class, error) {
 	idempotency, err := parseSemantics(c.Semantics)
 	if err != nil {
@@ -106,7 +107,7 @@
 	}, nil
 }
 
-// parseSemantics converts a class's semantics, which say whether a request may run more than once.
+// parseSemantics converts the value of "semantics", which says whether a request of the class may run more than once.
 func parseSemantics(semantics string) (policy.Idempotency, error) {
 	switch semantics {
 	case "safe":
@@ -119,8 +120,9 @@
 	return 0, unknownSemanticsError(semantics)
 }
 
-// parseGroup converts the group of a keyed class: the workers that share the memory of its idempotency keys. An absent or
-// unknown group counts as "cell", the smallest of them, which promises the least.
+// parseGroup converts the value of "group", which says which workers share their idempotency keys and so detect a
+// repeated request of a class with the semantics "keyed". An absent or unknown value is treated as "cell", because a
+// cell is the smallest group and so gives the weakest guarantee.
 func parseGroup(group string) policy.DedupScope {
 	switch group {
 	case "all":
@@ -132,24 +134,24 @@
 	}
 }
 
-// tenantSettings is an entry of "accounts", a tenant.
+// tenantSettings is one entry of "accounts" and describes a tenant.
 type tenantSettings struct {
 	AllowancePerS float64 `json:"allowancePerS"`
 }
 
-// reportSettings is "report": what the load reports of the workers hold and how they come.
+// reportSettings is the section "report": which values the load reports of the workers hold and how they are delivered.
 type reportSettings struct {
 	Fields []string `json:"fields"`
 	How    string   `json:"how"`
 }
 
-// apply sets what the policy expects of load reports.
+// apply sets the fields of config that describe load reports.
 func (r reportSettings) apply(config *policy.Config) {
 	config.LoadReportFields = r.Fields
 	config.InlineLoadReports = r.How == "inline"
 }
 
-// limitSettings is "limits": what the router may do, and how often.
+// limitSettings is the section "limits": which actions the router may take, and the limits on attempts and Retry-After.
 type limitSettings struct {
 	Cancel          bool    `json:"cancel"`
 	MayProbe        bool    `json:"mayProbe"`
@@ -160,7 +162,7 @@
 	MaxRetryAfterMs float64 `json:"maxRetryAfterMs"`
 }
 
-// apply sets what the router may do, and how often.
+// apply sets the fields of config that allow or limit the router's actions.
 func (l limitSettings) apply(config *policy.Config) {
 	config.AllowCancel = l.Cancel
 	config.AllowHealthChecks = l.MayProbe
@@ -171,7 +173,8 @@
 	config.MaxRetryAfter = fromMillis(l.MaxRetryAfterMs)
 }
 
-// ruleSettings is "rules": the age of the list, and how workers behave at a start, in overload and before they leave.
+// ruleSettings is the section "rules": the age from which a listed worker counts as known, and how workers behave after
+// a start, in overload and while they drain.
 type ruleSettings struct {
 	AskWithinMs  float64 `json:"askWithinMs"`
 	ColdFrom     float64 `json:"coldFrom"`
@@ -181,7 +184,7 @@
 	FallMultiple float64 `json:"fallMultiple"`
 }
 
-// apply sets the age of the list, slow start, overload and draining.
+// apply sets the fields of config that describe the age of the endpoint list, slow start, overload and draining.
 func (r ruleSettings) apply(config *policy.Config) {
 	config.ImplicitListAge = fromMillis(r.AskWithinMs)
 	config.SlowStartCapacity = r.ColdFrom
@@ -191,7 +194,8 @@
 	config.OverloadMultiple = r.FallMultiple
 }
 
-// functionSettings is "specifics": how the service loads functions on demand.
+// functionSettings is the section "specifics": how workers load functions on demand, and which load commands are
+// allowed.
 type functionSettings struct {
 	IfCold           string  `json:"ifCold"`
 	LingerIdleMs     float64 `json:"lingerIdleMs"`
@@ -204,7 +208,7 @@
 	WarmNotes        bool    `json:"warmNotes"`
 }
 
-// apply sets what the policy knows of functions and of load commands.
+// apply sets the fields of config that describe functions, their instances and load commands.
 func (f functionSettings) apply(config *policy.Config) {
 	config.MissWhenNotLoaded = f.IfCold == "miss"
 	config.InstanceKeepAlive = fromMillis(f.LingerIdleMs)
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -11,7 +11,7 @@
 	"functionrouter/policy"
 )
 
-// allSettings holds every key that is used, each with a value of its own, and some that aren't.
+// allSettings holds every key that ParseSettings uses, each with a distinct value, and some keys that it ignores.
 const allSettings = `{"unknown": [1], "peersTotal": 3, "zone": 2, "granularityMs": 2.5, "countedBy": "work",
 	"membershipMode": "subscribe", "overShareWorth": 0.25, "selfIndex": 9,
 	"classes": [
@@ -111,7 +111,7 @@
 	})
 }
 
-func TestFromMillisIgnoresWhatIsNoTime(t *testing.T) {
+func TestFromMillisReturnsZeroForInvalidTimes(t *testing.T) {
 	for _, ms := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 2 * maxMillis} {
 		if got := fromMillis(ms); got != 0 {
 			t.Errorf("%v: got %v, want 0", ms, got)
