--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -11,10 +11,11 @@
 	"testing"
 )
 
-// update makes TestActionsMatchTheGoldenFiles rewrite the golden files with what the program answers now.
+// update makes TestActionsMatchTheGoldenFiles replace the content of the golden files with the current replies.
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// emittedActions are the codes of the actions that the module emits today. policy.Action names the others.
+// emittedActions holds the codes of the actions that package policy emits. The comment of policy.Action lists the
+// actions that it does not emit.
 var emittedActions = []byte{
 	actionSetTimer,
 	actionFailRequest,
@@ -27,16 +28,16 @@
 	actionRefuseRequest,
 }
 
-// TestActionsMatchTheGoldenFiles guards the module's decisions: the same events must be answered with the
-// same actions, byte for byte. A change that is meant to decide otherwise rewrites the files with -update.
+// TestActionsMatchTheGoldenFiles guards against unintended changes of the policy's decisions: the same events must be
+// answered with the same actions, byte for byte. After an intended change of the decisions, -update rewrites the files.
 func TestActionsMatchTheGoldenFiles(t *testing.T) {
-	seen := map[byte]int{}
+	recordCounts := map[byte]int{}
 	for _, s := range goldenScenarios {
 		t.Run(s.name, func(t *testing.T) {
 			world := newWorld(s)
-			replies := play(t, world)
-			for code, n := range world.seen {
-				seen[code] += n
+			replies := simulate(t, world)
+			for code, n := range world.recordCounts {
+				recordCounts[code] += n
 			}
 			path := filepath.Join("testdata", "golden", s.name+".actions.gz")
 			if *update {
@@ -47,45 +48,46 @@
 		})
 	}
 	for code := byte(eventResponseStarted); code <= eventLoadCommandEnded; code++ {
-		if seen[code] == 0 {
-			t.Errorf("no scenario brings events of code %d", code)
+		if recordCounts[code] == 0 {
+			t.Errorf("no scenario sends an event of code %d", code)
 		}
 	}
 	for _, code := range emittedActions {
-		if seen[code] == 0 {
-			t.Errorf("no scenario draws actions of code %d", code)
+		if recordCounts[code] == 0 {
+			t.Errorf("no scenario receives an action of code %d", code)
 		}
 	}
 }
 
-// play runs the program against a world, which reacts to each reply, and returns all replies with their headers.
-func play(t *testing.T, w *world) (replies []byte) {
+// simulate sends the batches of a world to run, applies each reply to the world and returns all replies with their
+// headers.
+func simulate(t *testing.T, w *world) (replies []byte) {
 	t.Helper()
 	events, toProgram := io.Pipe()
 	fromProgram, actions := io.Pipe()
 	ended := make(chan error, 1)
 	go func() {
 		err := run(events, actions)
-		actions.CloseWithError(err) // nil means io.EOF to the reader; so a wait for a reply ends
+		actions.CloseWithError(err) // ends the wait in readReply; a nil err becomes io.EOF
 		events.CloseWithError(err)
 		ended <- err
 	}()
-	// This ends the program if the test fails early. Closing a pipe can't fail.
+	// Closing the pipes makes run return if the test fails early. Closing a pipe never returns an error.
 	t.Cleanup(func() {
 		_ = toProgram.Close()
 		_ = fromProgram.Close()
 	})
 	for seq := range uint32(w.batches) {
 		if _, err := toProgram.Write(w.nextBatch(seq)); err != nil {
-			t.Fatalf("batch %d: %v", seq, err)
+			t.Fatalf("write batch %d: %v", seq, err)
 		}
 		reply, err := readReply(fromProgram)
 		if err != nil {
-			t.Fatalf("batch %d: %v", seq, err)
+			t.Fatalf("read the reply to batch %d: %v", seq, err)
 		}
 		replies = append(replies, reply...)
 		if err := w.applyReply(reply[replyHeaderLength:]); err != nil {
-			t.Fatalf("batch %d: %v", seq, err)
+			t.Fatalf("apply the reply to batch %d: %v", seq, err)
 		}
 	}
 	if err := toProgram.Close(); err != nil {
@@ -97,7 +99,7 @@
 	return replies
 }
 
-// readReply reads a reply with its header.
+// readReply reads one reply and returns it with its header.
 func readReply(r io.Reader) ([]byte, error) {
 	reply := make([]byte, replyHeaderLength)
 	if _, err := io.ReadFull(r, reply); err != nil {
@@ -110,7 +112,7 @@
 	return append(reply, records...), nil
 }
 
-// compareReplies reports the first reply that differs.
+// compareReplies fails the test at the first reply that differs.
 func compareReplies(t *testing.T, got, want []byte) {
 	t.Helper()
 	if bytes.Equal(got, want) {
@@ -126,13 +128,13 @@
 		got = got[len(gotReply):]
 		want = want[len(wantReply):]
 	}
-	t.Fatalf("%d bytes of replies left, want %d", len(got), len(want))
+	t.Fatalf("got %d bytes after the last equal reply, want %d", len(got), len(want))
 }
 
-// replyLength returns the length of the reply that b begins with.
+// replyLength returns the length of the reply at the front of b, including its header.
 func replyLength(b []byte) int { return replyHeaderLength + int(binary.BigEndian.Uint32(b[4:])) }
 
-// readGolden reads and unpacks a golden file.
+// readGolden reads and decompresses a golden file.
 func readGolden(t *testing.T, path string) []byte {
 	t.Helper()
 	packed, err := os.ReadFile(path)
@@ -150,7 +152,7 @@
 	return b
 }
 
-// writeGolden packs and writes a golden file.
+// writeGolden compresses and writes a golden file.
 func writeGolden(t *testing.T, path string, b []byte) {
 	t.Helper()
 	var packed bytes.Buffer
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter hosts the decision module for the simulator: it reads batches of events on standard input
-// and answers each with the module's actions on standard output, in the form of package simwire. It hosts one
-// policy.Policy for each simulated router and ends when its input does.
+// Command simadapter runs package policy for the simulator: it reads batches of events from standard input and answers
+// each batch with the policy's actions on standard output, in the format of package simwire. It runs one policy.Policy
+// for each simulated router and exits when its input ends.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"functionrouter/policy"
 )
 
-// bufferSize is the size of the buffers on standard input and output, in bytes.
+// bufferSize is the size in bytes of each of the buffers for standard input and standard output.
 const bufferSize = 1 << 16
 
 func main() {
@@ -24,8 +24,8 @@
 	}
 }
 
-// run answers each batch of in with one reply on out, until in ends. It returns nil only if in ends between two batches;
-// a batch that is malformed or can't be handled gets no reply.
+// run answers each batch of in with one reply on out until in ends. It returns nil only if in ends before the first
+// byte of a batch. If a batch is malformed or cannot be handled, it returns an error and writes no reply to that batch.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
 	writer := bufio.NewWriterSize(out, bufferSize)
@@ -44,22 +44,23 @@
 		if err := h.reply.Flush(writer, batch.Seq); err != nil {
 			return err
 		}
-		// The simulator waits for each reply.
+		// The simulator waits for the reply before it sends the next batch.
 		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-// host holds the simulated routers of this process. They share nothing but buffers.
+// host holds the policies of the simulated routers of this process. The simulated routers share only the buffers for
+// the reply and the actions.
 type host struct {
-	routers map[simwire.RouterIndex]*policy.Policy // those that run
-	reply   simwire.Reply                          // to the present batch
-	actions []policy.Action                        // of the last event; the array is reused
+	routers map[simwire.RouterIndex]*policy.Policy // the running simulated routers
+	reply   simwire.Reply                          // reply to the current batch
+	actions []policy.Action                        // actions of the last event; the array is reused
 }
 
-// handle passes each event of a batch to its simulated router, in their order, and gathers the actions in h.reply. After
-// an error the reply is incomplete and must not be sent.
+// handle passes the events of a batch in their order to their simulated routers and collects the actions in h.reply.
+// After an error, the reply is incomplete and must not be sent.
 func (h *host) handle(batch simwire.Batch) error {
 	for _, record := range batch.Records {
 		switch event := record.Event.(type) {
@@ -72,7 +73,7 @@
 		case policy.Event:
 			simulatedRouter, running := h.routers[record.Router]
 			if !running {
-				continue // it was killed, or has not been started
+				continue // the simulated router was killed or has not started yet
 			}
 			h.actions = simulatedRouter.Handle(batch.Now, event, h.actions[:0])
 			h.reply.Add(record.Router, h.actions)
@@ -81,7 +82,8 @@
 	return nil
 }
 
-// start starts a simulated router, or starts it anew, without any state. It fails if its settings can't be used.
+// start starts a simulated router without any state. It replaces a running simulated router with the same index. It
+// fails if the settings are invalid.
 func (h *host) start(index simwire.RouterIndex, event simwire.RouterStarted) error {
 	config, err := simwire.ParseSettings(event.Settings)
 	if err != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -20,17 +20,17 @@
 	in := fromHex(t, "00000001"+"00000000"+"00000000"+"40c06e2000000000")
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil || !bytes.Equal(out.Bytes(), in[:8]) {
-		t.Errorf("got %x, %v", out.Bytes(), err)
+		t.Errorf("got reply %x and error %v, want an empty reply and no error", out.Bytes(), err)
 	}
 }
 
-func TestMalformedFrameEndsWithoutAReply(t *testing.T) {
+func TestInvalidBatchFailsWithoutAReply(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		digits string
 	}{
 		{"header cut short", "0000000100000000"},
-		{"unknown record", "00000001" + "00000001" + "00000001" + "40c06e2000000000" + "63"},
+		{"record cut short after its code", "00000001" + "00000001" + "00000001" + "40c06e2000000000" + "63"},
 		{
 			"settings without classes", "00000001" + "00000011" + "00000001" + "40c06e2000000000" +
 				"09" + "0003" + "0000000000000009" + "00000002" + "7b7d",
@@ -39,7 +39,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			var out bytes.Buffer
 			if err := run(bytes.NewReader(fromHex(t, test.digits)), &out); err == nil || out.Len() > 0 {
-				t.Errorf("got %v, wrote %x", err, out.Bytes())
+				t.Errorf("got error %v and reply %x, want an error and no reply", err, out.Bytes())
 			}
 		})
 	}
--- a/cmd/simadapter/scenarios_test.go
+++ b/cmd/simadapter/scenarios_test.go
@@ -1,7 +1,8 @@
 package main
 
-// goldenScenarios play the decision module in closed loop: each world reacts to the actions in the replies. Together they
-// bring every event of the wire and every action that the module emits. Their names are those of the golden files.
+// goldenScenarios run the policy in a closed loop: the world of each scenario reacts to the actions in the replies.
+// Together the scenarios cover every event of the wire and every action that the policy emits. The name of a scenario
+// is also the name of its golden file.
 var goldenScenarios = []scenario{
 	{
 		name:              "load-on-miss",
--- a/cmd/simadapter/wire_test.go
+++ b/cmd/simadapter/wire_test.go
@@ -6,9 +6,10 @@
 	"math"
 )
 
-// The wire is defined here a second time, apart from package simwire, so that the tests find an error in either.
+// This file defines the wire format a second time, independently of package simwire, so that the tests detect an error
+// in either definition.
 
-// Codes of the wire's event records.
+// Codes of the event records.
 const (
 	eventResponseStarted = iota + 1
 	eventAttemptEnded
@@ -23,7 +24,7 @@
 	eventLoadCommandEnded
 )
 
-// Codes of the wire's action records.
+// Codes of the action records.
 const (
 	actionSetTimer             = 65
 	actionCloseIdleConnections = 66
@@ -40,7 +41,7 @@
 	actionRefuseRequest        = 78
 )
 
-// Outcomes of the wire.
+// Codes of the outcomes of attempts, load commands and health checks.
 const (
 	outcomeServed = iota
 	outcomeErrored
@@ -53,7 +54,7 @@
 	outcomeNotLoaded
 )
 
-// Instance statuses of the wire: the lower three bits of an outcome's info byte.
+// Codes of the instance statuses, which are the lower three bits of the info byte of an attempt's outcome.
 const (
 	statusUnknown = iota
 	statusWarm
@@ -62,7 +63,7 @@
 	statusLoadFailed
 )
 
-// Modes of the wire's endpoint lists.
+// Codes of the modes of endpoint lists.
 const (
 	listIncremental = iota
 	listFull
@@ -70,35 +71,35 @@
 	listFailed
 )
 
-// States of the workers in a list.
+// Codes of the states of the workers in an endpoint list.
 const (
 	workerGone = iota
 	workerReady
 	workerDraining
 )
 
-// Flags of an arriving request.
+// Bits of the flags of an arriving request.
 const (
 	flagWorkHint = 1 // the work hint is valid
-	flagRepeat   = 2 // the client has sent it before
+	flagRepeat   = 2 // the client has sent the request before
 )
 
-// allPeers addresses a gossip message to every other simulated router.
+// allPeers is the recipient of gossip that goes to every other simulated router.
 const allPeers = math.MaxUint32
 
-// Lengths in bytes.
+// Lengths of fields and headers, in bytes.
 const (
-	replyHeaderLength = 8 // sequence number, length
+	replyHeaderLength = 8 // sequence number and length of the records
 	timerTokenLength  = 8
 )
 
-// appendWorker appends a worker, which is 48 bits long: address and port.
+// appendWorker appends a worker's IPv4 address and port, which together are its id of 48 bits.
 func appendWorker(b []byte, id uint64) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(id>>16))
 	return binary.BigEndian.AppendUint16(b, uint16(id))
 }
 
-func appendFloat(b []byte, v float64) []byte {
+func appendFloat64(b []byte, v float64) []byte {
 	return binary.BigEndian.AppendUint64(b, math.Float64bits(v))
 }
 
@@ -113,22 +114,23 @@
 	return 0
 }
 
-// wireReader reads fields from the front of rest. It panics where they are missing: the reply was malformed.
+// wireReader reads fields from the front of rest. It panics if a field is incomplete, because the reply is then
+// malformed.
 type wireReader struct {
 	rest []byte
 }
 
-func (r *wireReader) uint8() byte    { return r.bytes(1)[0] }
-func (r *wireReader) uint16() uint16 { return binary.BigEndian.Uint16(r.bytes(2)) }
-func (r *wireReader) uint32() uint32 { return binary.BigEndian.Uint32(r.bytes(4)) }
-func (r *wireReader) uint64() uint64 { return binary.BigEndian.Uint64(r.bytes(8)) }
-func (r *wireReader) float() float64 { return math.Float64frombits(r.uint64()) }
-func (r *wireReader) worker() uint64 { return uint64(r.uint32())<<16 | uint64(r.uint16()) }
+func (r *wireReader) uint8() byte      { return r.bytes(1)[0] }
+func (r *wireReader) uint16() uint16   { return binary.BigEndian.Uint16(r.bytes(2)) }
+func (r *wireReader) uint32() uint32   { return binary.BigEndian.Uint32(r.bytes(4)) }
+func (r *wireReader) uint64() uint64   { return binary.BigEndian.Uint64(r.bytes(8)) }
+func (r *wireReader) float64() float64 { return math.Float64frombits(r.uint64()) }
+func (r *wireReader) worker() uint64   { return uint64(r.uint32())<<16 | uint64(r.uint16()) }
 
-// counted reads bytes behind their length.
-func (r *wireReader) counted() []byte { return r.bytes(int(r.uint16())) }
+// lengthPrefixed reads a length as a u16 and returns a copy of that many bytes after it.
+func (r *wireReader) lengthPrefixed() []byte { return r.bytes(int(r.uint16())) }
 
-// bytes reads a copy of the next bytes.
+// bytes returns a copy of the next bytes.
 func (r *wireReader) bytes(length int) []byte {
 	field := bytes.Clone(r.rest[:length])
 	r.rest = r.rest[length:]
--- a/cmd/simadapter/world_requests_test.go
+++ b/cmd/simadapter/world_requests_test.go
@@ -5,29 +5,30 @@
 	"fmt"
 )
 
-// noAttempt is the number of the open attempt where there is none.
+// noAttempt is the value of simRequest.openAttempt if no attempt is in flight.
 const noAttempt = -1
 
 // simRequest is a request that has arrived at a simulated router.
 type simRequest struct {
-	class    int
-	function uint64
-	attempts int        // that were sent
-	open     int        // number of the attempt that is in flight, or noAttempt
-	worker   *simWorker // of the latest attempt
-	closed   bool       // it has its final answer, or its client has cancelled it
+	class        int
+	function     uint64
+	attemptCount int        // attempts that were sent
+	openAttempt  int        // number of the attempt that is in flight, or noAttempt
+	worker       *simWorker // worker of the latest attempt
+	closed       bool       // the request has its final answer, or its client has cancelled it
 }
 
-// arrive schedules the arrival of a request at a simulated router and draws whether its client cancels it. The third class
-// is drawn in the scenario with three routers alone; that with work hints has two classes, and draws once more for them.
-func (w *world) arrive(router int) {
-	w.lastID++
-	id := w.lastID
+// scheduleArrival schedules the arrival of a request at a simulated router and draws whether its client cancels it. Of
+// the golden scenarios, only the one with three routers has requests of the third class. The scenario with work hints
+// has two classes, so for it the class is drawn a second time, from these two.
+func (w *world) scheduleArrival(router int) {
+	w.lastRequestID++
+	requestID := w.lastRequestID
 	class := w.rng.IntN(2 + w.routerCount%2)
 	if w.workHints {
 		class = w.rng.IntN(2)
 	}
-	r := &simRequest{class: class, function: w.drawFunction(id), open: noAttempt}
+	r := &simRequest{class: class, function: w.drawFunction(requestID), openAttempt: noAttempt}
 	timeLeft := 200 + float64(w.rng.IntN(2800))
 	flags := byte(w.rng.IntN(2) * flagRepeat)
 	tenant := uint16(w.rng.IntN(2))
@@ -37,177 +38,187 @@
 	}
 	requests := w.routers[router].requests
 	w.schedule(0, router, eventRequestArrived, func() []byte {
-		requests[id] = r
-		b := binary.BigEndian.AppendUint32(nil, id)
+		requests[requestID] = r
+		b := binary.BigEndian.AppendUint32(nil, requestID)
 		b = binary.BigEndian.AppendUint16(b, tenant)
 		b = appendFloat32(b, 400+float32(r.function%7)*100) // load time
 		b = append(b, flags)
 		b = binary.BigEndian.AppendUint64(b, r.function)
 		b = appendFloat32(b, float32(1+r.function%4)) // concurrency of an instance
-		b = appendFloat32(b, 512)                     // its memory, in MiB
+		b = appendFloat32(b, 512)                     // memory of an instance, in MiB
 		b = binary.BigEndian.AppendUint16(b, uint16(class))
-		b = appendFloat(b, work)
-		return appendFloat(b, timeLeft)
+		b = appendFloat64(b, work)
+		return appendFloat64(b, timeLeft)
 	})
 	if w.rng.IntN(30) == 0 {
-		w.cancelRequest(router, id, r)
+		w.cancelRequest(router, requestID, r)
 	}
 }
 
-// drawFunction draws the function of a request. A few functions get most requests, and some requests are for a
-// function of their own.
-func (w *world) drawFunction(id uint32) uint64 {
+// drawFunction draws the function of a request. Most requests are for a few functions. One request in 40 is for a
+// function that no other request uses.
+func (w *world) drawFunction(requestID uint32) uint64 {
 	rank := w.rng.Float64() * w.rng.Float64()
 	function := uint64(0x7c55d20000) + uint64(rank*float64(w.functionCount))
 	if w.rng.IntN(40) == 0 {
-		function = 0x1100000000 + uint64(id)
+		function = 0x1100000000 + uint64(requestID)
 	}
 	return function
 }
 
-// cancelRequest schedules that the client of a request cancels it, if it is open by then.
-func (w *world) cancelRequest(router int, id uint32, r *simRequest) {
+// cancelRequest schedules the cancellation of a request by its client. The cancellation is skipped if the request has
+// not arrived or is closed by then.
+func (w *world) cancelRequest(router int, requestID uint32, r *simRequest) {
 	requests := w.routers[router].requests
 	w.schedule(float64(w.rng.IntN(400)), router, eventClientCancelled, func() []byte {
-		if requests[id] == nil || r.closed {
+		if requests[requestID] == nil || r.closed {
 			return nil
 		}
 		r.closed = true
-		return binary.BigEndian.AppendUint32(nil, id)
+		return binary.BigEndian.AppendUint32(nil, requestID)
 	})
 }
 
-// closeRequest ends a request with its final answer. An attempt that is in flight goes on.
-func (w *world) closeRequest(router int, id uint32) {
-	if r := w.routers[router].requests[id]; r != nil {
+// closeRequest marks a request as answered. An attempt that is in flight continues.
+func (w *world) closeRequest(router int, requestID uint32) {
+	if r := w.routers[router].requests[requestID]; r != nil {
 		r.closed = true
 	}
 }
 
-// sendAttempt begins an attempt and draws how it will end. Its event is lost if it is cancelled before. It fails for a
-// request that has never arrived.
-func (w *world) sendAttempt(router int, id uint32, workerID uint64) error {
-	r := w.routers[router].requests[id]
+// sendAttempt starts an attempt, draws its result and schedules the event of its end. The event is skipped if the
+// attempt is no longer the open attempt of the request by then. sendAttempt fails if the request has never arrived.
+func (w *world) sendAttempt(router int, requestID uint32, workerID uint64) error {
+	r := w.routers[router].requests[requestID]
 	if r == nil {
-		return fmt.Errorf("request %d is unknown at simulated router %d", id, router)
+		return fmt.Errorf("request %d is unknown at simulated router %d", requestID, router)
 	}
 	worker := w.worker(workerID)
-	number := r.attempts
-	r.attempts++
-	r.open = number
+	attempt := r.attemptCount
+	r.attemptCount++
+	r.openAttempt = attempt
 	r.worker = worker
 	worker.running++
-	end := w.drawOutcome(worker, r)
+	result := w.drawResult(worker, r)
 	sentAt := w.now
-	streamed := r.class == 2 && w.missWhenNotLoaded // the one class whose settings say so
-	if streamed && end.outcome == outcomeServed {
-		w.scheduleResponseStart(end.after/2, router, id, r, workerID)
+	streamed := r.class == 2 && w.missWhenNotLoaded // the only class with "streamed" in its settings
+	if streamed && result.outcome == outcomeServed {
+		w.scheduleResponseStart(result.drawnDuration/2, router, requestID, r, workerID)
 	}
-	w.schedule(end.after, router, eventAttemptEnded, func() []byte {
-		if r.open != number {
+	w.schedule(result.drawnDuration, router, eventAttemptEnded, func() []byte {
+		if r.openAttempt != attempt {
 			return nil
 		}
-		r.open = noAttempt
+		r.openAttempt = noAttempt
 		worker.running--
-		if end.outcome == outcomeServed {
+		if result.outcome == outcomeServed {
 			r.closed = true
 		}
-		end.duration = w.now - sentAt
-		return encodeAttemptEnded(id, workerID, number, r.closed, end, worker)
+		result.reportedDuration = w.now - sentAt
+		return encodeAttemptEnded(requestID, workerID, attempt, r.closed, result, worker)
 	})
 	return nil
 }
 
-// scheduleResponseStart schedules the start of the response to the open attempt of a request.
-func (w *world) scheduleResponseStart(after float64, router int, id uint32, r *simRequest, workerID uint64) {
-	number := r.open
+// scheduleResponseStart schedules the start of the response to the open attempt of a request. The event is skipped if
+// the attempt is no longer open by then.
+func (w *world) scheduleResponseStart(delay float64, router int, requestID uint32, r *simRequest, workerID uint64) {
+	attempt := r.openAttempt
 	sentAt := w.now
-	w.schedule(after, router, eventResponseStarted, func() []byte {
-		if r.open != number {
+	w.schedule(delay, router, eventResponseStarted, func() []byte {
+		if r.openAttempt != attempt {
 			return nil
 		}
-		b := binary.BigEndian.AppendUint32(nil, id)
-		b = binary.BigEndian.AppendUint16(b, uint16(number))
+		b := binary.BigEndian.AppendUint32(nil, requestID)
+		b = binary.BigEndian.AppendUint16(b, uint16(attempt))
 		b = appendWorker(b, workerID)
-		return appendFloat(b, w.now-sentAt)
+		return appendFloat64(b, w.now-sentAt)
 	})
 }
 
-// attemptEnd is how an attempt ends. Times are milliseconds.
-type attemptEnd struct {
-	outcome  byte
-	status   byte    // of the function's instance at the worker
-	after    float64 // from the send until the end, as drawn
-	duration float64 // as reported: until the batch in which it ended
+// attemptResult describes how an attempt ends. Times are in milliseconds.
+type attemptResult struct {
+	outcome          byte
+	status           byte    // status of the function's instance at the worker
+	drawnDuration    float64 // from the send until the end, as drawn
+	reportedDuration float64 // from the send until the batch that reports the end
 }
 
-// drawOutcome draws how an attempt ends: by a fault, or by what the worker has loaded. Where the attempt makes the worker
-// load the function, the load begins now.
-func (w *world) drawOutcome(worker *simWorker, r *simRequest) attemptEnd {
+// drawResult draws the result of an attempt, which depends on random faults, on the worker's state and on the functions
+// that the worker has loaded. If the attempt makes the worker load the function, the load starts at the current time.
+func (w *world) drawResult(worker *simWorker, r *simRequest) attemptResult {
 	runTime := 20 + 90*w.rng.ExpFloat64() + 12*float64(worker.running)
 	switch draw := w.rng.IntN(100); {
 	case worker.state == workerGone || draw < 1:
-		return attemptEnd{outcome: outcomeUnreachable, after: 2}
+		return attemptResult{outcome: outcomeUnreachable, drawnDuration: 2}
 	case draw < 3:
 		status := []byte{statusUnknown, statusLoadFailed}[w.rng.IntN(2)]
-		return attemptEnd{outcome: outcomeErrored, status: status, after: runTime / 2}
+		return attemptResult{outcome: outcomeErrored, status: status, drawnDuration: runTime / 2}
 	case draw < 5:
-		return attemptEnd{outcome: outcomeReset, after: runTime / 3}
+		return attemptResult{outcome: outcomeReset, drawnDuration: runTime / 3}
 	case draw < 6:
-		return attemptEnd{outcome: outcomeTimedOut, after: 900}
+		return attemptResult{outcome: outcomeTimedOut, drawnDuration: 900}
 	case draw < 7:
-		return attemptEnd{outcome: outcomeNotSent, after: 1}
+		return attemptResult{outcome: outcomeNotSent, drawnDuration: 1}
 	case worker.running > 14:
-		return attemptEnd{outcome: outcomeOverloaded, after: 1}
+		return attemptResult{outcome: outcomeOverloaded, drawnDuration: 1}
 	}
-	ready, known := worker.loaded[r.function]
+	loadEnd, found := worker.loaded[r.function]
 	switch {
-	case known && ready <= w.now:
-		return attemptEnd{outcome: outcomeServed, status: statusWarm, after: runTime}
-	case known:
-		return attemptEnd{outcome: outcomeServed, status: statusLoadAwaited, after: runTime + ready - w.now}
+	case found && loadEnd <= w.now:
+		return attemptResult{outcome: outcomeServed, status: statusWarm, drawnDuration: runTime}
+	case found:
+		return attemptResult{outcome: outcomeServed, status: statusLoadAwaited, drawnDuration: runTime + loadEnd - w.now}
 	case w.missWhenNotLoaded:
-		return attemptEnd{outcome: outcomeNotLoaded, after: 1}
+		return attemptResult{outcome: outcomeNotLoaded, drawnDuration: 1}
 	}
 	loadTime := 300 + 900*w.rng.Float64()
 	worker.loaded[r.function] = w.now + loadTime
-	return attemptEnd{outcome: outcomeServed, status: statusLoadStarted, after: runTime + loadTime}
+	return attemptResult{outcome: outcomeServed, status: statusLoadStarted, drawnDuration: runTime + loadTime}
 }
 
-// cancelAttempt ends an attempt that is in flight; in one of three cases the worker ignores it. The event names the first
-// worker, wherever the attempt was, and the worker's attempt still counts as running: the golden files hold it so.
-func (w *world) cancelAttempt(router int, id uint32, number int) {
-	r := w.routers[router].requests[id]
-	if r == nil || r.open != number || w.rng.IntN(3) == 0 {
+// cancelAttempt cancels an attempt that is in flight. With a probability of 1 in 3, the worker ignores the
+// cancellation. The event names the first worker, even if the attempt was sent to another worker, and the attempt's
+// worker still counts the attempt as running. The golden files depend on both.
+func (w *world) cancelAttempt(router int, requestID uint32, attempt int) {
+	r := w.routers[router].requests[requestID]
+	if r == nil || r.openAttempt != attempt || w.rng.IntN(3) == 0 {
 		return
 	}
 	w.schedule(1, router, eventAttemptEnded, func() []byte {
-		if r.open != number {
+		if r.openAttempt != attempt {
 			return nil
 		}
-		r.open = noAttempt
+		r.openAttempt = noAttempt
 		worker := w.workers[0]
-		end := attemptEnd{outcome: outcomeCancelled, duration: 50}
-		return encodeAttemptEnded(id, worker.id, number, r.closed, end, worker)
+		result := attemptResult{outcome: outcomeCancelled, reportedDuration: 50}
+		return encodeAttemptEnded(requestID, worker.id, attempt, r.closed, result, worker)
 	})
 }
 
-// encodeAttemptEnded returns the fields of the event. The outcomes served and overloaded carry the worker's load report.
-// closed says whether the request has its final answer or was cancelled.
-func encodeAttemptEnded(id uint32, workerID uint64, number int, closed bool, end attemptEnd, worker *simWorker) []byte {
+// encodeAttemptEnded returns the fields of the event of an attempt's end. The outcomes served and overloaded carry the
+// worker's load report. requestClosed says whether the request has its final answer or was cancelled by its client.
+func encodeAttemptEnded(
+	requestID uint32,
+	workerID uint64,
+	attempt int,
+	requestClosed bool,
+	result attemptResult,
+	worker *simWorker,
+) []byte {
 	concurrency := byte(worker.running % 5)
-	b := binary.BigEndian.AppendUint32(nil, id)
+	b := binary.BigEndian.AppendUint32(nil, requestID)
 	b = appendWorker(b, workerID)
-	b = append(b, end.status|concurrency<<3, boolByte(closed), end.outcome)
-	b = binary.BigEndian.AppendUint16(b, uint16(number))
-	b = appendFloat(b, end.duration)
-	if end.outcome != outcomeServed && end.outcome != outcomeOverloaded {
+	b = append(b, result.status|concurrency<<3, boolByte(requestClosed), result.outcome)
+	b = binary.BigEndian.AppendUint16(b, uint16(attempt))
+	b = appendFloat64(b, result.reportedDuration)
+	if result.outcome != outcomeServed && result.outcome != outcomeOverloaded {
 		return append(b, 0)
 	}
 	return appendLoadReport(b, worker)
 }
 
-// appendLoadReport appends a load report of three values, whatever the settings name.
+// appendLoadReport appends a load report of three values, even if the settings list another number of values.
 func appendLoadReport(b []byte, worker *simWorker) []byte {
 	b = append(b, 3)
 	b = appendFloat32(b, float32(max(worker.running-4, 0)))
--- a/cmd/simadapter/world_test.go
+++ b/cmd/simadapter/world_test.go
@@ -7,60 +7,60 @@
 	"slices"
 )
 
-// maxBatchInterval is the longest time between two batches, in milliseconds; the shortest is 1.
+// maxBatchInterval is the longest time between two batches in milliseconds. The shortest is 1.
 const maxBatchInterval = 12
 
 // meanBatchInterval is the mean time between two batches, in milliseconds.
 const meanBatchInterval = (1 + maxBatchInterval) / 2.0
 
-// scenario describes a world against which simulated routers are played. Its own fields must fit its settings: the world
-// does not read these.
+// scenario describes a world and the simulated routers that run in it. The other fields must agree with the field
+// settings, because the world does not parse the settings.
 type scenario struct {
-	name                 string // of the golden file
-	seed                 uint64 // of the world; each simulated router gets a seed drawn from it
-	settings             string // of the simulated routers, JSON
+	name                 string // of the scenario and of its golden file
+	seed                 uint64 // of the world, which draws the seeds of the simulated routers
+	settings             string // of the simulated routers, as JSON
 	routerCount          int
 	workerCount          int
-	functionCount        int // functions that are requested often
+	functionCount        int // number of functions that share most of the requests
 	batches              int
-	arrivalsPerSecond    int  // at all simulated routers together
-	missWhenNotLoaded    bool // workers reject a request for a function that they have not loaded
-	requiresSubscription bool // a router gets endpoint lists only while it is subscribed
+	arrivalsPerSecond    int  // total of all simulated routers
+	missWhenNotLoaded    bool // workers reject requests for functions that they have not loaded
+	requiresSubscription bool // after the cached list, a router gets endpoint lists only while it is subscribed
 	workHints            bool // requests carry a work hint
 }
 
-// world is a small deployment in simulated time: workers, clients and a directory, with random faults. The same
-// seed and the same actions always give the same events. Times are milliseconds.
+// world simulates a small deployment of workers, clients and a directory, with random faults. The same seed and the
+// same actions always produce the same events. Times are in milliseconds.
 //
-// The golden files depend on each draw from rng, on the order of the draws, and on the order in which events are scheduled:
-// a change of one changes all that follows.
+// The golden files depend on each draw from rng, on the order of the draws and on the order in which events are
+// scheduled. A change of any of them changes all later events.
 type world struct {
 	scenario
-	rng     *rand.Rand
-	now     float64
-	pending []pendingEvent
-	lastID  uint32 // of a request
-	workers []*simWorker
-	routers []*simulatedRouter
-	seen    map[byte]int // records, by event and action code
+	rng           *rand.Rand
+	now           float64
+	pending       []pendingEvent
+	lastRequestID uint32 // id of the latest request
+	workers       []*simWorker
+	routers       []*simulatedRouter
+	recordCounts  map[byte]int // number of records by event or action code
 }
 
-// pendingEvent is an event that is due later.
+// pendingEvent is an event that is scheduled but not sent yet.
 type pendingEvent struct {
 	due         float64
-	sequence    int // position in world.pending; of events that are due at the same time, the lowest is first
+	sequence    int // index in world.pending; events that are due at the same time are sent in this order
 	router      int
-	incarnation *simulatedRouter // the event is lost if the router was started anew meanwhile
+	incarnation *simulatedRouter // the event is dropped if the router has been restarted since; a kill is always sent
 	code        byte
-	fields      func() []byte // if it returns nil, the event doesn't happen
+	fields      func() []byte // returns the event's fields; nil drops the event, except a kill
 }
 
-// simWorker is a worker.
+// simWorker is a simulated worker.
 type simWorker struct {
 	id      uint64
 	state   byte
-	started float64            // when its process last started; 0: long ago
-	loaded  map[uint64]float64 // function to the time at which its load ends
+	started float64            // time of the last start of its process; 0 if that is long ago
+	loaded  map[uint64]float64 // time at which the load of a function ends, by function
 	running int                // attempts in flight
 }
 
@@ -70,13 +70,13 @@
 	subscribed bool
 }
 
-// newWorld returns a world before its first batch, with all workers ready and the starts of the routers scheduled.
+// newWorld returns a world in which all workers are ready and the starts of the simulated routers are scheduled.
 func newWorld(s scenario) *world {
 	w := &world{
-		scenario: s,
-		rng:      rand.New(rand.NewPCG(s.seed, 1)),
-		now:      3_600_000,
-		seen:     map[byte]int{},
+		scenario:     s,
+		rng:          rand.New(rand.NewPCG(s.seed, 1)),
+		now:          3_600_000,
+		recordCounts: map[byte]int{},
 	}
 	for n := range s.workerCount {
 		id := uint64(0x0a000001+n)<<16 | 9000
@@ -84,29 +84,29 @@
 	}
 	w.routers = make([]*simulatedRouter, s.routerCount)
 	for n := range s.routerCount {
-		w.start(n, float64(n))
+		w.startRouter(n, float64(n))
 	}
 	return w
 }
 
-// start starts a simulated router after a time. It schedules the start, then the cached endpoint list and, if lists need no
-// subscription, a full one.
-func (w *world) start(router int, after float64) {
+// startRouter schedules the start of a simulated router after a delay. It also schedules the cached endpoint list and,
+// if endpoint lists need no subscription, a full endpoint list.
+func (w *world) startRouter(router int, delay float64) {
 	w.routers[router] = &simulatedRouter{requests: map[uint32]*simRequest{}}
 	seed := w.rng.Uint64()
-	w.schedule(after, router, eventRouterStarted, func() []byte {
+	w.schedule(delay, router, eventRouterStarted, func() []byte {
 		b := binary.BigEndian.AppendUint64(nil, seed)
 		b = binary.BigEndian.AppendUint32(b, uint32(len(w.settings)))
 		return append(b, w.settings...)
 	})
-	w.schedule(after+1, router, eventEndpointUpdate, func() []byte { return w.encodeList(listCached) })
-	w.schedule(after+20, router, eventEndpointUpdate, func() []byte { return w.listFor(router, listFull) })
+	w.schedule(delay+1, router, eventEndpointUpdate, func() []byte { return w.encodeList(listCached) })
+	w.schedule(delay+20, router, eventEndpointUpdate, func() []byte { return w.encodeListFor(router, listFull) })
 }
 
-// schedule schedules an event at a simulated router. fields is called when the event is due.
-func (w *world) schedule(after float64, router int, code byte, fields func() []byte) {
+// schedule schedules an event at a simulated router after a delay. It calls fields when the event is due.
+func (w *world) schedule(delay float64, router int, code byte, fields func() []byte) {
 	w.pending = append(w.pending, pendingEvent{
-		due:         w.now + max(after, 0),
+		due:         w.now + max(delay, 0),
 		sequence:    len(w.pending),
 		router:      router,
 		incarnation: w.routers[router],
@@ -115,7 +115,7 @@
 	})
 }
 
-// nextBatch advances the clock, draws random events and returns the batch of all events that are due.
+// nextBatch advances the clock, draws arrivals and faults, and returns the batch of all events that are due.
 func (w *world) nextBatch(seq uint32) []byte {
 	w.now += float64(1 + w.rng.IntN(maxBatchInterval))
 	w.drawArrivals()
@@ -139,11 +139,11 @@
 	frame := binary.BigEndian.AppendUint32(nil, seq)
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(records)))
 	frame = binary.BigEndian.AppendUint32(frame, count)
-	frame = appendFloat(frame, w.now)
+	frame = appendFloat64(frame, w.now)
 	return append(frame, records...)
 }
 
-// encodeEvent returns an event's record, or nil if it doesn't happen.
+// encodeEvent returns the record of an event, or nil if the event is dropped.
 func (w *world) encodeEvent(event pendingEvent) []byte {
 	killed := event.code == eventRouterKilled
 	if !killed && event.incarnation != w.routers[event.router] {
@@ -153,22 +153,22 @@
 	if !killed && fields == nil {
 		return nil
 	}
-	w.seen[event.code]++
+	w.recordCounts[event.code]++
 	record := binary.BigEndian.AppendUint16([]byte{event.code}, uint16(event.router))
 	return append(record, fields...)
 }
 
-// drawArrivals draws whether a request arrives at each simulated router.
+// drawArrivals draws for each simulated router whether a request arrives at it.
 func (w *world) drawArrivals() {
 	for n := range w.routers {
 		if w.rng.Float64() < float64(w.arrivalsPerSecond)*meanBatchInterval/1000/float64(w.routerCount) {
-			w.arrive(n)
+			w.scheduleArrival(n)
 		}
 	}
 }
 
-// drawFault draws whether something goes wrong in this batch: 3 in 1,500 batches restart a worker, 3 change a worker's
-// state, 1 breaks a subscription and 1 kills a simulated router.
+// drawFault draws whether a fault occurs in this batch. On average, out of 1,500 batches 3 restart a worker, 3 change a
+// worker's state, 1 breaks a subscription if endpoint lists need one, and 1 kills a simulated router.
 func (w *world) drawFault() {
 	switch draw := w.rng.IntN(1500); {
 	case draw < 3:
@@ -178,60 +178,62 @@
 	case draw == 6 && w.requiresSubscription:
 		w.breakSubscription(w.rng.IntN(w.routerCount))
 	case draw == 7:
-		w.kill(w.rng.IntN(w.routerCount))
+		w.killRouter(w.rng.IntN(w.routerCount))
 	}
 }
 
-// restartWorker starts the process of a worker anew, with nothing loaded.
+// restartWorker restarts the process of a worker, which then has no loaded functions.
 func (w *world) restartWorker() {
 	worker := w.workers[w.rng.IntN(len(w.workers))]
 	worker.started = w.now
 	worker.state = workerReady
 	worker.loaded = map[uint64]float64{}
-	w.announce(listIncremental)
+	w.announceEndpoints(listIncremental)
 }
 
-// changeWorkerState draws a worker and its new state, and whether the lists that announce it are full.
+// changeWorkerState draws a worker, its new state and whether the endpoint lists that announce the state are full or
+// incremental.
 func (w *world) changeWorkerState() {
 	worker := w.workers[w.rng.IntN(len(w.workers))]
 	worker.state = []byte{workerGone, workerReady, workerReady, workerDraining}[w.rng.IntN(4)]
-	w.announce([]byte{listIncremental, listFull}[w.rng.IntN(2)])
+	w.announceEndpoints([]byte{listIncremental, listFull}[w.rng.IntN(2)])
 }
 
-// breakSubscription ends the subscription of a simulated router.
+// breakSubscription ends the subscription of a simulated router and schedules an endpoint list of mode listFailed.
 func (w *world) breakSubscription(router int) {
 	w.routers[router].subscribed = false
 	w.schedule(0, router, eventEndpointUpdate, func() []byte { return w.encodeList(listFailed) })
 }
 
-// kill kills a simulated router, which ends its attempts, and starts it again.
-func (w *world) kill(router int) {
+// killRouter kills a simulated router, which ends its attempts, and schedules its restart.
+func (w *world) killRouter(router int) {
 	w.schedule(0, router, eventRouterKilled, func() []byte { return nil })
 	for _, r := range w.routers[router].requests {
-		if r.open != noAttempt {
+		if r.openAttempt != noAttempt {
 			r.worker.running--
 		}
 	}
-	w.start(router, 40)
+	w.startRouter(router, 40)
 }
 
-// announce sends a list to all simulated routers, a little late.
-func (w *world) announce(mode byte) {
+// announceEndpoints schedules an endpoint list for each simulated router, each after a random delay below 400 ms.
+func (w *world) announceEndpoints(mode byte) {
 	for n := range w.routers {
 		delay := float64(w.rng.IntN(400))
-		w.schedule(delay, n, eventEndpointUpdate, func() []byte { return w.listFor(n, mode) })
+		w.schedule(delay, n, eventEndpointUpdate, func() []byte { return w.encodeListFor(n, mode) })
 	}
 }
 
-// listFor returns the endpoint list for a simulated router, or nil if the router needs a subscription and has none.
-func (w *world) listFor(router int, mode byte) []byte {
+// encodeListFor returns the fields of an event with the endpoint list for a simulated router, or nil if the router
+// needs a subscription and has none.
+func (w *world) encodeListFor(router int, mode byte) []byte {
 	if w.requiresSubscription && !w.routers[router].subscribed {
 		return nil
 	}
 	return w.encodeList(mode)
 }
 
-// encodeList returns the fields of an event with the endpoint list; listFailed has no entries.
+// encodeList returns the fields of an event with the endpoint list. A list of mode listFailed has no entries.
 func (w *world) encodeList(mode byte) []byte {
 	version := uint32(w.now)
 	b := binary.BigEndian.AppendUint32([]byte{mode}, version)
@@ -246,7 +248,7 @@
 		b = appendFloat32(b, 1)                           // weight
 		b = binary.BigEndian.AppendUint16(b, uint16(n%3)) // cell
 		b = append(b, 0)                                  // machine kind
-		b = appendFloat(b, worker.started)
+		b = appendFloat64(b, worker.started)
 	}
 	return b
 }
