--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -15,17 +15,17 @@
 
 // startAttempt sends a request to a worker. If the request is closed, or has no time or no attempt left, the attempt ends
 // as policy.NotSent.
-func (r *Router) startAttempt(a policy.SendAttempt) {
-	p := r.requests.byID[a.Request]
+func (r *Router) startAttempt(action policy.SendAttempt) {
+	p := r.requests.byID[action.Request]
 	if p == nil {
 		return
 	}
-	id := AttemptID{Request: a.Request, Number: len(p.attempts)}
-	p.attempts = append(p.attempts, attempt{worker: a.Worker, sentAt: r.now})
+	id := AttemptID{Request: action.Request, Number: len(p.attempts)}
+	p.attempts = append(p.attempts, attempt{worker: action.Worker, sentAt: r.now})
 	p.openAttempts++
 	budget := p.Deadline - r.now
-	if a.Timeout > 0 {
-		budget = min(budget, a.Timeout)
+	if action.Timeout > 0 {
+		budget = min(budget, action.Timeout)
 	}
 	outOfTime := budget <= 0
 	outOfAttempts := r.limits.MaxAttempts > 0 && id.Number >= r.limits.MaxAttempts
@@ -33,15 +33,15 @@
 		r.AttemptEnded(id, AttemptResult{Outcome: policy.NotSent})
 		return
 	}
-	if budget == a.Timeout { // else the timer of the request's deadline ends the attempt
+	if budget == action.Timeout { // else the timer of the request's deadline ends the attempt
 		r.timers.schedule(r.now+budget, timer{kind: attemptTimeout, attempt: id})
 	}
 	r.Counters.AttemptsSent++
-	r.workers.StartAttempt(a.Worker, id, &p.Request, budget)
+	r.workers.StartAttempt(action.Worker, id, &p.Request, budget)
 }
 
-// openAttempt returns an attempt that has not ended and its request, or nils.
-func (r *Router) openAttempt(id AttemptID) (*pendingRequest, *attempt) {
+// findOpenAttempt returns an attempt that has not ended and its request, or nils.
+func (r *Router) findOpenAttempt(id AttemptID) (*pendingRequest, *attempt) {
 	p := r.requests.byID[id.Request]
 	if p == nil || id.Number >= len(p.attempts) || p.attempts[id.Number].ended {
 		return nil, nil
@@ -51,7 +51,7 @@
 
 // cancelAttempt ends an open attempt with the outcome, without waiting for its worker, which may still run it.
 func (r *Router) cancelAttempt(id AttemptID, outcome policy.Outcome) {
-	if _, a := r.openAttempt(id); a != nil {
+	if _, a := r.findOpenAttempt(id); a != nil {
 		r.workers.CancelAttempt(a.worker, id)
 		r.AttemptEnded(id, AttemptResult{Outcome: outcome})
 	}
@@ -79,7 +79,7 @@
 // open, the client gets the body before AttemptEnded returns; the policy gets the result from Process. A report of an
 // attempt that has ended already is ignored.
 func (r *Router) AttemptEnded(id AttemptID, result AttemptResult) {
-	p, a := r.openAttempt(id)
+	p, a := r.findOpenAttempt(id)
 	if a == nil {
 		return
 	}
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -22,7 +22,7 @@
 			}
 			r.AttemptEnded(workers.sent[id][0], AttemptResult{Outcome: outcome})
 			r.Process(testStart + ms)
-			if resp := responder.only(t); len(workers.sent[id]) != 1 || resp.Status != Failed {
+			if resp := responder.singleResponse(t); len(workers.sent[id]) != 1 || resp.Status != Failed {
 				t.Errorf("%d attempts, answer %+v", len(workers.sent[id]), resp)
 			}
 		})
@@ -47,7 +47,7 @@
 }
 
 // Guards against work for a client that is gone: an attempt of which nothing has been sent is taken back.
-func TestCancelTakesBackUnsentAttempt(t *testing.T) {
+func TestCancelWithdrawsUnsentAttempt(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
 	id, _ := submit(r, notIdempotentClass)
@@ -65,7 +65,7 @@
 }
 
 // Guards the count of open attempts: a second report of an attempt changes nothing.
-func TestSecondReportOfAnAttemptIsIgnored(t *testing.T) {
+func TestSecondReportOfEndedAttemptIsIgnored(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
 	id, responder := submit(r, notIdempotentClass)
@@ -83,7 +83,7 @@
 
 // Guards what is sent: no attempt leaves for a request that has ended, is out of time or out of attempts. The
 // events that follow are not given to the policy, which did not ask for these attempts.
-func TestAttemptThatMustNotLeaveEndsAsNotSent(t *testing.T) {
+func TestAttemptThatMustNotBeSentEndsAsNotSent(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		prepare func(r *Router, id policy.RequestID)
@@ -128,12 +128,12 @@
 }
 
 // Guards the answer's truth: while an attempt is open, the request may have run.
-func TestAnswerDuringAnAttemptSaysThatItMayHaveRun(t *testing.T) {
+func TestAnswerWithOpenAttemptReportsThatItMayHaveRun(t *testing.T) {
 	r, _ := newTestRouter(t, 1)
 	id, responder := submit(r, idempotentClass)
 	r.execute(policy.SendAttempt{Request: id, Worker: 1})
 	r.execute(policy.RefuseRequest{Request: id, RetryAfter: 20 * ms})
-	if resp := responder.only(t); resp.Status != Refused || !resp.MayHaveRun || resp.DeadlineExceeded || resp.RetryAfter != 20*ms {
+	if resp := responder.singleResponse(t); resp.Status != Refused || !resp.MayHaveRun || resp.DeadlineExceeded || resp.RetryAfter != 20*ms {
 		t.Errorf("answer %+v", resp)
 	}
 }
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -47,18 +47,18 @@
 	return call, true
 }
 
-func (r *Router) sendLoadCommand(a policy.LoadInstance) {
+func (r *Router) sendLoadCommand(action policy.LoadInstance) {
 	r.Counters.LoadCommands++
-	command := controlCall{kind: loadCommand, worker: a.Worker, function: a.Function}
+	command := controlCall{kind: loadCommand, worker: action.Worker, function: action.Function}
 	id := r.addControlCall(command, r.limits.LoadCommandTimeout)
-	r.workers.LoadInstance(a.Worker, a.Function, a.Instances, id)
+	r.workers.LoadInstance(action.Worker, action.Function, action.Instances, id)
 }
 
-func (r *Router) sendHealthCheck(a policy.CheckHealth) {
+func (r *Router) sendHealthCheck(action policy.CheckHealth) {
 	r.Counters.HealthChecks++
-	check := controlCall{kind: healthCheck, worker: a.Worker}
+	check := controlCall{kind: healthCheck, worker: action.Worker}
 	id := r.addControlCall(check, r.limits.HealthCheckTimeout)
-	r.workers.CheckHealth(a.Worker, id)
+	r.workers.CheckHealth(action.Worker, id)
 }
 
 // addControlCall stores a control call that is about to be sent, and sets its timeout.
--- a/internal/router/control_test.go
+++ b/internal/router/control_test.go
@@ -27,7 +27,7 @@
 }
 
 // Guards the ids: the answer to a load command does not end a health check, nor the reverse.
-func TestControlAnswerOfTheOtherKindIsIgnored(t *testing.T) {
+func TestControlAnswerOfWrongKindIsIgnored(t *testing.T) {
 	r, _ := newTestRouter(t, 1)
 	check := r.controls.add(controlCall{kind: healthCheck, worker: 1})
 	command := r.controls.add(controlCall{kind: loadCommand, worker: 1})
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -36,7 +36,7 @@
 			r.now = deadline.due
 			r.fire(deadline)
 			r.Process(r.now)
-			if resp := responder.only(t); resp.Status != test.want || !resp.DeadlineExceeded || resp.RetryAfter != r.limits.RetryAfter {
+			if resp := responder.singleResponse(t); resp.Status != test.want || !resp.DeadlineExceeded || resp.RetryAfter != r.limits.RetryAfter {
 				t.Errorf("answer %+v, want status %v", resp, test.want)
 			}
 			if r.Counters.Overdue != 1 || len(workers.openAttempts) != 0 {
@@ -101,7 +101,7 @@
 	for now := testStart; now < testStart+4*time.Second && len(responder.responses) == 0; {
 		now = r.Process(now)
 	}
-	resp := responder.only(t)
+	resp := responder.singleResponse(t)
 	if resp.Status != Failed || !resp.DeadlineExceeded || !resp.MayHaveRun || r.Counters.Overdue != 0 {
 		t.Errorf("answer %+v, %d overdue", resp, r.Counters.Overdue)
 	}
@@ -114,14 +114,14 @@
 func TestShutdownBoundsDeadlines(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
-	_, before := submit(r, notIdempotentClass)
+	_, openResponder := submit(r, notIdempotentClass)
 	r.Process(testStart)
 	const latest = testStart + 200*ms
 	r.BeginShutdown(testStart, latest)
-	after := &recordingResponder{}
+	laterResponder := &recordingResponder{}
 	id := r.Submit(testStart, Request{
 		ID:        "after",
-		Responder: after,
+		Responder: laterResponder,
 		Class:     notIdempotentClass,
 		Function:  7,
 		Deadline:  testStart + 3*time.Second,
@@ -133,8 +133,8 @@
 		t.Errorf("the router wants to be called at %v, after %v", next, latest)
 	}
 	r.Process(latest)
-	for _, responder := range []*recordingResponder{before, after} {
-		responder.only(t)
+	for _, responder := range []*recordingResponder{openResponder, laterResponder} {
+		responder.singleResponse(t)
 	}
 	if r.OpenRequests() != 0 || len(workers.openAttempts) != 0 {
 		t.Errorf("%d requests are open, and the attempts %v", r.OpenRequests(), workers.openAttempts)
@@ -143,7 +143,7 @@
 
 // Guards what Counters.Overdue counts although neither the policy nor the machine is at fault: a deadline that a shutdown
 // has moved, and a request that comes with no time left. A request that comes during the shutdown is not among them.
-func TestOverdueWithoutFault(t *testing.T) {
+func TestOverdueCountsRequestsWithoutFault(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		wait     time.Duration
@@ -183,7 +183,7 @@
 				now = r.Process(now)
 			}
 			for _, responder := range responders {
-				if resp := responder.only(t); !resp.DeadlineExceeded {
+				if resp := responder.singleResponse(t); !resp.DeadlineExceeded {
 					t.Errorf("answer %+v, want one because of the deadline", resp)
 				}
 			}
--- a/internal/router/example_test.go
+++ b/internal/router/example_test.go
@@ -29,7 +29,7 @@
 // One request on its way: a frontend submits it, the policy chooses a worker, the worker answers, the client gets the
 // answer.
 func Example() {
-	decisions, err := policy.New(policy.Config{
+	routingPolicy, err := policy.New(policy.Config{
 		RouterCount: 1,
 		Tick:        4 * time.Millisecond,
 		Classes: []policy.Class{
@@ -42,7 +42,7 @@
 	}
 	pool := &printingPool{}
 	r := router.New(router.Config{
-		Policy:        decisions,
+		Policy:        routingPolicy,
 		Limits:        router.Limits{MaxOpenRequests: 10, MaxBodyBytes: 1 << 20},
 		NewWorkerPool: func(*router.Router) router.WorkerPool { return pool },
 		OnRequestEnd: func(_ time.Duration, req *router.Request, outcome router.RequestOutcome) {
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -90,8 +90,8 @@
 
 func (r *recordingResponder) Respond(resp Response) { r.responses = append(r.responses, resp) }
 
-// only returns the answer, and ends the test if there is none or more than one.
-func (r *recordingResponder) only(tb testing.TB) Response {
+// singleResponse returns the answer, and ends the test if there is none or more than one.
+func (r *recordingResponder) singleResponse(tb testing.TB) Response {
 	tb.Helper()
 	if len(r.responses) != 1 {
 		tb.Fatalf("got %d answers, want one: %+v", len(r.responses), r.responses)
@@ -127,7 +127,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return newRouterOverFakePool(p, Limits{
+	return newRouterWithFakePool(p, Limits{
 		MaxOpenRequests:    50,
 		MaxBodyBytes:       1 << 16,
 		MaxAttempts:        3,
@@ -137,8 +137,8 @@
 	})
 }
 
-// newRouterOverFakePool returns a router whose attempts and control calls the test ends.
-func newRouterOverFakePool(p *policy.Policy, limits Limits) (*Router, *fakeWorkerPool) {
+// newRouterWithFakePool returns a router whose attempts and control calls the test ends.
+func newRouterWithFakePool(p *policy.Policy, limits Limits) (*Router, *fakeWorkerPool) {
 	var workers *fakeWorkerPool
 	r := New(Config{Policy: p, Limits: limits, NewWorkerPool: func(r *Router) WorkerPool {
 		workers = newFakeWorkerPool(r)
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -10,7 +10,7 @@
 // for a limit or a shutdown, Failed if a pending request has the same Request.ID. The policy gets the request from Process.
 func (r *Router) Submit(now time.Duration, req Request) policy.RequestID {
 	r.SetNow(now)
-	if r.admissionStopped || !r.hasRoomFor(&req) {
+	if r.admissionStopped || !r.withinLimits(&req) {
 		// A shutdown must end although clients go on sending, and the memory is bounded.
 		r.RefuseAtOnce(now, req)
 		return 0
@@ -40,8 +40,8 @@
 	return id
 }
 
-// hasRoomFor reports whether the limits allow one more open request, with its body.
-func (r *Router) hasRoomFor(req *Request) bool {
+// withinLimits reports whether the limits allow one more open request, with its body.
+func (r *Router) withinLimits(req *Request) bool {
 	return r.requests.open < r.limits.MaxOpenRequests &&
 		r.requests.bodyBytes+len(req.Body) <= r.limits.MaxBodyBytes
 }
--- a/internal/router/lifecycle_test.go
+++ b/internal/router/lifecycle_test.go
@@ -15,7 +15,7 @@
 	r.StopAdmitting()
 	_, responder := submit(r, notIdempotentClass)
 	r.Process(testStart)
-	if resp := responder.only(t); resp.Status != Refused || resp.MayHaveRun {
+	if resp := responder.singleResponse(t); resp.Status != Refused || resp.MayHaveRun {
 		t.Errorf("answer %+v", resp)
 	}
 	if r.OpenRequests() != 0 || len(workers.openAttempts) != 0 {
@@ -25,7 +25,7 @@
 
 // Guards against two open requests of one id, by whatever frontends and connections they arrive: the later one
 // fails and reaches no worker, and the id is free again once the first has ended.
-func TestIDOfOpenRequestIsNotTakenTwice(t *testing.T) {
+func TestDuplicateIDOfOpenRequestFails(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
 	submitSameID := func(f Frontend, body string) (policy.RequestID, *recordingResponder) {
@@ -35,20 +35,20 @@
 			Body: []byte(body), Deadline: testStart + 2*time.Second,
 		}), responder
 	}
-	first, responder := submitSameID(Thrift, "one")
+	first, firstResponder := submitSameID(Thrift, "one")
 	r.Process(testStart)
 	for _, f := range []Frontend{Thrift, Webhook} {
 		t.Run(f.String(), func(t *testing.T) {
-			id, other := submitSameID(f, "other")
+			id, duplicateResponder := submitSameID(f, "other")
 			r.Process(testStart)
-			if resp := other.only(t); id != 0 || resp.Status != Failed || r.OpenRequests() != 1 {
+			if resp := duplicateResponder.singleResponse(t); id != 0 || resp.Status != Failed || r.OpenRequests() != 1 {
 				t.Fatalf("request %d has answer %+v, %d open", id, resp, r.OpenRequests())
 			}
 		})
 	}
 	r.AttemptEnded(workers.sent[first][0], AttemptResult{Outcome: policy.Served, InstanceStatus: policy.InstanceWarm, Body: []byte("done")})
 	r.Process(testStart + ms)
-	if resp := responder.only(t); string(resp.Body) != "done" || len(workers.sent) != 1 {
+	if resp := firstResponder.singleResponse(t); string(resp.Body) != "done" || len(workers.sent) != 1 {
 		t.Fatalf("answer %+v, %d requests sent", resp, len(workers.sent))
 	}
 	if kept := len(r.requests.clientIDs) + len(r.requests.byID); kept != 0 {
@@ -61,7 +61,7 @@
 
 // Guards tenants' quotas: the policy learns whose request it is. Of a tenant without a quota, one request that will
 // be late is admitted and the next ones are refused, while those of another tenant and of none go on.
-func TestPolicyLearnsTheTenant(t *testing.T) {
+func TestPolicyReceivesTenant(t *testing.T) {
 	for tenant, want := range map[int]int{0: 1, 1: 5, UnknownTenant: 5} {
 		t.Run(fmt.Sprint(tenant), func(t *testing.T) {
 			p, err := policy.New(policy.Config{
@@ -72,7 +72,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, workers := newRouterOverFakePool(p, Limits{MaxOpenRequests: 50, MaxBodyBytes: 1 << 16})
+			r, workers := newRouterWithFakePool(p, Limits{MaxOpenRequests: 50, MaxBodyBytes: 1 << 16})
 			addReadyWorkers(r, 1)
 			for n := range 5 {
 				r.Submit(testStart, Request{
@@ -150,7 +150,7 @@
 			if first == 0 || second == 0 || third != 0 {
 				t.Fatalf("requests got the ids %d, %d and %d, want the third one refused at once", first, second, third)
 			}
-			if resp := responder.only(t); resp.Status != Refused || resp.RetryAfter != 50*ms || r.Counters.RefusedAtOnce[Thrift] != 1 {
+			if resp := responder.singleResponse(t); resp.Status != Refused || resp.RetryAfter != 50*ms || r.Counters.RefusedAtOnce[Thrift] != 1 {
 				t.Errorf("answer %+v, counters %+v", resp, r.Counters)
 			}
 			r.Cancel(testStart, first, ClientInterrupted)
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -12,9 +12,9 @@
 	"functionrouter/policy"
 )
 
-// TestRequestsGetOneTrueAnswer plays random events against a model of what a request is owed: one final answer, in
+// TestEachRequestGetsOneCorrectAnswer plays random events against a model of what a request is owed: one final answer, in
 // time, true to what may have run, and no further attempt of a request that must not run twice and may have run.
-func TestRequestsGetOneTrueAnswer(t *testing.T) {
+func TestEachRequestGetsOneCorrectAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newRouterModel(t)
 		m.updateEndpoints(t)
@@ -33,29 +33,29 @@
 
 // routerModel is a router together with what its clients and workers have seen.
 type routerModel struct {
-	router    *Router
-	workers   *fakeWorkerPool
-	now       time.Duration
-	submitted int
-	requests  map[policy.RequestID]*requestModel
-	ends      map[string]int // calls of Config.OnRequestEnd, by Request.ID
+	router       *Router
+	workers      *fakeWorkerPool
+	now          time.Duration
+	submitted    int
+	requests     map[policy.RequestID]*requestModel
+	reportedEnds map[string]int // calls of Config.OnRequestEnd, by Request.ID
 }
 
 // requestModel is what is known of a request that the router accepted.
 type requestModel struct {
-	clientID   string
-	responder  *recordingResponder
-	class      int
-	deadline   time.Duration
-	cancelled  bool
-	mayHaveRun bool // an attempt ended without proof that it never ran
-	sentByThen int  // attempts sent when the last such attempt ended
+	clientID               string
+	responder              *recordingResponder
+	class                  int
+	deadline               time.Duration
+	cancelled              bool
+	mayHaveRun             bool // an attempt ended without proof that it never ran
+	attemptsWhenMayHaveRun int  // attempts sent when the last such attempt ended
 }
 
 func newRouterModel(t *rapid.T) *routerModel {
-	m := &routerModel{now: testStart, requests: map[policy.RequestID]*requestModel{}, ends: map[string]int{}}
+	m := &routerModel{now: testStart, requests: map[policy.RequestID]*requestModel{}, reportedEnds: map[string]int{}}
 	m.router, m.workers = newTestRouter(t, rapid.Uint64().Draw(t, "seed"))
-	m.router.onRequestEnd = func(_ time.Duration, req *Request, _ RequestOutcome) { m.ends[req.ID]++ }
+	m.router.onRequestEnd = func(_ time.Duration, req *Request, _ RequestOutcome) { m.reportedEnds[req.ID]++ }
 	return m
 }
 
@@ -90,8 +90,8 @@
 	if len(req.responder.responses) != 1 || req.responder.responses[0].Status != Refused {
 		t.Fatal("a request did not enter the table and was not refused")
 	}
-	if m.ends[req.clientID] != 1 {
-		t.Fatalf("the end of a request that was refused at once was reported %d times", m.ends[req.clientID])
+	if m.reportedEnds[req.clientID] != 1 {
+		t.Fatalf("the end of a request that was refused at once was reported %d times", m.reportedEnds[req.clientID])
 	}
 }
 
@@ -107,7 +107,7 @@
 	delete(m.workers.openAttempts, id)
 	if req := m.requests[id.Request]; req != nil && !outcome.NeverRan() {
 		req.mayHaveRun = true
-		req.sentByThen = len(m.workers.sent[id.Request])
+		req.attemptsWhenMayHaveRun = len(m.workers.sent[id.Request])
 	}
 	m.router.AttemptEnded(id, AttemptResult{Outcome: outcome, Body: []byte("done")})
 	// A second report must change nothing.
@@ -151,7 +151,7 @@
 	for id, req := range m.requests {
 		m.checkOneAnswerInTime(t, id, req)
 		m.checkNoFurtherAttempt(t, id, req)
-		m.checkAnswerIsTrue(t, id, req)
+		m.checkAnswerIsCorrect(t, id, req)
 		m.checkEndReported(t, id, req)
 		if req.isOpen() {
 			open++
@@ -175,12 +175,12 @@
 }
 
 func (m *routerModel) checkNoFurtherAttempt(t *rapid.T, id policy.RequestID, req *requestModel) {
-	if req.class == notIdempotentClass && req.mayHaveRun && len(m.workers.sent[id]) > req.sentByThen {
+	if req.class == notIdempotentClass && req.mayHaveRun && len(m.workers.sent[id]) > req.attemptsWhenMayHaveRun {
 		t.Fatalf("request %d must not run twice and was sent again though it may have run", id)
 	}
 }
 
-func (m *routerModel) checkAnswerIsTrue(t *rapid.T, id policy.RequestID, req *requestModel) {
+func (m *routerModel) checkAnswerIsCorrect(t *rapid.T, id policy.RequestID, req *requestModel) {
 	if len(req.responder.responses) == 0 {
 		return
 	}
@@ -198,7 +198,7 @@
 	if req.isOpen() {
 		want = 0
 	}
-	if got := m.ends[req.clientID]; got != want {
+	if got := m.reportedEnds[req.clientID]; got != want {
 		t.Fatalf("the end of request %d was reported %d times, want %d", id, got, want)
 	}
 }
@@ -210,8 +210,8 @@
 		keys = append(keys, k)
 	}
 	if len(keys) == 0 {
-		var none K
-		return none, false
+		var zero K
+		return zero, false
 	}
 	slices.SortFunc(keys, func(a, b K) int { return strings.Compare(fmt.Sprintf("%20v", a), fmt.Sprintf("%20v", b)) })
 	return keys[rapid.IntRange(0, len(keys)-1).Draw(t, "which")], true
--- a/internal/router/no_result_log_test.go
+++ b/internal/router/no_result_log_test.go
@@ -9,7 +9,7 @@
 )
 
 // A request whose client disconnected is in the log with its id and age; a second one within the interval is not.
-func TestNoResultLogNamesDisconnectedRequests(t *testing.T) {
+func TestNoResultLogRecordsDisconnectedRequests(t *testing.T) {
 	log := testsupport.CaptureLog(t)
 	l := newNoResultLog()
 	p := &pendingRequest{Request: Request{ID: "00000000000000a1", ReceivedAt: testStart, Deadline: testStart + 50*ms}}
@@ -29,7 +29,7 @@
 	r.Cancel(testStart+ms, interrupted, ClientInterrupted)
 	refused, responder := submit(r, idempotentClass)
 	r.execute(policy.RefuseRequest{Request: refused, Reason: policy.LoadShed})
-	if resp := responder.only(t); resp.Status != Refused || log.String() != "" {
+	if resp := responder.singleResponse(t); resp.Status != Refused || log.String() != "" {
 		t.Errorf("answer %+v, logged %s", resp, log)
 	}
 }
