--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -6,15 +6,16 @@
 	"functionrouter/policy"
 )
 
-// attempt is one send of a request to one worker.
+// attempt records one sending of a request to one worker.
 type attempt struct {
 	worker policy.WorkerID
 	sentAt time.Duration
 	ended  bool
 }
 
-// startAttempt sends a request to a worker. If the request is closed, or has no time or no attempt left, the attempt ends
-// as policy.NotSent.
+// startAttempt sends a request to a worker. If the request is closed, has reached its deadline or has used up
+// Limits.MaxAttempts, nothing is sent and the attempt ends with policy.NotSent. A request that is not pending is
+// ignored.
 func (r *Router) startAttempt(action policy.SendAttempt) {
 	p := r.requests.byID[action.Request]
 	if p == nil {
@@ -33,14 +34,14 @@
 		r.AttemptEnded(id, AttemptResult{Outcome: policy.NotSent})
 		return
 	}
-	if budget == action.Timeout { // else the timer of the request's deadline ends the attempt
+	if budget == action.Timeout { // otherwise the timer for the request's deadline ends the attempt
 		r.timers.schedule(r.now+budget, timer{kind: attemptTimeout, attempt: id})
 	}
 	r.Counters.AttemptsSent++
 	r.workers.StartAttempt(action.Worker, id, &p.Request, budget)
 }
 
-// findOpenAttempt returns an attempt that has not ended and its request, or nils.
+// findOpenAttempt returns the attempt and its request, or nil for both if the attempt is unknown or has ended.
 func (r *Router) findOpenAttempt(id AttemptID) (*pendingRequest, *attempt) {
 	p := r.requests.byID[id.Request]
 	if p == nil || id.Number >= len(p.attempts) || p.attempts[id.Number].ended {
@@ -49,7 +50,7 @@
 	return p, &p.attempts[id.Number]
 }
 
-// cancelAttempt ends an open attempt with the outcome, without waiting for its worker, which may still run it.
+// cancelAttempt ends an open attempt with the given outcome without waiting for the worker, which may still run it.
 func (r *Router) cancelAttempt(id AttemptID, outcome policy.Outcome) {
 	if _, a := r.findOpenAttempt(id); a != nil {
 		r.workers.CancelAttempt(a.worker, id)
@@ -57,7 +58,7 @@
 	}
 }
 
-// cancelUnsentAttempts ends the attempts of a closed request of which nothing has been sent.
+// cancelUnsentAttempts ends those open attempts of a closed request of which no byte has been sent to a worker.
 func (r *Router) cancelUnsentAttempts(request policy.RequestID, p *pendingRequest) {
 	for n := range p.attempts {
 		id := AttemptID{Request: request, Number: n}
@@ -67,17 +68,18 @@
 	}
 }
 
-// AttemptResult is how an attempt ended. All but the outcome is that of the worker's answer, if there was one.
+// AttemptResult describes how an attempt ended. All fields except Outcome come from the worker's answer and are zero if
+// there was none.
 type AttemptResult struct {
 	Outcome        policy.Outcome
 	InstanceStatus policy.InstanceStatus
-	Body           []byte    // of the response; the Router keeps it
-	LoadReport     []float64 // in the order of policy.Config.LoadReportFields; nil: none, or not complete
+	Body           []byte    // body of the response; the caller must not change it afterwards
+	LoadReport     []float64 // values in the order of policy.Config.LoadReportFields; nil if missing or incomplete
 }
 
-// AttemptEnded reports how an attempt ended, at the time of the last SetNow. If the worker served it and the request is
-// open, the client gets the body before AttemptEnded returns; the policy gets the result from Process. A report of an
-// attempt that has ended already is ignored.
+// AttemptEnded tells the Router how an attempt ended, at the time of the last SetNow. If the worker served the attempt
+// and the request is open, AttemptEnded answers the client before it returns. The policy gets the result during
+// Process. AttemptEnded ignores an attempt that has already ended.
 func (r *Router) AttemptEnded(id AttemptID, result AttemptResult) {
 	p, a := r.findOpenAttempt(id)
 	if a == nil {
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -8,8 +8,8 @@
 	"functionrouter/policy"
 )
 
-// Guards against a request that must not run twice running twice: once an attempt may have run, it fails and is not
-// sent again.
+// Checks that a request of a non-idempotent class fails and is not sent again after an attempt that may have run.
+// Otherwise it could run twice.
 func TestNotIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	for _, outcome := range []policy.Outcome{policy.ConnectionReset, policy.Errored, policy.TimedOut} {
 		t.Run(fmt.Sprint(outcome), func(t *testing.T) {
@@ -23,13 +23,14 @@
 			r.AttemptEnded(workers.sent[id][0], AttemptResult{Outcome: outcome})
 			r.Process(testStart + ms)
 			if resp := responder.singleResponse(t); len(workers.sent[id]) != 1 || resp.Status != Failed {
-				t.Errorf("%d attempts, answer %+v", len(workers.sent[id]), resp)
+				t.Errorf("%d attempts sent, want 1; answer %+v, want status %v", len(workers.sent[id]), resp, Failed)
 			}
 		})
 	}
 }
 
-// Guards against a worker's answer that arrives after the client cancelled: nobody waits for it.
+// Checks that a worker's answer that arrives after the client cancelled is neither written to the client nor counted,
+// and that the request is removed from the table.
 func TestResultAfterCancelIsDropped(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
@@ -39,14 +40,15 @@
 	r.AttemptEnded(workers.sent[id][0], AttemptResult{Outcome: policy.Served, InstanceStatus: policy.InstanceWarm})
 	r.Process(testStart + ms)
 	if len(responder.responses) != 0 || r.Counters.ClientCancelled[Thrift] != 1 || r.Counters.Served[Thrift] != 0 {
-		t.Errorf("answers %v, counters %+v", responder.responses, r.Counters)
+		t.Errorf("answers %v, want none; counters %+v", responder.responses, r.Counters)
 	}
 	if len(r.requests.byID) != 0 {
-		t.Errorf("%d requests kept", len(r.requests.byID))
+		t.Errorf("%d requests are still in the table, want 0", len(r.requests.byID))
 	}
 }
 
-// Guards against work for a client that is gone: an attempt of which nothing has been sent is taken back.
+// Checks that cancelling a request withdraws an attempt of which nothing has been sent. Otherwise a worker would run
+// the request of a client that no longer waits for it.
 func TestCancelWithdrawsUnsentAttempt(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
@@ -58,13 +60,14 @@
 	workers.unsent[workers.sent[id][0]] = true
 	r.Cancel(testStart+ms, id, ClientInterrupted)
 	if len(workers.openAttempts) != 0 || r.Counters.AttemptOutcomes[policy.NotSent] != 1 || len(r.requests.byID) != 0 {
-		t.Errorf("%d attempts open, %d requests kept, outcomes %v", len(workers.openAttempts), len(r.requests.byID),
+		t.Errorf("%d attempts are open and %d requests in the table, want none; outcomes %v", len(workers.openAttempts), len(r.requests.byID),
 			r.Counters.AttemptOutcomes)
 	}
 	r.Process(testStart + ms)
 }
 
-// Guards the count of open attempts: a second report of an attempt changes nothing.
+// Checks that a second call of AttemptEnded for the same attempt changes neither the number of open attempts nor the
+// counters.
 func TestSecondReportOfEndedAttemptIsIgnored(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
@@ -77,12 +80,12 @@
 		t.Errorf("outcomes %v, events %v", got, r.events.pending)
 	}
 	if p := r.requests.byID[id]; p.openAttempts != 0 || len(responder.responses) != 0 {
-		t.Errorf("%d attempts open, answers %+v", p.openAttempts, responder.responses)
+		t.Errorf("%d attempts are open and the answers are %+v, want none", p.openAttempts, responder.responses)
 	}
 }
 
-// Guards what is sent: no attempt leaves for a request that has ended, is out of time or out of attempts. The
-// events that follow are not given to the policy, which did not ask for these attempts.
+// Checks that no attempt is sent for a request that has ended, has reached its deadline or has used up its attempts.
+// The test does not call Process afterwards, because the policy did not ask for these attempts.
 func TestAttemptThatMustNotBeSentEndsAsNotSent(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -110,7 +113,7 @@
 	}
 }
 
-// Guards the time of an attempt: the router cancels it once its timeout is over, and not before.
+// Checks that the router cancels an attempt when its timeout expires, and not before.
 func TestAttemptTimesOut(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	id, _ := submit(r, notIdempotentClass)
@@ -127,7 +130,8 @@
 	}
 }
 
-// Guards the answer's truth: while an attempt is open, the request may have run.
+// Checks that an answer given while an attempt is open says that the request may have run. Otherwise the client would
+// assume that the request never ran.
 func TestAnswerWithOpenAttemptReportsThatItMayHaveRun(t *testing.T) {
 	r, _ := newTestRouter(t, 1)
 	id, responder := submit(r, idempotentClass)
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -6,7 +6,7 @@
 	"functionrouter/policy"
 )
 
-// controlKind is the kind of a control call, which a worker answers without running a function.
+// controlKind is the kind of a control call: a call that a worker answers without running a function.
 type controlKind uint8
 
 const (
@@ -14,15 +14,15 @@
 	healthCheck                    // health check
 )
 
-// controlCall is a control call that awaits its answer.
+// controlCall is a control call whose answer is pending.
 type controlCall struct {
 	kind     controlKind
 	worker   policy.WorkerID
-	function policy.FunctionID // of a load command: what to load
+	function policy.FunctionID // loadCommand: the function to load
 	sentAt   time.Duration
 }
 
-// controlTable holds the control calls that await their answers, by id.
+// controlTable holds the control calls whose answers are pending, by id.
 type controlTable struct {
 	byID   map[ControlID]controlCall
 	lastID ControlID
@@ -37,7 +37,8 @@
 	return t.lastID
 }
 
-// remove takes out the control call with the id. It returns false if none of this kind awaits an answer.
+// remove deletes the pending control call with the given id and returns it. It returns false and deletes nothing if
+// there is no such call of the given kind.
 func (t *controlTable) remove(id ControlID, kind controlKind) (call controlCall, ok bool) {
 	call, ok = t.byID[id]
 	if !ok || call.kind != kind {
@@ -61,7 +62,7 @@
 	r.workers.CheckHealth(action.Worker, id)
 }
 
-// addControlCall stores a control call that is about to be sent, and sets its timeout.
+// addControlCall stores a control call that is about to be sent and schedules its timeout.
 func (r *Router) addControlCall(call controlCall, timeout time.Duration) ControlID {
 	call.sentAt = r.now
 	id := r.controls.add(call)
@@ -69,7 +70,7 @@
 	return id
 }
 
-// timeOutControlCall ends a control call as policy.TimedOut if it still awaits its answer.
+// timeOutControlCall ends a control call with policy.TimedOut if its answer is still pending.
 func (r *Router) timeOutControlCall(id ControlID) {
 	call, ok := r.controls.byID[id]
 	if !ok {
@@ -84,8 +85,9 @@
 	}
 }
 
-// LoadCommandEnded reports how a load command ended, at the time of the last SetNow, and how many instances the worker has
-// loaded. The policy gets it from Process. A report of a command that has ended already is ignored.
+// LoadCommandEnded tells the Router how a load command ended, at the time of the last SetNow, and how many instances of
+// the function the worker has loaded. The policy gets the result during Process. LoadCommandEnded ignores a command
+// that has already ended.
 func (r *Router) LoadCommandEnded(id ControlID, outcome policy.Outcome, instances int) {
 	command, ok := r.controls.remove(id, loadCommand)
 	if !ok {
@@ -101,8 +103,9 @@
 	})
 }
 
-// HealthCheckEnded reports how a health check ended, at the time of the last SetNow, with the worker's load report where it
-// gave one. The policy gets it from Process. A report of a check that has ended already is ignored.
+// HealthCheckEnded tells the Router how a health check ended, at the time of the last SetNow. loadReport is nil if the
+// worker's answer had none. The policy gets the result during Process. HealthCheckEnded ignores a check that has
+// already ended.
 func (r *Router) HealthCheckEnded(id ControlID, outcome policy.Outcome, loadReport []float64) {
 	check, ok := r.controls.remove(id, healthCheck)
 	if !ok {
--- a/internal/router/control_test.go
+++ b/internal/router/control_test.go
@@ -6,7 +6,8 @@
 	"functionrouter/policy"
 )
 
-// Guards the timeouts of health checks and load commands: an unanswered one ends, and a later answer is ignored.
+// Checks that an unanswered health check and an unanswered load command end at their timeouts, and that later answers
+// are ignored.
 func TestUnansweredControlCallsTimeOut(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	r.execute(policy.CheckHealth{Worker: 1})
@@ -16,17 +17,17 @@
 	r.HealthCheckEnded(1, policy.Served, nil)
 	healthChecks, loadCommands := r.Counters.HealthCheckOutcomes, r.Counters.LoadCommandOutcomes
 	if healthChecks[policy.TimedOut] != 1 || loadCommands[policy.TimedOut] != 1 {
-		t.Errorf("timeouts are not counted: healthChecks %v, load commands %v", healthChecks, loadCommands)
+		t.Errorf("timeouts are not counted: health checks %v, load commands %v", healthChecks, loadCommands)
 	}
 	if healthChecks[policy.Served]+loadCommands[policy.Served] != 0 {
-		t.Errorf("late answers are counted: healthChecks %v, load commands %v", healthChecks, loadCommands)
+		t.Errorf("late answers are counted: health checks %v, load commands %v", healthChecks, loadCommands)
 	}
 	if len(workers.loadCommands)+len(workers.healthChecks) != 0 {
 		t.Error("the worker pool still waits for answers")
 	}
 }
 
-// Guards the ids: the answer to a load command does not end a health check, nor the reverse.
+// Checks that LoadCommandEnded ignores the id of a health check, and HealthCheckEnded that of a load command.
 func TestControlAnswerOfWrongKindIsIgnored(t *testing.T) {
 	r, _ := newTestRouter(t, 1)
 	check := r.controls.add(controlCall{kind: healthCheck, worker: 1})
--- a/internal/router/deadline.go
+++ b/internal/router/deadline.go
@@ -6,37 +6,37 @@
 	"functionrouter/policy"
 )
 
-// An answer leaves answerMargin before its client stops waiting. The way back to the client takes about a
-// millisecond; the rest covers a machine that stalls. On a crowded one, requests were measured to spend 46 ms (99th
+// The deadline of a request is answerMargin before its client stops waiting. The network transfer of the answer takes
+// about 1 ms; the rest of the margin covers stalls of the machine. On an overloaded machine, requests spent 46 ms (99th
 // percentile) inside the program, and one answer arrived too late.
 //
-// The margin must not use up a wait that is as short as the work itself, so it is at most one part in
-// answerMarginDivisor of the wait.
+// The margin must leave enough time for the work of a request with a short wait, so it is at most
+// 1/answerMarginDivisor of the wait.
 const (
 	answerMargin        = 40 * time.Millisecond
 	answerMarginDivisor = 10
 )
 
-// AnswerBudget returns how long after its arrival a request must be answered if its client waits for wait.
+// AnswerBudget returns the time from the arrival of a request to its deadline, if its client stops waiting after wait.
 func AnswerBudget(wait time.Duration) time.Duration {
 	return wait - min(answerMargin, wait/answerMarginDivisor)
 }
 
-// deadlineTolerance is how close before its deadline a request that ends unserved counts as out of time. The policy
-// ends it answerMarginTicks ticks (policy/requests.go) before the deadline, 8 ms with this deployment's settings, to be
-// sure that its answer is not late. An answer that early still means that the time ran out.
+// deadlineTolerance is how long before its deadline an unserved request already counts as ended by the deadline
+// (Response.DeadlineExceeded). The policy ends a request answerMarginTicks ticks (policy/requests.go) before the
+// deadline, 8 ms with this deployment's settings, so that the answer is not late.
 //
-// It must be at least the policy's margin: with a larger one, or a tick of more than 5 ms, answers that the policy gives
-// because of the deadline would not count as out of time.
+// The tolerance must be at least this margin of the policy. With a larger margin, or with a tick of more than 5 ms, the
+// answers that the policy gives because of the deadline would not be marked as DeadlineExceeded.
 const deadlineTolerance = 10 * time.Millisecond
 
-// enforceDeadline ends a request at its deadline: its open attempts time out, and the client gets its one answer, a
-// refusal if it is proven that nothing ran, else a failure. The policy ends a request earlier, so that this answers
-// one only if
+// enforceDeadline ends a request at its deadline. Its open attempts time out, and the client, if still waiting, gets
+// Refused if it is proven that no attempt ran, and Failed otherwise. The policy normally ends a request earlier, so
+// enforceDeadline answers a request only in these cases:
 //
-//   - the policy is at fault or the machine stalled;
-//   - BeginShutdown has moved its deadline after it was submitted, of which the policy is not told;
-//   - its deadline was not later than its arrival, such as that of a client that waits for 0 ms: Process fires timers
+//   - The policy has a fault or the machine stalled.
+//   - BeginShutdown moved the deadline after the request was submitted. The policy does not learn of this.
+//   - The deadline was not later than the arrival, for example because the client waits for 0 ms. Process fires timers
 //     before it gives the policy the new request.
 func (r *Router) enforceDeadline(id policy.RequestID) {
 	p := r.requests.byID[id]
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -7,8 +7,8 @@
 	"functionrouter/policy"
 )
 
-// Guards the client's wait: a request that the policy has not ended by its deadline is ended by the router, as a
-// refusal only if nothing was sent.
+// Checks that the router ends a request that the policy has not ended by its deadline, with Refused only if no attempt
+// was sent. Otherwise the client would get no answer after a fault of the policy.
 func TestRouterEnforcesDeadline(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -31,7 +31,7 @@
 			}
 			deadline := findTimer(t, r, requestDeadline)
 			if deadline.due != testStart+3*time.Second {
-				t.Fatalf("deadline %+v", deadline)
+				t.Fatalf("timer %+v is due at %v, want %v", deadline, deadline.due, testStart+3*time.Second)
 			}
 			r.now = deadline.due
 			r.fire(deadline)
@@ -40,13 +40,13 @@
 				t.Errorf("answer %+v, want status %v", resp, test.want)
 			}
 			if r.Counters.Overdue != 1 || len(workers.openAttempts) != 0 {
-				t.Errorf("%d overdue, attempts open: %v", r.Counters.Overdue, workers.openAttempts)
+				t.Errorf("%d requests are overdue, want 1; open attempts %v, want none", r.Counters.Overdue, workers.openAttempts)
 			}
 		})
 	}
 }
 
-// findTimer returns a timer of the kind that is set.
+// findTimer returns a scheduled timer of the given kind.
 func findTimer(t *testing.T, r *Router, kind timerKind) timer {
 	t.Helper()
 	for _, timer := range r.timers.heap {
@@ -54,11 +54,11 @@
 			return timer
 		}
 	}
-	t.Fatalf("no timer of kind %v is set: %+v", kind, r.timers.heap)
+	t.Fatalf("no timer of kind %q is scheduled: %+v", kind, r.timers.heap)
 	return timer{}
 }
 
-// Guards the timer's order, which the policy's decisions depend on.
+// Checks the order in which timers fire, on which the policy's decisions depend.
 func TestTimersFireByDueTimeThenInOrderOfScheduling(t *testing.T) {
 	var q timerQueue
 	for token, due := range []time.Duration{3, 1, 2, 1, 3, 1} {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Guards the time that is kept for an answer's way back to the client.
+// Checks the time that is reserved for the transfer of an answer to the client.
 func TestAnswerBudget(t *testing.T) {
 	for wait, want := range map[time.Duration]time.Duration{
 		0:               0,
@@ -93,7 +93,8 @@
 	}
 }
 
-// Guards the way from a deadline that passes to the answer: the policy ends the request before the router does.
+// Checks that the policy ends a request shortly before its deadline, so that the router does not have to, and that the
+// answer is marked as DeadlineExceeded.
 func TestPolicyEndsRequestBeforeDeadline(t *testing.T) {
 	r, _ := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
@@ -103,14 +104,15 @@
 	}
 	resp := responder.singleResponse(t)
 	if resp.Status != Failed || !resp.DeadlineExceeded || !resp.MayHaveRun || r.Counters.Overdue != 0 {
-		t.Errorf("answer %+v, %d overdue", resp, r.Counters.Overdue)
+		t.Errorf("answer %+v, %d requests are overdue", resp, r.Counters.Overdue)
 	}
 	if r.Counters.UnservedByReason[policy.DeadlineExceeded] != 1 {
 		t.Errorf("unserved by reason: %v", r.Counters.UnservedByReason)
 	}
 }
 
-// Once the process shuts down, no request may last until it is killed: neither one that is open nor a later one.
+// Checks that BeginShutdown limits the deadlines of open requests and of those that are submitted afterwards. Otherwise
+// a request could still be open when the process is killed.
 func TestShutdownBoundsDeadlines(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
@@ -130,24 +132,25 @@
 		t.Fatal("the later request was answered at once")
 	}
 	if next := r.Process(testStart); next > latest {
-		t.Errorf("the router wants to be called at %v, after %v", next, latest)
+		t.Errorf("Process returned the next call time %v, want at most %v", next, latest)
 	}
 	r.Process(latest)
 	for _, responder := range []*recordingResponder{openResponder, laterResponder} {
 		responder.singleResponse(t)
 	}
 	if r.OpenRequests() != 0 || len(workers.openAttempts) != 0 {
-		t.Errorf("%d requests are open, and the attempts %v", r.OpenRequests(), workers.openAttempts)
+		t.Errorf("%d requests and the attempts %v are open, want none", r.OpenRequests(), workers.openAttempts)
 	}
 }
 
-// Guards what Counters.Overdue counts although neither the policy nor the machine is at fault: a deadline that a shutdown
-// has moved, and a request that comes with no time left. A request that comes during the shutdown is not among them.
+// Checks which requests Counters.Overdue counts although neither the policy nor the machine has a fault: an open
+// request whose deadline a shutdown moves, and a request that arrives with no time left. It does not count a request
+// that arrives during the shutdown.
 func TestOverdueCountsRequestsWithoutFault(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		wait     time.Duration
-		shutdown func(r *Router, latest time.Duration) // called once the request is submitted, where set
+		shutdown func(r *Router, latest time.Duration) // called after the first request is submitted, unless nil
 		want     uint64
 	}{
 		{"time left", 200 * ms, nil, 0},
@@ -184,11 +187,11 @@
 			}
 			for _, responder := range responders {
 				if resp := responder.singleResponse(t); !resp.DeadlineExceeded {
-					t.Errorf("answer %+v, want one because of the deadline", resp)
+					t.Errorf("answer %+v, want DeadlineExceeded", resp)
 				}
 			}
 			if r.Counters.Overdue != test.want {
-				t.Errorf("%d overdue, want %d", r.Counters.Overdue, test.want)
+				t.Errorf("%d requests are overdue, want %d", r.Counters.Overdue, test.want)
 			}
 		})
 	}
--- a/internal/router/example_test.go
+++ b/internal/router/example_test.go
@@ -8,9 +8,9 @@
 	"functionrouter/policy"
 )
 
-// printingPool prints the attempts that it is given. The test ends them, as a worker's answer would.
+// printingPool prints attempts instead of sending them. The example reports their ends in place of a worker's answer.
 type printingPool struct {
-	router.WorkerPool // nil: the example's policy sends no other message
+	router.WorkerPool // nil, because the example's policy sends no other message
 	sent              []router.AttemptID
 }
 
@@ -19,14 +19,14 @@
 	fmt.Printf("attempt %d of request %s to worker %d, budget %v: %s\n", id.Number, req.ID, worker, budget, req.Body)
 }
 
-// printingResponder prints the final answer, as a frontend would write it to the client.
+// printingResponder prints the final answer, which a frontend would write to the client.
 type printingResponder struct{}
 
 func (printingResponder) Respond(response router.Response) {
 	fmt.Printf("answer: %v, %s\n", response.Status, response.Body)
 }
 
-// One request on its way: a frontend submits it, the policy chooses a worker, the worker answers, the client gets the
+// Handles one request: a frontend submits it, the policy chooses a worker, the worker answers, and the client gets the
 // answer.
 func Example() {
 	routingPolicy, err := policy.New(policy.Config{
@@ -63,12 +63,12 @@
 		Body:      []byte("two and two"),
 		Deadline:  now + router.AnswerBudget(2*time.Second),
 	})
-	r.Process(now) // gives the policy the two events, and carries out its actions
+	r.Process(now) // gives the two events to the policy and executes its actions
 
 	now += 20 * time.Millisecond
 	r.SetNow(now)
 	r.AttemptEnded(pool.sent[0], router.AttemptResult{Outcome: policy.Served, InstanceStatus: policy.InstanceWarm, Body: []byte("four")})
-	r.Process(now) // the policy learns from the answer
+	r.Process(now) // gives the result to the policy, which updates its predictions
 	fmt.Printf("%d requests open, %d served\n", r.OpenRequests(), r.Counters.Served[router.Thrift])
 
 	// Output:
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -10,7 +10,7 @@
 
 const (
 	ms = time.Millisecond
-	// testStart is the time at which the tests begin.
+	// testStart is the router's time at the start of each test.
 	testStart = time.Hour
 
 	idempotentClass    = 0
@@ -28,11 +28,12 @@
 	},
 }
 
-// fakeWorkerPool keeps what was sent, for a test to end it.
+// fakeWorkerPool records attempts, load commands and health checks instead of sending them. The test reports their
+// ends.
 type fakeWorkerPool struct {
 	router       *Router
 	openAttempts map[AttemptID]policy.WorkerID
-	unsent       map[AttemptID]bool // attempts of which nothing has been sent
+	unsent       map[AttemptID]bool // attempts of which no byte has been sent, as set by the test
 	sent         map[policy.RequestID][]AttemptID
 	loadCommands map[ControlID]bool
 	healthChecks map[ControlID]bool
@@ -49,10 +50,10 @@
 	}
 }
 
-// StartAttempt panics if the budget is none or exceeds the request's deadline.
+// StartAttempt panics if the budget is not positive or extends beyond the request's deadline.
 func (w *fakeWorkerPool) StartAttempt(worker policy.WorkerID, id AttemptID, req *Request, budget time.Duration) {
 	if budget <= 0 || w.router.now+budget > req.Deadline {
-		panic(fmt.Sprintf("budget %v at %v, deadline %v", budget, w.router.now, req.Deadline))
+		panic(fmt.Sprintf("budget %v at time %v is not positive or extends beyond the deadline %v", budget, w.router.now, req.Deadline))
 	}
 	w.openAttempts[id] = worker
 	w.sent[id.Request] = append(w.sent[id.Request], id)
@@ -85,12 +86,12 @@
 func (w *fakeWorkerPool) UnloadInstance(policy.WorkerID, policy.FunctionID) {}
 func (w *fakeWorkerPool) CloseIdleConnections(policy.WorkerID)              {}
 
-// recordingResponder keeps the answers that it is given.
+// recordingResponder records the answers of a request.
 type recordingResponder struct{ responses []Response }
 
 func (r *recordingResponder) Respond(resp Response) { r.responses = append(r.responses, resp) }
 
-// singleResponse returns the answer, and ends the test if there is none or more than one.
+// singleResponse returns the only answer. It fails the test at once if there is no answer or more than one.
 func (r *recordingResponder) singleResponse(tb testing.TB) Response {
 	tb.Helper()
 	if len(r.responses) != 1 {
@@ -99,7 +100,7 @@
 	return r.responses[0]
 }
 
-// newTestRouter returns a router with both test classes and every capability that the policy uses.
+// newTestRouter returns a router with both test classes. All optional capabilities that the policy uses are enabled.
 func newTestRouter(t interface{ Fatal(...any) }, seed uint64) (*Router, *fakeWorkerPool) {
 	p, err := policy.New(policy.Config{
 		RouterCount:             1,
@@ -137,7 +138,7 @@
 	})
 }
 
-// newRouterWithFakePool returns a router whose attempts and control calls the test ends.
+// newRouterWithFakePool returns a router with a fakeWorkerPool.
 func newRouterWithFakePool(p *policy.Policy, limits Limits) (*Router, *fakeWorkerPool) {
 	var workers *fakeWorkerPool
 	r := New(Config{Policy: p, Limits: limits, NewWorkerPool: func(r *Router) WorkerPool {
@@ -147,7 +148,7 @@
 	return r, workers
 }
 
-// addReadyWorkers gives the router a list of count workers that are ready, numbered from 1.
+// addReadyWorkers gives the router an endpoint list of count ready workers with the ids 1 to count.
 func addReadyWorkers(r *Router, count int) {
 	update := policy.EndpointUpdate{Kind: policy.FullUpdate}
 	for n := range count {
@@ -156,7 +157,7 @@
 	r.UpdateEndpoints(update)
 }
 
-// submit submits a request of the class at testStart that must be answered within the class's deadline.
+// submit submits a request of the given class at testStart, with the class's deadline.
 func submit(r *Router, class int) (policy.RequestID, *recordingResponder) {
 	responder := &recordingResponder{}
 	id := r.Submit(testStart, Request{
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -6,19 +6,21 @@
 	"functionrouter/policy"
 )
 
-// Submit takes a request. It returns the request's id, or 0 if it was answered at once, before Submit returns: Refused
-// for a limit or a shutdown, Failed if a pending request has the same Request.ID. The policy gets the request from Process.
+// Submit adds a request to the table and returns its id. The policy gets the request during Process.
+//
+// Submit returns 0 if it has already answered the request itself: with Refused because of a limit or a shutdown, or
+// with Failed because a pending request has the same Request.ID.
 func (r *Router) Submit(now time.Duration, req Request) policy.RequestID {
 	r.SetNow(now)
 	if r.admissionStopped || !r.withinLimits(&req) {
-		// A shutdown must end although clients go on sending, and the memory is bounded.
+		// A shutdown must complete even if clients keep sending, and the limits bound the memory use.
 		r.RefuseAtOnce(now, req)
 		return 0
 	}
 	r.Counters.Received[req.Frontend]++
 	if r.requests.hasClientID(req.ID) {
-		// Workers identify a request by this id: of two requests with one id, a worker could answer one with the
-		// result of the other. Which of the two the client means is unknown, so the later one fails.
+		// Workers identify a request by this id. If two pending requests shared an id, a worker could answer one with
+		// the result of the other. Which of the two the client means is unknown, so the later one fails.
 		r.Counters.Failed[req.Frontend]++
 		r.respondAtOnce(req, Response{Status: Failed})
 		return 0
@@ -40,13 +42,13 @@
 	return id
 }
 
-// withinLimits reports whether the limits allow one more open request, with its body.
+// withinLimits reports whether the limits allow req, with its body, as one more open request.
 func (r *Router) withinLimits(req *Request) bool {
 	return r.requests.open < r.limits.MaxOpenRequests &&
 		r.requests.bodyBytes+len(req.Body) <= r.limits.MaxBodyBytes
 }
 
-// RefuseAtOnce refuses a request because of a limit or a shutdown, without an event for the policy.
+// RefuseAtOnce refuses a request because of a limit or a shutdown. The policy gets no event for the request.
 func (r *Router) RefuseAtOnce(now time.Duration, req Request) {
 	r.SetNow(now)
 	r.Counters.Received[req.Frontend]++
@@ -54,16 +56,16 @@
 	r.respondAtOnce(req, Response{Status: Refused, RetryAfter: r.limits.RetryAfter})
 }
 
-// respondAtOnce answers a request that does not enter the table. Here Config.OnRequestEnd is called before Respond, in
-// respond and Disconnect after it.
+// respondAtOnce answers a request that is not added to the table. It calls Config.OnRequestEnd before
+// Responder.Respond, unlike respond and Disconnect, which call it after Respond.
 func (r *Router) respondAtOnce(req Request, resp Response) {
 	req.ReceivedAt = r.now
 	r.reportEnd(&req, resp.Status.outcome())
 	req.Responder.Respond(resp)
 }
 
-// Cancel ends a request without an answer, because its client no longer waits for one. It does nothing if the request
-// has ended.
+// Cancel ends a request without an answer because its client no longer waits for one. It does nothing if the request
+// has already ended.
 func (r *Router) Cancel(now time.Duration, id policy.RequestID, cause CancelCause) {
 	r.SetNow(now)
 	p := r.requests.findOpen(id)
@@ -79,8 +81,8 @@
 	r.events.add(policy.ClientCancelled{Request: id})
 }
 
-// Disconnect ends a request whose client has ended its side of the connection. Whether the client still reads is unknown:
-// it gets an answer in case it does, and the request is cancelled as if it did not.
+// Disconnect ends a request whose client has closed its side of the connection. The Router can't tell whether the
+// client still reads, so it writes an answer and then cancels the request with ClientDisconnected.
 func (r *Router) Disconnect(now time.Duration, id policy.RequestID) {
 	r.SetNow(now)
 	p := r.requests.findOpen(id)
@@ -115,16 +117,16 @@
 	r.respond(id, p, resp)
 }
 
-// respond gives an open request its final answer and then closes it. The request is still open during Respond: a
-// Responder that cancelled it there would have it closed twice, see Responder.
+// respond gives an open request its final answer and then closes it. The request is still open during
+// Responder.Respond: if Respond cancelled the request, the request would be closed twice. See Responder.
 func (r *Router) respond(id policy.RequestID, p *pendingRequest, resp Response) {
 	r.Counters.countResponse(p.Frontend, resp.Status)
 	p.Responder.Respond(resp)
 	r.close(id, p, resp.Status.outcome())
 }
 
-// close marks a request as ended. Attempts that are still on their way to a worker go on until they end or are
-// cancelled; those of which nothing has been sent are cancelled here.
+// close marks a request as ended. It cancels the attempts of which no byte has been sent; attempts that have been sent
+// continue until they end or are cancelled.
 func (r *Router) close(id policy.RequestID, p *pendingRequest, outcome RequestOutcome) {
 	p.closed = true
 	r.cancelUnsentAttempts(id, p)
@@ -133,7 +135,7 @@
 	r.requests.removeIfDone(id, p)
 }
 
-// reportEnd calls Config.OnRequestEnd where it is set.
+// reportEnd calls Config.OnRequestEnd if it is set.
 func (r *Router) reportEnd(req *Request, outcome RequestOutcome) {
 	if r.onRequestEnd != nil {
 		r.onRequestEnd(r.now, req, outcome)
--- a/internal/router/lifecycle_test.go
+++ b/internal/router/lifecycle_test.go
@@ -8,7 +8,8 @@
 	"functionrouter/policy"
 )
 
-// Guards the graceful shutdown: clients that go on sending get a refusal each, and don't hold it up.
+// Checks that requests submitted after StopAdmitting are refused. Otherwise clients that keep sending would prevent a
+// graceful shutdown from completing.
 func TestRouterRefusesNewRequestsAfterStopAdmitting(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
@@ -23,8 +24,8 @@
 	}
 }
 
-// Guards against two open requests of one id, by whatever frontends and connections they arrive: the later one
-// fails and reaches no worker, and the id is free again once the first has ended.
+// Checks that a request with the id of an open request fails and is not sent to a worker, even if it arrives through
+// another frontend or connection, and that the id can be used again after the first request has ended.
 func TestDuplicateIDOfOpenRequestFails(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
@@ -42,7 +43,7 @@
 			id, duplicateResponder := submitSameID(f, "other")
 			r.Process(testStart)
 			if resp := duplicateResponder.singleResponse(t); id != 0 || resp.Status != Failed || r.OpenRequests() != 1 {
-				t.Fatalf("request %d has answer %+v, %d open", id, resp, r.OpenRequests())
+				t.Fatalf("duplicate request: id %d, answer %+v, %d requests open; want id 0, status Failed, 1 open", id, resp, r.OpenRequests())
 			}
 		})
 	}
@@ -52,15 +53,16 @@
 		t.Fatalf("answer %+v, %d requests sent", resp, len(workers.sent))
 	}
 	if kept := len(r.requests.clientIDs) + len(r.requests.byID); kept != 0 {
-		t.Fatalf("%d entries kept of requests that have ended", kept)
+		t.Fatalf("the table still has %d entries of ended requests", kept)
 	}
 	if id, _ := submitSameID(Thrift, "again"); id == 0 {
-		t.Error("the id of a request that has ended is still taken")
+		t.Error("the id of an ended request can't be used again")
 	}
 }
 
-// Guards tenants' quotas: the policy learns whose request it is. Of a tenant without a quota, one request that will
-// be late is admitted and the next ones are refused, while those of another tenant and of none go on.
+// Checks that the policy gets the tenant of each request, which it needs to apply quotas. The test sends requests that
+// will miss their latency objective. Of a tenant with quota 0, the policy admits one such request and refuses the next
+// ones. It admits all requests of a tenant with a quota and of no tenant.
 func TestPolicyReceivesTenant(t *testing.T) {
 	for tenant, want := range map[int]int{0: 1, 1: 5, UnknownTenant: 5} {
 		t.Run(fmt.Sprint(tenant), func(t *testing.T) {
@@ -82,13 +84,14 @@
 			}
 			r.Process(testStart)
 			if len(workers.openAttempts) != want {
-				t.Errorf("%d requests of 5 were sent, want %d", len(workers.openAttempts), want)
+				t.Errorf("%d of 5 requests were sent, want %d", len(workers.openAttempts), want)
 			}
 		})
 	}
 }
 
-// Guards what the notices and the flow records are made from: each end is reported once, with its outcome.
+// Checks that OnRequestEnd is called once for each request, with the correct outcome. The webhook notices and the flow
+// records depend on these calls.
 func TestRequestEndIsReportedOnce(t *testing.T) {
 	serve := func(r *Router, w *fakeWorkerPool, id policy.RequestID) {
 		r.AttemptEnded(w.sent[id][0], AttemptResult{Outcome: policy.Served, InstanceStatus: policy.InstanceWarm})
@@ -117,13 +120,14 @@
 			test.end(r, workers, id)
 			r.Process(testStart + ms)
 			if len(got) != 1 || got[0] != test.want {
-				t.Errorf("reported %v, want once %v", got, test.want)
+				t.Errorf("OnRequestEnd was called with the outcomes %v, want [%v]", got, test.want)
 			}
 		})
 	}
 }
 
-// Guards the memory: beyond either limit a request is refused at once, with a Retry-After, until another has ended.
+// Checks that a request beyond either limit is refused at once, with RetryAfter, and that a further request is accepted
+// after another has ended. The limits bound the memory use of the router.
 func TestLimitsBoundOpenRequests(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -148,14 +152,14 @@
 			second, _ := submitNext()
 			third, responder := submitNext()
 			if first == 0 || second == 0 || third != 0 {
-				t.Fatalf("requests got the ids %d, %d and %d, want the third one refused at once", first, second, third)
+				t.Fatalf("requests got the ids %d, %d and %d, want 0 only for the third, which must be refused at once", first, second, third)
 			}
 			if resp := responder.singleResponse(t); resp.Status != Refused || resp.RetryAfter != 50*ms || r.Counters.RefusedAtOnce[Thrift] != 1 {
 				t.Errorf("answer %+v, counters %+v", resp, r.Counters)
 			}
 			r.Cancel(testStart, first, ClientInterrupted)
 			if id, _ := submitNext(); id == 0 {
-				t.Error("a request was refused at once although another has ended")
+				t.Error("a request was refused at once although the limits allow it after another request has ended")
 			}
 		})
 	}
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -12,8 +12,9 @@
 	"functionrouter/policy"
 )
 
-// TestEachRequestGetsOneCorrectAnswer plays random events against a model of what a request is owed: one final answer, in
-// time, true to what may have run, and no further attempt of a request that must not run twice and may have run.
+// TestEachRequestGetsOneCorrectAnswer applies random events to a router and checks it against a model. Each request
+// must get one final answer by its deadline, and the answer must not deny that the request may have run. A request of a
+// non-idempotent class must be neither refused nor sent again once it may have run.
 func TestEachRequestGetsOneCorrectAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newRouterModel(t)
@@ -31,25 +32,25 @@
 	})
 }
 
-// routerModel is a router together with what its clients and workers have seen.
+// routerModel holds the router under test and what its clients and workers have observed.
 type routerModel struct {
 	router       *Router
 	workers      *fakeWorkerPool
 	now          time.Duration
 	submitted    int
 	requests     map[policy.RequestID]*requestModel
-	reportedEnds map[string]int // calls of Config.OnRequestEnd, by Request.ID
+	reportedEnds map[string]int // number of calls of Config.OnRequestEnd, by Request.ID
 }
 
-// requestModel is what is known of a request that the router accepted.
+// requestModel is the model's state of a request that the router has accepted.
 type requestModel struct {
 	clientID               string
 	responder              *recordingResponder
 	class                  int
 	deadline               time.Duration
 	cancelled              bool
-	mayHaveRun             bool // an attempt ended without proof that it never ran
-	attemptsWhenMayHaveRun int  // attempts sent when the last such attempt ended
+	mayHaveRun             bool // true if an attempt ended and its outcome does not prove that it never ran
+	attemptsWhenMayHaveRun int  // number of attempts sent when mayHaveRun was last set
 }
 
 func newRouterModel(t *rapid.T) *routerModel {
@@ -86,9 +87,9 @@
 		m.requests[id] = req
 		return
 	}
-	// The limits had no room for it.
+	// The request exceeded the limits.
 	if len(req.responder.responses) != 1 || req.responder.responses[0].Status != Refused {
-		t.Fatal("a request did not enter the table and was not refused")
+		t.Fatalf("the answers to a request that was not added to the table are %v, want one with status Refused", req.responder.responses)
 	}
 	if m.reportedEnds[req.clientID] != 1 {
 		t.Fatalf("the end of a request that was refused at once was reported %d times", m.reportedEnds[req.clientID])
@@ -110,7 +111,7 @@
 		req.attemptsWhenMayHaveRun = len(m.workers.sent[id.Request])
 	}
 	m.router.AttemptEnded(id, AttemptResult{Outcome: outcome, Body: []byte("done")})
-	// A second report must change nothing.
+	// A second report of the same attempt must change nothing.
 	m.router.AttemptEnded(id, AttemptResult{Outcome: policy.Served, Body: []byte("again")})
 }
 
@@ -142,10 +143,10 @@
 	m.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
 }
 
-// processAndCheck lets the router act, and holds it to the model.
+// processAndCheck calls Process and compares the router's state with the model.
 func (m *routerModel) processAndCheck(t *rapid.T) {
 	if next := m.router.Process(m.now); next <= m.now {
-		t.Fatalf("Process at %v wants another call at %v", m.now, next)
+		t.Fatalf("Process at %v returned the next call time %v, want a later time", m.now, next)
 	}
 	open := 0
 	for id, req := range m.requests {
@@ -158,7 +159,7 @@
 		}
 	}
 	if got := m.router.OpenRequests(); got != open {
-		t.Fatalf("%d requests are open, the model has %d", got, open)
+		t.Fatalf("%d requests are open, want %d", got, open)
 	}
 }
 
@@ -176,7 +177,7 @@
 
 func (m *routerModel) checkNoFurtherAttempt(t *rapid.T, id policy.RequestID, req *requestModel) {
 	if req.class == notIdempotentClass && req.mayHaveRun && len(m.workers.sent[id]) > req.attemptsWhenMayHaveRun {
-		t.Fatalf("request %d must not run twice and was sent again though it may have run", id)
+		t.Fatalf("request %d of a non-idempotent class was sent again although it may have run", id)
 	}
 }
 
@@ -186,10 +187,10 @@
 	}
 	resp := req.responder.responses[0]
 	if resp.Status == Refused && req.class == notIdempotentClass && (req.mayHaveRun || resp.MayHaveRun) {
-		t.Fatalf("request %d must not run twice and is refused though it may have run", id)
+		t.Fatalf("request %d of a non-idempotent class was refused although it may have run", id)
 	}
 	if req.mayHaveRun && !resp.MayHaveRun {
-		t.Fatalf("the answer to request %d denies that it may have run", id)
+		t.Fatalf("the answer to request %d says that it has not run, but it may have run", id)
 	}
 }
 
@@ -203,7 +204,7 @@
 	}
 }
 
-// drawKey draws a key of m. The keys are put in a fixed order, so that a failing run can be repeated.
+// drawKey draws a random key of m. It sorts the keys first, so that a failing run can be reproduced.
 func drawKey[K comparable, V any](t *rapid.T, m map[K]V) (K, bool) {
 	var keys []K
 	for k := range m {
--- a/internal/router/names_test.go
+++ b/internal/router/names_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards the names in log fields and, of request outcomes, in the webhook notices.
+// Checks the names that appear in log fields and, for request outcomes, in webhook notices.
 func TestEnumsHaveFixedNames(t *testing.T) {
 	for _, test := range []struct {
 		value fmt.Stringer
--- a/internal/router/no_result_log.go
+++ b/internal/router/no_result_log.go
@@ -8,17 +8,17 @@
 	"functionrouter/internal/logging"
 )
 
-// noResultLogInterval is the least time between two log lines on requests that ended without a result.
+// noResultLogInterval is the minimum time between two log lines about requests that ended without a result.
 const noResultLogInterval = time.Second
 
-// deadlineGuardCause is the logged cause of a request that the router ended at its deadline, see enforceDeadline. The
-// other causes are those of CancelCause and policy.UnservedReason.
+// deadlineGuardCause is the cause that is logged for a request that enforceDeadline ended. The other logged causes are
+// the names of CancelCause and policy.UnservedReason.
 const deadlineGuardCause = "deadline_guard"
 
-// noResultLog logs the requests whose end deserves a look: those that failed, those that enforceDeadline ended, and those
-// that were cancelled by the end of the client's connection. Requests that were served, refused or interrupted are not
-// logged. It writes at most one line per noResultLogInterval, which describes one request and counts all of them since
-// the line before.
+// noResultLog logs requests that the policy failed, that enforceDeadline ended, or whose client's connection ended. It
+// does not log requests that were served, refused by the policy or interrupted by the client, nor those that Submit and
+// RefuseAtOnce answer themselves. It writes at most one line per noResultLogInterval. A line describes one request and
+// gives the number of requests recorded since the previous line.
 type noResultLog struct {
 	throttle logging.Throttle
 }
@@ -27,7 +27,7 @@
 	return noResultLog{throttle: logging.Throttle{Interval: noResultLogInterval}}
 }
 
-// record counts the end of a request, and logs it if a line is due.
+// record counts the end of a request and logs the request if a line is due.
 func (l *noResultLog) record(now time.Duration, p *pendingRequest, outcome RequestOutcome, cause string) {
 	l.throttle.Add()
 	count, due := l.throttle.Ready(now)
--- a/internal/router/no_result_log_test.go
+++ b/internal/router/no_result_log_test.go
@@ -8,7 +8,8 @@
 	"functionrouter/policy"
 )
 
-// A request whose client disconnected is in the log with its id and age; a second one within the interval is not.
+// Checks that a request whose client disconnected is logged with its id and age, and that a second one within
+// noResultLogInterval is not logged.
 func TestNoResultLogRecordsDisconnectedRequests(t *testing.T) {
 	log := testsupport.CaptureLog(t)
 	l := newNoResultLog()
@@ -21,7 +22,7 @@
 	}
 }
 
-// A request that its client interrupted, and one that was refused, are not in the log.
+// Checks that a request that its client interrupted and a request that the policy refused are not logged.
 func TestNoResultLogOmitsInterruptedAndRefusedRequests(t *testing.T) {
 	log := testsupport.CaptureLog(t)
 	r, _ := newTestRouter(t, 1)
@@ -30,6 +31,6 @@
 	refused, responder := submit(r, idempotentClass)
 	r.execute(policy.RefuseRequest{Request: refused, Reason: policy.LoadShed})
 	if resp := responder.singleResponse(t); resp.Status != Refused || log.String() != "" {
-		t.Errorf("answer %+v, logged %s", resp, log)
+		t.Errorf("answer %+v, want status Refused; logged %q, want nothing", resp, log)
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -7,7 +7,7 @@
 	"functionrouter/policy"
 )
 
-// Frontend names the listener protocol that a request arrived by.
+// Frontend is the protocol by which a request arrived.
 type Frontend uint8
 
 // The frontends.
@@ -18,13 +18,13 @@
 
 const frontendCount = Webhook + 1
 
-// UnknownTenant is the Tenant of a request that names none that the settings know.
+// UnknownTenant is the Tenant of a request that names no tenant, or one that is not in the settings.
 const UnknownTenant = -1
 
-// CancelCause says how a client made known that it no longer waits.
+// CancelCause is the reason for which the Router cancels a request whose client no longer waits for an answer.
 type CancelCause uint8
 
-// The causes. Their names stand in the log.
+// The causes. Their names appear in the log.
 const (
 	// ClientInterrupted: the client withdrew the request.
 	ClientInterrupted CancelCause = iota // client_interrupted
@@ -32,23 +32,24 @@
 	ClientDisconnected // client_disconnected
 )
 
-// Request is what a client asks for, as a frontend read it.
+// Request is a client's request as parsed by a frontend.
 type Request struct {
 	Frontend  Frontend
 	Responder Responder
-	// ID is the client's text. It must be unique among the pending requests: those that are open, and those that are
-	// closed and have attempts in flight. Submit fails a duplicate.
+	// ID is the request's id as text: the client's own or one that the frontend generated. It must be unique among the
+	// pending requests: those that are open, and those that are closed but have attempts in flight. Submit answers a
+	// duplicate with Failed.
 	ID              string
-	ClientReference string // the client's own name for the request where that is not the ID, else ""
+	ClientReference string // the client's own name for the request if it differs from the ID, otherwise ""
 	Class           int    // index in the settings
 	Tenant          int    // index in the settings, or UnknownTenant
-	FunctionKey     string // the client's text for the function
+	FunctionKey     string // the function's key as the client sent it
 	Function        policy.FunctionID
 	MemoryMB        float64       // memory of one instance of the function
-	Concurrency     float64       // requests that one instance runs at a time
-	LoadTime        time.Duration // usual time to load an instance; 0: not given
+	Concurrency     float64       // number of requests that one instance runs at a time
+	LoadTime        time.Duration // usual time to load an instance; 0 if not given
 	Body            []byte
-	Deadline        time.Duration // time by which the final answer must have left, see AnswerBudget
+	Deadline        time.Duration // time by which the final answer must be written, see AnswerBudget
 
 	ClientAddr netip.AddrPort // for flow records only
 	ReceivedAt time.Duration  // set by Submit and RefuseAtOnce
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,12 +1,13 @@
-// Package router is the request table of the function router. It knows neither a wire format nor a clock:
-// frontends submit requests, a WorkerPool carries messages to workers, and the caller passes in the time.
+// Package router keeps the table of pending requests and connects the frontends, the routing policy and the workers. It
+// depends on no wire format and reads no clock: frontends submit requests, a WorkerPool carries messages to workers,
+// and the caller passes in the current time.
 //
-// Every decision is made by policy.Policy. The Router gathers what happens as events for the policy, executes the
-// actions that the policy returns, keeps attempts, control calls, timers and counters, and gives each request exactly
-// one final answer: when a worker served it, when the policy refused or failed it, or at its deadline at the latest.
-// A request whose client cancelled it gets none.
+// The policy (policy.Policy) makes the routing decisions. The Router queues events for the policy, executes the actions
+// that the policy returns, and keeps track of attempts, control calls, timers and counters. Each request gets exactly
+// one final answer: when a worker has served it, when the policy refuses or fails it, or at its deadline at the latest.
+// A request that its client cancelled gets no answer.
 //
-// Times are durations since a fixed start that the event loop chooses; they never run backwards.
+// Times are durations since a fixed start that the event loop chooses, and never decrease.
 package router
 
 //go:generate go tool -modfile=../../tools/go.mod stringer -linecomment -output=enum_string.go -type=CancelCause,Frontend,RequestOutcome,Status,controlKind,timerKind
@@ -17,61 +18,62 @@
 	"functionrouter/policy"
 )
 
-// maxProcessInterval bounds the time between two calls of Process when no timer is set.
+// maxProcessInterval is the maximum time between two calls of Process when no timer is set.
 const maxProcessInterval = time.Hour
 
-// Limits bounds what a Router holds and how long it waits.
+// Limits bounds the requests that a Router holds and the time for which it waits for workers.
 type Limits struct {
-	MaxOpenRequests int // open requests at any time
-	MaxBodyBytes    int // bytes of the bodies of all open requests
-	// RetryAfter is the advice in the answers that the Router gives without the policy: to a request that is refused at
-	// once, that enforceDeadline ends, or whose client ended its side of the connection (Disconnect). 0: none.
+	MaxOpenRequests int // number of open requests
+	MaxBodyBytes    int // total size of the bodies of all open requests
+	// RetryAfter is the Response.RetryAfter of the answers that the Router gives without the policy: to a request that
+	// RefuseAtOnce refuses, that enforceDeadline ends, or whose client closed its side of the connection (Disconnect).
+	// 0 means that the answers specify no time.
 	RetryAfter         time.Duration
-	MaxAttempts        int           // attempts of one request; 0: no limit
-	LoadCommandTimeout time.Duration // after which an unanswered load command ends as policy.TimedOut
-	HealthCheckTimeout time.Duration // after which an unanswered health check ends as policy.TimedOut
+	MaxAttempts        int           // attempts per request; 0 means no limit
+	LoadCommandTimeout time.Duration // time until an unanswered load command ends with policy.TimedOut
+	HealthCheckTimeout time.Duration // time until an unanswered health check ends with policy.TimedOut
 }
 
-// Config is what a Router is built from.
+// Config holds the parameters of New.
 type Config struct {
-	// Policy takes every decision. The Router alone may use it from then on.
+	// Policy makes the routing decisions. Only the Router may use it after the call of New.
 	Policy *policy.Policy
 	Limits Limits
-	// NewWorkerPool returns the pool that carries messages to workers and reports their results to the Router. New calls
-	// it while the Router has no pool: it may keep the Router, and must not call it.
+	// NewWorkerPool returns the pool that carries messages to workers and reports their results to the Router. New
+	// calls it before the Router has a pool, so the function may store the Router but must not call its methods.
 	NewWorkerPool func(*Router) WorkerPool
-	// OnRequestEnd, where set, is called once for each request, when it has ended. It is called on the event loop's
-	// goroutine, during the method of the Router that ends the request: before Responder.Respond if the request is
-	// answered at once by Submit or RefuseAtOnce, after it if the request was open. A request that Cancel ends gets no Respond.
-	// OnRequestEnd must not keep req, whose Body and Responder are dropped afterwards.
+	// OnRequestEnd, if not nil, is called once for each request, when the request ends. It runs on the event loop's
+	// goroutine, during the Router method that ends the request. The call comes before Responder.Respond if Submit or
+	// RefuseAtOnce answers the request itself, and after Respond if the request was open. For a request that Cancel
+	// ends, Respond is not called. OnRequestEnd must not keep req: the Router clears its Body and Responder afterwards.
 	OnRequestEnd func(now time.Duration, req *Request, outcome RequestOutcome)
 }
 
-// Router ties requests to the decisions of a policy. It is not safe for concurrent use: the event loop's goroutine
-// owns it.
+// Router executes the decisions of a policy on the pending requests. It is not safe for concurrent use: only the event
+// loop's goroutine may use it.
 type Router struct {
 	policy   *policy.Policy
 	workers  WorkerPool
 	limits   Limits
 	now      time.Duration
 	events   eventQueue
-	actions  []policy.Action // of the last step; the slice is reused
+	actions  []policy.Action // returned by the policy for the last batch of events; the slice is reused
 	timers   timerQueue
 	requests requestTable
 	controls controlTable
 	// noResultLog logs requests that ended without a result.
 	noResultLog noResultLog
-	// latestDeadline bounds the deadlines of all requests; 0: no bound. See BeginShutdown.
+	// latestDeadline is an upper bound for the deadlines of all requests; 0 means no bound. See BeginShutdown.
 	latestDeadline   time.Duration
 	admissionStopped bool // see StopAdmitting
 
 	onRequestEnd func(now time.Duration, req *Request, outcome RequestOutcome)
 
-	// Counters may be read between two calls of Router's methods.
+	// Counters may be read on the event loop's goroutine between calls of the Router's methods.
 	Counters Counters
 }
 
-// New returns a Router without endpoints.
+// New returns a Router with an empty endpoint list.
 func New(cfg Config) *Router {
 	r := &Router{
 		policy:       cfg.Policy,
@@ -85,19 +87,19 @@
 	return r
 }
 
-// SetNow advances the clock. The event loop calls it before it delivers what happened since the last call: AttemptEnded,
-// LoadCommandEnded and HealthCheckEnded use this time. What they and Submit report reaches the policy at the next Process,
-// or in the present one if they are called during it.
+// SetNow advances the Router's time; an earlier time has no effect. The event loop calls SetNow before it delivers
+// results, because AttemptEnded, LoadCommandEnded and HealthCheckEnded use this time. The policy handles the events
+// of these methods and of Submit in the next call of Process, or in the current call if they are called during Process.
 func (r *Router) SetNow(now time.Duration) { r.now = max(r.now, now) }
 
-// OpenRequests returns the number of requests that are still owed an answer.
+// OpenRequests returns the number of requests that have neither been answered nor cancelled.
 func (r *Router) OpenRequests() int { return r.requests.open }
 
 // UpdateEndpoints queues an update of the endpoint list for the policy.
 func (r *Router) UpdateEndpoints(update policy.EndpointUpdate) { r.events.add(update) }
 
-// Process fires the timers that are due, gives the policy all events gathered since the last call and executes
-// its actions, until nothing is left to do. It returns the time at which it must be called again at the latest.
+// Process fires the due timers, gives the queued events to the policy and executes the actions that the policy returns.
+// It repeats this until no timer is due and no event is queued. It returns the time by which it must be called again.
 func (r *Router) Process(now time.Duration) (next time.Duration) {
 	r.SetNow(now)
 	for {
@@ -122,7 +124,7 @@
 // execute carries out an action of the policy.
 //
 // policy.Subscribe, policy.FetchEndpoints, policy.SendGossip and policy.LogLine have no effect: in this deployment
-// the endpoint list arrives without a subscription, the settings allow no gossip, and nobody reads the log lines.
+// the endpoint list arrives without a subscription, the settings disable gossip, and the log lines are not used.
 func (r *Router) execute(action policy.Action) {
 	switch a := action.(type) {
 	case policy.SendAttempt:
@@ -147,7 +149,8 @@
 	}
 }
 
-// eventQueue gathers events for the policy. It uses two slices in turn, so that steady traffic allocates nothing.
+// eventQueue holds the events that the policy has not yet handled. It alternates between two slices, so that it does
+// not allocate under steady traffic.
 type eventQueue struct {
 	pending  []policy.Event
 	recycled []policy.Event
@@ -157,13 +160,14 @@
 
 func (q *eventQueue) empty() bool { return len(q.pending) == 0 }
 
-// drain calls handle for each pending event in order, and empties the queue.
+// drain empties the queue and calls handle for each event that was pending, in order. Events that handle adds stay in
+// the queue for the next call of drain.
 func (q *eventQueue) drain(handle func(policy.Event)) {
 	batch := q.pending
 	q.pending = q.recycled[:0]
 	for i, event := range batch {
 		handle(event)
-		batch[i] = nil // the recycled slice must not keep what the event refers to
+		batch[i] = nil // the recycled slice must not keep the event's data in memory
 	}
 	q.recycled = batch
 }
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// BeginShutdown moves the deadline of every request to latest if it is later than that, of open requests and of those
-// that are submitted from now on: the process may be killed soon after.
+// BeginShutdown limits the deadlines of all open requests, and of all requests that are submitted afterwards, to
+// latest, because the process may be killed soon after that time.
 //
-// The policy is not told that the deadline of an open request has moved. If it still is open at latest, enforceDeadline
-// ends it, and it counts as overdue. Of a request that is submitted later, the policy gets the bounded time.
+// The policy does not learn that the deadline of an open request has moved. If the request is still open at latest,
+// enforceDeadline ends it and counts it in Counters.Overdue. For a request that is submitted afterwards, the policy
+// gets the limited deadline.
 func (r *Router) BeginShutdown(now, latest time.Duration) {
 	r.SetNow(now)
 	r.latestDeadline = latest
@@ -18,10 +19,10 @@
 	}
 }
 
-// StopAdmitting makes Submit refuse every request from now on, because the process is about to end.
+// StopAdmitting makes Submit refuse all further requests, because the process is about to end.
 func (r *Router) StopAdmitting() { r.admissionStopped = true }
 
-// limitDeadline returns the deadline of a new request that asks for this one.
+// limitDeadline returns the deadline of a new request: the requested one, or latestDeadline if that is set and earlier.
 func (r *Router) limitDeadline(deadline time.Duration) time.Duration {
 	if r.latestDeadline == 0 {
 		return deadline
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -2,20 +2,22 @@
 
 import "functionrouter/policy"
 
-// pendingRequest is a request that is still open, or whose attempts have not all ended.
+// pendingRequest is a request that is open, or that is closed and has attempts that have not ended.
 type pendingRequest struct {
-	Request // without Body and Responder once it is closed
+	Request // Body and Responder are nil once the request is closed
 
-	attempts               []attempt // by their numbers
+	attempts               []attempt // indexed by AttemptID.Number
 	openAttempts           int       // attempts that have not ended
-	endedAttemptMayHaveRun bool      // an attempt ended without proof that it never ran
-	closed                 bool      // answered, or cancelled by the client
+	endedAttemptMayHaveRun bool      // true if an attempt ended and its outcome does not prove that it never ran
+	closed                 bool      // the request was answered, or cancelled by the client
 }
 
-// mayHaveRun reports whether an attempt that has ended may have run, or an open one may still run.
+// mayHaveRun reports whether any attempt may have run or may still run: an open attempt, or one that ended without
+// proof that it never ran.
 func (p *pendingRequest) mayHaveRun() bool { return p.endedAttemptMayHaveRun || p.openAttempts > 0 }
 
-// unservedStatus returns the status for an answer without a result: Refused, unless the request may have run.
+// unservedStatus returns the status of an answer without a result: Failed if the request may have run, Refused
+// otherwise.
 func (p *pendingRequest) unservedStatus() Status {
 	if p.mayHaveRun() {
 		return Failed
@@ -26,10 +28,10 @@
 // requestTable holds the pending requests.
 type requestTable struct {
 	byID      map[policy.RequestID]*pendingRequest
-	clientIDs map[string]struct{} // the Request.ID of each
+	clientIDs map[string]struct{} // the Request.ID of each pending request
 	lastID    policy.RequestID
-	open      int // requests that are not closed
-	bodyBytes int // size of the open requests' bodies
+	open      int // number of requests that are not closed
+	bodyBytes int // total size of the open requests' bodies
 }
 
 func newRequestTable() requestTable {
@@ -46,10 +48,11 @@
 	return id
 }
 
-// nextID returns an id that no pending request has. Ids ascend and begin again after the largest; 0, which stands for no
-// request, is left out. So an id may be used again once all 2^32-1 of them have had their turn, but never while its
-// request is open or an attempt of it is in flight. A timer that is left from the earlier request would then act on the
-// later one. Such a timer is due within the earlier request's wait, which is minutes, and no router takes as many
+// nextID returns an id that no pending request has. Ids ascend and wrap around after the largest value; 0 is skipped
+// because it means "no request". An id is therefore reused after 2^32-1 ids, but never while its request is pending.
+//
+// A timer that remains from the earlier request with an id would act on the later one. This does not happen in
+// practice: the timer fires within the earlier request's wait of some minutes, and a router does not receive 2^32-1
 // requests in that time.
 func (t *requestTable) nextID() policy.RequestID {
 	t.lastID++
@@ -59,7 +62,7 @@
 	return t.lastID
 }
 
-// findOpen returns the request if it is still owed an answer, else nil.
+// findOpen returns the open request with the given id, or nil if there is none.
 func (t *requestTable) findOpen(id policy.RequestID) *pendingRequest {
 	if p := t.byID[id]; p != nil && !p.closed {
 		return p
@@ -67,13 +70,14 @@
 	return nil
 }
 
-// hasClientID reports whether a pending request has this Request.ID.
+// hasClientID reports whether a pending request has the given Request.ID.
 func (t *requestTable) hasClientID(id string) bool {
 	_, ok := t.clientIDs[id]
 	return ok
 }
 
-// release updates the counts after a request was closed, and drops the fields that only an open one needs.
+// release updates the counts of open requests and body bytes for a request that has just been closed, and clears its
+// Body and Responder, which only an open request needs.
 func (t *requestTable) release(p *pendingRequest) {
 	t.open--
 	t.bodyBytes -= len(p.Body)
@@ -81,9 +85,9 @@
 	p.Responder = nil
 }
 
-// removeIfDone removes a request that is closed and whose attempts have all ended. It may be called again for a request
-// that is removed, as by AttemptEnded after respond has closed it. By then the entries may belong to a later request with
-// the same id or Request.ID; they stay.
+// removeIfDone removes a request that is closed and whose attempts have all ended. It does nothing for a request that
+// has already been removed, because a later request may have the same id or Request.ID by then. Such a second call
+// occurs in AttemptEnded after respond has closed and removed the request.
 func (t *requestTable) removeIfDone(id policy.RequestID, p *pendingRequest) {
 	if p.closed && p.openAttempts == 0 && t.byID[id] == p {
 		delete(t.byID, id)
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -7,32 +7,32 @@
 	"functionrouter/policy"
 )
 
-// timerKind says what happens when a timer fires.
+// timerKind determines what the Router does when a timer fires.
 type timerKind uint8
 
 const (
-	// policyTimer: the policy set it with policy.SetTimer.
+	// policyTimer: a timer that the policy set with policy.SetTimer expires.
 	policyTimer timerKind = iota // policy timer
-	// attemptTimeout: the time of an attempt is over.
+	// attemptTimeout: the timeout of an attempt expires.
 	attemptTimeout // attempt timeout
-	// controlTimeout: the time of a control call is over.
+	// controlTimeout: the timeout of a control call expires.
 	controlTimeout // control timeout
-	// requestDeadline: the time of a request is over.
+	// requestDeadline: the deadline of a request is reached.
 	requestDeadline // request deadline
 )
 
-// timer is a point in time at which something happens. Timers are never removed early: a timer whose subject has
-// ended meanwhile does nothing.
+// timer is an entry of timerQueue. A timer is never removed before it is due: if its attempt, control call or request
+// has ended by then, firing it does nothing.
 type timer struct {
 	due     time.Duration
-	seq     uint64 // counts the timers in the order of their scheduling
+	seq     uint64 // sequence number, in the order of scheduling
 	kind    timerKind
-	token   uint64    // policyTimer: the policy's token
+	token   uint64    // policyTimer: the token of policy.SetTimer
 	control ControlID // controlTimeout: the control call
-	attempt AttemptID // attemptTimeout: the attempt; requestDeadline: its Request alone
+	attempt AttemptID // attemptTimeout: the attempt; requestDeadline: only Request is set
 }
 
-// fireDueTimers fires the timers that are due, those included that firing one sets.
+// fireDueTimers fires all timers that are due, including those that are scheduled when another timer fires.
 func (r *Router) fireDueTimers() {
 	for {
 		t, ok := r.timers.popDue(r.now)
@@ -43,7 +43,7 @@
 	}
 }
 
-// fire does what the kind of the timer asks for.
+// fire runs the action of an expired timer.
 func (r *Router) fire(t timer) {
 	switch t.kind {
 	case policyTimer:
@@ -57,13 +57,13 @@
 	}
 }
 
-// timerQueue holds the timers that are set. Timers due at the same time fire in the order of their scheduling.
+// timerQueue holds the scheduled timers. Timers that are due at the same time fire in the order of their scheduling.
 type timerQueue struct {
 	heap    timerHeap
 	lastSeq uint64
 }
 
-// schedule sets t to fire at due.
+// schedule adds t to the queue, to fire at due.
 func (q *timerQueue) schedule(due time.Duration, t timer) {
 	q.lastSeq++
 	t.due = due
@@ -71,7 +71,7 @@
 	heap.Push(&q.heap, t)
 }
 
-// popDue takes out the first timer if it is due at now.
+// popDue removes and returns the earliest timer if it is due at now.
 func (q *timerQueue) popDue(now time.Duration) (t timer, ok bool) {
 	if due, ok := q.nextDue(); !ok || due > now {
 		return timer{}, false
@@ -79,7 +79,7 @@
 	return heap.Pop(&q.heap).(timer), true
 }
 
-// nextDue returns when the first timer is due; false: none is set.
+// nextDue returns the time at which the earliest timer is due, or false if the queue is empty.
 func (q *timerQueue) nextDue() (time.Duration, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -87,7 +87,7 @@
 	return q.heap[0].due, true
 }
 
-// timerHeap implements heap.Interface, ordered by due time and then by sequence.
+// timerHeap implements heap.Interface, ordered by due time and then by sequence number.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
--- a/internal/router/workerpool.go
+++ b/internal/router/workerpool.go
@@ -6,34 +6,37 @@
 	"functionrouter/policy"
 )
 
-// ControlID identifies a control call to a worker: a load command or a health check. A router uses each id once.
+// ControlID identifies a control call to a worker: a load command or a health check. A Router never reuses an id.
 type ControlID uint64
 
-// AttemptID identifies an attempt of a request; a request's attempts are numbered from 0.
+// AttemptID identifies an attempt of a request. The attempts of a request are numbered from 0.
 type AttemptID struct {
 	Request policy.RequestID
 	Number  int
 }
 
-// WorkerPool carries messages to workers. Each StartAttempt, LoadInstance and CheckHealth is answered by one call of the
-// Router's AttemptEnded, LoadCommandEnded or HealthCheckEnded, before it returns or later, unless it is cancelled first.
+// WorkerPool carries messages to workers. For each call of StartAttempt, LoadInstance and CheckHealth, the pool calls
+// the Router's AttemptEnded, LoadCommandEnded or HealthCheckEnded once, either before the method returns or later. It
+// makes no such call for an attempt or a control call that the Router has cancelled.
 type WorkerPool interface {
-	// StartAttempt sends a request to a worker, which has budget to answer it. The pool may read req until the call
-	// returns, and may keep the body, which does not change.
+	// StartAttempt sends a request to a worker, which must answer within budget. The pool must not use req after the
+	// method returns, but may keep the body, which does not change.
 	StartAttempt(worker policy.WorkerID, id AttemptID, req *Request, budget time.Duration)
-	// CancelUnsent takes back an attempt of which nothing has been sent. It returns false, and does nothing, if
-	// the attempt has ended or any of it may have been sent.
+	// CancelUnsent cancels an attempt of which no byte has been sent. It returns false and does nothing if the attempt
+	// has ended or any byte of it may have been sent.
 	CancelUnsent(id AttemptID) bool
-	// CancelAttempt stops waiting for the answer to an attempt; its end is not reported any more.
+	// CancelAttempt stops waiting for the answer to an attempt. The pool no longer reports the end of the attempt.
 	CancelAttempt(worker policy.WorkerID, id AttemptID)
-	// LoadInstance commands a worker to keep count instances of a function loaded; with 0 it only asks how many there are.
+	// LoadInstance commands a worker to keep count instances of a function loaded. A count of 0 only asks for the
+	// number of loaded instances.
 	LoadInstance(worker policy.WorkerID, function policy.FunctionID, count int, id ControlID)
-	// CheckHealth asks a worker for a sign of life and its load report.
+	// CheckHealth sends a health check to a worker, which answers with its load report.
 	CheckHealth(worker policy.WorkerID, id ControlID)
-	// CancelControl stops waiting for the answer to a load command or a health check.
+	// CancelControl stops waiting for the answer to a load command or a health check. The pool no longer reports its
+	// end.
 	CancelControl(worker policy.WorkerID, id ControlID)
-	// UnloadInstance tells a worker to drop the idle instances of a function. It is not answered.
+	// UnloadInstance commands a worker to unload the idle instances of a function. The worker sends no answer.
 	UnloadInstance(worker policy.WorkerID, function policy.FunctionID)
-	// CloseIdleConnections closes the connections to a worker that carry nothing.
+	// CloseIdleConnections closes those connections to a worker that have no pending calls.
 	CloseIdleConnections(worker policy.WorkerID)
 }
