--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -5,7 +5,7 @@
 // outcomeCount is the number of policy.Outcome values.
 const outcomeCount = policy.FunctionNotLoaded + 1
 
-// Counters counts events since the start of the program. They never decrease.
+// Counters holds the numbers of events since the start of the program. No counter ever decreases.
 type Counters struct {
 	// Requests by frontend. Received counts each request when it arrives. Exactly one of Served, Refused, Failed,
 	// ClientCancelled and RefusedAtOnce counts the request when it ends.
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -146,7 +146,7 @@
 // Checks which requests Counters.Overdue counts although neither the policy nor the machine has a fault: an open
 // request whose deadline a shutdown moves, and a request that arrives with no time left. It does not count a request
 // that arrives during the shutdown.
-func TestOverdueCountsRequestsWithoutFault(t *testing.T) {
+func TestOverdueCounterWithoutFault(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		wait     time.Duration
