--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -12,9 +12,10 @@
 	"functionrouter/policy"
 )
 
-// TestRequestsGetOneTrueAnswer plays random events against a model of what a request is owed: one final answer, in
-// time, true to what may have run, and no further attempt of a request that must not run twice and may have run.
-func TestRequestsGetOneTrueAnswer(t *testing.T) {
+// TestEachRequestGetsOneCorrectAnswer applies random events to a router and checks it against a model. Each request
+// must get one final answer by its deadline, and the answer must not deny that the request may have run. A request of a
+// non-idempotent class must be neither refused nor sent again once it may have run.
+func TestEachRequestGetsOneCorrectAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newRouterModel(t)
 		m.updateEndpoints(t)
@@ -31,31 +32,31 @@
 	})
 }
 
-// routerModel is a router together with what its clients and workers have seen.
+// routerModel holds the router under test and what its clients and workers have observed.
 type routerModel struct {
-	router    *Router
-	workers   *fakeWorkerPool
-	now       time.Duration
-	submitted int
-	requests  map[policy.RequestID]*requestModel
-	ends      map[string]int // calls of Config.OnRequestEnd, by Request.ID
+	router       *Router
+	workers      *fakeWorkerPool
+	now          time.Duration
+	submitted    int
+	requests     map[policy.RequestID]*requestModel
+	reportedEnds map[string]int // number of calls of Config.OnRequestEnd, by Request.ID
 }
 
-// requestModel is what is known of a request that the router accepted.
+// requestModel is the model's state of a request that the router has accepted.
 type requestModel struct {
-	clientID   string
-	responder  *recordingResponder
-	class      int
-	deadline   time.Duration
-	cancelled  bool
-	mayHaveRun bool // an attempt ended without proof that it never ran
-	sentByThen int  // attempts sent when the last such attempt ended
+	clientID               string
+	responder              *recordingResponder
+	class                  int
+	deadline               time.Duration
+	cancelled              bool
+	mayHaveRun             bool // true if an attempt ended and its outcome does not prove that it never ran
+	attemptsWhenMayHaveRun int  // number of attempts sent when mayHaveRun was last set
 }
 
 func newRouterModel(t *rapid.T) *routerModel {
-	m := &routerModel{now: testStart, requests: map[policy.RequestID]*requestModel{}, ends: map[string]int{}}
+	m := &routerModel{now: testStart, requests: map[policy.RequestID]*requestModel{}, reportedEnds: map[string]int{}}
 	m.router, m.workers = newTestRouter(t, rapid.Uint64().Draw(t, "seed"))
-	m.router.onRequestEnd = func(_ time.Duration, req *Request, _ RequestOutcome) { m.ends[req.ID]++ }
+	m.router.onRequestEnd = func(_ time.Duration, req *Request, _ RequestOutcome) { m.reportedEnds[req.ID]++ }
 	return m
 }
 
@@ -86,12 +87,12 @@
 		m.requests[id] = req
 		return
 	}
-	// The limits had no room for it.
+	// The request exceeded the limits.
 	if len(req.responder.responses) != 1 || req.responder.responses[0].Status != Refused {
-		t.Fatal("a request did not enter the table and was not refused")
+		t.Fatalf("the answers to a request that was not added to the table are %v, want one with status Refused", req.responder.responses)
 	}
-	if m.ends[req.clientID] != 1 {
-		t.Fatalf("the end of a request that was refused at once was reported %d times", m.ends[req.clientID])
+	if m.reportedEnds[req.clientID] != 1 {
+		t.Fatalf("the end of a request that was refused at once was reported %d times", m.reportedEnds[req.clientID])
 	}
 }
 
@@ -107,10 +108,10 @@
 	delete(m.workers.openAttempts, id)
 	if req := m.requests[id.Request]; req != nil && !outcome.NeverRan() {
 		req.mayHaveRun = true
-		req.sentByThen = len(m.workers.sent[id.Request])
+		req.attemptsWhenMayHaveRun = len(m.workers.sent[id.Request])
 	}
 	m.router.AttemptEnded(id, AttemptResult{Outcome: outcome, Body: []byte("done")})
-	// A second report must change nothing.
+	// A second report of the same attempt must change nothing.
 	m.router.AttemptEnded(id, AttemptResult{Outcome: policy.Served, Body: []byte("again")})
 }
 
@@ -142,23 +143,23 @@
 	m.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
 }
 
-// processAndCheck lets the router act, and holds it to the model.
+// processAndCheck calls Process and compares the router's state with the model.
 func (m *routerModel) processAndCheck(t *rapid.T) {
 	if next := m.router.Process(m.now); next <= m.now {
-		t.Fatalf("Process at %v wants another call at %v", m.now, next)
+		t.Fatalf("Process at %v returned the next call time %v, want a later time", m.now, next)
 	}
 	open := 0
 	for id, req := range m.requests {
 		m.checkOneAnswerInTime(t, id, req)
 		m.checkNoFurtherAttempt(t, id, req)
-		m.checkAnswerIsTrue(t, id, req)
+		m.checkAnswerIsCorrect(t, id, req)
 		m.checkEndReported(t, id, req)
 		if req.isOpen() {
 			open++
 		}
 	}
 	if got := m.router.OpenRequests(); got != open {
-		t.Fatalf("%d requests are open, the model has %d", got, open)
+		t.Fatalf("%d requests are open, want %d", got, open)
 	}
 }
 
@@ -175,21 +176,21 @@
 }
 
 func (m *routerModel) checkNoFurtherAttempt(t *rapid.T, id policy.RequestID, req *requestModel) {
-	if req.class == notIdempotentClass && req.mayHaveRun && len(m.workers.sent[id]) > req.sentByThen {
-		t.Fatalf("request %d must not run twice and was sent again though it may have run", id)
+	if req.class == notIdempotentClass && req.mayHaveRun && len(m.workers.sent[id]) > req.attemptsWhenMayHaveRun {
+		t.Fatalf("request %d of a non-idempotent class was sent again although it may have run", id)
 	}
 }
 
-func (m *routerModel) checkAnswerIsTrue(t *rapid.T, id policy.RequestID, req *requestModel) {
+func (m *routerModel) checkAnswerIsCorrect(t *rapid.T, id policy.RequestID, req *requestModel) {
 	if len(req.responder.responses) == 0 {
 		return
 	}
 	resp := req.responder.responses[0]
 	if resp.Status == Refused && req.class == notIdempotentClass && (req.mayHaveRun || resp.MayHaveRun) {
-		t.Fatalf("request %d must not run twice and is refused though it may have run", id)
+		t.Fatalf("request %d of a non-idempotent class was refused although it may have run", id)
 	}
 	if req.mayHaveRun && !resp.MayHaveRun {
-		t.Fatalf("the answer to request %d denies that it may have run", id)
+		t.Fatalf("the answer to request %d says that it has not run, but it may have run", id)
 	}
 }
 
@@ -198,20 +199,20 @@
 	if req.isOpen() {
 		want = 0
 	}
-	if got := m.ends[req.clientID]; got != want {
+	if got := m.reportedEnds[req.clientID]; got != want {
 		t.Fatalf("the end of request %d was reported %d times, want %d", id, got, want)
 	}
 }
 
-// drawKey draws a key of m. The keys are put in a fixed order, so that a failing run can be repeated.
+// drawKey draws a random key of m. It sorts the keys first, so that a failing run can be reproduced.
 func drawKey[K comparable, V any](t *rapid.T, m map[K]V) (K, bool) {
 	var keys []K
 	for k := range m {
 		keys = append(keys, k)
 	}
 	if len(keys) == 0 {
-		var none K
-		return none, false
+		var zero K
+		return zero, false
 	}
 	slices.SortFunc(keys, func(a, b K) int { return strings.Compare(fmt.Sprintf("%20v", a), fmt.Sprintf("%20v", b)) })
 	return keys[rapid.IntRange(0, len(keys)-1).Draw(t, "which")], true
