--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -11,23 +11,23 @@
 // into the read buffer, which is valid during OnData only.
 type answer struct {
 	wireID []byte // of the call that it answers
-	word   []byte // a key of answerOutcomes, which outcomeFor checks
+	status   []byte // a key of answerOutcomes, which outcomeFor checks
 	fields []byte // name=value,name=value; "-" or nothing if there are none
 	body   []byte // of an attempt: the function's result
 }
 
 // parseAnswer names the words of an answer. Fields and body may be missing, and words beyond them are ignored. It fails
 // with errMalformedAnswer if there is no wire id or no word behind it.
-func parseAnswer(words [][]byte) (answer, error) {
-	if len(words) < 2 {
-		return answer{}, malformed("fewer than two words")
+func parseAnswer(elements [][]byte) (answer, error) {
+	if len(elements) < 2 {
+		return answer{}, malformedAnswerf("fewer than two words")
 	}
-	a := answer{wireID: words[0], word: words[1]}
-	if len(words) > 2 {
-		a.fields = words[2]
+	a := answer{wireID: elements[0], status: elements[1]}
+	if len(elements) > 2 {
+		a.fields = elements[2]
 	}
-	if len(words) > 3 {
-		a.body = words[3]
+	if len(elements) > 3 {
+		a.body = elements[3]
 	}
 	return a, nil
 }
@@ -35,17 +35,17 @@
 // outcomeFor returns the outcome of call by the answer's word. It fails with errMalformedAnswer if the word is unknown or
 // doesn't belong to the call's kind, or if the call was not written yet.
 func (a answer) outcomeFor(call *pendingCall) (policy.Outcome, error) {
-	outcome, known := answerOutcomes[string(a.word)]
+	outcome, known := answerOutcomes[string(a.status)]
 	if !known {
-		return 0, malformed("unknown word")
+		return 0, malformedAnswerf("unknown word")
 	}
-	isCheckWord := string(a.word) == answerHealthy || string(a.word) == answerUnhealthy
+	isCheckStatus := string(a.status) == answerHealthy || string(a.status) == answerUnhealthy
 	isCheckCall := call.kind == healthCheckCall || call.kind == keepAliveCall
-	if isCheckWord != isCheckCall {
-		return 0, malformed("%s in answer to %s", a.word, call.kind)
+	if isCheckStatus != isCheckCall {
+		return 0, malformedAnswerf("%s in answer to %s", a.status, call.kind)
 	}
 	if !call.written {
-		return 0, malformed("answer before the call was sent")
+		return 0, malformedAnswerf("answer before the call was sent")
 	}
 	return outcome, nil
 }
@@ -66,15 +66,15 @@
 // parseLoadReport returns the values of a load report, name:value;name:value, in the order of names, or nil unless it holds
 // as many values of these names as there are names. It ignores other names and values that aren't numbers. It does not
 // expect a name twice.
-func parseLoadReport(text []byte, names []string) []float64 {
-	if len(text) == 0 {
+func parseLoadReport(report []byte, names []string) []float64 {
+	if len(report) == 0 {
 		return nil
 	}
 	values := make([]float64, len(names))
 	found := 0
-	for len(text) > 0 {
+	for len(report) > 0 {
 		var pair []byte
-		pair, text, _ = bytes.Cut(text, []byte{';'})
+		pair, report, _ = bytes.Cut(report, []byte{';'})
 		name, value, _ := bytes.Cut(pair, []byte{':'})
 		for i, n := range names {
 			if string(name) != n {
--- a/internal/backend/call.go
+++ b/internal/backend/call.go
@@ -32,8 +32,8 @@
 // id: all attempts of one request have the same, which is why a connection doesn't carry one again soon (see recentIDs).
 type pendingCall struct {
 	kind    callKind
-	attempt router.AttemptID // of an attempt
-	control router.ControlID // of a load command or a health check
+	attemptID router.AttemptID // of an attempt
+	controlID router.ControlID // of a load command or a health check
 	wireID  string
 
 	// What is to be written; nil afterwards.
@@ -55,10 +55,10 @@
 }
 
 // newAttemptCall returns the call of an attempt whose budget is spent at budgetEnd.
-func newAttemptCall(attempt router.AttemptID, request *router.Request, class string, budgetEnd time.Duration) *pendingCall {
+func newAttemptCall(attemptID router.AttemptID, request *router.Request, class string, budgetEnd time.Duration) *pendingCall {
 	return &pendingCall{
 		kind:      attemptCall,
-		attempt:   attempt,
+		attemptID:   attemptID,
 		wireID:    request.ID,
 		body:      request.Body,
 		class:     class,
@@ -76,12 +76,12 @@
 }
 
 // newLoadCommandCall returns the command to keep this number of instances of a function loaded; 0 only asks how many are.
-func newLoadCommandCall(control router.ControlID, function policy.FunctionID, instances int) *pendingCall {
-	wireID := loadCommandWireID(control)
+func newLoadCommandCall(controlID router.ControlID, function policy.FunctionID, instances int) *pendingCall {
+	wireID := loadCommandWireID(controlID)
 	fields := fmt.Sprintf("path=%s,count=%d", formatFunctionID(function), instances)
 	return &pendingCall{
 		kind:             loadCommandCall,
-		control:          control,
+		controlID:          controlID,
 		wireID:           wireID,
 		command:          encodeCommand(commandLoad, wireID, fields),
 		needsReadyWorker: instances > 0,
@@ -89,11 +89,11 @@
 }
 
 // newHealthCheckCall returns the health check that the caller knows as control.
-func newHealthCheckCall(control router.ControlID) *pendingCall {
-	wireID := healthCheckWireID(control)
+func newHealthCheckCall(controlID router.ControlID) *pendingCall {
+	wireID := healthCheckWireID(controlID)
 	return &pendingCall{
 		kind:    healthCheckCall,
-		control: control,
+		controlID: controlID,
 		wireID:  wireID,
 		command: encodeCommand(commandHealthCheck, wireID),
 	}
@@ -117,12 +117,12 @@
 	keepAlivePrefix   = "n"
 )
 
-func loadCommandWireID(control router.ControlID) string {
-	return formatWireID(loadCommandPrefix, uint64(control))
+func loadCommandWireID(controlID router.ControlID) string {
+	return formatWireID(loadCommandPrefix, uint64(controlID))
 }
 
-func healthCheckWireID(control router.ControlID) string {
-	return formatWireID(healthCheckPrefix, uint64(control))
+func healthCheckWireID(controlID router.ControlID) string {
+	return formatWireID(healthCheckPrefix, uint64(controlID))
 }
 
 // formatWireID returns the wire id of a call that is not an attempt: its kind's prefix and its number, in decimal.
@@ -135,8 +135,8 @@
 	return fmt.Sprintf("%016x", uint64(function))
 }
 
-// inWireIDOrder returns calls in the order of their wire ids as text. Their ends are events for the policy, and equal runs
+// sortedByWireID returns calls in the order of their wire ids as text. Their ends are events for the policy, and equal runs
 // must give it equal events in equal order, which the iteration of a map would not.
-func inWireIDOrder(calls map[string]*pendingCall) []*pendingCall {
+func sortedByWireID(calls map[string]*pendingCall) []*pendingCall {
 	return slices.SortedFunc(maps.Values(calls), func(a, b *pendingCall) int { return cmp.Compare(a.wireID, b.wireID) })
 }
--- a/internal/backend/codec.go
+++ b/internal/backend/codec.go
@@ -13,34 +13,34 @@
 	maxBulkSize = 16<<10 + 64
 	// maxAnswerSize is the limit of a complete answer without its last line end: a body, and 4 KiB for the words beside it.
 	maxAnswerSize = maxBulkSize + 4<<10
-	// maxWords is the limit on the number of words. An answer has two to four; parseAnswer ignores further ones.
-	maxWords = 8
-	// maxPrefixLine is the limit of a line such as "*4" or "$16384" with its end; the longest within the limits above has
+	// maxElements is the limit on the number of words. An answer has two to four; parseAnswer ignores further ones.
+	maxElements = 8
+	// maxLengthLine is the limit of a line such as "*4" or "$16384" with its end; the longest within the limits above has
 	// 8 bytes.
-	maxPrefixLine = 12
-	// minPrefixLine is the length of the shortest such line.
-	minPrefixLine = len("*0\r\n")
+	maxLengthLine = 12
+	// minLengthLine is the length of the shortest such line.
+	minLengthLine = len("*0\r\n")
 )
 
-// headerSize is the capacity in bytes with which a command's header is allocated. A header with a class name of up to 60
+// headerCapacity is the capacity in bytes with which a command's header is allocated. A header with a class name of up to 60
 // bytes fits without growing.
-const headerSize = 160
+const headerCapacity = 160
 
 // The first bytes of RESP types.
 const (
-	arrayMark = '*'
-	bulkMark  = '$'
+	arrayTypeByte = '*'
+	bulkStringTypeByte  = '$'
 )
 
-// lineEnd ends each line and each bulk string. It is never changed.
-var lineEnd = []byte("\r\n")
+// crlf ends each line and each bulk string. It is never changed.
+var crlf = []byte("\r\n")
 
 // errMalformedAnswer says that a worker broke the protocol. Each error of the functions here and in answer.go wraps it; so
 // "fails with errMalformedAnswer" means an error for which errors.Is finds it.
 var errMalformedAnswer = errors.New("malformed answer")
 
-// malformed returns an error that wraps errMalformedAnswer and gives the formatted reason.
-func malformed(format string, arguments ...any) error {
+// malformedAnswerf returns an error that wraps errMalformedAnswer and gives the formatted reason.
+func malformedAnswerf(format string, arguments ...any) error {
 	return fmt.Errorf("%w: %s", errMalformedAnswer, fmt.Sprintf(format, arguments...))
 }
 
@@ -48,48 +48,48 @@
 // b, to words. It also returns the array's size in bytes. While the array is incomplete, it returns no words and 0. It
 // fails with errMalformedAnswer. A length is checked as soon as it is announced, before its bytes have arrived, so that
 // what a worker can make the router buffer is bounded.
-func decodeArray(b []byte, words [][]byte) ([][]byte, int, error) {
-	count, at, err := decodePrefix(b, 0, arrayMark, maxWords)
-	if err != nil || at == 0 {
+func decodeArray(b []byte, elements [][]byte) ([][]byte, int, error) {
+	count, offset, err := decodeLengthLine(b, 0, arrayTypeByte, maxElements)
+	if err != nil || offset == 0 {
 		return nil, 0, err
 	}
 	for range count {
-		size, start, err := decodePrefix(b, at, bulkMark, maxBulkSize)
-		if err != nil || start == 0 {
+		size, bulkStart, err := decodeLengthLine(b, offset, bulkStringTypeByte, maxBulkSize)
+		if err != nil || bulkStart == 0 {
 			return nil, 0, err
 		}
-		end := start + size
-		if end > maxAnswerSize {
-			return nil, 0, malformed("answer too long")
+		bulkEnd := bulkStart + size
+		if bulkEnd > maxAnswerSize {
+			return nil, 0, malformedAnswerf("answer too long")
 		}
-		if len(b) < end+len(lineEnd) {
+		if len(b) < bulkEnd+len(crlf) {
 			return nil, 0, nil
 		}
-		if !bytes.HasPrefix(b[end:], lineEnd) {
-			return nil, 0, malformed("no line end behind a bulk string")
+		if !bytes.HasPrefix(b[bulkEnd:], crlf) {
+			return nil, 0, malformedAnswerf("no line end behind a bulk string")
 		}
-		words = append(words, b[start:end])
-		at = end + len(lineEnd)
+		elements = append(elements, b[bulkStart:bulkEnd])
+		offset = bulkEnd + len(crlf)
 	}
-	return words, at, nil
+	return elements, offset, nil
 }
 
-// decodePrefix decodes a line of mark and a decimal number up to limit that begins at index start of b. It returns the
+// decodeLengthLine decodes a line of mark and a decimal number up to limit that begins at index start of b. It returns the
 // number and the index behind the line, 0 while the line is incomplete. It fails with errMalformedAnswer.
-func decodePrefix(b []byte, start int, mark byte, limit int) (number, end int, err error) {
+func decodeLengthLine(b []byte, start int, typeByte byte, limit int) (number, next int, err error) {
 	line := b[start:]
-	if len(line) > 0 && line[0] != mark {
-		return 0, 0, malformed("%q in place of %q", line[0], mark)
+	if len(line) > 0 && line[0] != typeByte {
+		return 0, 0, malformedAnswerf("%q in place of %q", line[0], typeByte)
 	}
-	newline := bytes.IndexByte(line[:min(len(line), maxPrefixLine)], '\n')
+	newline := bytes.IndexByte(line[:min(len(line), maxLengthLine)], '\n')
 	if newline < 0 {
-		if len(line) >= maxPrefixLine {
-			return 0, 0, malformed("length line too long")
+		if len(line) >= maxLengthLine {
+			return 0, 0, malformedAnswerf("length line too long")
 		}
 		return 0, 0, nil
 	}
-	if newline+1 < minPrefixLine || line[newline-1] != '\r' {
-		return 0, 0, malformed("length line without number or carriage return")
+	if newline+1 < minLengthLine || line[newline-1] != '\r' {
+		return 0, 0, malformedAnswerf("length line without number or carriage return")
 	}
 	number, err = parseLength(line[1:newline-1], limit)
 	if err != nil {
@@ -104,11 +104,11 @@
 	number := 0
 	for _, digit := range digits {
 		if digit < '0' || digit > '9' {
-			return 0, malformed("length is not a number")
+			return 0, malformedAnswerf("length is not a number")
 		}
 		number = number*10 + int(digit-'0')
 		if number > limit {
-			return 0, malformed("length over %d", limit)
+			return 0, malformedAnswerf("length over %d", limit)
 		}
 	}
 	return number, nil
@@ -116,28 +116,28 @@
 
 // encodeHeader returns an array of words and one more bulk string of bodySize bytes, without these bytes and
 // the line end behind them: the caller writes both separately, so that a body is not copied.
-func encodeHeader(bodySize int, words ...string) []byte {
-	b := appendPrefix(make([]byte, 0, headerSize), arrayMark, len(words)+1)
-	for _, word := range words {
-		b = appendPrefix(b, bulkMark, len(word))
-		b = append(b, word...)
-		b = append(b, lineEnd...)
+func encodeHeader(bodySize int, elements ...string) []byte {
+	b := appendLengthLine(make([]byte, 0, headerCapacity), arrayTypeByte, len(elements)+1)
+	for _, element := range elements {
+		b = appendLengthLine(b, bulkStringTypeByte, len(element))
+		b = append(b, element...)
+		b = append(b, crlf...)
 	}
-	return appendPrefix(b, bulkMark, bodySize)
+	return appendLengthLine(b, bulkStringTypeByte, bodySize)
 }
 
 // encodeCommand returns the complete array of the command's word and its arguments.
 func encodeCommand(command string, arguments ...string) []byte {
-	words := append([]string{command}, arguments...)
-	last := words[len(words)-1]
-	b := encodeHeader(len(last), words[:len(words)-1]...)
-	b = append(b, last...)
-	return append(b, lineEnd...)
+	elements := append([]string{command}, arguments...)
+	lastElement := elements[len(elements)-1]
+	b := encodeHeader(len(lastElement), elements[:len(elements)-1]...)
+	b = append(b, lastElement...)
+	return append(b, crlf...)
 }
 
-// appendPrefix appends the line that begins an array or a bulk string.
-func appendPrefix(b []byte, mark byte, number int) []byte {
-	b = append(b, mark)
+// appendLengthLine appends the line that begins an array or a bulk string.
+func appendLengthLine(b []byte, typeByte byte, number int) []byte {
+	b = append(b, typeByte)
 	b = strconv.AppendInt(b, int64(number), 10)
-	return append(b, lineEnd...)
+	return append(b, crlf...)
 }
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -50,7 +50,7 @@
 	call.sentAt = c.pool.now
 	c.lastUsedAt = c.pool.now
 	if call.kind == attemptCall {
-		c.transport.Write(call.encodeAttemptHeader(c.pool.now), call.body, lineEnd)
+		c.transport.Write(call.encodeAttemptHeader(c.pool.now), call.body, crlf)
 	} else {
 		c.transport.Write(call.command)
 	}
@@ -88,10 +88,10 @@
 // failQueued ends the calls that wait for the dial because their worker is not ready any more: attempts as Unreachable,
 // load commands as WorkerOverloaded. Health checks stay. A dial for which no call waits any longer is cancelled.
 func (c *connection) failQueued() {
-	var kept []*pendingCall
+	var remaining []*pendingCall
 	for _, call := range c.queued {
 		if call.kind == healthCheckCall {
-			kept = append(kept, call)
+			remaining = append(remaining, call)
 			continue
 		}
 		c.release(call)
@@ -101,8 +101,8 @@
 		}
 		c.pool.endUnanswered(call, outcome)
 	}
-	c.queued = kept
-	if c.state == stateConnecting && len(kept) == 0 {
+	c.queued = remaining
+	if c.state == stateConnecting && len(remaining) == 0 {
 		c.retire()
 	}
 }
@@ -112,7 +112,7 @@
 func (c *connection) OnOpen(err error) {
 	if err != nil {
 		slog.Warn("worker dial failed", "address", c.worker.address, "error", err)
-		c.terminate(endOfFailedDial(err))
+		c.terminate(endForDialError(err))
 		return
 	}
 	if c.state == stateConnecting { // a closed connection, whose dial should not be reported, must not become ready
--- a/internal/backend/connection_end.go
+++ b/internal/backend/connection_end.go
@@ -22,17 +22,17 @@
 // connectionEnd is what the end of a connection means for the calls that are pending on it.
 type connectionEnd struct {
 	outcome policy.Outcome // of the calls that are not sent again
-	redial  bool           // the calls, of which none was written, are sent over another connection where possible
+	resendUnsent  bool           // the calls, of which none was written, are sent over another connection where possible
 }
 
-// endOfFailedDial returns what the error of a dial means for the queued calls, of which none was written. After most
+// endForDialError returns what the error of a dial means for the queued calls, of which none was written. After most
 // errors, such as a refusal or a timeout, they end as Unreachable. A reset comes from a process that runs, so that it
 // would be wrong to call its worker unreachable at once: the calls get another dial. So they do after net.ErrClosed,
 // which no dial of eventloop.Loop fails with. A local fault says nothing of the worker.
-func endOfFailedDial(err error) connectionEnd {
+func endForDialError(err error) connectionEnd {
 	end := connectionEnd{
 		outcome: policy.Unreachable,
-		redial:  errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed),
+		resendUnsent:  errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed),
 	}
 	if errors.Is(err, eventloop.ErrLocalFault) {
 		end.outcome = policy.NotSent
@@ -54,7 +54,7 @@
 // dial has succeeded, so that those of a failed dial were never sent, and those of an open connection were.
 func (c *connection) terminate(end connectionEnd) {
 	c.worker.remove(c)
-	pending := inWireIDOrder(c.pending)
+	pending := sortedByWireID(c.pending)
 	clear(c.pending)
 	c.queued = nil
 	for _, call := range pending {
@@ -67,15 +67,15 @@
 // resend sends a call again over another connection, if its kind and the end of c allow that. It returns false if the call
 // has to end.
 func (c *connection) resend(call *pendingCall, end connectionEnd) bool {
-	if call.resendsAfter(end.outcome) {
+	if call.mayResendAfter(end.outcome) {
 		c.resendHealthCheck(call)
 		return true
 	}
-	return end.redial && c.resendUnsent(call)
+	return end.resendUnsent && c.resendUnsent(call)
 }
 
-// resendsAfter reports whether a call is a health check that is sent again after its connection ended with outcome.
-func (call *pendingCall) resendsAfter(outcome policy.Outcome) bool {
+// mayResendAfter reports whether a call is a health check that is sent again after its connection ended with outcome.
+func (call *pendingCall) mayResendAfter(outcome policy.Outcome) bool {
 	return call.kind == healthCheckCall && outcome == policy.ConnectionReset && call.resends < maxHealthCheckResends
 }
 
@@ -83,9 +83,9 @@
 // connection broke does not show that its worker is unhealthy: on another one a healthy worker answers, and a worker that
 // died refuses the dial.
 func (c *connection) resendHealthCheck(call *pendingCall) {
-	again := newHealthCheckCall(call.control)
-	again.resends = call.resends + 1
-	c.pool.sendControl(c.worker.id, again)
+	resent := newHealthCheckCall(call.controlID)
+	resent.resends = call.resends + 1
+	c.pool.sendControl(c.worker.id, resent)
 }
 
 // resendUnsent sends a call that has not been written over another connection. It returns false, and sends nothing, if the
@@ -95,10 +95,10 @@
 		return false
 	}
 	call.resends++
-	other := c.pool.selectConnection(c.worker, call)
-	if other == nil {
+	target := c.pool.selectConnection(c.worker, call)
+	if target == nil {
 		return false
 	}
-	other.send(call)
+	target.send(call)
 	return true
 }
--- a/internal/backend/connection_state.go
+++ b/internal/backend/connection_state.go
@@ -41,8 +41,8 @@
 // idle reports whether no call is pending on c.
 func (c *connection) idle() bool { return len(c.pending) == 0 }
 
-// takesCalls reports whether new calls may go over c, now or once its dial has succeeded.
-func (c *connection) takesCalls() bool { return c.state == stateConnecting || c.state == stateReady }
+// acceptsCalls reports whether new calls may go over c, now or once its dial has succeeded.
+func (c *connection) acceptsCalls() bool { return c.state == stateConnecting || c.state == stateReady }
 
 // close closes the connection; OnClose follows in a later turn if it was open. The state changes at once, so that no call
 // goes over it until then: the call would be lost, and yet count as written.
--- a/internal/backend/keep_alive.go
+++ b/internal/backend/keep_alive.go
@@ -17,8 +17,8 @@
 	keepAliveTimeout = 250 * time.Millisecond
 )
 
-// errSilentConnection says that a connection stays silent while others to the same worker do not.
-var errSilentConnection = errors.New("connection is silent while others to the worker are not")
+// errUnresponsiveConnection says that a connection stays silent while others to the same worker do not.
+var errUnresponsiveConnection = errors.New("connection is silent while others to the worker are not")
 
 // keepAlive holds what shows whether a connection still works. The keep-alive check is of one connection, and its result
 // stays in this package; the health check is of a worker, and its result goes to the policy. Any complete answer on the
@@ -48,7 +48,7 @@
 	}
 	checkSentAt := c.keepAlive.checkSentAt
 	if now-checkSentAt > keepAliveTimeout && c.worker.answeredCallSentAfter(checkSentAt) {
-		c.closeWithError(errSilentConnection)
+		c.closeWithError(errUnresponsiveConnection)
 	}
 }
 
--- a/internal/backend/keep_alive_test.go
+++ b/internal/backend/keep_alive_test.go
@@ -60,7 +60,7 @@
 	if silent.Closed != healthy {
 		t.Errorf("silent connection closed: %v", silent.Closed)
 	}
-	if err := logged.lastError("worker connection closed"); errors.Is(err, errSilentConnection) != healthy {
+	if err := logged.lastError("worker connection closed"); errors.Is(err, errUnresponsiveConnection) != healthy {
 		t.Errorf("logged %v", err)
 	}
 	silent.handler.OnClose(nil)
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxKeptBuffer is the capacity in bytes above which the buffer of a partial answer is released once it is empty. It
+	// maxRetainedBuffer is the capacity in bytes above which the buffer of a partial answer is released once it is empty. It
 	// bounds what a connection holds between large answers.
-	maxKeptBuffer = 4 << 10
+	maxRetainedBuffer = 4 << 10
 
 	// partialAnswerTimeout bounds the time from the first byte of an answer to its last.
 	partialAnswerTimeout = 600 * time.Millisecond
@@ -24,12 +24,12 @@
 // partialAnswer is the beginning of an answer whose rest has not come.
 type partialAnswer struct {
 	data  []byte        // empty if no answer has begun
-	since time.Duration // when its first byte came
+	firstByteAt time.Duration // when its first byte came
 }
 
 // hasStalled reports whether the rest of an answer that has begun is overdue.
 func (p *partialAnswer) hasStalled(now time.Duration) bool {
-	return len(p.data) > 0 && now-p.since > partialAnswerTimeout
+	return len(p.data) > 0 && now-p.firstByteAt > partialAnswerTimeout
 }
 
 // join returns what has come of the answer so far, with b behind it. The result is b itself or points into the buffer,
@@ -42,15 +42,15 @@
 	return p.data
 }
 
-// keep stores rest, the part of joined behind its complete answers. joined is the last result of join, and now the time at
+// storeRest stores rest, the part of joined behind its complete answers. joined is the last result of join, and now the time at
 // which its last bytes came. If no answer was complete, the partial answer is still the one from before.
-func (p *partialAnswer) keep(rest, joined []byte, now time.Duration) {
-	beginsNow := len(rest) < len(joined) || len(p.data) == 0
-	if len(rest) > 0 && beginsNow {
-		p.since = now
+func (p *partialAnswer) storeRest(rest, joined []byte, now time.Duration) {
+	startsNewAnswer := len(rest) < len(joined) || len(p.data) == 0
+	if len(rest) > 0 && startsNewAnswer {
+		p.firstByteAt = now
 	}
 	p.data = append(p.data[:0], rest...)
-	if len(rest) == 0 && cap(p.data) > maxKeptBuffer {
+	if len(rest) == 0 && cap(p.data) > maxRetainedBuffer {
 		p.data = nil
 	}
 }
@@ -68,21 +68,21 @@
 		c.closeWithError(err)
 		return
 	}
-	c.partial.keep(rest, joined, c.pool.now)
+	c.partial.storeRest(rest, joined, c.pool.now)
 }
 
 // handleAnswers handles the complete answers at the beginning of b and returns the rest. It fails with errMalformedAnswer.
 func (c *connection) handleAnswers(b []byte) (rest []byte, err error) {
-	var words [maxWords][]byte
+	var buffer [maxElements][]byte
 	for len(b) > 0 {
-		array, size, err := decodeArray(b, words[:0])
+		elements, size, err := decodeArray(b, buffer[:0])
 		if err != nil {
 			return nil, err
 		}
 		if size == 0 {
 			break
 		}
-		if err := c.handleAnswer(array); err != nil {
+		if err := c.handleAnswer(elements); err != nil {
 			return nil, err
 		}
 		b = b[size:]
@@ -94,8 +94,8 @@
 // duplicate, or the answer to a call that was cancelled. handleAnswer fails with errMalformedAnswer.
 //
 // The call is released before its result is reported, since the handler may then call the pool.
-func (c *connection) handleAnswer(words [][]byte) error {
-	a, err := parseAnswer(words)
+func (c *connection) handleAnswer(elements [][]byte) error {
+	a, err := parseAnswer(elements)
 	if err != nil {
 		return err
 	}
@@ -120,17 +120,17 @@
 func (p *Pool) endAnswered(call *pendingCall, outcome policy.Outcome, a answer) {
 	switch call.kind {
 	case attemptCall:
-		delete(p.attempts, call.attempt)
-		p.results.AttemptEnded(call.attempt, router.AttemptResult{
+		delete(p.attempts, call.attemptID)
+		p.results.AttemptEnded(call.attemptID, router.AttemptResult{
 			Outcome:        outcome,
 			InstanceStatus: a.instanceStatus(),
 			Body:           bytes.Clone(a.body),
 			LoadReport:     p.loadReport(a),
 		})
 	case loadCommandCall:
-		p.results.LoadCommandEnded(call.control, outcome, a.instanceCount())
+		p.results.LoadCommandEnded(call.controlID, outcome, a.instanceCount())
 	case healthCheckCall:
-		p.results.HealthCheckEnded(call.control, outcome, p.loadReport(a))
+		p.results.HealthCheckEnded(call.controlID, outcome, p.loadReport(a))
 	case keepAliveCall: // handleAnswer has recorded that the connection works
 	}
 }
--- a/internal/backend/selection.go
+++ b/internal/backend/selection.go
@@ -36,7 +36,7 @@
 		return best
 	}
 	canDial := len(w.connections) < maxConnectionsPerWorker && w.address != ""
-	if !canDial || !p.reserveConnection() {
+	if !canDial || !p.ensureCapacityForDial() {
 		return best
 	}
 	return p.dial(w)
@@ -62,7 +62,7 @@
 // preferenceFor rates c for call. A connection carries no two calls with the same wire id at once, because an answer names
 // its call by that alone.
 func (p *Pool) preferenceFor(c *connection, call *pendingCall) preference {
-	if !c.takesCalls() || c.transport == nil || c.pending[call.wireID] != nil {
+	if !c.acceptsCalls() || c.transport == nil || c.pending[call.wireID] != nil {
 		return notEligible
 	}
 	if call.kind == attemptCall && !p.mayCarryAttempt(c, call) {
@@ -86,11 +86,11 @@
 		!c.recentIDs.full()
 }
 
-// reserveConnection reports whether one more connection may be opened. At the limit on all connections, it closes the one
+// ensureCapacityForDial reports whether one more connection may be opened. At the limit on all connections, it closes the one
 // that has been idle for longest to make room, so that workers that appear late get connections. It does so for each new
 // connection: a closed one counts until its OnClose. Call it only if a dial follows. Which one it closes of several that
 // have been idle equally long is left to the iteration of the map.
-func (p *Pool) reserveConnection() bool {
+func (p *Pool) ensureCapacityForDial() bool {
 	total := 0
 	var longestIdle *connection
 	for _, w := range p.workers {
--- a/internal/backend/worker.go
+++ b/internal/backend/worker.go
@@ -30,9 +30,9 @@
 // worker may have taken that over. It also retires those that were dialed before startedAt (0: unknown): they led to an
 // earlier process of the worker, and what is sent over them after a restart of its machine is answered by a reset.
 func (w *worker) retireOutdated(addr string, startedAt time.Duration) {
-	moved := addr != "" && addr != w.address
+	addressChanged := addr != "" && addr != w.address
 	for _, c := range slices.Clone(w.connections) {
-		if moved || c.dialedAt < startedAt {
+		if addressChanged || c.dialedAt < startedAt {
 			c.retire()
 		}
 	}
