--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -7,20 +7,20 @@
 	"functionrouter/policy"
 )
 
-// answer is one answer of a worker: the words ID WORD FIELDS BODY, of which the last two may be missing. Its parts point
-// into the read buffer, which is valid during OnData only.
+// answer is one answer of a worker: a RESP array of the elements ID STATUS FIELDS BODY, of which the last two may be
+// missing. The slices point into the read buffer, which is valid only during OnData.
 type answer struct {
-	wireID []byte // of the call that it answers
-	status   []byte // a key of answerOutcomes, which outcomeFor checks
-	fields []byte // name=value,name=value; "-" or nothing if there are none
-	body   []byte // of an attempt: the function's result
+	wireID []byte // the wire ID of the answered call
+	status []byte // a key of answerOutcomes once outcomeFor has accepted it
+	fields []byte // name=value,name=value; "-" or empty if there are none
+	body   []byte // in the answer to an attempt: the function's result
 }
 
-// parseAnswer names the words of an answer. Fields and body may be missing, and words beyond them are ignored. It fails
-// with errMalformedAnswer if there is no wire id or no word behind it.
+// parseAnswer assigns the elements of a decoded array to the parts of an answer. FIELDS and BODY may be missing, and
+// elements after BODY are ignored. It fails with errMalformedAnswer if the wire ID or the status is missing.
 func parseAnswer(elements [][]byte) (answer, error) {
 	if len(elements) < 2 {
-		return answer{}, malformedAnswerf("fewer than two words")
+		return answer{}, malformedAnswerf("got %d elements, want at least 2", len(elements))
 	}
 	a := answer{wireID: elements[0], status: elements[1]}
 	if len(elements) > 2 {
@@ -32,40 +32,40 @@
 	return a, nil
 }
 
-// outcomeFor returns the outcome of call by the answer's word. It fails with errMalformedAnswer if the word is unknown or
-// doesn't belong to the call's kind, or if the call was not written yet.
+// outcomeFor returns the outcome that the answer's status gives call. It fails with errMalformedAnswer if the status is
+// unknown or not valid for the call's kind, or if the call has not been written.
 func (a answer) outcomeFor(call *pendingCall) (policy.Outcome, error) {
 	outcome, known := answerOutcomes[string(a.status)]
 	if !known {
-		return 0, malformedAnswerf("unknown word")
+		return 0, malformedAnswerf("unknown status %.32q", a.status)
 	}
 	isCheckStatus := string(a.status) == answerHealthy || string(a.status) == answerUnhealthy
 	isCheckCall := call.kind == healthCheckCall || call.kind == keepAliveCall
 	if isCheckStatus != isCheckCall {
-		return 0, malformedAnswerf("%s in answer to %s", a.status, call.kind)
+		return 0, malformedAnswerf("status %s is not valid for a call of kind %q", a.status, call.kind)
 	}
 	if !call.written {
-		return 0, malformedAnswerf("answer before the call was sent")
+		return 0, malformedAnswerf("answer to call %q arrived before the call was sent", call.wireID)
 	}
 	return outcome, nil
 }
 
-// instanceStatus returns the state of the function's instance as the answer to an attempt gives it, policy.InstanceUnknown
-// if it gives none or one that is not known.
+// instanceStatus returns the instance status in the answer to an attempt. It is policy.InstanceUnknown if the field is
+// missing or its value is not a key of instanceStatuses.
 func (a answer) instanceStatus() policy.InstanceStatus {
 	return instanceStatuses[string(fieldValue(a.fields, fieldInstanceStatus))]
 }
 
-// instanceCount returns the number of loaded instances that the answer to a load command gives, 0 if it gives none or no
-// integer. The number is not checked any further.
+// instanceCount returns the number of loaded instances in the answer to a load command, or 0 if the field is missing or
+// is not an integer. The number may be negative: its range is not checked.
 func (a answer) instanceCount() int {
 	count, _ := strconv.Atoi(string(fieldValue(a.fields, fieldInstanceCount)))
 	return count
 }
 
-// parseLoadReport returns the values of a load report, name:value;name:value, in the order of names, or nil unless it holds
-// as many values of these names as there are names. It ignores other names and values that aren't numbers. It does not
-// expect a name twice.
+// parseLoadReport returns the values of a load report, name:value;name:value, in the order of names. It ignores other
+// names and values that are not numbers, and returns nil if it finds fewer values than names. It does not detect
+// duplicates: a name that occurs twice counts as two values.
 func parseLoadReport(report []byte, names []string) []float64 {
 	if len(report) == 0 {
 		return nil
@@ -92,8 +92,8 @@
 	return values
 }
 
-// fieldValue returns the value of the first field with this name in a list name=value,name=value, nil if there is none. "-"
-// is an empty list. The value points into list.
+// fieldValue returns the value of the first field with this name in list, name=value,name=value, or nil if there is none.
+// "-" is an empty list. The value is a slice of list.
 func fieldValue(list []byte, name string) []byte {
 	for len(list) > 0 {
 		var pair []byte
--- a/internal/backend/call.go
+++ b/internal/backend/call.go
@@ -12,53 +12,55 @@
 	"functionrouter/policy"
 )
 
-// callKind is what a call asks of the worker.
+// callKind is the kind of command that a call sends to the worker.
 type callKind uint8
 
 const (
 	// The worker runs a function.
 	attemptCall callKind = iota // attempt
-	// The worker loads instances of a function, or tells how many it has.
+	// The worker keeps a number of instances of a function loaded, or only reports how many are loaded.
 	loadCommandCall // load command
-	// The worker reports its health and its load, as the policy asked.
+	// The worker reports its health and its load. The policy requests it.
 	healthCheckCall // health check
-	// The worker answers, which shows that the connection works. Its end is not reported to the ResultHandler.
+	// The worker only answers, which shows that the connection works. The pool requests it, and its result is not reported
+	// to the ResultHandler.
 	keepAliveCall // keep-alive check
 )
 
-// pendingCall is a command that has an answer and has not ended.
+// pendingCall is a command that expects an answer and has not ended.
 //
-// It has two ids. The caller's is the AttemptID or the ControlID, by which its end is reported. The worker's is the wire
-// id: all attempts of one request have the same, which is why a connection doesn't carry one again soon (see recentIDs).
+// It has two IDs. The AttemptID or ControlID identifies it to the caller when its result is reported. The wire ID
+// identifies it on a connection. All attempts of one request share a wire ID, so a connection that has carried a wire ID
+// does not carry it again for some time (see recentIDs).
 type pendingCall struct {
-	kind    callKind
-	attemptID router.AttemptID // of an attempt
-	controlID router.ControlID // of a load command or a health check
-	wireID  string
+	kind      callKind
+	attemptID router.AttemptID // set for an attempt
+	controlID router.ControlID // set for a load command or a health check
+	wireID    string
 
-	// What is to be written; nil afterwards.
-	command []byte // the complete command; nil for an attempt, whose header is encoded as it is written
-	body    []byte // of an attempt
+	// The bytes to write. Both fields are set to nil once they have been written.
+	command []byte // the complete command; nil for an attempt, whose header is encoded when it is written
+	body    []byte // set for an attempt
 
-	// Of an attempt.
+	// Set for an attempt.
 	class     string
 	function  string
-	budgetEnd time.Duration // when its budget is spent; an attempt that was not written until then is not sent
+	budgetEnd time.Duration // when the budget is spent; an attempt that is still queued then is not sent
 
-	connection *connection   // that carries it; nil before connection.send
-	sentAt     time.Duration // when it was written
-	resends    int           // how often it was moved to another connection, because its connection ended
+	connection *connection   // the connection that carries the call; nil before connection.send
+	sentAt     time.Duration // when the call was written
+	resends    int           // number of times the call was moved to another connection because its connection ended
 	written    bool
 
-	// Of a load command: it asks for instances, which only a ready worker loads.
+	// needsReadyWorker is true for a load command with a count above 0: only a ready worker loads instances.
 	needsReadyWorker bool
 }
 
-// newAttemptCall returns the call of an attempt whose budget is spent at budgetEnd.
+// newAttemptCall returns the call for an attempt whose budget is spent at budgetEnd.
 func newAttemptCall(attemptID router.AttemptID, request *router.Request, class string, budgetEnd time.Duration) *pendingCall {
 	return &pendingCall{
 		kind:      attemptCall,
-		attemptID:   attemptID,
+		attemptID: attemptID,
 		wireID:    request.ID,
 		body:      request.Body,
 		class:     class,
@@ -67,39 +69,41 @@
 	}
 }
 
-// encodeAttemptHeader returns the header of an attempt that is written at now. The budget that it gives the worker is what
-// is left then, since the attempt may have waited for a dial. It is rounded down to milliseconds and is at least 1 ms.
+// encodeAttemptHeader returns the header of an attempt that is written at now. The header gives the worker the budget that
+// remains at now, because the attempt may have waited for a dial. The budget is rounded down to milliseconds and is at
+// least 1 ms.
 func (call *pendingCall) encodeAttemptHeader(now time.Duration) []byte {
 	budget := max((call.budgetEnd - now).Milliseconds(), 1)
 	fields := fmt.Sprintf("queue=%s,path=%s,budget=%d", call.class, call.function, budget)
 	return encodeHeader(len(call.body), commandRun, call.wireID, fields)
 }
 
-// newLoadCommandCall returns the command to keep this number of instances of a function loaded; 0 only asks how many are.
+// newLoadCommandCall returns the command to keep this number of instances of a function loaded. With 0, the worker only
+// reports how many instances are loaded.
 func newLoadCommandCall(controlID router.ControlID, function policy.FunctionID, instances int) *pendingCall {
 	wireID := loadCommandWireID(controlID)
 	fields := fmt.Sprintf("path=%s,count=%d", formatFunctionID(function), instances)
 	return &pendingCall{
 		kind:             loadCommandCall,
-		controlID:          controlID,
+		controlID:        controlID,
 		wireID:           wireID,
 		command:          encodeCommand(commandLoad, wireID, fields),
 		needsReadyWorker: instances > 0,
 	}
 }
 
-// newHealthCheckCall returns the health check that the caller knows as control.
+// newHealthCheckCall returns the health check with this ControlID.
 func newHealthCheckCall(controlID router.ControlID) *pendingCall {
 	wireID := healthCheckWireID(controlID)
 	return &pendingCall{
-		kind:    healthCheckCall,
+		kind:      healthCheckCall,
 		controlID: controlID,
-		wireID:  wireID,
-		command: encodeCommand(commandHealthCheck, wireID),
+		wireID:    wireID,
+		command:   encodeCommand(commandHealthCheck, wireID),
 	}
 }
 
-// newKeepAliveCall returns the keep-alive check with this number.
+// newKeepAliveCall returns a keep-alive check whose wire ID contains number.
 func newKeepAliveCall(number uint64) *pendingCall {
 	wireID := formatWireID(keepAlivePrefix, number)
 	return &pendingCall{
@@ -109,8 +113,8 @@
 	}
 }
 
-// The wire ids of the kinds differ in their first letter. An attempt's is the request's ID, 16 hex digits without a prefix;
-// so a prefix must be no hex digit.
+// Prefixes of the wire IDs, one for each kind of call except attempts. The wire ID of an attempt is the request's ID, 16
+// hex digits without a prefix, so a prefix must not be a hex digit.
 const (
 	loadCommandPrefix = "h"
 	healthCheckPrefix = "p"
@@ -125,18 +129,18 @@
 	return formatWireID(healthCheckPrefix, uint64(controlID))
 }
 
-// formatWireID returns the wire id of a call that is not an attempt: its kind's prefix and its number, in decimal.
+// formatWireID returns the wire ID of a call that is not an attempt: the prefix of its kind and a decimal number.
 func formatWireID(prefix string, number uint64) string {
 	return prefix + strconv.FormatUint(number, 10)
 }
 
-// formatFunctionID returns a function's id as router.Request.FunctionKey spells it.
+// formatFunctionID returns a function's ID in the format of router.Request.FunctionKey.
 func formatFunctionID(function policy.FunctionID) string {
 	return fmt.Sprintf("%016x", uint64(function))
 }
 
-// sortedByWireID returns calls in the order of their wire ids as text. Their ends are events for the policy, and equal runs
-// must give it equal events in equal order, which the iteration of a map would not.
+// sortedByWireID returns calls in the lexical order of their wire IDs. The end of each call is an event for the policy, and
+// a run must be reproducible: with the random iteration order of a map, equal runs would deliver different sequences.
 func sortedByWireID(calls map[string]*pendingCall) []*pendingCall {
 	return slices.SortedFunc(maps.Values(calls), func(a, b *pendingCall) int { return cmp.Compare(a.wireID, b.wireID) })
 }
--- a/internal/backend/commands.go
+++ b/internal/backend/commands.go
@@ -7,10 +7,10 @@
 	"functionrouter/policy"
 )
 
-// StartAttempt sends an attempt of a request to a worker, which has budget from now on to answer it. No other attempt with
-// the id may be open, and the request's class must be one of Config.Classes. The attempt ends as Unreachable if the worker
-// is not known or not ready, or if no connection can carry the attempt. The request may be reused once StartAttempt has
-// returned; its body is kept without a copy and must not be changed.
+// StartAttempt sends an attempt of a request to a worker. The budget is the time that the attempt may take, the wait for a
+// dial included. No other attempt with the same ID may be open, and the request's class must be an index of Config.Classes.
+// The attempt ends as Unreachable if the worker is unknown or not ready, or if no connection can carry the attempt. The
+// caller may reuse the request after StartAttempt returns, but not its body: the pool keeps the slice without a copy.
 func (p *Pool) StartAttempt(workerID policy.WorkerID, attemptID router.AttemptID, request *router.Request,
 	budget time.Duration,
 ) {
@@ -26,8 +26,8 @@
 	p.results.AttemptEnded(attemptID, router.AttemptResult{Outcome: policy.Unreachable})
 }
 
-// CancelUnsent cancels an attempt that waits for a dial; no result follows, and the dial goes on. It returns false, and
-// does nothing, if the attempt has been written or has ended.
+// CancelUnsent cancels an attempt that waits for a dial. No result is reported, and the dial continues. If the attempt has
+// been written or has ended, CancelUnsent does nothing and returns false.
 func (p *Pool) CancelUnsent(attemptID router.AttemptID) bool {
 	call := p.attempts[attemptID]
 	if call == nil || call.written {
@@ -38,10 +38,10 @@
 	return true
 }
 
-// CancelAttempt cancels an attempt; no result follows, and the worker may run it all the same. Its connection does not
-// carry its wire id again while recentIDs remembers it: an answer that is on its way must not end another attempt of the
-// same request. The cancel is sent to the worker where the settings allow it. The worker's id, a parameter of
-// router.WorkerPool, is not needed: the pool knows the attempt's connection.
+// CancelAttempt cancels an attempt. No result is reported. The worker may still run an attempt that was written; it gets a
+// cancel command if Config.AllowCancel is set. The connection does not carry the attempt's wire ID again while recentIDs
+// holds it, because an answer to the cancelled attempt must not end another attempt of the same request. The worker ID is
+// unused; router.WorkerPool requires the parameter.
 func (p *Pool) CancelAttempt(_ policy.WorkerID, attemptID router.AttemptID) {
 	call := p.attempts[attemptID]
 	if call == nil || p.CancelUnsent(attemptID) {
@@ -54,21 +54,21 @@
 	}
 }
 
-// LoadInstance commands a worker to keep this number of instances of a function loaded; 0 only asks for the number of
-// loaded ones. The command ends as Unreachable if the worker is not known, if no connection can carry it or, unless the
-// number is 0, if the worker is not ready.
+// LoadInstance commands a worker to keep this number of instances of a function loaded. With 0, the worker only reports how
+// many instances are loaded. The command ends as Unreachable if the worker is unknown or no connection can carry the
+// command. With a number above 0 it also ends as Unreachable if the worker is not ready.
 func (p *Pool) LoadInstance(workerID policy.WorkerID, function policy.FunctionID, instances int, controlID router.ControlID) {
 	p.sendControl(workerID, newLoadCommandCall(controlID, function, instances))
 }
 
-// CheckHealth asks a worker, in whatever state it is, for a sign of life and for its load report. The health check ends as
-// Unreachable if the worker is not known or no connection can carry it.
+// CheckHealth requests a worker's health and load report, whatever the worker's state. The health check ends as Unreachable
+// if the worker is unknown or no connection can carry it.
 func (p *Pool) CheckHealth(workerID policy.WorkerID, controlID router.ControlID) {
 	p.sendControl(workerID, newHealthCheckCall(controlID))
 }
 
-// sendControl sends a load command or a health check. The call ends as Unreachable if the worker is not known, if the call
-// needs a ready worker and this one is not, or if no connection can carry it.
+// sendControl sends a load command or a health check. The call ends as Unreachable if the worker is unknown, if the call
+// needs a ready worker and this worker is not ready, or if no connection can carry the call.
 func (p *Pool) sendControl(workerID policy.WorkerID, call *pendingCall) {
 	w := p.workers[workerID]
 	if w != nil && (w.isReady() || !call.needsReadyWorker) {
@@ -80,8 +80,8 @@
 	p.endUnanswered(call, policy.Unreachable)
 }
 
-// CancelControl cancels the load command or health check that the caller knows as control; no result follows. The worker
-// gets no message and may carry it out all the same. Its wire id is not remembered: a ControlID is used once.
+// CancelControl cancels the load command or health check with this ControlID. No result is reported. The worker is not
+// notified and may still execute the command. Its wire ID is not added to recentIDs, because a ControlID is used only once.
 func (p *Pool) CancelControl(workerID policy.WorkerID, controlID router.ControlID) {
 	w := p.workers[workerID]
 	if w == nil {
@@ -90,16 +90,16 @@
 	for _, c := range w.connections {
 		for _, wireID := range []string{loadCommandWireID(controlID), healthCheckWireID(controlID)} {
 			if call := c.pending[wireID]; call != nil {
-				c.dequeue(call) // if it waits for the dial
-				c.release(call) // if it was written
+				c.dequeue(call) // does nothing if the call was written
+				c.release(call) // does nothing if the call was queued
 			}
 		}
 	}
 }
 
-// UnloadInstance commands a worker to unload the idle instances of a function; it has no answer. The command goes over the
-// oldest connection whose dial has ended, and is lost if the pool has just closed that one. Without such a connection
-// nothing is sent: an idle instance expires by itself, so that a dial is not worth its cost.
+// UnloadInstance commands a worker to unload the idle instances of a function. The command has no answer. It is sent over
+// the oldest connection whose dial has ended, and is lost if the pool has already closed that connection. Without such a
+// connection nothing is sent: a dial is not worth its cost, because idle instances expire without the command.
 func (p *Pool) UnloadInstance(workerID policy.WorkerID, function policy.FunctionID) {
 	w := p.workers[workerID]
 	if w == nil {
@@ -113,7 +113,7 @@
 	}
 }
 
-// endUnanswered reports the end of a call that got no answer and that no connection holds any more.
+// endUnanswered reports the outcome of a call that got no answer. The call must not be pending on a connection.
 func (p *Pool) endUnanswered(call *pendingCall, outcome policy.Outcome) {
 	switch call.kind {
 	case attemptCall:
@@ -123,10 +123,10 @@
 		p.results.LoadCommandEnded(call.controlID, outcome, 0)
 	case healthCheckCall:
 		if outcome == policy.NotSent {
-			// The policy takes NotSent for an answer of the worker (see HealthCheckEnded), and there was none.
+			// The policy treats NotSent as an answer from the worker (see HealthCheckEnded), but the worker sent none.
 			outcome = policy.Unreachable
 		}
 		p.results.HealthCheckEnded(call.controlID, outcome, nil)
-	case keepAliveCall: // it concerns this package alone
+	case keepAliveCall: // the result is not reported outside this package
 	}
 }
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -7,30 +7,31 @@
 	"functionrouter/policy"
 )
 
-// connection is one connection to a worker. It is the eventloop.DialHandler of its transport.
+// connection is one connection to a worker. It implements eventloop.DialHandler for its transport.
 type connection struct {
 	pool      *Pool
 	worker    *worker
 	transport Transport // nil until Config.Dial has returned
 	state     connectionState
 
-	// pending holds the calls without an answer, the queued ones included, by wire id.
+	// pending holds the calls without an answer by wire ID, including the queued calls.
 	pending map[string]*pendingCall
-	// pendingAttempts is how many of the pending calls are attempts.
+	// pendingAttempts is the number of pending calls that are attempts.
 	pendingAttempts int
-	// queued holds the pending calls that wait for the dial, in the order of their sending.
+	// queued holds the pending calls that wait for the dial, in the order in which they were sent.
 	queued []*pendingCall
-	// recentIDs holds the wire ids of attempts that were written and have ended or been cancelled, for a time.
+	// recentIDs holds the wire IDs of written attempts that recently ended or were cancelled.
 	recentIDs recentIDs
 
 	dialedAt   time.Duration
-	lastUsedAt time.Duration // when a call was last written or answered; at first dialedAt
+	lastUsedAt time.Duration // when a call was last written or answered; initially dialedAt
 
 	partial   partialAnswer
 	keepAlive keepAlive
 }
 
-// send writes call, or queues it until the dial has succeeded. Pool.preferenceFor must have found c eligible for it.
+// send writes call, or queues it until the dial succeeds. The caller must have checked with Pool.preferenceFor that c may
+// carry call.
 func (c *connection) send(call *pendingCall) {
 	call.connection = c
 	c.pending[call.wireID] = call
@@ -44,7 +45,7 @@
 	c.write(call)
 }
 
-// write hands the call's command to the transport, which owns its bytes from then on: a call is written once.
+// write passes the call's command to the transport, which then owns the bytes. A call is written only once.
 func (c *connection) write(call *pendingCall) {
 	call.written = true
 	call.sentAt = c.pool.now
@@ -58,9 +59,9 @@
 	call.body = nil
 }
 
-// release removes call from the pending calls, if it still is one. The connection then remembers the wire id of an attempt
-// that was written. A call that waits for the dial is released by dequeue or by the caller that empties the queue: one that
-// stayed in it would be written.
+// release removes call from the pending calls if it is one of them. If call is an attempt that was written, its wire ID is
+// added to recentIDs. release does not change the queue: for a queued call use dequeue, or remove the call from the queue
+// as well, because every call that is in the queue when the dial succeeds is written.
 func (c *connection) release(call *pendingCall) {
 	if c.pending[call.wireID] != call {
 		return
@@ -74,7 +75,7 @@
 	}
 }
 
-// dequeue releases call if it waits for the dial.
+// dequeue removes call from the queue and releases it, if it is queued.
 func (c *connection) dequeue(call *pendingCall) {
 	for i, q := range c.queued {
 		if q == call {
@@ -85,8 +86,8 @@
 	}
 }
 
-// failQueued ends the calls that wait for the dial because their worker is not ready any more: attempts as Unreachable,
-// load commands as WorkerOverloaded. Health checks stay. A dial for which no call waits any longer is cancelled.
+// failQueued ends the queued calls of a worker that is no longer ready: attempts end as Unreachable and load commands as
+// WorkerOverloaded. Health checks stay queued. If the queue is then empty during the dial, the dial is cancelled.
 func (c *connection) failQueued() {
 	var remaining []*pendingCall
 	for _, call := range c.queued {
@@ -97,7 +98,7 @@
 		c.release(call)
 		outcome := policy.Unreachable
 		if call.kind == loadCommandCall {
-			outcome = policy.WorkerOverloaded // as a draining worker answers it
+			outcome = policy.WorkerOverloaded // the outcome of a draining worker's answer
 		}
 		c.pool.endUnanswered(call, outcome)
 	}
@@ -107,15 +108,15 @@
 	}
 }
 
-// OnOpen handles the end of the dial. It writes the queued calls in the order in which they were sent; an attempt whose
-// budget is spent ends as NotSent instead.
+// OnOpen handles the end of the dial. If the dial succeeded, it writes the queued calls in the order in which they were
+// sent, except attempts whose budget is spent: these end as NotSent.
 func (c *connection) OnOpen(err error) {
 	if err != nil {
 		slog.Warn("worker dial failed", "address", c.worker.address, "error", err)
 		c.terminate(endForDialError(err))
 		return
 	}
-	if c.state == stateConnecting { // a closed connection, whose dial should not be reported, must not become ready
+	if c.state == stateConnecting { // a connection that was closed during its dial must not become ready
 		c.state = stateReady
 	}
 	queued := c.queued
--- a/internal/backend/connection_end.go
+++ b/internal/backend/connection_end.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// maxHealthCheckResends is how often a health check is sent again after its connection broke. A worker that breaks one
-	// connection after another fails the health check in the end.
+	// maxHealthCheckResends is how often a health check is sent again after its connection was lost. The limit lets the
+	// health check fail for a worker that breaks every connection.
 	maxHealthCheckResends = 2
 
-	// maxDialRetries is how often a call that waits for a dial gets another one after a reset. After that it ends. Both
-	// limits compare with pendingCall.resends, which counts resends of either kind.
+	// maxDialRetries is how often a queued call is moved to another connection after its dial was reset. Both limits are
+	// compared with pendingCall.resends, which counts resends for either reason.
 	maxDialRetries = 2
 )
 
-// connectionEnd is what the end of a connection means for the calls that are pending on it.
+// connectionEnd describes how the end of a connection affects the calls that are pending on it.
 type connectionEnd struct {
-	outcome policy.Outcome // of the calls that are not sent again
-	resendUnsent  bool           // the calls, of which none was written, are sent over another connection where possible
+	outcome      policy.Outcome // the outcome of calls that are not sent again
+	resendUnsent bool           // whether pending calls, none of which was written, are moved to another connection if possible
 }
 
-// endForDialError returns what the error of a dial means for the queued calls, of which none was written. After most
-// errors, such as a refusal or a timeout, they end as Unreachable. A reset comes from a process that runs, so that it
-// would be wrong to call its worker unreachable at once: the calls get another dial. So they do after net.ErrClosed,
-// which no dial of eventloop.Loop fails with. A local fault says nothing of the worker.
+// endForDialError returns how a failed dial affects the queued calls, none of which was written. After most errors, such as
+// a refused connection or a timeout, the calls end as Unreachable. After a reset they are moved to another connection:
+// a reset comes from a running process, so the worker is not yet considered unreachable. net.ErrClosed is handled like a
+// reset, although no dial of eventloop.Loop fails with it. After eventloop.ErrLocalFault the calls end as NotSent, because
+// a fault of the router's machine is no evidence against the worker.
 func endForDialError(err error) connectionEnd {
 	end := connectionEnd{
-		outcome: policy.Unreachable,
-		resendUnsent:  errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed),
+		outcome:      policy.Unreachable,
+		resendUnsent: errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed),
 	}
 	if errors.Is(err, eventloop.ErrLocalFault) {
 		end.outcome = policy.NotSent
@@ -40,8 +41,8 @@
 	return end
 }
 
-// OnClose handles the end of an open connection, by the worker, the network or the pool: the attempts that were pending
-// on it may have run.
+// OnClose handles the end of an open connection, whether the worker, the network or the pool ended it. Its pending attempts
+// end as ConnectionReset, because they may have run.
 func (c *connection) OnClose(err error) {
 	if len(c.pending) > 0 {
 		c.pool.lostConnections.record(c.pool.now, c.worker.address, len(c.pending), err)
@@ -49,9 +50,9 @@
 	c.terminate(connectionEnd{outcome: policy.ConnectionReset})
 }
 
-// terminate removes c from its worker, first of all, so that no call is sent over it again. It ends the pending calls in
-// the order of their wire ids, except those that are sent again over another connection. Calls are written as soon as the
-// dial has succeeded, so that those of a failed dial were never sent, and those of an open connection were.
+// terminate removes c from its worker and then, in the order of their wire IDs, ends the pending calls or sends them again
+// over another connection. c is removed first so that no call is sent over it again. All queued calls are written as soon
+// as the dial succeeds: the calls of a failed dial were never sent, and those of an open connection were all sent.
 func (c *connection) terminate(end connectionEnd) {
 	c.worker.remove(c)
 	pending := sortedByWireID(c.pending)
@@ -64,8 +65,8 @@
 	}
 }
 
-// resend sends a call again over another connection, if its kind and the end of c allow that. It returns false if the call
-// has to end.
+// resend sends call again over another connection if its kind and the end of c allow that. It returns false if the caller
+// must end the call.
 func (c *connection) resend(call *pendingCall, end connectionEnd) bool {
 	if call.mayResendAfter(end.outcome) {
 		c.resendHealthCheck(call)
@@ -74,22 +75,23 @@
 	return end.resendUnsent && c.resendUnsent(call)
 }
 
-// mayResendAfter reports whether a call is a health check that is sent again after its connection ended with outcome.
+// mayResendAfter reports whether call may be sent again after its connection ended with outcome. This is the case for a
+// health check after ConnectionReset, up to maxHealthCheckResends times.
 func (call *pendingCall) mayResendAfter(outcome policy.Outcome) bool {
 	return call.kind == healthCheckCall && outcome == policy.ConnectionReset && call.resends < maxHealthCheckResends
 }
 
-// resendHealthCheck sends a health check over another connection, or ends it as Unreachable if there is none. That one
-// connection broke does not show that its worker is unhealthy: on another one a healthy worker answers, and a worker that
-// died refuses the dial.
+// resendHealthCheck sends a health check over another connection, or ends it as Unreachable if no connection can carry it.
+// The loss of one connection does not show that the worker is unhealthy: a healthy worker answers on another connection,
+// and a dial to a worker whose process has ended is refused.
 func (c *connection) resendHealthCheck(call *pendingCall) {
 	resent := newHealthCheckCall(call.controlID)
 	resent.resends = call.resends + 1
 	c.pool.sendControl(c.worker.id, resent)
 }
 
-// resendUnsent sends a call that has not been written over another connection. It returns false, and sends nothing, if the
-// worker is not ready, the call has been sent again maxDialRetries times, or no other connection can carry the call.
+// resendUnsent sends a call that has not been written over another connection. It returns false and sends nothing if the
+// worker is not ready, if the call has already been resent maxDialRetries times, or if no other connection can carry it.
 func (c *connection) resendUnsent(call *pendingCall) bool {
 	if !c.worker.isReady() || call.resends >= maxDialRetries {
 		return false
--- a/internal/backend/connection_state.go
+++ b/internal/backend/connection_state.go
@@ -6,59 +6,60 @@
 	"functionrouter/policy"
 )
 
-// connectionState is where a connection stands between its dial and its close. It is no policy.WorkerState, although two
-// names are alike: a ready worker may have draining connections. These are all transitions:
+// connectionState is the state of a connection from its dial to its close. It is independent of policy.WorkerState, which
+// also has the states ready and draining: a ready worker may have draining connections. These are all transitions:
 //
 //	from        to          event
 //	-           connecting  the pool dials (Pool.dial)
 //	connecting  ready       the dial succeeds (OnOpen)
-//	connecting  closed      it is retired, which cancels the dial
-//	ready       draining    it is retired while calls are pending
-//	ready       closed      it is closed while idle, or it fails
-//	draining    closed      its last call has ended, as the next sweep finds, or it fails
+//	connecting  closed      the connection is retired, which cancels the dial
+//	ready       draining    the connection is retired while calls are pending
+//	ready       closed      the pool closes the idle connection, or the connection fails
+//	draining    closed      a sweep finds no pending calls, or the connection fails
 //
-// A ready connection is closed while idle if it is retired, has been idle for too long or makes room for another one.
-// Pool.CloseIdleConnections closes an idle one in either state. A connection fails if its worker breaks the protocol; a
-// ready one also fails if its worker leaves an answer incomplete, or doesn't answer the keep-alive check while it answers
-// on other connections. Sweeps do not look for these two faults on a draining one: its calls end by the caller's timeouts.
+// The pool closes an idle ready connection if it is retired, if it has been idle for too long, or to allow another
+// connection at the limit on all connections. Pool.CloseIdleConnections closes idle ready and idle draining connections. A
+// connection fails if its worker violates the protocol. A ready connection also fails if its worker leaves an answer
+// incomplete, or does not answer the keep-alive check while it answers on other connections. Sweeps do not check draining
+// connections for these two faults, because the callers' timeouts end the pending calls.
 //
-// A failed dial and a close by the worker change no state: they remove the connection from its worker (terminate), and
-// nothing uses it afterwards. The same follows each transition to closed: at once after a dial that was cancelled, with
-// OnClose for an open connection.
+// A failed dial and a close by the worker do not change the state. They remove the connection from its worker (terminate),
+// and the connection is not used afterwards. Each transition to closed leads to the same removal: immediately after a
+// cancelled dial, and in OnClose for an open connection.
 type connectionState uint8
 
 const (
-	// Calls wait in the connection's queue for the end of the dial.
+	// The dial has not ended. Calls are queued.
 	stateConnecting connectionState = iota // connecting
-	// Calls are written as they come.
+	// Calls are written immediately.
 	stateReady // ready
-	// The connection takes no new calls and closes once the pending ones have ended.
+	// The connection accepts no new calls and is closed once the pending calls have ended.
 	stateDraining // draining
-	// The pool has closed the connection: what the worker still sends is ignored.
+	// The pool has closed the connection. Further bytes from the worker are ignored.
 	stateClosed // closed
 )
 
 // idle reports whether no call is pending on c.
 func (c *connection) idle() bool { return len(c.pending) == 0 }
 
-// acceptsCalls reports whether new calls may go over c, now or once its dial has succeeded.
+// acceptsCalls reports whether new calls may be sent over c, immediately or once its dial succeeds.
 func (c *connection) acceptsCalls() bool { return c.state == stateConnecting || c.state == stateReady }
 
-// close closes the connection; OnClose follows in a later turn if it was open. The state changes at once, so that no call
-// goes over it until then: the call would be lost, and yet count as written.
+// close closes the connection. If it was open, OnClose follows in a later turn of the event loop. The state changes
+// immediately, so that no call is sent over c before OnClose: that call would be lost but count as written.
 func (c *connection) close() {
 	c.state = stateClosed
 	c.transport.Close()
 }
 
-// closeWithError closes a connection that has failed, and logs why and its state before.
+// closeWithError logs err and the present state of a connection that has failed, and closes the connection.
 func (c *connection) closeWithError(err error) {
 	slog.Warn("worker connection closed", "address", c.worker.address, "state", c.state.String(), "error", err)
 	c.close()
 }
 
-// retire drains c: it takes no new calls and closes once the pending ones have ended, or at once if there are none. A dial
-// is cancelled, and the calls that wait for it end as Unreachable.
+// retire drains c: c accepts no new calls and is closed once the pending calls have ended, or immediately if there are
+// none. If c is still being dialed, retire cancels the dial and ends the queued calls as Unreachable.
 func (c *connection) retire() {
 	switch {
 	case c.state == stateConnecting:
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -1,35 +1,37 @@
-// Package backend is the client side of the router towards its workers.
+// Package backend sends the router's calls to the workers.
 //
 // A Pool keeps connections to each worker and multiplexes calls over them: attempts, load commands and health checks. It
-// chooses the connection for a call, dials new ones, checks those that have fallen silent (the keep-alive check) and
-// closes those that are no longer of use. Which worker gets a call, and whether to retry, is the caller's decision.
+// selects the connection for a call, dials new connections, sends keep-alive checks over connections without recent
+// answers, and closes connections that are no longer needed. The caller decides which worker gets a call and whether to
+// retry an attempt.
 //
 // # Results
 //
-// The end of each call is reported once to the ResultHandler, either during the method that starts the call or later,
-// unless the caller cancels the call first. Keep-alive checks are calls of the pool itself and are not reported. A failure
-// is reported as a policy.Outcome; no method returns an error. The outcomes Unreachable, NotSent, FunctionNotLoaded and
-// WorkerOverloaded prove that an attempt never ran; ConnectionReset means that it may have run.
+// The result of each call is reported once to the ResultHandler, either during the method that starts the call or later,
+// unless the caller cancels the call first. Keep-alive checks are internal calls of the pool and are not reported. A
+// failure is reported as a policy.Outcome; no method returns an error. The outcomes Unreachable, NotSent, FunctionNotLoaded
+// and WorkerOverloaded prove that an attempt never ran; ConnectionReset means that it may have run.
 //
-// The pool doesn't time out calls that it has written: the caller cancels a call that takes too long. An attempt whose
-// budget is spent while it waits for a dial ends as NotSent. The timeouts here, of dials, idle connections, keep-alive
-// checks and incomplete answers, are of connections; a call ends, or is sent again, when its connection ends.
+// The pool does not time out calls that it has written: the caller cancels a call that takes too long. An attempt whose
+// budget is spent while it waits for a dial ends as NotSent. The timeouts of dials, idle connections, keep-alive checks and
+// incomplete answers apply to connections; when a connection ends, its calls end or are sent again.
 //
-// Errors of connections are never returned. They are logged, except the end of a connection without pending calls, which
-// workers close when it has been idle for long. A connection whose worker breaks the protocol is closed with an error that
-// wraps errMalformedAnswer.
+// Connection errors are logged and never returned. The end of a connection without pending calls is not logged, because
+// workers close connections that have been idle for long. If a worker violates the protocol, the pool closes the connection
+// and logs an error that wraps errMalformedAnswer.
 //
 // # Wire
 //
 // Commands and answers are RESP arrays of bulk strings, as Redis defines them
-// (https://redis.io/docs/latest/develop/reference/protocol-spec/). A command that has an answer carries a wire id, which
-// the answer repeats; answers may come in any order. wire.go lists the words, codec.go encodes the arrays.
+// (https://redis.io/docs/latest/develop/reference/protocol-spec/). A command that expects an answer carries a wire ID, which
+// the answer repeats; answers may arrive in any order. wire.go lists the commands and the answers, codec.go encodes and
+// decodes the arrays.
 //
 // # Concurrency and time
 //
-// Nothing here is safe for concurrent use: all methods of a Pool and all events of its connections run on the
-// event loop's goroutine. The package has no clock of its own: instants are readings of the event loop's clock, given
-// by Pool.SetNow and Pool.Sweep. An instant of 0 stands for never or for unknown.
+// A Pool is not safe for concurrent use: all its methods and all events of its connections run on the event loop's
+// goroutine. The package reads no clock: instants are readings of the event loop's clock that the caller passes to
+// Pool.SetNow and Pool.Sweep. An instant of 0 means never or unknown.
 package backend
 
 //go:generate go tool -modfile=../../tools/go.mod stringer -linecomment -output=enum_string.go -type=callKind,connectionState,preference
--- a/internal/backend/keep_alive.go
+++ b/internal/backend/keep_alive.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// With the sweeps between them, these two close a connection that was cut off some 0.5 s after the oldest attempt in flight
-// was sent, as long as the worker answers on others.
+// With the sweep intervals, these two durations close a connection that the network has cut off about 0.5 s after its
+// oldest attempt in flight was sent, provided that the worker answers on other connections.
 const (
-	// keepAliveAfter is how long a connection with attempts in flight may go without a complete answer. After that a
-	// keep-alive check is sent over it, and it is avoided until an answer comes.
+	// keepAliveAfter is how long a connection with attempts in flight may receive no complete answer. After that the pool
+	// sends a keep-alive check over it and prefers other connections until an answer arrives.
 	keepAliveAfter = 150 * time.Millisecond
 
-	// keepAliveTimeout is how long a keep-alive check may go unanswered. After that the connection is closed if
-	// the worker has answered, on another one, a call that was sent after the keep-alive check.
+	// keepAliveTimeout is how long a keep-alive check may be unanswered. After that the connection is closed if the worker
+	// has answered, on another connection, a call that was sent after the keep-alive check.
 	keepAliveTimeout = 250 * time.Millisecond
 )
 
-// errUnresponsiveConnection says that a connection stays silent while others to the same worker do not.
-var errUnresponsiveConnection = errors.New("connection is silent while others to the worker are not")
+// errUnresponsiveConnection means that a connection delivers no answers while the worker answers on another connection.
+var errUnresponsiveConnection = errors.New("keep-alive check unanswered while the worker answers on another connection")
 
-// keepAlive holds what shows whether a connection still works. The keep-alive check is of one connection, and its result
-// stays in this package; the health check is of a worker, and its result goes to the policy. Any complete answer on the
-// connection answers a keep-alive check, not only its own; its call stays pending until its own answer comes.
+// keepAlive holds the times that show whether a connection still works. A keep-alive check tests one connection, and its
+// result is used only in this package. A health check tests a worker, and its result is reported to the policy. Any complete
+// answer on the connection counts as an answer to the keep-alive check, but the keep-alive call stays pending until the
+// answer with its own wire ID arrives.
 type keepAlive struct {
-	lastAnswerAt           time.Duration // when the last complete answer came
-	lastAnsweredCallSentAt time.Duration // when the latest of the answered calls was sent
-	checkSentAt            time.Duration // when the unanswered keep-alive check was sent; 0: there is none
+	lastAnswerAt           time.Duration // when the last complete answer arrived
+	lastAnsweredCallSentAt time.Duration // the latest time at which a call that has been answered was sent
+	checkSentAt            time.Duration // when the unanswered keep-alive check was sent; 0 if there is none
 }
 
-// awaitsAnswer reports whether no complete answer has come since a keep-alive check was sent.
+// awaitsAnswer reports whether a keep-alive check was sent and no complete answer has arrived since then.
 func (k *keepAlive) awaitsAnswer() bool { return k.checkSentAt > 0 }
 
-// checkKeepAlive sends a keep-alive check over a connection that has fallen silent, and closes the connection if the check
-// stays unanswered while the worker answers on others. A connection that is cut off stays open and silent, while others to
-// the same worker may work: that is no reason to avoid the worker. A connection without attempts in flight is not checked,
-// and not closed here. Single bytes prove nothing; only complete answers count.
+// checkKeepAlive sends a keep-alive check over a connection that has received no complete answer for keepAliveAfter, and
+// closes the connection if the check is unanswered for keepAliveTimeout while the worker answers on another connection. A
+// connection that the network has cut off stays open without delivering data, while other connections to the same worker
+// may work; the worker remains usable. A connection without attempts in flight is neither checked nor closed here.
+// Incomplete answers do not count as activity.
 func (c *connection) checkKeepAlive() {
 	now := c.pool.now
 	oldest := c.oldestAttemptSentAt()
@@ -52,7 +54,7 @@
 	}
 }
 
-// oldestAttemptSentAt returns when the oldest attempt in flight was written, 0 if there is none.
+// oldestAttemptSentAt returns when the oldest attempt in flight was written, or 0 if there is none.
 func (c *connection) oldestAttemptSentAt() time.Duration {
 	oldest := time.Duration(0)
 	for _, call := range c.pending {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -9,47 +9,47 @@
 	"functionrouter/policy"
 )
 
-// ResultHandler receives the result of each attempt, load command and health check; a router.Router is one. The methods
-// are called on the event loop's goroutine: by an event of a connection, or before StartAttempt, LoadInstance, CheckHealth,
-// UpdateEndpoint or RetainEndpoints returns. A load report holds the values of Config.LoadReportFields in their order; it
-// is nil if the worker sent no complete one. The handler owns the body and the load report.
+// ResultHandler receives the result of each attempt, load command and health check. router.Router implements it. Its
+// methods are called on the event loop's goroutine, either by an event of a connection or during a call of StartAttempt,
+// LoadInstance, CheckHealth, UpdateEndpoint or RetainEndpoints. A load report holds the values of Config.LoadReportFields
+// in their order; it is nil if the worker sent no complete load report. The handler owns the body and the load report.
 //
-// AttemptEnded may call the Pool if the outcome is policy.Served. During any other report the Pool must not be called: it
-// may be ending several calls one after another, and one that is cancelled meanwhile would be reported or sent all the
-// same.
+// AttemptEnded may call methods of the Pool if the outcome is policy.Served. With any other outcome, and from the other two
+// methods, it must not: the Pool may be in a loop that ends several calls, and a call that the handler cancels during the
+// loop would still be reported or sent.
 type ResultHandler interface {
-	// AttemptEnded reports how an attempt ended. The Pool has forgotten the attempt by then.
-	AttemptEnded(attempt router.AttemptID, result router.AttemptResult)
-	// LoadCommandEnded reports how a load command ended; instances is the number of loaded instances that the worker
-	// gave, 0 if it gave none. The pool doesn't check the number.
-	LoadCommandEnded(control router.ControlID, outcome policy.Outcome, instances int)
+	// AttemptEnded reports how an attempt ended. The Pool no longer holds the attempt when it calls AttemptEnded.
+	AttemptEnded(attemptID router.AttemptID, result router.AttemptResult)
+	// LoadCommandEnded reports how a load command ended. instances is the number of loaded instances that the worker
+	// reported, or 0 if it reported none. The Pool does not check the number.
+	LoadCommandEnded(controlID router.ControlID, outcome policy.Outcome, instances int)
 	// HealthCheckEnded reports how a health check ended.
-	HealthCheckEnded(control router.ControlID, outcome policy.Outcome, loadReport []float64)
+	HealthCheckEnded(controlID router.ControlID, outcome policy.Outcome, loadReport []float64)
 }
 
-// Transport is a byte stream to a worker; an eventloop.Conn is one.
+// Transport is a byte stream to a worker. eventloop.Conn implements it.
 type Transport interface {
-	// Write queues buffers, which the caller must not change afterwards. After Close it drops them.
+	// Write queues buffers, which the caller must not modify afterwards. After Close, Write discards them.
 	Write(bufs ...[]byte)
-	// Close closes the stream and drops what is still queued. OnClose of the handler follows in a later turn of the event
-	// loop, never before Close returns, if the stream was open; a dial that has not ended is cancelled, and its handler
-	// gets no further call. A second Close does nothing.
+	// Close closes the stream and discards the queued bytes. If the stream was open, the handler's OnClose is called in a
+	// later turn of the event loop, never before Close returns. If the dial has not ended, Close cancels it, and the
+	// handler gets no further events. A second Close does nothing.
 	Close()
 }
 
-// Config holds the deployment's settings for the pool.
+// Config holds the settings of a Pool.
 type Config struct {
-	Classes                 []string      // names of the request classes; router.Request.Class is the index
-	LoadReportFields        []string      // names of the fields of a load report, in the order of its values
+	Classes                 []string      // names of the request classes; router.Request.Class is an index of this slice
+	LoadReportFields        []string      // names of the fields of a load report, in the order of a load report's values
 	DialTimeout             time.Duration // limit on one dial
-	IdleTimeout             time.Duration // workers close a connection that has been idle for so long
-	MaxStreamsPerConnection int           // limit on the attempts that one connection carries at a time
+	IdleTimeout             time.Duration // idle time after which workers close a connection
+	MaxStreamsPerConnection int           // limit on the concurrent attempts on one connection
 	MaxConnections          int           // limit on the connections to all workers together
-	AllowCancel             bool          // a cancelled attempt is also cancelled at its worker
+	AllowCancel             bool          // whether CancelAttempt sends a cancel command to the worker
 
-	// Dial opens a connection to addr, a "host:port", and returns its Transport, never nil. h gets the connection's events.
-	// OnOpen, with the result of the dial, must come in a later turn of the event loop: if a failure were reported before
-	// Dial returns, the call that the dial is for would never be sent and never end.
+	// Dial opens a connection to addr, a "host:port", and returns its Transport, which must not be nil. h receives the
+	// connection's events. OnOpen, with the result of the dial, must be called in a later turn of the event loop: if a
+	// failure were reported before Dial returns, the call that caused the dial would neither be sent nor end.
 	Dial func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 }
 
@@ -57,14 +57,14 @@
 type Pool struct {
 	cfg             Config
 	results         ResultHandler
-	now             time.Duration // the event loop's clock, see SetNow
+	now             time.Duration // last reading of the event loop's clock, see SetNow
 	workers         map[policy.WorkerID]*worker
 	attempts        map[router.AttemptID]*pendingCall // attempts that have neither ended nor been cancelled
-	keepAlivesSent  uint64                            // also the number in the wire id of the latest keep-alive check
+	keepAlivesSent  uint64                            // also the number in the wire ID of the latest keep-alive check
 	lostConnections lostConnectionLog
 }
 
-// New returns a Pool without workers that reports to results.
+// New returns a Pool without workers that reports the results of calls to results.
 func New(cfg Config, results ResultHandler) *Pool {
 	return &Pool{
 		cfg:             cfg,
@@ -75,17 +75,17 @@
 	}
 }
 
-// SetNow advances the pool's clock to now, a reading of the event loop's clock. Call it at the beginning of each turn of
-// the loop. A time before the present one is ignored.
+// SetNow advances the pool's time to now, a reading of the event loop's clock. Call it at the beginning of each turn of the
+// loop. SetNow ignores a time before the present one.
 func (p *Pool) SetNow(now time.Duration) { p.now = max(p.now, now) }
 
-// UpdateEndpoint sets a worker's address, a "host:port" ("": unchanged), and its state. A worker that is not known is
-// added, unless it is gone. startedAt is when its process started (0: unknown). Connections to an earlier address or
-// process are drained; their dials are cancelled, and the calls that wait for these end as Unreachable.
+// UpdateEndpoint sets a worker's address, a "host:port" (empty if unchanged), and its state. It adds an unknown worker
+// unless the state is Gone. startedAt is when the worker's process started (0 if unknown). Connections to an earlier address
+// or process are drained. Dials to them are cancelled, and the queued calls end as Unreachable.
 //
-// Unless the worker is ready, the attempts that wait for a dial to it end as Unreachable and the load commands as
-// WorkerOverloaded: the dial may succeed after the time in which sends to a draining worker are allowed. The idle
-// connections to a worker that is gone are closed.
+// If the state is not Ready, queued attempts end as Unreachable and queued load commands as WorkerOverloaded, because the
+// dial may succeed after the period in which calls may be sent to a draining worker. If the state is Gone, idle connections
+// are closed.
 func (p *Pool) UpdateEndpoint(workerID policy.WorkerID, addr string, state policy.WorkerState, startedAt time.Duration) {
 	w := p.workers[workerID]
 	if w == nil {
@@ -110,8 +110,8 @@
 	}
 }
 
-// RetainEndpoints marks every worker that is not present as gone, as UpdateEndpoint does. The results that this leads to
-// come in no fixed order of the workers.
+// RetainEndpoints sets the state of every worker that is not in present to Gone, with the effects that UpdateEndpoint
+// describes. The order of the workers in which it reports results is not defined.
 func (p *Pool) RetainEndpoints(present map[policy.WorkerID]bool) {
 	for id := range p.workers {
 		if !present[id] {
@@ -120,7 +120,7 @@
 	}
 }
 
-// CloseIdleConnections closes the connections to a worker that have no pending calls. Dials go on.
+// CloseIdleConnections closes the connections to a worker that have no pending calls. Dials continue.
 func (p *Pool) CloseIdleConnections(workerID policy.WorkerID) {
 	w := p.workers[workerID]
 	if w == nil {
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	"errors"
+	"fmt"
 	"time"
 
 	"functionrouter/internal/router"
@@ -10,30 +10,30 @@
 )
 
 const (
-	// maxRetainedBuffer is the capacity in bytes above which the buffer of a partial answer is released once it is empty. It
-	// bounds what a connection holds between large answers.
+	// maxRetainedBuffer is the capacity in bytes above which the buffer for partial answers is released when it is empty.
+	// It bounds the memory that a connection holds after a large answer.
 	maxRetainedBuffer = 4 << 10
 
-	// partialAnswerTimeout bounds the time from the first byte of an answer to its last.
+	// partialAnswerTimeout is the limit on the time between the first and the last byte of an answer.
 	partialAnswerTimeout = 600 * time.Millisecond
 )
 
-// errStalledAnswer says that an answer began and was not complete within partialAnswerTimeout.
-var errStalledAnswer = errors.New("answer stalled")
+// errStalledAnswer means that the rest of an answer did not arrive within partialAnswerTimeout.
+var errStalledAnswer = fmt.Errorf("answer is still incomplete %v after its first byte", partialAnswerTimeout)
 
-// partialAnswer is the beginning of an answer whose rest has not come.
+// partialAnswer is the beginning of an answer that has not arrived completely.
 type partialAnswer struct {
-	data  []byte        // empty if no answer has begun
-	firstByteAt time.Duration // when its first byte came
+	data        []byte        // empty if there is no partial answer
+	firstByteAt time.Duration // when its first byte arrived
 }
 
-// hasStalled reports whether the rest of an answer that has begun is overdue.
+// hasStalled reports whether an answer has been incomplete for longer than partialAnswerTimeout.
 func (p *partialAnswer) hasStalled(now time.Duration) bool {
 	return len(p.data) > 0 && now-p.firstByteAt > partialAnswerTimeout
 }
 
-// join returns what has come of the answer so far, with b behind it. The result is b itself or points into the buffer,
-// and is valid until the next call of join or keep.
+// join returns the bytes of the partial answer followed by b. The result is b itself or a slice of the buffer, and is valid
+// until the next call of join or storeRest.
 func (p *partialAnswer) join(b []byte) []byte {
 	if len(p.data) == 0 {
 		return b
@@ -42,8 +42,9 @@
 	return p.data
 }
 
-// storeRest stores rest, the part of joined behind its complete answers. joined is the last result of join, and now the time at
-// which its last bytes came. If no answer was complete, the partial answer is still the one from before.
+// storeRest stores rest, the part of joined after its complete answers, as the partial answer. joined is the last result of
+// join, and now is the time at which its last bytes arrived. If joined contains no complete answer, rest continues the
+// previous partial answer, whose firstByteAt is kept.
 func (p *partialAnswer) storeRest(rest, joined []byte, now time.Duration) {
 	startsNewAnswer := len(rest) < len(joined) || len(p.data) == 0
 	if len(rest) > 0 && startsNewAnswer {
@@ -55,8 +56,8 @@
 	}
 }
 
-// OnData handles bytes from the worker, which are valid during the call only. The beginning of an answer is kept in a
-// buffer that grows with it, so that an answer that comes a few bytes at a time is not copied anew for each of them.
+// OnData handles bytes from the worker. b is valid only during the call. A partial answer is stored in a growing buffer, so
+// that an answer that arrives a few bytes at a time is not copied completely each time.
 func (c *connection) OnData(b []byte) {
 	if c.state == stateClosed {
 		return
@@ -71,7 +72,8 @@
 	c.partial.storeRest(rest, joined, c.pool.now)
 }
 
-// handleAnswers handles the complete answers at the beginning of b and returns the rest. It fails with errMalformedAnswer.
+// handleAnswers handles the complete answers at the beginning of b and returns the remaining bytes. It fails with
+// errMalformedAnswer.
 func (c *connection) handleAnswers(b []byte) (rest []byte, err error) {
 	var buffer [maxElements][]byte
 	for len(b) > 0 {
@@ -90,10 +92,10 @@
 	return b, nil
 }
 
-// handleAnswer ends the pending call that an answer is to. An answer to none only shows that the connection works: it is a
-// duplicate, or the answer to a call that was cancelled. handleAnswer fails with errMalformedAnswer.
+// handleAnswer ends the pending call with the answer's wire ID. If there is none, the answer is a duplicate or belongs to a
+// cancelled call, and only shows that the connection works. handleAnswer fails with errMalformedAnswer.
 //
-// The call is released before its result is reported, since the handler may then call the pool.
+// The call is released before its result is reported, because the ResultHandler may call the pool.
 func (c *connection) handleAnswer(elements [][]byte) error {
 	a, err := parseAnswer(elements)
 	if err != nil {
@@ -116,7 +118,7 @@
 	return nil
 }
 
-// endAnswered reports the result of an answered call. The handler keeps the body, which is copied for it.
+// endAnswered reports the result of an answered call. It copies the body, because the ResultHandler keeps it.
 func (p *Pool) endAnswered(call *pendingCall, outcome policy.Outcome, a answer) {
 	switch call.kind {
 	case attemptCall:
@@ -131,11 +133,11 @@
 		p.results.LoadCommandEnded(call.controlID, outcome, a.instanceCount())
 	case healthCheckCall:
 		p.results.HealthCheckEnded(call.controlID, outcome, p.loadReport(a))
-	case keepAliveCall: // handleAnswer has recorded that the connection works
+	case keepAliveCall: // not reported; handleAnswer has updated connection.keepAlive
 	}
 }
 
-// loadReport returns the load report of an answer, nil if it has no complete one.
+// loadReport returns the load report in an answer, or nil if it has no complete load report.
 func (p *Pool) loadReport(a answer) []float64 {
 	return parseLoadReport(fieldValue(a.fields, fieldLoadReport), p.cfg.LoadReportFields)
 }
--- a/internal/backend/recent_ids.go
+++ b/internal/backend/recent_ids.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	// recentIDLifetime is how long a wire id is remembered at least; at most it is twice as long and a SweepInterval more.
-	// It has to exceed the time that a request has (the deadlines in example/config.json are 3 s at most): a later attempt
-	// of a request comes within that.
+	// recentIDLifetime is the minimum time for which a wire ID is stored. The maximum is twice as long plus one
+	// SweepInterval. recentIDLifetime must exceed the longest deadline of a request (3 s in example/config.json), because
+	// all attempts of the request are sent before it.
 	recentIDLifetime = 8 * time.Second
 
-	// maxRecentIDs is how many wire ids make a connection full. A full connection takes no new attempts, and the next sweep
-	// retires it. Only the attempts that are pending then add further ids.
+	// maxRecentIDs is the number of stored wire IDs at which a connection is full. A full connection accepts no new attempts,
+	// and the next sweep retires it. Only attempts that are already pending then add further wire IDs.
 	maxRecentIDs = 2048
 )
 
-// recentIDs remembers the wire ids of the attempts that were written and have ended or been cancelled on a connection, so
-// that the connection carries none of them again: a duplicate of an answer, or one that comes after its attempt was
-// cancelled, must not end a later attempt of the same request, which has the same wire id. All ids of a generation are
-// forgotten together, so that no id needs a time of its own. The zero value is empty.
+// recentIDs stores the wire IDs of attempts that were written on a connection and have ended or been cancelled. The
+// connection does not carry an attempt with a stored wire ID: all attempts of a request share a wire ID, and a duplicate
+// answer, or the answer to a cancelled attempt, must not end a later attempt of the request. The wire IDs are stored in two
+// generations and a whole generation is removed at a time, so that no timestamp is needed for each wire ID. The zero value
+// is empty.
 type recentIDs struct {
 	current   map[string]struct{} // added since rotatedAt
-	previous  map[string]struct{} // of the generation before
+	previous  map[string]struct{} // added in the generation before
 	rotatedAt time.Duration       // when the current generation began
 }
 
@@ -40,11 +41,12 @@
 
 func (r *recentIDs) len() int { return len(r.current) + len(r.previous) }
 
-// full reports whether the connection must take no new attempts.
+// full reports whether the limit on wire IDs is reached, so that the connection must not accept new attempts.
 func (r *recentIDs) full() bool { return r.len() >= maxRecentIDs }
 
-// rotate begins a new generation, if one is due, and forgets the previous one. Each sweep calls it. The first call on a
-// connection usually finds one due, because rotatedAt is 0: ids that were added before live on as the previous generation.
+// rotate starts a new generation and removes the previous one if the current generation is at least recentIDLifetime old.
+// Each sweep calls it. The first call on a connection usually rotates, because rotatedAt is 0; wire IDs that were added
+// before it then belong to the previous generation.
 func (r *recentIDs) rotate(now time.Duration) {
 	if now-r.rotatedAt < recentIDLifetime {
 		return
--- a/internal/backend/selection.go
+++ b/internal/backend/selection.go
@@ -1,35 +1,36 @@
 package backend
 
 const (
-	// maxConnectionsPerWorker bounds the connections to one worker, in any state. At the limit the open ones carry up to
-	// Config.MaxStreamsPerConnection attempts each.
+	// maxConnectionsPerWorker is the limit on the connections to one worker, in any state. At the limit, open connections
+	// carry up to Config.MaxStreamsPerConnection attempts each.
 	maxConnectionsPerWorker = 10
 
-	// attemptsBeforeDial is how many attempts a connection holds before another is opened, although it could take more: a
-	// connection that breaks ends all of its calls. A higher value opens fewer connections, and one that breaks then ends
-	// more calls.
+	// attemptsBeforeDial is the number of pending attempts on a connection at which the pool dials another connection,
+	// although the first could carry more. A lost connection ends all calls that are pending on it. A higher value opens
+	// fewer connections, and the loss of one ends more calls.
 	attemptsBeforeDial = 4
 )
 
-// preference orders the connections that may carry a call: one with the highest is chosen. The order of the constants
-// counts.
+// preference ranks the connections for a call. A connection with the highest preference is selected, so the constants must
+// stay in ascending order.
 type preference uint8
 
 const (
-	// The connection can't carry the call.
+	// The connection must not carry the call.
 	notEligible preference = iota // not eligible
-	// Its keep-alive check is unanswered.
+	// The connection has an unanswered keep-alive check.
 	unresponsive // unresponsive
-	// It would queue the call until the end of its dial.
+	// The connection would queue the call until its dial ends.
 	beingDialed // being dialed
-	// It is open, and no keep-alive check is unanswered.
+	// The connection is open and has no unanswered keep-alive check.
 	responsive // responsive
 )
 
-// selectConnection returns the connection for call, or nil if there is none and none may be opened. It chooses the most
-// preferred connection with the fewest attempts. If there is none, or if that one is unresponsive or has attemptsBeforeDial
-// attempts, it dials a new one where the limits allow. For that it may close an idle connection (see reserveConnection).
-// The caller sends the call at once: a new connection without a call would be dialed in vain.
+// selectConnection returns the connection for call, or nil if no connection is eligible and the limits allow no new one. It
+// selects the connection with the highest preference and, among equals, the fewest attempts. If no connection is eligible,
+// or if the selected one is unresponsive or has attemptsBeforeDial or more attempts, it dials a new connection if the limits
+// allow it. To do so it may close an idle connection (see ensureCapacityForDial). The caller must send the call
+// immediately, because a new connection is dialed only to carry it.
 func (p *Pool) selectConnection(w *worker, call *pendingCall) *connection {
 	best, highest := p.bestConnection(w, call)
 	if highest > unresponsive && best.pendingAttempts < attemptsBeforeDial {
@@ -42,8 +43,8 @@
 	return p.dial(w)
 }
 
-// bestConnection returns w's most preferred connection for call, of several the one with the fewest attempts and among
-// these the oldest. It returns nil and notEligible if none may carry the call.
+// bestConnection returns w's connection with the highest preference for call. Among equals it returns the one with the
+// fewest attempts, and among these the oldest. It returns nil and notEligible if no connection may carry the call.
 func (p *Pool) bestConnection(w *worker, call *pendingCall) (best *connection, highest preference) {
 	for _, c := range w.connections {
 		rating := p.preferenceFor(c, call)
@@ -59,8 +60,8 @@
 	return best, highest
 }
 
-// preferenceFor rates c for call. A connection carries no two calls with the same wire id at once, because an answer names
-// its call by that alone.
+// preferenceFor returns the preference of c for call. A connection must not carry two calls with the same wire ID at the
+// same time, because an answer identifies its call only by the wire ID.
 func (p *Pool) preferenceFor(c *connection, call *pendingCall) preference {
 	if !c.acceptsCalls() || c.transport == nil || c.pending[call.wireID] != nil {
 		return notEligible
@@ -78,18 +79,19 @@
 	}
 }
 
-// mayCarryAttempt reports whether c may carry one more attempt, call: it carries no more at once than a worker accepts, and
-// none whose wire id it remembers (see recentIDs).
+// mayCarryAttempt reports whether c may carry the attempt call. The limits are the number of concurrent attempts that a
+// worker accepts on a connection, and the stored wire IDs (see recentIDs).
 func (p *Pool) mayCarryAttempt(c *connection, call *pendingCall) bool {
 	return c.pendingAttempts < p.cfg.MaxStreamsPerConnection &&
 		!c.recentIDs.contains(call.wireID) &&
 		!c.recentIDs.full()
 }
 
-// ensureCapacityForDial reports whether one more connection may be opened. At the limit on all connections, it closes the one
-// that has been idle for longest to make room, so that workers that appear late get connections. It does so for each new
-// connection: a closed one counts until its OnClose. Call it only if a dial follows. Which one it closes of several that
-// have been idle equally long is left to the iteration of the map.
+// ensureCapacityForDial reports whether one more connection may be opened. At the limit on all connections, it closes the
+// connection that has been idle for longest, so that workers that are added later get connections too. A closed connection
+// counts towards the limit until its OnClose, so each further dial at the limit closes another idle connection. Call
+// ensureCapacityForDial only if a dial follows. Among connections to several workers that have been idle equally long, the
+// random iteration order of the map determines which one is closed.
 func (p *Pool) ensureCapacityForDial() bool {
 	total := 0
 	var longestIdle *connection
@@ -114,8 +116,8 @@
 	return true
 }
 
-// dial opens a connection to w, whose state is the zero value, stateConnecting. It is not eligible for calls until Config.Dial
-// has returned its transport.
+// dial opens a connection to w. The connection's state is stateConnecting, the zero value. The connection is not eligible
+// for calls until Config.Dial has returned its transport.
 func (p *Pool) dial(w *worker) *connection {
 	c := &connection{
 		pool:       p,
--- a/internal/backend/sweep.go
+++ b/internal/backend/sweep.go
@@ -7,17 +7,17 @@
 	"functionrouter/policy"
 )
 
-// SweepInterval is the time after which Pool.Sweep should be called again. The timeouts of connections, those of dials
-// aside, are noticed that much later at most.
+// SweepInterval is the interval at which Pool.Sweep should be called. It is the maximum delay with which the pool detects
+// that a timeout of a connection has expired; a dial has its own timeout.
 const SweepInterval = 50 * time.Millisecond
 
-// idleCloseFraction is the part of the workers' idle timeout after which the pool closes an idle connection. The rest is a
-// margin for the time that a call takes to reach the worker, and for the SweepInterval.
+// idleCloseFraction is the fraction of the workers' idle timeout after which the pool closes an idle connection. The rest of
+// the timeout is a margin for the time that a call takes to reach the worker, and for the SweepInterval.
 const idleCloseFraction = 0.8
 
-// Sweep does the periodic work at now, a reading of the event loop's clock: it closes connections that are idle or of no
-// further use, checks that the others still work, and forgets workers that are gone and have no connections. Call it every
-// SweepInterval.
+// Sweep does the pool's periodic work at now, a reading of the event loop's clock. It closes connections that have been idle
+// for too long or are no longer needed, checks that the others still work, and removes workers that are gone and have no
+// connections. Call it every SweepInterval.
 func (p *Pool) Sweep(now time.Duration) {
 	p.SetNow(now)
 	for id, w := range p.workers {
@@ -30,14 +30,15 @@
 	}
 }
 
-// sweepConnection does the periodic work of one connection: the first of these steps that applies.
+// sweepConnection does the periodic work for one connection. After the rotation of recentIDs, only the first case that
+// applies is executed.
 func (p *Pool) sweepConnection(c *connection) {
 	c.recentIDs.rotate(p.now)
 	switch {
 	case c.state == stateConnecting: // the dial has a timeout of its own
 	case c.state == stateReady && c.recentIDs.full():
-		c.retire() // it would carry no attempt for seconds, and count towards maxConnectionsPerWorker
-	case c.state != stateReady: // draining, or closed and without its OnClose yet
+		c.retire() // it can't carry an attempt for seconds, but counts towards maxConnectionsPerWorker
+	case c.state != stateReady: // draining, or closed while OnClose has not been called yet
 		if c.idle() {
 			c.close()
 		}
@@ -50,8 +51,8 @@
 	}
 }
 
-// idleCloseAfter returns how long a connection may be idle. It is less than the workers' own limit: a call that is on its
-// way when the worker closes the connection would count as one that may have run.
+// idleCloseAfter returns how long a connection may be idle before the pool closes it. It is less than the workers' idle
+// timeout, because a call that is in transit when the worker closes the connection counts as one that may have run.
 func (p *Pool) idleCloseAfter() time.Duration {
 	return time.Duration(idleCloseFraction * float64(p.cfg.IdleTimeout))
 }
