--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -92,8 +92,8 @@
 	return values
 }
 
-// fieldValue returns the value of the first field with this name in list, name=value,name=value, or nil if there is none.
-// "-" is an empty list. The value is a slice of list.
+// fieldValue returns the value of the first field with this name in list, name=value,name=value, or nil if there is
+// none. "-" is an empty list. The value is a slice of list.
 func fieldValue(list []byte, name string) []byte {
 	for len(list) > 0 {
 		var pair []byte
--- a/internal/backend/call.go
+++ b/internal/backend/call.go
@@ -22,16 +22,16 @@
 	loadCommandCall // load command
 	// The worker reports its health and its load. The policy requests it.
 	healthCheckCall // health check
-	// The worker only answers, which shows that the connection works. The pool requests it, and its result is not reported
-	// to the ResultHandler.
+	// The worker only answers, which shows that the connection works. The pool requests it, and its result is not
+	// reported to the ResultHandler.
 	keepAliveCall // keep-alive check
 )
 
 // pendingCall is a command that expects an answer and has not ended.
 //
 // It has two IDs. The AttemptID or ControlID identifies it to the caller when its result is reported. The wire ID
-// identifies it on a connection. All attempts of one request share a wire ID, so a connection that has carried a wire ID
-// does not carry it again for some time (see recentIDs).
+// identifies it on a connection. All attempts of one request share a wire ID, so a connection that has carried a wire
+// ID does not carry it again for some time (see recentIDs).
 type pendingCall struct {
 	kind      callKind
 	attemptID router.AttemptID // set for an attempt
@@ -57,7 +57,9 @@
 }
 
 // newAttemptCall returns the call for an attempt whose budget is spent at budgetEnd.
-func newAttemptCall(attemptID router.AttemptID, request *router.Request, class string, budgetEnd time.Duration) *pendingCall {
+func newAttemptCall(attemptID router.AttemptID, request *router.Request, class string,
+	budgetEnd time.Duration,
+) *pendingCall {
 	return &pendingCall{
 		kind:      attemptCall,
 		attemptID: attemptID,
@@ -69,9 +71,9 @@
 	}
 }
 
-// encodeAttemptHeader returns the header of an attempt that is written at now. The header gives the worker the budget that
-// remains at now, because the attempt may have waited for a dial. The budget is rounded down to milliseconds and is at
-// least 1 ms.
+// encodeAttemptHeader returns the header of an attempt that is written at now. The header gives the worker the budget
+// that remains at now, because the attempt may have waited for a dial. The budget is rounded down to milliseconds and
+// is at least 1 ms.
 func (call *pendingCall) encodeAttemptHeader(now time.Duration) []byte {
 	budget := max((call.budgetEnd - now).Milliseconds(), 1)
 	fields := fmt.Sprintf("queue=%s,path=%s,budget=%d", call.class, call.function, budget)
@@ -113,8 +115,8 @@
 	}
 }
 
-// Prefixes of the wire IDs, one for each kind of call except attempts. The wire ID of an attempt is the request's ID, 16
-// hex digits without a prefix, so a prefix must not be a hex digit.
+// Prefixes of the wire IDs, one for each kind of call except attempts. The wire ID of an attempt is the request's ID,
+// 16 hex digits without a prefix, so a prefix must not be a hex digit.
 const (
 	loadCommandPrefix = "h"
 	healthCheckPrefix = "p"
@@ -139,8 +141,9 @@
 	return fmt.Sprintf("%016x", uint64(function))
 }
 
-// sortedByWireID returns calls in the lexical order of their wire IDs. The end of each call is an event for the policy, and
-// a run must be reproducible: with the random iteration order of a map, equal runs would deliver different sequences.
+// sortedByWireID returns calls in the lexical order of their wire IDs. The end of each call is an event for the policy,
+// and a run must be reproducible: with the random iteration order of a map, equal runs would deliver different
+// sequences.
 func sortedByWireID(calls map[string]*pendingCall) []*pendingCall {
 	return slices.SortedFunc(maps.Values(calls), func(a, b *pendingCall) int { return cmp.Compare(a.wireID, b.wireID) })
 }
--- a/internal/backend/codec.go
+++ b/internal/backend/codec.go
@@ -15,15 +15,15 @@
 	maxAnswerSize = maxBulkSize + 4<<10
 	// maxElements is the limit on the number of array elements. An answer has two to four; parseAnswer ignores others.
 	maxElements = 8
-	// maxLengthLine is the limit on a line such as "*4" or "$16384" with its CRLF. The longest line that the other limits
-	// allow has 8 bytes.
+	// maxLengthLine is the limit on a line such as "*4" or "$16384" with its CRLF. The longest line that the other
+	// limits allow has 8 bytes.
 	maxLengthLine = 12
 	// minLengthLine is the size of the shortest such line.
 	minLengthLine = len("*0\r\n")
 )
 
-// headerCapacity is the capacity in bytes with which a command's header is allocated. A header with a class name of up to
-// 60 bytes fits without reallocation.
+// headerCapacity is the capacity in bytes with which a command's header is allocated. A header with a class name of up
+// to 60 bytes fits without reallocation.
 const headerCapacity = 160
 
 // The first byte of a RESP value gives its type.
@@ -35,8 +35,8 @@
 // crlf terminates each length line and each bulk string. It must not be modified.
 var crlf = []byte("\r\n")
 
-// errMalformedAnswer means that a worker violated the protocol. All errors of the functions in codec.go and answer.go wrap
-// it. "Fails with errMalformedAnswer" means that errors.Is reports true for the returned error.
+// errMalformedAnswer means that a worker violated the protocol. All errors of the functions in codec.go and answer.go
+// wrap it. "Fails with errMalformedAnswer" means that errors.Is reports true for the returned error.
 var errMalformedAnswer = errors.New("malformed answer")
 
 // malformedAnswerf returns an error that wraps errMalformedAnswer and contains the formatted reason.
@@ -44,10 +44,10 @@
 	return fmt.Errorf("%w: %s", errMalformedAnswer, fmt.Sprintf(format, arguments...))
 }
 
-// decodeArray decodes the RESP array of bulk strings at the beginning of b, appends its elements, which are slices of b, to
-// elements and returns them with the array's size in bytes. If the array is incomplete, it returns nil and 0. It fails with
-// errMalformedAnswer. Each length is checked when its line is complete, before the bulk string arrives, so that a worker
-// can't make the router buffer an unlimited number of bytes.
+// decodeArray decodes the RESP array of bulk strings at the beginning of b, appends its elements, which are slices of
+// b, to elements and returns them with the array's size in bytes. If the array is incomplete, it returns nil and 0. It
+// fails with errMalformedAnswer. Each length is checked when its line is complete, before the bulk string arrives, so
+// that a worker can't make the router buffer an unlimited number of bytes.
 func decodeArray(b []byte, elements [][]byte) ([][]byte, int, error) {
 	count, offset, err := decodeLengthLine(b, 0, arrayTypeByte, maxElements)
 	if err != nil || offset == 0 {
@@ -74,8 +74,8 @@
 	return elements, offset, nil
 }
 
-// decodeLengthLine decodes the line that begins at index start of b: typeByte, a decimal number from 0 to limit, and CRLF.
-// It returns the number and the index after the line, or 0 for both if the line is incomplete. It fails with
+// decodeLengthLine decodes the line that begins at index start of b: typeByte, a decimal number from 0 to limit, and
+// CRLF. It returns the number and the index after the line, or 0 for both if the line is incomplete. It fails with
 // errMalformedAnswer.
 func decodeLengthLine(b []byte, start int, typeByte byte, limit int) (number, next int, err error) {
 	line := b[start:]
@@ -99,8 +99,8 @@
 	return number, start + newline + 1, nil
 }
 
-// parseLength parses a decimal number from 0 to limit. It stops at the first digit that makes the number exceed limit, so
-// that the number can't overflow. It fails with errMalformedAnswer.
+// parseLength parses a decimal number from 0 to limit. It stops at the first digit that makes the number exceed limit,
+// so that the number can't overflow. It fails with errMalformedAnswer.
 func parseLength(digits []byte, limit int) (int, error) {
 	number := 0
 	for _, digit := range digits {
--- a/internal/backend/codec_test.go
+++ b/internal/backend/codec_test.go
@@ -13,11 +13,12 @@
 	"functionrouter/policy"
 )
 
-func TestAnswerIsReadHoweverItIsSplit(t *testing.T) {
+// Checks the bytes of a command, and that an answer is decoded correctly however it is split into reads.
+func TestAnswerSplitAcrossReads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newTestPool()
-		a := attemptID(1)
-		transport := p.startOpen(a, "0123456789abcdef")
+		a := firstAttempt(1)
+		transport := p.startOnOpenConnection(a, "0123456789abcdef")
 		want := "*4\r\n$3\r\nRUN\r\n$16\r\n0123456789abcdef\r\n" +
 			"$49\r\nqueue=dim-level,path=00000000000000aa,budget=1000\r\n$5\r\nhello\r\n"
 		if got := transport.Written.String(); got != want {
@@ -31,20 +32,22 @@
 			transport.handler.OnData([]byte(text[:n]))
 			text = text[n:]
 		}
-		if ended := p.results.attempts[a]; !slices.Equal(ended, []policy.Outcome{policy.Served}) {
+		if ended := p.recorder.attempts[a]; !slices.Equal(ended, []policy.Outcome{policy.Served}) {
 			t.Fatalf("ended %v", ended)
 		}
-		if got := p.results.bodies[a]; got != body || transport.Closed {
+		if got := p.recorder.bodies[a]; got != body || transport.Closed {
 			t.Fatalf("ended with %q, closed %v", got, transport.Closed)
 		}
 	})
 }
 
-func TestArbitraryBytesAtMostCloseTheirConnection(t *testing.T) {
+// Guards against a panic on invalid input, and against buffering a bulk string whose length exceeds the limit: the
+// connection must be closed as soon as the length has arrived.
+func TestArbitraryBytesDoNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newTestPool()
 		p.CheckHealth(workerID, 1)
-		transport := p.last()
+		transport := p.lastTransport()
 		transport.handler.OnOpen(nil)
 		pieces := rapid.SampledFrom([]string{
 			"*", "4", "\r\n", "$", "2", "99999999999", "p1", "PONG", "-", "HIT", "\x00", "*2\r\n",
@@ -53,78 +56,78 @@
 	})
 	p := newTestPool()
 	p.CheckHealth(workerID, 1)
-	transport := p.last()
+	transport := p.lastTransport()
 	transport.handler.OnOpen(nil)
 	transport.handler.OnData([]byte("*4\r\n$16449\r\n"))
 	if !transport.Closed {
-		t.Error("a bulk string over the limit was waited for")
+		t.Error("the connection stayed open after the length of a bulk string over the limit")
 	}
 }
 
 func TestDecodeArrayRejectsMalformedArrays(t *testing.T) {
 	for name, text := range map[string]string{
-		"another type":            "+OK\r\n",
-		"a word of another type":  "*1\r\n:5\r\n",
-		"no number":               "*\r\n",
-		"not a number":            "*x\r\n",
-		"negative number":         "*-1\r\n",
-		"line feed alone":         "*12\n",
-		"length line without end": "*00000000000",
-		"too many words":          "*9\r\n",
-		"bulk string too long":    fmt.Sprintf("*1\r\n$%d\r\n", maxBulkSize+1),
-		"no line end":             "*1\r\n$1\r\nxyz",
+		"not an array":           "+OK\r\n",
+		"integer element":        "*1\r\n:5\r\n",
+		"no number":              "*\r\n",
+		"not a number":           "*x\r\n",
+		"negative number":        "*-1\r\n",
+		"no carriage return":     "*12\n",
+		"length line too long":   "*00000000000",
+		"too many elements":      "*9\r\n",
+		"bulk string too long":   fmt.Sprintf("*1\r\n$%d\r\n", maxBulkSize+1),
+		"no CRLF after a string": "*1\r\n$1\r\nxyz",
 		"array too long": fmt.Sprintf("*2\r\n$%d\r\n%s\r\n$%d\r\n",
 			maxBulkSize, strings.Repeat("x", maxBulkSize), maxBulkSize),
 	} {
 		t.Run(name, func(t *testing.T) {
-			words, size, err := decodeArray([]byte(text), nil)
-			if !errors.Is(err, errMalformedAnswer) || words != nil || size != 0 {
-				t.Errorf("got %d words, size %d, error %v", len(words), size, err)
+			elements, size, err := decodeArray([]byte(text), nil)
+			if !errors.Is(err, errMalformedAnswer) || elements != nil || size != 0 {
+				t.Errorf("got %d elements, size %d, error %v", len(elements), size, err)
 			}
 		})
 	}
 }
 
-func TestEncodedCommandIsDecodedAgain(t *testing.T) {
+func TestEncodedCommandIsDecodable(t *testing.T) {
 	text := encodeCommand("HOLD", "h1", "")
 	for n := range text {
-		if words, size, err := decodeArray(text[:n], nil); words != nil || size != 0 || err != nil {
-			t.Fatalf("%d bytes: %d words, size %d, error %v", n, len(words), size, err)
+		if elements, size, err := decodeArray(text[:n], nil); elements != nil || size != 0 || err != nil {
+			t.Fatalf("%d bytes: %d elements, size %d, error %v", n, len(elements), size, err)
 		}
 	}
-	words, size, err := decodeArray(append(text, '*'), nil)
+	elements, size, err := decodeArray(append(text, '*'), nil)
 	if err != nil || size != len(text) {
-		t.Fatalf("size %d of %d, error %v", size, len(text), err)
+		t.Fatalf("size %d, want %d, error %v", size, len(text), err)
 	}
-	if got := fmt.Sprintf("%q", words); got != `["HOLD" "h1" ""]` {
+	if got := fmt.Sprintf("%q", elements); got != `["HOLD" "h1" ""]` {
 		t.Errorf("got %s", got)
 	}
 }
 
-// Guards against copying the beginning of an answer anew for each of its bytes, which would allocate as often. A buffer
-// that doubles needs far fewer than 60 allocations.
+// Guards against copying a partial answer into a new buffer for each received byte, which would allocate once per byte.
+// A buffer that doubles its capacity needs far fewer than 60 allocations.
 func TestPartialAnswerIsNotCopiedForEachByte(t *testing.T) {
 	p := newTestPool()
-	a := attemptID(1)
-	transport := p.startOpen(a, hexID(0xa1))
+	a := firstAttempt(1)
+	transport := p.startOnOpenConnection(a, hexID(0xa1))
 	complete := encodeAnswer(hexID(0xa1), "HIT", strings.Repeat("x", maxBulkSize-64))
 	allocs := testing.AllocsPerRun(1, func() {
 		for i := range complete {
 			transport.handler.OnData(complete[i : i+1])
 		}
 	})
-	if ended := p.results.attempts[a]; len(ended) != 1 || allocs > 60 {
+	if ended := p.recorder.attempts[a]; len(ended) != 1 || allocs > 60 {
 		t.Errorf("ended %v after %v allocations for %d bytes", ended, allocs, len(complete))
 	}
 }
 
-// Guards against an answer that stops short on an open connection: no more bytes, or a few now and then
-// that never complete it.
+// Guards against waiting without limit for the rest of an answer on an open connection. The worker sends a few bytes at
+// a time and does not complete the answer within partialAnswerTimeout.
 func TestStalledAnswerClosesItsConnection(t *testing.T) {
 	logged := captureLog(t)
 	p := newTestPool()
-	a := attemptID(1)
-	transport := p.startOpen(a, hexID(0xa1))
+	a := firstAttempt(1)
+	transport := p.startOnOpenConnection(a, hexID(0xa1))
 	rest := encodeAnswer(hexID(0xa1), "HIT", strings.Repeat("x", 1000))
 	for i := range int(partialAnswerTimeout/SweepInterval) + 2 {
 		p.Sweep(time.Hour + time.Duration(i)*SweepInterval)
@@ -134,17 +137,17 @@
 		}
 	}
 	if !transport.Closed {
-		t.Fatal("the rest of an answer is still waited for")
+		t.Fatal("the connection with an incomplete answer is still open")
 	}
 	if err := logged.lastError("worker connection closed"); !errors.Is(err, errStalledAnswer) {
 		t.Errorf("logged %v", err)
 	}
-	transport.handler.OnData(rest) // too late: nothing that follows counts
-	if ended := p.results.attempts[a]; len(ended) != 0 {
-		t.Errorf("ended %v by what came after the close", ended)
+	transport.handler.OnData(rest) // bytes after the close must be ignored
+	if ended := p.recorder.attempts[a]; len(ended) != 0 {
+		t.Errorf("bytes after the close ended the attempt with %v", ended)
 	}
-	p.start(attemptID(2), hexID(0xb2))
+	p.start(firstAttempt(2), hexID(0xb2))
 	if len(p.transports) != 2 {
-		t.Error("an attempt went to a connection that the pool had closed")
+		t.Error("an attempt was sent over a connection that the pool had closed")
 	}
 }
--- a/internal/backend/commands.go
+++ b/internal/backend/commands.go
@@ -7,10 +7,11 @@
 	"functionrouter/policy"
 )
 
-// StartAttempt sends an attempt of a request to a worker. The budget is the time that the attempt may take, the wait for a
-// dial included. No other attempt with the same ID may be open, and the request's class must be an index of Config.Classes.
-// The attempt ends as Unreachable if the worker is unknown or not ready, or if no connection can carry the attempt. The
-// caller may reuse the request after StartAttempt returns, but not its body: the pool keeps the slice without a copy.
+// StartAttempt sends an attempt of a request to a worker. The budget is the time that the attempt may take, the wait
+// for a dial included. No other attempt with the same ID may be open, and the request's class must be an index of
+// Config.Classes. The attempt ends as Unreachable if the worker is unknown or not ready, or if no connection can carry
+// the attempt. The caller may reuse the request after StartAttempt returns, but not its body: the pool keeps the slice
+// without a copy.
 func (p *Pool) StartAttempt(workerID policy.WorkerID, attemptID router.AttemptID, request *router.Request,
 	budget time.Duration,
 ) {
@@ -26,8 +27,8 @@
 	p.results.AttemptEnded(attemptID, router.AttemptResult{Outcome: policy.Unreachable})
 }
 
-// CancelUnsent cancels an attempt that waits for a dial. No result is reported, and the dial continues. If the attempt has
-// been written or has ended, CancelUnsent does nothing and returns false.
+// CancelUnsent cancels an attempt that waits for a dial. No result is reported, and the dial continues. If the attempt
+// has been written or has ended, CancelUnsent does nothing and returns false.
 func (p *Pool) CancelUnsent(attemptID router.AttemptID) bool {
 	call := p.attempts[attemptID]
 	if call == nil || call.written {
@@ -38,10 +39,10 @@
 	return true
 }
 
-// CancelAttempt cancels an attempt. No result is reported. The worker may still run an attempt that was written; it gets a
-// cancel command if Config.AllowCancel is set. The connection does not carry the attempt's wire ID again while recentIDs
-// holds it, because an answer to the cancelled attempt must not end another attempt of the same request. The worker ID is
-// unused; router.WorkerPool requires the parameter.
+// CancelAttempt cancels an attempt. No result is reported. The worker may still run an attempt that was written; it
+// gets a cancel command if Config.AllowCancel is set. The connection does not carry the attempt's wire ID again while
+// recentIDs holds it, because an answer to the cancelled attempt must not end another attempt of the same request. The
+// worker ID is unused; router.WorkerPool requires the parameter.
 func (p *Pool) CancelAttempt(_ policy.WorkerID, attemptID router.AttemptID) {
 	call := p.attempts[attemptID]
 	if call == nil || p.CancelUnsent(attemptID) {
@@ -54,21 +55,23 @@
 	}
 }
 
-// LoadInstance commands a worker to keep this number of instances of a function loaded. With 0, the worker only reports how
-// many instances are loaded. The command ends as Unreachable if the worker is unknown or no connection can carry the
-// command. With a number above 0 it also ends as Unreachable if the worker is not ready.
-func (p *Pool) LoadInstance(workerID policy.WorkerID, function policy.FunctionID, instances int, controlID router.ControlID) {
+// LoadInstance commands a worker to keep this number of instances of a function loaded. With 0, the worker only reports
+// how many instances are loaded. The command ends as Unreachable if the worker is unknown or no connection can carry
+// the command. With a number above 0 it also ends as Unreachable if the worker is not ready.
+func (p *Pool) LoadInstance(workerID policy.WorkerID, function policy.FunctionID, instances int,
+	controlID router.ControlID,
+) {
 	p.sendControl(workerID, newLoadCommandCall(controlID, function, instances))
 }
 
-// CheckHealth requests a worker's health and load report, whatever the worker's state. The health check ends as Unreachable
-// if the worker is unknown or no connection can carry it.
+// CheckHealth requests a worker's health and load report, whatever the worker's state. The health check ends as
+// Unreachable if the worker is unknown or no connection can carry it.
 func (p *Pool) CheckHealth(workerID policy.WorkerID, controlID router.ControlID) {
 	p.sendControl(workerID, newHealthCheckCall(controlID))
 }
 
-// sendControl sends a load command or a health check. The call ends as Unreachable if the worker is unknown, if the call
-// needs a ready worker and this worker is not ready, or if no connection can carry the call.
+// sendControl sends a load command or a health check. The call ends as Unreachable if the worker is unknown, if the
+// call needs a ready worker and this worker is not ready, or if no connection can carry the call.
 func (p *Pool) sendControl(workerID policy.WorkerID, call *pendingCall) {
 	w := p.workers[workerID]
 	if w != nil && (w.isReady() || !call.needsReadyWorker) {
@@ -81,7 +84,8 @@
 }
 
 // CancelControl cancels the load command or health check with this ControlID. No result is reported. The worker is not
-// notified and may still execute the command. Its wire ID is not added to recentIDs, because a ControlID is used only once.
+// notified and may still execute the command. Its wire ID is not added to recentIDs, because a ControlID is used only
+// once.
 func (p *Pool) CancelControl(workerID policy.WorkerID, controlID router.ControlID) {
 	w := p.workers[workerID]
 	if w == nil {
@@ -97,9 +101,9 @@
 	}
 }
 
-// UnloadInstance commands a worker to unload the idle instances of a function. The command has no answer. It is sent over
-// the oldest connection whose dial has ended, and is lost if the pool has already closed that connection. Without such a
-// connection nothing is sent: a dial is not worth its cost, because idle instances expire without the command.
+// UnloadInstance commands a worker to unload the idle instances of a function. The command has no answer. It is sent
+// over the oldest connection whose dial has ended, and is lost if the pool has already closed that connection. Without
+// such a connection nothing is sent: a dial is not worth its cost, because idle instances expire without the command.
 func (p *Pool) UnloadInstance(workerID policy.WorkerID, function policy.FunctionID) {
 	w := p.workers[workerID]
 	if w == nil {
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -30,8 +30,8 @@
 	keepAlive keepAlive
 }
 
-// send writes call, or queues it until the dial succeeds. The caller must have checked with Pool.preferenceFor that c may
-// carry call.
+// send writes call, or queues it until the dial succeeds. The caller must have checked with Pool.preferenceFor that c
+// may carry call.
 func (c *connection) send(call *pendingCall) {
 	call.connection = c
 	c.pending[call.wireID] = call
@@ -59,9 +59,9 @@
 	call.body = nil
 }
 
-// release removes call from the pending calls if it is one of them. If call is an attempt that was written, its wire ID is
-// added to recentIDs. release does not change the queue: for a queued call use dequeue, or remove the call from the queue
-// as well, because every call that is in the queue when the dial succeeds is written.
+// release removes call from the pending calls if it is one of them. If call is an attempt that was written, its wire ID
+// is added to recentIDs. release does not change the queue: for a queued call use dequeue, or remove the call from the
+// queue as well, because every call that is in the queue when the dial succeeds is written.
 func (c *connection) release(call *pendingCall) {
 	if c.pending[call.wireID] != call {
 		return
@@ -86,8 +86,8 @@
 	}
 }
 
-// failQueued ends the queued calls of a worker that is no longer ready: attempts end as Unreachable and load commands as
-// WorkerOverloaded. Health checks stay queued. If the queue is then empty during the dial, the dial is cancelled.
+// failQueued ends the queued calls of a worker that is no longer ready: attempts end as Unreachable and load commands
+// as WorkerOverloaded. Health checks stay queued. If the queue is then empty during the dial, the dial is cancelled.
 func (c *connection) failQueued() {
 	var remaining []*pendingCall
 	for _, call := range c.queued {
--- a/internal/backend/connection_state.go
+++ b/internal/backend/connection_state.go
@@ -6,8 +6,9 @@
 	"functionrouter/policy"
 )
 
-// connectionState is the state of a connection from its dial to its close. It is independent of policy.WorkerState, which
-// also has the states ready and draining: a ready worker may have draining connections. These are all transitions:
+// connectionState is the state of a connection from its dial to its close. It is independent of policy.WorkerState,
+// which also has the states ready and draining: a ready worker may have draining connections. These are all
+// transitions:
 //
 //	from        to          event
 //	-           connecting  the pool dials (Pool.dial)
@@ -18,14 +19,14 @@
 //	draining    closed      a sweep finds no pending calls, or the connection fails
 //
 // The pool closes an idle ready connection if it is retired, if it has been idle for too long, or to allow another
-// connection at the limit on all connections. Pool.CloseIdleConnections closes idle ready and idle draining connections. A
-// connection fails if its worker violates the protocol. A ready connection also fails if its worker leaves an answer
-// incomplete, or does not answer the keep-alive check while it answers on other connections. Sweeps do not check draining
-// connections for these two faults, because the callers' timeouts end the pending calls.
+// connection at the limit on all connections. Pool.CloseIdleConnections closes idle ready and idle draining
+// connections. A connection fails if its worker violates the protocol. A ready connection also fails if its worker
+// leaves an answer incomplete, or does not answer the keep-alive check while it answers on other connections. Sweeps do
+// not check draining connections for these two faults, because the callers' timeouts end the pending calls.
 //
-// A failed dial and a close by the worker do not change the state. They remove the connection from its worker (terminate),
-// and the connection is not used afterwards. Each transition to closed leads to the same removal: immediately after a
-// cancelled dial, and in OnClose for an open connection.
+// A failed dial and a close by the worker do not change the state. They remove the connection from its worker
+// (terminate), and the connection is not used afterwards. Each transition to closed leads to the same removal:
+// immediately after a cancelled dial, and in OnClose for an open connection.
 type connectionState uint8
 
 const (
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -1,31 +1,31 @@
 // Package backend sends the router's calls to the workers.
 //
-// A Pool keeps connections to each worker and multiplexes calls over them: attempts, load commands and health checks. It
-// selects the connection for a call, dials new connections, sends keep-alive checks over connections without recent
+// A Pool keeps connections to each worker and multiplexes calls over them: attempts, load commands and health checks.
+// It selects the connection for a call, dials new connections, sends keep-alive checks over connections without recent
 // answers, and closes connections that are no longer needed. The caller decides which worker gets a call and whether to
 // retry an attempt.
 //
 // # Results
 //
-// The result of each call is reported once to the ResultHandler, either during the method that starts the call or later,
-// unless the caller cancels the call first. Keep-alive checks are internal calls of the pool and are not reported. A
-// failure is reported as a policy.Outcome; no method returns an error. The outcomes Unreachable, NotSent, FunctionNotLoaded
-// and WorkerOverloaded prove that an attempt never ran; ConnectionReset means that it may have run.
+// The result of each call is reported once to the ResultHandler, either during the method that starts the call or
+// later, unless the caller cancels the call first. Keep-alive checks are internal calls of the pool and are not
+// reported. A failure is reported as a policy.Outcome; no method returns an error. The outcomes Unreachable, NotSent,
+// FunctionNotLoaded and WorkerOverloaded prove that an attempt never ran; ConnectionReset means that it may have run.
 //
 // The pool does not time out calls that it has written: the caller cancels a call that takes too long. An attempt whose
-// budget is spent while it waits for a dial ends as NotSent. The timeouts of dials, idle connections, keep-alive checks and
-// incomplete answers apply to connections; when a connection ends, its calls end or are sent again.
+// budget is spent while it waits for a dial ends as NotSent. The timeouts of dials, idle connections, keep-alive checks
+// and incomplete answers apply to connections; when a connection ends, its calls end or are sent again.
 //
 // Connection errors are logged and never returned. The end of a connection without pending calls is not logged, because
-// workers close connections that have been idle for long. If a worker violates the protocol, the pool closes the connection
-// and logs an error that wraps errMalformedAnswer.
+// workers close connections that have been idle for long. If a worker violates the protocol, the pool closes the
+// connection and logs an error that wraps errMalformedAnswer.
 //
 // # Wire
 //
 // Commands and answers are RESP arrays of bulk strings, as Redis defines them
-// (https://redis.io/docs/latest/develop/reference/protocol-spec/). A command that expects an answer carries a wire ID, which
-// the answer repeats; answers may arrive in any order. wire.go lists the commands and the answers, codec.go encodes and
-// decodes the arrays.
+// (https://redis.io/docs/latest/develop/reference/protocol-spec/). A command that expects an answer carries a wire ID,
+// which the answer repeats; answers may arrive in any order. wire.go lists the commands and the answers, codec.go
+// encodes and decodes the arrays.
 //
 // # Concurrency and time
 //
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	workerID      = policy.WorkerID(1) // the worker that a testPool knows
+	workerID      = policy.WorkerID(1) // the worker of a testPool
 	workerAddress = "127.0.0.1:1"
 )
 
-// fakeTransport records what the pool writes to a worker. The test plays the worker by calls of the handler.
+// fakeTransport records what the pool writes to a worker. The test calls the handler's methods in place of the worker.
 type fakeTransport struct {
 	testsupport.Transport
 	handler eventloop.DialHandler
@@ -25,16 +25,16 @@
 // wrote reports whether text was written.
 func (f *fakeTransport) wrote(text string) bool { return strings.Contains(f.Written.String(), text) }
 
-// attemptsWritten counts the attempts with this id that were written.
+// attemptsWritten returns the number of attempts with this wire ID that were written.
 func (f *fakeTransport) attemptsWritten(id string) int {
 	return strings.Count(f.Written.String(), "RUN\r\n$16\r\n"+id)
 }
 
-// resultRecorder keeps how attempts, load commands and health checks ended.
+// resultRecorder is a ResultHandler that records the outcomes of attempts, load commands and health checks.
 type resultRecorder struct {
 	attempts map[router.AttemptID][]policy.Outcome
 	bodies   map[router.AttemptID]string
-	controls map[router.ControlID][]policy.Outcome // load commands and health checks, by id
+	controls map[router.ControlID][]policy.Outcome // of load commands and health checks
 }
 
 func (r *resultRecorder) AttemptEnded(a router.AttemptID, result router.AttemptResult) {
@@ -50,15 +50,15 @@
 	r.controls[control] = append(r.controls[control], o)
 }
 
-// testPool is a Pool with one ready worker whose transports are fakes, in the order of their dials.
+// testPool is a Pool with one ready worker and fake transports, which are stored in the order of their dials.
 type testPool struct {
 	*Pool
-	results    *resultRecorder
+	recorder   *resultRecorder
 	transports []*fakeTransport
 }
 
 func newTestPool() *testPool {
-	p := &testPool{results: &resultRecorder{
+	p := &testPool{recorder: &resultRecorder{
 		attempts: map[router.AttemptID][]policy.Outcome{},
 		bodies:   map[router.AttemptID]string{},
 		controls: map[router.ControlID][]policy.Outcome{},
@@ -73,30 +73,30 @@
 		AllowCancel:             true,
 		Dial: func(_ string, _ time.Duration, h eventloop.DialHandler) Transport {
 			p.transports = append(p.transports, &fakeTransport{handler: h})
-			return p.last()
+			return p.lastTransport()
 		},
-	}, p.results)
+	}, p.recorder)
 	p.UpdateEndpoint(workerID, workerAddress, policy.Ready, 0)
 	return p
 }
 
-// last returns the transport that was dialed last.
-func (p *testPool) last() *fakeTransport { return p.transports[len(p.transports)-1] }
+// lastTransport returns the most recently dialed transport.
+func (p *testPool) lastTransport() *fakeTransport { return p.transports[len(p.transports)-1] }
 
-// start sends the attempt a under this id to the worker, with a budget of a second.
+// start sends attempt a with this wire ID to the worker, with a budget of one second.
 func (p *testPool) start(a router.AttemptID, id string) {
 	p.StartAttempt(workerID, a, testRequest(id), time.Second)
 }
 
-// startOpen is start, and then the end of the first dial.
-func (p *testPool) startOpen(a router.AttemptID, id string) *fakeTransport {
+// startOnOpenConnection calls start, lets the first dial succeed and returns its transport.
+func (p *testPool) startOnOpenConnection(a router.AttemptID, id string) *fakeTransport {
 	p.start(a, id)
 	p.transports[0].handler.OnOpen(nil)
 	return p.transports[0]
 }
 
-// carriers returns the indices of the transports that an attempt with this id was written to.
-func (p *testPool) carriers(id string) (indices []int) {
+// transportsWithAttempt returns the indices of the transports to which an attempt with this wire ID was written.
+func (p *testPool) transportsWithAttempt(id string) (indices []int) {
 	for i, transport := range p.transports {
 		if transport.attemptsWritten(id) > 0 {
 			indices = append(indices, i)
@@ -109,12 +109,12 @@
 	return &router.Request{ID: id, FunctionKey: "00000000000000aa", Body: []byte("hello")}
 }
 
-// attemptID returns the first attempt of the request with this number.
-func attemptID(request int) router.AttemptID {
+// firstAttempt returns the ID of the first attempt of the request with this number.
+func firstAttempt(request int) router.AttemptID {
 	return router.AttemptID{Request: policy.RequestID(request)}
 }
 
-// hexID returns n in the form of a request's id.
+// hexID returns n in the format of a request ID.
 func hexID(n int) string { return fmt.Sprintf("%016x", n) }
 
 // encodeAnswer returns an answer without fields.
--- a/internal/backend/keep_alive_test.go
+++ b/internal/backend/keep_alive_test.go
@@ -9,22 +9,23 @@
 	"functionrouter/policy"
 )
 
-// Guards against a connection that was cut off: it stays open and silent while its worker is healthy.
-// No more calls are sent over it, and those pending on it end. A worker that is silent on all connections keeps them: the
-// policy judges the worker, by health checks.
-func TestSilentConnectionIsClosedIfItsWorkerAnswersOnAnother(t *testing.T) {
+// Guards against using a connection that the network has cut off: it stays open but delivers no answers, while its
+// worker is healthy. No more calls are sent over it, it is closed, and its pending calls end. If the worker answers on
+// no connection, the connections stay open, because the policy determines by health checks whether the worker is
+// healthy.
+func TestUnresponsiveConnectionIsClosedIfWorkerAnswersOnAnother(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		healthy bool
 	}{
 		{"healthy worker", true},
-		{"silent worker", false},
+		{"unresponsive worker", false},
 	} {
-		t.Run(test.name, func(t *testing.T) { testSilentConnection(t, test.healthy) })
+		t.Run(test.name, func(t *testing.T) { testUnresponsiveConnection(t, test.healthy) })
 	}
 }
 
-func testSilentConnection(t *testing.T, healthy bool) {
+func testUnresponsiveConnection(t *testing.T, healthy bool) {
 	t.Helper()
 	logged := captureLog(t)
 	p := newTestPool()
@@ -36,46 +37,47 @@
 			p.Sweep(now)
 		}
 	}
-	a := attemptID(1)
-	silent := p.startOpen(a, hexID(0xa1))
+	a := firstAttempt(1)
+	unresponsive := p.startOnOpenConnection(a, hexID(0xa1))
 	sweepFor(keepAliveAfter + SweepInterval)
-	if got := silent.Written.String(); strings.Count(got, "NOOP") != 1 {
-		t.Fatalf("no keep-alive check was sent: %q", got)
+	if got := unresponsive.Written.String(); strings.Count(got, "NOOP") != 1 {
+		t.Fatalf("wrote %q, want one keep-alive check", got)
 	}
 	sweepFor(SweepInterval)
-	p.start(attemptID(2), hexID(0xb2))
-	if on := p.carriers(hexID(0xb2)); len(p.transports) != 2 || len(on) != 0 {
-		t.Fatalf("a silent connection was chosen, of %d", len(p.transports))
+	p.start(firstAttempt(2), hexID(0xb2))
+	if carriers := p.transportsWithAttempt(hexID(0xb2)); len(p.transports) != 2 || len(carriers) != 0 {
+		t.Fatalf("the unresponsive connection was selected; %d connections", len(p.transports))
 	}
-	other := p.transports[1]
-	other.handler.OnOpen(nil)
+	responsive := p.transports[1]
+	responsive.handler.OnOpen(nil)
 	sweepFor(SweepInterval)
 	if healthy {
-		other.handler.OnData(encodeAnswer(hexID(0xb2), "HIT", ""))
+		responsive.handler.OnData(encodeAnswer(hexID(0xb2), "HIT", ""))
 	}
-	if silent.Closed {
-		t.Fatal("closed before its keep-alive check timed out")
+	if unresponsive.Closed {
+		t.Fatal("the unresponsive connection was closed before its keep-alive check timed out")
 	}
 	sweepFor(keepAliveTimeout + SweepInterval)
-	if silent.Closed != healthy {
-		t.Errorf("silent connection closed: %v", silent.Closed)
+	if unresponsive.Closed != healthy {
+		t.Errorf("unresponsive connection closed: %v", unresponsive.Closed)
 	}
 	if err := logged.lastError("worker connection closed"); errors.Is(err, errUnresponsiveConnection) != healthy {
 		t.Errorf("logged %v", err)
 	}
-	silent.handler.OnClose(nil)
-	if ended := p.results.attempts[a]; len(ended) != 1 || ended[0] != policy.ConnectionReset {
+	unresponsive.handler.OnClose(nil)
+	if ended := p.recorder.attempts[a]; len(ended) != 1 || ended[0] != policy.ConnectionReset {
 		t.Errorf("ended %v", ended)
 	}
 }
 
-func TestAnsweredKeepAliveMakesAConnectionEligibleAgain(t *testing.T) {
+// Guards against avoiding a connection after its keep-alive check was answered.
+func TestAnsweredKeepAliveMakesConnectionResponsive(t *testing.T) {
 	p := newTestPool()
-	transport := p.startOpen(attemptID(1), hexID(0xa1))
+	transport := p.startOnOpenConnection(firstAttempt(1), hexID(0xa1))
 	p.Sweep(keepAliveAfter + SweepInterval)
 	transport.handler.OnData([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
-	p.start(attemptID(2), hexID(0xb2))
+	p.start(firstAttempt(2), hexID(0xb2))
 	if len(p.transports) != 1 || transport.Closed {
-		t.Error("a connection that answered was left")
+		t.Error("the connection was not selected again, or was closed")
 	}
 }
--- a/internal/backend/log_test.go
+++ b/internal/backend/log_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// logRecorder is a slog.Handler that keeps the attributes of each line.
+// logRecorder is a slog.Handler that records the message and the attributes of each log line.
 type logRecorder struct {
 	lines []loggedLine
 }
@@ -18,7 +18,7 @@
 	attributes map[string]any
 }
 
-// captureLog has the default logger record its lines until the test ends.
+// captureLog replaces the default logger until the test ends and returns the recorder of its lines.
 func captureLog(t *testing.T) *logRecorder {
 	t.Helper()
 	before := slog.Default()
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// lastError returns the error of the last line with this message, nil if there is none.
+// lastError returns the value of "error" in the last line with this message, or nil if there is none.
 func (l *logRecorder) lastError(message string) error {
 	for i := len(l.lines) - 1; i >= 0; i-- {
 		if l.lines[i].message == message {
@@ -53,7 +53,8 @@
 	return nil
 }
 
-func TestLostConnectionsAreLoggedOnceAnIntervalWithBothCounts(t *testing.T) {
+// Guards against one log line for each lost connection, and against wrong counts of connections and calls in a line.
+func TestLostConnectionsAreLoggedOncePerInterval(t *testing.T) {
 	logged := captureLog(t)
 	log := newLostConnectionLog()
 	reset := errors.New("reset")
--- a/internal/backend/lost_connection_log.go
+++ b/internal/backend/lost_connection_log.go
@@ -7,14 +7,14 @@
 	"functionrouter/internal/logging"
 )
 
-// lostConnectionLogInterval is the minimum time between two log lines about lost connections. The exit of a worker process
-// ends many connections at the same time.
+// lostConnectionLogInterval is the minimum time between two log lines about lost connections. The exit of a worker
+// process ends many connections at the same time.
 const lostConnectionLogInterval = time.Second
 
-// lostConnectionLog logs connections that ended while calls were pending on them. One line covers all connections that were
-// lost since the previous line, and gives the address and the error of the last one. A line is written only when a
-// connection is lost: connections that are lost within the interval after a line are logged with the first connection that
-// is lost after the interval.
+// lostConnectionLog logs connections that ended while calls were pending on them. One line covers all connections that
+// were lost since the previous line, and gives the address and the error of the last one. A line is written only when a
+// connection is lost: connections that are lost within the interval after a line are logged with the first connection
+// that is lost after the interval.
 type lostConnectionLog struct {
 	throttle     logging.Throttle // counts the connections lost since the last line
 	pendingCalls int              // number of calls that were pending on these connections
@@ -25,8 +25,8 @@
 	return lostConnectionLog{throttle: logging.Throttle{Interval: lostConnectionLogInterval}}
 }
 
-// record counts a connection to address that ended with err while this number of calls was pending on it. It writes a log
-// line if one is due.
+// record counts a connection to address that ended with err while this number of calls was pending on it. It writes a
+// log line if one is due.
 func (l *lostConnectionLog) record(now time.Duration, address string, calls int, err error) {
 	l.throttle.Add()
 	l.pendingCalls += calls
--- a/internal/backend/main_test.go
+++ b/internal/backend/main_test.go
@@ -6,8 +6,8 @@
 	"functionrouter/internal/testsupport"
 )
 
-// TestMain fixes the seed of the property tests, so that each run gives the same verdict, and discards the log, which
-// they fill. A test that checks log lines uses captureLog.
+// TestMain fixes the seed of the property tests, so that every run has the same result, and discards the log, to which
+// the property tests write many lines. A test that checks log lines uses captureLog.
 func TestMain(m *testing.M) {
 	testsupport.DiscardLog()
 	testsupport.RunWithFixedSeeds(m)
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -10,13 +10,14 @@
 )
 
 // ResultHandler receives the result of each attempt, load command and health check. router.Router implements it. Its
-// methods are called on the event loop's goroutine, either by an event of a connection or during a call of StartAttempt,
-// LoadInstance, CheckHealth, UpdateEndpoint or RetainEndpoints. A load report holds the values of Config.LoadReportFields
-// in their order; it is nil if the worker sent no complete load report. The handler owns the body and the load report.
+// methods are called on the event loop's goroutine, either by an event of a connection or during a call of
+// StartAttempt, LoadInstance, CheckHealth, UpdateEndpoint or RetainEndpoints. A load report holds the values of
+// Config.LoadReportFields in their order; it is nil if the worker sent no complete load report. The handler owns the
+// body and the load report.
 //
-// AttemptEnded may call methods of the Pool if the outcome is policy.Served. With any other outcome, and from the other two
-// methods, it must not: the Pool may be in a loop that ends several calls, and a call that the handler cancels during the
-// loop would still be reported or sent.
+// AttemptEnded may call methods of the Pool if the outcome is policy.Served. With any other outcome, and from the other
+// two methods, it must not: the Pool may be in a loop that ends several calls, and a call that the handler cancels
+// during the loop would still be reported or sent.
 type ResultHandler interface {
 	// AttemptEnded reports how an attempt ended. The Pool no longer holds the attempt when it calls AttemptEnded.
 	AttemptEnded(attemptID router.AttemptID, result router.AttemptResult)
@@ -31,16 +32,16 @@
 type Transport interface {
 	// Write queues buffers, which the caller must not modify afterwards. After Close, Write discards them.
 	Write(bufs ...[]byte)
-	// Close closes the stream and discards the queued bytes. If the stream was open, the handler's OnClose is called in a
-	// later turn of the event loop, never before Close returns. If the dial has not ended, Close cancels it, and the
+	// Close closes the stream and discards the queued bytes. If the stream was open, the handler's OnClose is called in
+	// a later turn of the event loop, never before Close returns. If the dial has not ended, Close cancels it, and the
 	// handler gets no further events. A second Close does nothing.
 	Close()
 }
 
 // Config holds the settings of a Pool.
 type Config struct {
-	Classes                 []string      // names of the request classes; router.Request.Class is an index of this slice
-	LoadReportFields        []string      // names of the fields of a load report, in the order of a load report's values
+	Classes                 []string      // names of the request classes; indexed by router.Request.Class
+	LoadReportFields        []string      // names of a load report's fields, in the order of its values
 	DialTimeout             time.Duration // limit on one dial
 	IdleTimeout             time.Duration // idle time after which workers close a connection
 	MaxStreamsPerConnection int           // limit on the concurrent attempts on one connection
@@ -75,17 +76,17 @@
 	}
 }
 
-// SetNow advances the pool's time to now, a reading of the event loop's clock. Call it at the beginning of each turn of the
-// loop. SetNow ignores a time before the present one.
+// SetNow advances the pool's time to now, a reading of the event loop's clock. Call it at the beginning of each turn of
+// the loop. SetNow ignores a time before the present one.
 func (p *Pool) SetNow(now time.Duration) { p.now = max(p.now, now) }
 
 // UpdateEndpoint sets a worker's address, a "host:port" (empty if unchanged), and its state. It adds an unknown worker
-// unless the state is Gone. startedAt is when the worker's process started (0 if unknown). Connections to an earlier address
-// or process are drained. Dials to them are cancelled, and the queued calls end as Unreachable.
+// unless the state is Gone. startedAt is when the worker's process started (0 if unknown). Connections to an earlier
+// address or process are drained. Dials to them are cancelled, and the queued calls end as Unreachable.
 //
-// If the state is not Ready, queued attempts end as Unreachable and queued load commands as WorkerOverloaded, because the
-// dial may succeed after the period in which calls may be sent to a draining worker. If the state is Gone, idle connections
-// are closed.
+// If the state is not Ready, queued attempts end as Unreachable and queued load commands as WorkerOverloaded, because
+// the dial may succeed after the period in which calls may be sent to a draining worker. If the state is Gone, idle
+// connections are closed.
 func (p *Pool) UpdateEndpoint(workerID policy.WorkerID, addr string, state policy.WorkerState, startedAt time.Duration) {
 	w := p.workers[workerID]
 	if w == nil {
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxRetainedBuffer is the capacity in bytes above which the buffer for partial answers is released when it is empty.
-	// It bounds the memory that a connection holds after a large answer.
+	// maxRetainedBuffer is the capacity in bytes above which the buffer for partial answers is released when it is
+	// empty. It bounds the memory that a connection holds after a large answer.
 	maxRetainedBuffer = 4 << 10
 
 	// partialAnswerTimeout is the limit on the time between the first and the last byte of an answer.
@@ -32,8 +32,8 @@
 	return len(p.data) > 0 && now-p.firstByteAt > partialAnswerTimeout
 }
 
-// join returns the bytes of the partial answer followed by b. The result is b itself or a slice of the buffer, and is valid
-// until the next call of join or storeRest.
+// join returns the bytes of the partial answer followed by b. The result is b itself or a slice of the buffer, and is
+// valid until the next call of join or storeRest.
 func (p *partialAnswer) join(b []byte) []byte {
 	if len(p.data) == 0 {
 		return b
@@ -42,9 +42,9 @@
 	return p.data
 }
 
-// storeRest stores rest, the part of joined after its complete answers, as the partial answer. joined is the last result of
-// join, and now is the time at which its last bytes arrived. If joined contains no complete answer, rest continues the
-// previous partial answer, whose firstByteAt is kept.
+// storeRest stores rest, the part of joined after its complete answers, as the partial answer. joined is the last
+// result of join, and now is the time at which its last bytes arrived. If joined contains no complete answer, rest
+// continues the previous partial answer, whose firstByteAt is kept.
 func (p *partialAnswer) storeRest(rest, joined []byte, now time.Duration) {
 	startsNewAnswer := len(rest) < len(joined) || len(p.data) == 0
 	if len(rest) > 0 && startsNewAnswer {
@@ -56,8 +56,8 @@
 	}
 }
 
-// OnData handles bytes from the worker. b is valid only during the call. A partial answer is stored in a growing buffer, so
-// that an answer that arrives a few bytes at a time is not copied completely each time.
+// OnData handles bytes from the worker. b is valid only during the call. A partial answer is stored in a growing
+// buffer, so that an answer that arrives a few bytes at a time is not copied completely each time.
 func (c *connection) OnData(b []byte) {
 	if c.state == stateClosed {
 		return
@@ -92,8 +92,8 @@
 	return b, nil
 }
 
-// handleAnswer ends the pending call with the answer's wire ID. If there is none, the answer is a duplicate or belongs to a
-// cancelled call, and only shows that the connection works. handleAnswer fails with errMalformedAnswer.
+// handleAnswer ends the pending call with the answer's wire ID. If there is none, the answer is a duplicate or belongs
+// to a cancelled call, and only shows that the connection works. handleAnswer fails with errMalformedAnswer.
 //
 // The call is released before its result is reported, because the ResultHandler may call the pool.
 func (c *connection) handleAnswer(elements [][]byte) error {
--- a/internal/backend/selection.go
+++ b/internal/backend/selection.go
@@ -1,18 +1,18 @@
 package backend
 
 const (
-	// maxConnectionsPerWorker is the limit on the connections to one worker, in any state. At the limit, open connections
-	// carry up to Config.MaxStreamsPerConnection attempts each.
+	// maxConnectionsPerWorker is the limit on the connections to one worker, in any state. At the limit, open
+	// connections carry up to Config.MaxStreamsPerConnection attempts each.
 	maxConnectionsPerWorker = 10
 
 	// attemptsBeforeDial is the number of pending attempts on a connection at which the pool dials another connection,
-	// although the first could carry more. A lost connection ends all calls that are pending on it. A higher value opens
-	// fewer connections, and the loss of one ends more calls.
+	// although the first could carry more. A lost connection ends all calls that are pending on it. A higher value
+	// opens fewer connections, and the loss of one ends more calls.
 	attemptsBeforeDial = 4
 )
 
-// preference ranks the connections for a call. A connection with the highest preference is selected, so the constants must
-// stay in ascending order.
+// preference ranks the connections for a call. A connection with the highest preference is selected, so the constants
+// must stay in ascending order.
 type preference uint8
 
 const (
@@ -26,11 +26,11 @@
 	responsive // responsive
 )
 
-// selectConnection returns the connection for call, or nil if no connection is eligible and the limits allow no new one. It
-// selects the connection with the highest preference and, among equals, the fewest attempts. If no connection is eligible,
-// or if the selected one is unresponsive or has attemptsBeforeDial or more attempts, it dials a new connection if the limits
-// allow it. To do so it may close an idle connection (see ensureCapacityForDial). The caller must send the call
-// immediately, because a new connection is dialed only to carry it.
+// selectConnection returns the connection for call, or nil if no connection is eligible and the limits allow no new
+// one. It selects the connection with the highest preference and, among equals, the fewest attempts. If no connection
+// is eligible, or if the selected one is unresponsive or has attemptsBeforeDial or more attempts, it dials a new
+// connection if the limits allow it. To do so it may close an idle connection (see ensureCapacityForDial). The caller
+// must send the call immediately, because a new connection is dialed only to carry it.
 func (p *Pool) selectConnection(w *worker, call *pendingCall) *connection {
 	best, highest := p.bestConnection(w, call)
 	if highest > unresponsive && best.pendingAttempts < attemptsBeforeDial {
@@ -60,8 +60,8 @@
 	return best, highest
 }
 
-// preferenceFor returns the preference of c for call. A connection must not carry two calls with the same wire ID at the
-// same time, because an answer identifies its call only by the wire ID.
+// preferenceFor returns the preference of c for call. A connection must not carry two calls with the same wire ID at
+// the same time, because an answer identifies its call only by the wire ID.
 func (p *Pool) preferenceFor(c *connection, call *pendingCall) preference {
 	if !c.acceptsCalls() || c.transport == nil || c.pending[call.wireID] != nil {
 		return notEligible
@@ -87,11 +87,11 @@
 		!c.recentIDs.full()
 }
 
-// ensureCapacityForDial reports whether one more connection may be opened. At the limit on all connections, it closes the
-// connection that has been idle for longest, so that workers that are added later get connections too. A closed connection
-// counts towards the limit until its OnClose, so each further dial at the limit closes another idle connection. Call
-// ensureCapacityForDial only if a dial follows. Among connections to several workers that have been idle equally long, the
-// random iteration order of the map determines which one is closed.
+// ensureCapacityForDial reports whether one more connection may be opened. At the limit on all connections, it closes
+// the connection that has been idle for longest, so that workers that are added later get connections too. A closed
+// connection counts towards the limit until its OnClose, so each further dial at the limit closes another idle
+// connection. Call ensureCapacityForDial only if a dial follows. Among connections to several workers that have been
+// idle equally long, the random iteration order of the map determines which one is closed.
 func (p *Pool) ensureCapacityForDial() bool {
 	total := 0
 	var longestIdle *connection
@@ -116,8 +116,8 @@
 	return true
 }
 
-// dial opens a connection to w. The connection's state is stateConnecting, the zero value. The connection is not eligible
-// for calls until Config.Dial has returned its transport.
+// dial opens a connection to w. The connection's state is stateConnecting, the zero value. The connection is not
+// eligible for calls until Config.Dial has returned its transport.
 func (p *Pool) dial(w *worker) *connection {
 	c := &connection{
 		pool:       p,
--- a/internal/backend/sweep.go
+++ b/internal/backend/sweep.go
@@ -7,17 +7,17 @@
 	"functionrouter/policy"
 )
 
-// SweepInterval is the interval at which Pool.Sweep should be called. It is the maximum delay with which the pool detects
-// that a timeout of a connection has expired; a dial has its own timeout.
+// SweepInterval is the interval at which Pool.Sweep should be called. It is the maximum delay with which the pool
+// detects that a timeout of a connection has expired; a dial has its own timeout.
 const SweepInterval = 50 * time.Millisecond
 
-// idleCloseFraction is the fraction of the workers' idle timeout after which the pool closes an idle connection. The rest of
-// the timeout is a margin for the time that a call takes to reach the worker, and for the SweepInterval.
+// idleCloseFraction is the fraction of the workers' idle timeout after which the pool closes an idle connection. The
+// rest of the timeout is a margin for the time that a call takes to reach the worker, and for the SweepInterval.
 const idleCloseFraction = 0.8
 
-// Sweep does the pool's periodic work at now, a reading of the event loop's clock. It closes connections that have been idle
-// for too long or are no longer needed, checks that the others still work, and removes workers that are gone and have no
-// connections. Call it every SweepInterval.
+// Sweep does the pool's periodic work at now, a reading of the event loop's clock. It closes connections that have been
+// idle for too long or are no longer needed, checks that the others still work, and removes workers that are gone and
+// have no connections. Call it every SweepInterval.
 func (p *Pool) Sweep(now time.Duration) {
 	p.SetNow(now)
 	for id, w := range p.workers {
--- a/internal/backend/wire.go
+++ b/internal/backend/wire.go
@@ -4,9 +4,9 @@
 
 // Commands to a worker. ID is the wire ID of a call, which the answer repeats; FUNCTION is 16 hex digits.
 const (
-	commandRun         = "RUN"  // RUN ID queue=CLASS,path=FUNCTION,budget=MS BODY: run a function within MS milliseconds
+	commandRun         = "RUN"  // RUN ID queue=CLASS,path=FUNCTION,budget=MS BODY: run a function, within MS ms
 	commandCancel      = "STOP" // STOP ID: cancel the attempt with this ID; no answer
-	commandLoad        = "HOLD" // HOLD ID path=FUNCTION,count=N: keep N instances loaded; N=0 only requests their number
+	commandLoad        = "HOLD" // HOLD ID path=FUNCTION,count=N: keep N instances loaded; 0 only asks for their number
 	commandUnload      = "FREE" // FREE FUNCTION: unload the idle instances; no answer
 	commandHealthCheck = "INFO" // INFO ID: report health and load
 	commandKeepAlive   = "NOOP" // NOOP ID: answer, which shows only that the connection works
@@ -37,7 +37,7 @@
 
 // Names of an answer's fields.
 const (
-	fieldLoadReport     = "use"    // name:value;name:value, see parseLoadReport; in the answer to an attempt or a health check
+	fieldLoadReport     = "use"    // see parseLoadReport; in the answer to an attempt or a health check
 	fieldInstanceStatus = "detail" // a key of instanceStatuses; in the answer to an attempt
 	fieldInstanceCount  = "count"  // number of loaded instances; in the answer to a load command
 )
--- a/internal/backend/wire_test.go
+++ b/internal/backend/wire_test.go
@@ -10,21 +10,21 @@
 	"functionrouter/policy"
 )
 
-// Guards the bytes that workers read.
+// Guards against changes of the bytes that workers receive.
 func TestCommandsOnTheWire(t *testing.T) {
-	const open = "*2\r\n$4\r\nINFO\r\n$2\r\np1\r\n" // brings the connection up
+	const healthCheckCommand = "*2\r\n$4\r\nINFO\r\n$2\r\np1\r\n" // sent first to open a connection
 	for _, test := range []struct {
 		name string
 		send func(p *testPool)
 		want string
 	}{
 		{
-			"run", func(p *testPool) { p.start(attemptID(1), hexID(0xa1)) },
+			"run", func(p *testPool) { p.start(firstAttempt(1), hexID(0xa1)) },
 			"*4\r\n$3\r\nRUN\r\n$16\r\n00000000000000a1\r\n" +
 				"$49\r\nqueue=dim-level,path=00000000000000aa,budget=1000\r\n$5\r\nhello\r\n",
 		},
 		{"run with less than a millisecond", func(p *testPool) {
-			p.StartAttempt(workerID, attemptID(1), testRequest(hexID(0xa1)), time.Microsecond)
+			p.StartAttempt(workerID, firstAttempt(1), testRequest(hexID(0xa1)), time.Microsecond)
 		}, "*4\r\n$3\r\nRUN\r\n$16\r\n00000000000000a1\r\n" +
 			"$46\r\nqueue=dim-level,path=00000000000000aa,budget=1\r\n$5\r\nhello\r\n"},
 		{
@@ -40,36 +40,37 @@
 		t.Run(test.name, func(t *testing.T) {
 			p := newTestPool()
 			p.CheckHealth(workerID, 1)
-			p.last().handler.OnOpen(nil)
+			p.lastTransport().handler.OnOpen(nil)
 			test.send(p)
-			if got := p.last().Written.String(); got != open+test.want {
+			if got := p.lastTransport().Written.String(); got != healthCheckCommand+test.want {
 				t.Errorf("wrote %q", got)
 			}
 		})
 	}
 }
 
-// attemptResult is the result of an attempt as a ResultHandler gets it.
+// attemptResult holds the parts of a router.AttemptResult that the tests compare.
 type attemptResult struct {
-	outcome policy.Outcome
-	status  policy.InstanceStatus
-	report  []float64
+	outcome        policy.Outcome
+	instanceStatus policy.InstanceStatus
+	loadReport     []float64
 }
 
-// resultKeeper keeps the result of the last attempt.
-type resultKeeper struct {
+// lastResultRecorder is a ResultHandler that keeps the result of the last attempt in place of all outcomes.
+type lastResultRecorder struct {
 	*resultRecorder
 	last *attemptResult
 }
 
-func (r *resultKeeper) AttemptEnded(_ router.AttemptID, result router.AttemptResult) {
+func (r *lastResultRecorder) AttemptEnded(_ router.AttemptID, result router.AttemptResult) {
 	r.last = &attemptResult{result.Outcome, result.InstanceStatus, result.LoadReport}
 }
 
+// Checks how the status and the fields of an answer are reported to the ResultHandler.
 func TestAnswersToAttempts(t *testing.T) {
 	for _, test := range []struct {
-		word, fields string
-		want         attemptResult
+		status, fields string
+		want           attemptResult
 	}{
 		{"HIT", "-", attemptResult{policy.Served, policy.InstanceUnknown, nil}},
 		{"NONE", "", attemptResult{policy.FunctionNotLoaded, policy.InstanceUnknown, nil}},
@@ -80,52 +81,53 @@
 		{"HIT", "use=util:0.5,detail=other", attemptResult{policy.Served, policy.InstanceUnknown, nil}},
 		{"HIT", "use=inflight:many", attemptResult{policy.Served, policy.InstanceUnknown, nil}},
 	} {
-		t.Run(test.word+" "+test.fields, func(t *testing.T) {
+		t.Run(test.status+" "+test.fields, func(t *testing.T) {
 			p := newTestPool()
-			results := &resultKeeper{resultRecorder: p.results}
-			p.Pool.results = results
-			transport := p.startOpen(attemptID(1), hexID(0xa1))
-			transport.handler.OnData(encodeCommand(hexID(0xa1), test.word, test.fields, "body"))
+			results := &lastResultRecorder{resultRecorder: p.recorder}
+			p.results = results
+			transport := p.startOnOpenConnection(firstAttempt(1), hexID(0xa1))
+			transport.handler.OnData(encodeCommand(hexID(0xa1), test.status, test.fields, "body"))
 			got := results.last
 			if got == nil {
 				t.Fatal("the attempt has not ended")
 			}
-			if got.outcome != test.want.outcome || got.status != test.want.status ||
-				!slices.Equal(got.report, test.want.report) || (got.report == nil) != (test.want.report == nil) {
+			if got.outcome != test.want.outcome || got.instanceStatus != test.want.instanceStatus ||
+				!slices.Equal(got.loadReport, test.want.loadReport) || (got.loadReport == nil) != (test.want.loadReport == nil) {
 				t.Errorf("got %+v", *got)
 			}
 		})
 	}
 }
 
+// Guards against accepting an answer that violates the protocol: the connection must be closed, and no call may end.
 func TestMalformedAnswersCloseTheirConnection(t *testing.T) {
 	const id = "00000000000000a1"
-	for name, words := range map[string][]string{
-		"one word":                         {id},
-		"unknown word":                     {id, "hit"},
-		"health word to an attempt":        {id, "PONG"},
-		"attempt's word to a health check": {"p9", "HIT"},
+	for name, elements := range map[string][]string{
+		"one element":                          {id},
+		"unknown status":                       {id, "hit"},
+		"health check's status for an attempt": {id, "PONG"},
+		"attempt's status for a health check":  {"p9", "HIT"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			logged := captureLog(t)
 			p := newTestPool()
-			transport := p.startOpen(attemptID(1), id)
+			transport := p.startOnOpenConnection(firstAttempt(1), id)
 			p.CheckHealth(workerID, 9)
-			transport.handler.OnData(encodeCommand(words[0], words[1:]...))
+			transport.handler.OnData(encodeCommand(elements[0], elements[1:]...))
 			if err := logged.lastError("worker connection closed"); !transport.Closed || !errors.Is(err, errMalformedAnswer) {
 				t.Errorf("closed %v, logged %v", transport.Closed, err)
 			}
-			if len(p.results.attempts)+len(p.results.controls) != 0 {
-				t.Errorf("ended %v, %v", p.results.attempts, p.results.controls)
+			if len(p.recorder.attempts)+len(p.recorder.controls) != 0 {
+				t.Errorf("ended %v, %v", p.recorder.attempts, p.recorder.controls)
 			}
 		})
 	}
 	t.Run("before the call is sent", func(t *testing.T) {
 		p := newTestPool()
-		p.start(attemptID(1), id)
-		p.last().handler.OnData(encodeAnswer(id, "HIT", ""))
-		if !p.last().Closed || len(p.results.attempts) != 0 {
-			t.Errorf("closed %v, ended %v", p.last().Closed, p.results.attempts)
+		p.start(firstAttempt(1), id)
+		p.lastTransport().handler.OnData(encodeAnswer(id, "HIT", ""))
+		if !p.lastTransport().Closed || len(p.recorder.attempts) != 0 {
+			t.Errorf("closed %v, ended %v", p.lastTransport().Closed, p.recorder.attempts)
 		}
 	})
 }
--- a/internal/backend/worker.go
+++ b/internal/backend/worker.go
@@ -18,18 +18,18 @@
 // isReady reports whether the endpoint list allows new attempts and load commands to be sent to the worker.
 func (w *worker) isReady() bool { return w.state == policy.Ready }
 
-// remove removes c from the worker's connections if it is one of them. It modifies the slice in place, so a loop that may
-// end a connection must iterate over a clone.
+// remove removes c from the worker's connections if it is one of them. It modifies the slice in place, so a loop that
+// may end a connection must iterate over a clone.
 func (w *worker) remove(c *connection) {
 	if i := slices.Index(w.connections, c); i >= 0 {
 		w.connections = append(w.connections[:i], w.connections[i+1:]...)
 	}
 }
 
-// retireOutdated retires all connections if addr (empty if unchanged) differs from the worker's present address, because
-// another worker may now use the present address. It also retires connections that were dialed before startedAt (0 if
-// unknown). They led to an earlier process of the worker, and after a restart of the worker's machine, data sent over them
-// is answered by a reset.
+// retireOutdated retires all connections if addr (empty if unchanged) differs from the worker's present address,
+// because another worker may now use the present address. It also retires connections that were dialed before startedAt
+// (0 if unknown). They led to an earlier process of the worker, and after a restart of the worker's machine, data sent
+// over them is answered by a reset.
 func (w *worker) retireOutdated(addr string, startedAt time.Duration) {
 	addressChanged := addr != "" && addr != w.address
 	for _, c := range slices.Clone(w.connections) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// answeredCallSentAfter reports whether the worker has answered, on any of its present connections, a call that was sent
-// after t.
+// answeredCallSentAfter reports whether the worker has answered, on any of its present connections, a call that was
+// sent after t.
 func (w *worker) answeredCallSentAfter(t time.Duration) bool {
 	return slices.ContainsFunc(w.connections, func(c *connection) bool { return c.keepAlive.lastAnsweredCallSentAt > t })
 }
