--- a/internal/backend/connection_end.go
+++ b/internal/backend/connection_end.go
@@ -11,7 +11,7 @@
 
 const (
 	// maxHealthCheckResends is how often a health check is sent again after its connection was lost. The limit lets the
-	// health check fail for a worker that breaks every connection.
+	// health check fail if every connection to the worker is lost.
 	maxHealthCheckResends = 2
 
 	// maxDialRetries is how often a queued call is moved to another connection after its dial was reset. Both limits
@@ -42,7 +42,8 @@
 }
 
 // OnClose handles the end of an open connection, whether the worker, the network or the pool ended it. Its pending
-// attempts end as ConnectionReset, because they may have run.
+// attempts and load commands end as ConnectionReset, because the worker may have executed them. Its pending health
+// checks are sent again up to maxHealthCheckResends times.
 func (c *connection) OnClose(err error) {
 	if len(c.pending) > 0 {
 		c.pool.lostConnections.record(c.pool.now, c.worker.address, len(c.pending), err)
