--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	"errors"
+	"fmt"
 	"time"
 
 	"functionrouter/internal/router"
@@ -10,30 +10,30 @@
 )
 
 const (
-	// maxKeptBuffer is the capacity in bytes above which the buffer of a partial answer is released once it is empty. It
-	// bounds what a connection holds between large answers.
-	maxKeptBuffer = 4 << 10
+	// maxRetainedBuffer is the capacity in bytes above which the buffer for partial answers is released when it is
+	// empty. It bounds the memory that a connection holds after a large answer.
+	maxRetainedBuffer = 4 << 10
 
-	// partialAnswerTimeout bounds the time from the first byte of an answer to its last.
+	// partialAnswerTimeout is the limit on the time between the first and the last byte of an answer.
 	partialAnswerTimeout = 600 * time.Millisecond
 )
 
-// errStalledAnswer says that an answer began and was not complete within partialAnswerTimeout.
-var errStalledAnswer = errors.New("answer stalled")
+// errStalledAnswer means that the rest of an answer did not arrive within partialAnswerTimeout.
+var errStalledAnswer = fmt.Errorf("answer is still incomplete %v after its first byte", partialAnswerTimeout)
 
-// partialAnswer is the beginning of an answer whose rest has not come.
+// partialAnswer is the beginning of an answer that has not arrived completely.
 type partialAnswer struct {
-	data  []byte        // empty if no answer has begun
-	since time.Duration // when its first byte came
+	data        []byte        // empty if there is no partial answer
+	firstByteAt time.Duration // when its first byte arrived
 }
 
-// hasStalled reports whether the rest of an answer that has begun is overdue.
+// hasStalled reports whether an answer has been incomplete for longer than partialAnswerTimeout.
 func (p *partialAnswer) hasStalled(now time.Duration) bool {
-	return len(p.data) > 0 && now-p.since > partialAnswerTimeout
+	return len(p.data) > 0 && now-p.firstByteAt > partialAnswerTimeout
 }
 
-// join returns what has come of the answer so far, with b behind it. The result is b itself or points into the buffer,
-// and is valid until the next call of join or keep.
+// join returns the bytes of the partial answer followed by b. The result is b itself or a slice of the buffer, and is
+// valid until the next call of join or storeRest.
 func (p *partialAnswer) join(b []byte) []byte {
 	if len(p.data) == 0 {
 		return b
@@ -42,21 +42,22 @@
 	return p.data
 }
 
-// keep stores rest, the part of joined behind its complete answers. joined is the last result of join, and now the time at
-// which its last bytes came. If no answer was complete, the partial answer is still the one from before.
-func (p *partialAnswer) keep(rest, joined []byte, now time.Duration) {
-	beginsNow := len(rest) < len(joined) || len(p.data) == 0
-	if len(rest) > 0 && beginsNow {
-		p.since = now
+// storeRest stores rest, the part of joined after its complete answers, as the partial answer. joined is the last
+// result of join, and now is the time at which its last bytes arrived. If joined contains no complete answer, rest
+// continues the previous partial answer, whose firstByteAt is kept.
+func (p *partialAnswer) storeRest(rest, joined []byte, now time.Duration) {
+	startsNewAnswer := len(rest) < len(joined) || len(p.data) == 0
+	if len(rest) > 0 && startsNewAnswer {
+		p.firstByteAt = now
 	}
 	p.data = append(p.data[:0], rest...)
-	if len(rest) == 0 && cap(p.data) > maxKeptBuffer {
+	if len(rest) == 0 && cap(p.data) > maxRetainedBuffer {
 		p.data = nil
 	}
 }
 
-// OnData handles bytes from the worker, which are valid during the call only. The beginning of an answer is kept in a
-// buffer that grows with it, so that an answer that comes a few bytes at a time is not copied anew for each of them.
+// OnData handles bytes from the worker. b is valid only during the call. A partial answer is stored in a growing
+// buffer, so that an answer that arrives a few bytes at a time is not copied completely each time.
 func (c *connection) OnData(b []byte) {
 	if c.state == stateClosed {
 		return
@@ -68,21 +69,22 @@
 		c.closeWithError(err)
 		return
 	}
-	c.partial.keep(rest, joined, c.pool.now)
+	c.partial.storeRest(rest, joined, c.pool.now)
 }
 
-// handleAnswers handles the complete answers at the beginning of b and returns the rest. It fails with errMalformedAnswer.
+// handleAnswers handles the complete answers at the beginning of b and returns the remaining bytes. It fails with
+// errMalformedAnswer.
 func (c *connection) handleAnswers(b []byte) (rest []byte, err error) {
-	var words [maxWords][]byte
+	var buffer [maxElements][]byte
 	for len(b) > 0 {
-		array, size, err := decodeArray(b, words[:0])
+		elements, size, err := decodeArray(b, buffer[:0])
 		if err != nil {
 			return nil, err
 		}
 		if size == 0 {
 			break
 		}
-		if err := c.handleAnswer(array); err != nil {
+		if err := c.handleAnswer(elements); err != nil {
 			return nil, err
 		}
 		b = b[size:]
@@ -90,12 +92,12 @@
 	return b, nil
 }
 
-// handleAnswer ends the pending call that an answer is to. An answer to none only shows that the connection works: it is a
-// duplicate, or the answer to a call that was cancelled. handleAnswer fails with errMalformedAnswer.
+// handleAnswer ends the pending call with the answer's wire ID. If there is none, the answer is a duplicate or belongs
+// to a cancelled call, and only shows that the connection works. handleAnswer fails with errMalformedAnswer.
 //
-// The call is released before its result is reported, since the handler may then call the pool.
-func (c *connection) handleAnswer(words [][]byte) error {
-	a, err := parseAnswer(words)
+// The call is released before its result is reported, because the ResultHandler may call the pool.
+func (c *connection) handleAnswer(elements [][]byte) error {
+	a, err := parseAnswer(elements)
 	if err != nil {
 		return err
 	}
@@ -116,26 +118,26 @@
 	return nil
 }
 
-// endAnswered reports the result of an answered call. The handler keeps the body, which is copied for it.
+// endAnswered reports the result of an answered call. It copies the body, because the ResultHandler keeps it.
 func (p *Pool) endAnswered(call *pendingCall, outcome policy.Outcome, a answer) {
 	switch call.kind {
 	case attemptCall:
-		delete(p.attempts, call.attempt)
-		p.results.AttemptEnded(call.attempt, router.AttemptResult{
+		delete(p.attempts, call.attemptID)
+		p.results.AttemptEnded(call.attemptID, router.AttemptResult{
 			Outcome:        outcome,
 			InstanceStatus: a.instanceStatus(),
 			Body:           bytes.Clone(a.body),
 			LoadReport:     p.loadReport(a),
 		})
 	case loadCommandCall:
-		p.results.LoadCommandEnded(call.control, outcome, a.instanceCount())
+		p.results.LoadCommandEnded(call.controlID, outcome, a.instanceCount())
 	case healthCheckCall:
-		p.results.HealthCheckEnded(call.control, outcome, p.loadReport(a))
-	case keepAliveCall: // handleAnswer has recorded that the connection works
+		p.results.HealthCheckEnded(call.controlID, outcome, p.loadReport(a))
+	case keepAliveCall: // not reported; handleAnswer has updated connection.keepAlive
 	}
 }
 
-// loadReport returns the load report of an answer, nil if it has no complete one.
+// loadReport returns the load report in an answer, or nil if it has no complete load report.
 func (p *Pool) loadReport(a answer) []float64 {
 	return parseLoadReport(fieldValue(a.fields, fieldLoadReport), p.cfg.LoadReportFields)
 }
