--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -19,7 +19,7 @@
 // admit takes a new connection over from a listener. It closes the connection if the limit on accepted ones is reached
 // and none can be evicted.
 func (l *Loop) admit(ln *listener, fd int, peer netip.AddrPort) {
-	if !l.makeRoom() {
+	if !l.ensureAcceptCapacity() {
 		l.refusals.Add()
 		l.closeCounts[OverLimit]++
 		closeDescriptor(fd)
@@ -49,8 +49,8 @@
 // AcceptedConnections returns how many accepted connections are open.
 func (l *Loop) AcceptedConnections() int { return len(l.accepted) }
 
-// makeRoom reports whether one more connection may be accepted. Where the limit is reached it evicts one.
-func (l *Loop) makeRoom() bool {
+// ensureAcceptCapacity reports whether one more connection may be accepted. Where the limit is reached it evicts one.
+func (l *Loop) ensureAcceptCapacity() bool {
 	return len(l.accepted) < l.cfg.MaxAcceptedConnections || l.evict(anyConnection)
 }
 
--- a/internal/eventloop/accept_test.go
+++ b/internal/eventloop/accept_test.go
@@ -9,7 +9,7 @@
 )
 
 // Each connection gets the handler of its own listener, also one on all addresses.
-func TestConnectionsFindTheirListener(t *testing.T) {
+func TestAcceptedConnectionsUseHandlerOfTheirListener(t *testing.T) {
 	found := make(chan string, 1)
 	accept := func(name string) acceptFunc {
 		return func(c *Conn) AcceptedHandler {
@@ -41,7 +41,7 @@
 func TestAcceptedConnectionsAreLimited(t *testing.T) {
 	accepted := make(chan *echoHandler, 10)
 	l := startLoop(t, 1, func(c *Conn) AcceptedHandler {
-		h := &echoHandler{conn: c, times: 1, openRequests: true, closed: make(chan error, 1)}
+		h := &echoHandler{conn: c, copies: 1, openRequests: true, closed: make(chan error, 1)}
 		accepted <- h
 		return h
 	})
@@ -51,7 +51,7 @@
 	if !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a second connection while the first is busy: %v", err)
 	}
-	call(l, func() { h.openRequests = false })
+	runOnLoop(l, func() { h.openRequests = false })
 	dialLoop(t, l)
 	<-accepted // the idle one was evicted
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
--- a/internal/eventloop/accepted_conn_test.go
+++ b/internal/eventloop/accepted_conn_test.go
@@ -54,12 +54,12 @@
 	{"end of input, answered", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.openRequests = true
 		m.peerSends("request", true)
-		m.turn()
-		m.inState(stateHalfClosed)
+		m.runTurn()
+		m.expectState(stateHalfClosed)
 		m.conn.Write([]byte("answer"))
 		h.openRequests = false
-		m.turns()
-		if got := m.peerReceives(); got != "answer" {
+		m.runTurnsUntilIdle()
+		if got := m.readPeerToEnd(); got != "answer" {
 			m.t.Errorf("the client received %q", got)
 		}
 	}, []string{"data request", "end of input", "close: EOF"}, ClosedByPeer},
@@ -79,15 +79,15 @@
 	{"end of input, closed after flush later", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.openRequests = true
 		m.peerSends("request", true)
-		m.turn()
-		m.inState(stateHalfClosed)
+		m.runTurn()
+		m.expectState(stateHalfClosed)
 		m.conn.CloseAfterFlush()
-		m.inState(stateFlushing)
+		m.expectState(stateFlushing)
 	}, []string{"data request", "end of input", "close"}, ClosedByHandler},
 	{"end of input, then a write fails", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.openRequests = true
 		m.peerSends("request", true)
-		m.turn()
+		m.runTurn()
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("answer"))
 		m.flush()
@@ -95,7 +95,7 @@
 	{"end of input, then a write fails and it is closed", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.openRequests = true
 		m.peerSends("request", true)
-		m.turn()
+		m.runTurn()
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("answer"))
 		m.flush()
@@ -110,8 +110,8 @@
 		m.conn.Write([]byte("answer"))
 		m.conn.CloseAfterFlush()
 		m.peerSends("not read any more", true)
-		m.turn()
-		m.inState(stateFlushing)
+		m.runTurn()
+		m.expectState(stateFlushing)
 		m.now += closeTimeout + time.Millisecond
 		m.sweep()
 	}, []string{"close"}, PeerNotReading},
@@ -119,7 +119,7 @@
 		m.calls.writeError = unix.EAGAIN
 		m.conn.Write([]byte("answer"))
 		m.conn.CloseAfterFlush()
-		m.turn()
+		m.runTurn()
 		check(m.t, m.peer.(*net.TCPConn).SetLinger(0))
 		check(m.t, m.peer.Close())
 	}, []string{"close: ECONNRESET"}, ResetByPeer},
@@ -167,14 +167,14 @@
 
 // Guards which calls the handler of an accepted connection gets, in which order, and the counted cause, whatever ends the
 // connection and when.
-func TestCallsOfAnAcceptedConnection(t *testing.T) {
+func TestAcceptedConnectionHandlerCalls(t *testing.T) {
 	for _, test := range acceptedScenarios {
 		t.Run(test.name, func(t *testing.T) {
 			m := newManualLoop(t)
 			h := &acceptedCallRecorder{}
 			m.accept(h)
 			test.run(m, h)
-			m.turns()
+			m.runTurnsUntilIdle()
 			if !slices.Equal(h.calls, test.want) {
 				t.Errorf("the handler got the calls %q, want %q", h.calls, test.want)
 			}
--- a/internal/eventloop/close_cause.go
+++ b/internal/eventloop/close_cause.go
@@ -60,19 +60,19 @@
 
 // causeOfError returns the cause for the error with which a connection ended; it is other for all errors that no cause
 // stands for.
-func causeOfError(err error, other CloseCause) CloseCause {
+func causeOfError(err error, fallback CloseCause) CloseCause {
 	switch {
 	case errors.Is(err, io.EOF):
 		return ClosedByPeer
 	case errors.Is(err, errPeerNotReading):
 		return PeerNotReading
 	case err == nil, errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrClosed):
-		return other
+		return fallback
 	}
 	for _, broken := range brokenConnectionErrors {
 		if errors.Is(err, broken) {
 			return ResetByPeer
 		}
 	}
-	return other
+	return fallback
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -27,10 +27,10 @@
 	// state wants input. The connection closes after that.
 	writeError error
 
-	pending  [][]byte      // written in this turn
-	unsent   []byte        // written in earlier turns; the kernel has yet to take it
-	takenAt  time.Duration // when the kernel last took some of unsent, or unsent began
-	activity messageActivity
+	pending          [][]byte      // written in this turn
+	unsent           []byte        // written in earlier turns; the kernel has yet to take it
+	lastSendProgress time.Duration // when the kernel last took some of unsent, or unsent began
+	activity         messageActivity
 }
 
 // RemoteAddr returns the peer's address, or the zero AddrPort if it is not known.
@@ -58,7 +58,7 @@
 // onEvents handles what the poller reports. A connection that broke is read all the same: what the peer sent before is in
 // the socket, and the read returns the error that broke it.
 func (c *Conn) onEvents(events uint32) {
-	const ended = unix.EPOLLERR | unix.EPOLLHUP
+	const hangupOrError = unix.EPOLLERR | unix.EPOLLHUP
 	if c.state.isDialing() {
 		c.finishConnect()
 		return
@@ -69,10 +69,10 @@
 	switch {
 	case c.state.isClosed() || c.writeError != nil:
 	case !c.state.wantsInput():
-		if events&ended != 0 {
-			c.end(c.pendingError())
+		if events&hangupOrError != 0 {
+			c.closeAndNotify(c.pendingError())
 		}
-	case events&(unix.EPOLLRDHUP|ended) != 0:
+	case events&(unix.EPOLLRDHUP|hangupOrError) != 0:
 		// The connection is read to the end of its input in this turn, as far as maxReadsAtEnd reads go. Otherwise what the
 		// peer sent before the end could be handled in an earlier turn than the end, and a request whose client has gone
 		// could be forwarded to a worker.
@@ -90,25 +90,25 @@
 	return io.EOF
 }
 
-// end closes a connection that the peer or the network has ended, and calls the handler's OnClose at once. It must not be
+// closeAndNotify closes a connection that the peer or the network has ended, and calls the handler's OnClose at once. It must not be
 // called while a handler runs.
-func (c *Conn) end(err error) {
-	c.shut(causeOfError(err, ReadFailed), err)
+func (c *Conn) closeAndNotify(err error) {
+	c.tearDown(causeOfError(err, ReadFailed), err)
 	c.handler.OnClose(err)
 }
 
-// endLater closes a connection while a handler may be running, or at the end of a turn: OnClose is called in the next
+// closeAndNotifyLater closes a connection while a handler may be running, or at the end of a turn: OnClose is called in the next
 // turn, if the connection was connected.
-func (c *Conn) endLater(cause CloseCause, err error) {
+func (c *Conn) closeAndNotifyLater(cause CloseCause, err error) {
 	wasConnected := c.state.isConnected()
-	c.shut(cause, err)
+	c.tearDown(cause, err)
 	if wasConnected {
-		c.loop.later(func() { c.handler.OnClose(err) })
+		c.loop.deferCall(func() { c.handler.OnClose(err) })
 	}
 }
 
-// shut counts the end of an accepted connection and closes the socket. The caller calls the handler.
-func (c *Conn) shut(cause CloseCause, err error) {
+// tearDown counts the end of an accepted connection and closes the socket. The caller calls the handler.
+func (c *Conn) tearDown(cause CloseCause, err error) {
 	if c.isAccepted {
 		c.loop.recordClose(c, cause, err)
 	}
@@ -147,20 +147,20 @@
 		c.state.apply(eventClosed) // the failure is not reported any more
 		return
 	}
-	c.closeFor(ClosedByHandler)
+	c.closeWithCause(ClosedByHandler)
 }
 
-// closeFor closes the connection with the cause that is counted.
-func (c *Conn) closeFor(cause CloseCause) {
+// closeWithCause closes the connection with the cause that is counted.
+func (c *Conn) closeWithCause(cause CloseCause) {
 	if !c.state.isClosed() {
-		c.endLater(cause, nil)
+		c.closeAndNotifyLater(cause, nil)
 	}
 }
 
-// owesAnswer reports whether an accepted connection has a request without an answer, or an answer that has
+// hasOutstandingAnswers reports whether an accepted connection has a request without an answer, or an answer that has
 // yet to be sent: a close drops what is queued, and with it the only answer to a request.
-func (c *Conn) owesAnswer() bool {
-	return c.hasOpenRequests() || c.hasUnwritten()
+func (c *Conn) hasOutstandingAnswers() bool {
+	return c.hasOpenRequests() || c.hasUnwrittenBytes()
 }
 
 // hasOpenRequests reports whether requests of an accepted connection have no answer yet.
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -102,7 +102,7 @@
 // finishConnect handles the end of a connect that was in progress: it calls OnOpen, or ends or retries the dial.
 func (c *Conn) finishConnect() {
 	err := c.loop.calls.connectResult(c.socket.fd)
-	if err == nil && c.isConnectedToItself() {
+	if err == nil && c.isSelfConnected() {
 		err = unix.ECONNREFUSED
 	}
 	if err != nil {
@@ -120,10 +120,10 @@
 	handler.OnOpen(nil)
 }
 
-// isConnectedToItself reports whether the kernel has connected the socket to itself. Linux does so if the dialed port of
+// isSelfConnected reports whether the kernel has connected the socket to itself. Linux does so if the dialed port of
 // this machine has no listener and the kernel picks the same port as the socket's own, out of its ephemeral ports (TCP
 // simultaneous open).
-func (c *Conn) isConnectedToItself() bool {
+func (c *Conn) isSelfConnected() bool {
 	if !c.remoteAddr.Addr().IsLoopback() {
 		return false
 	}
@@ -155,7 +155,7 @@
 	wrapped := fmt.Errorf("dial %s: %w", c.dial.addr, err)
 	c.state.apply(eventDialFailed)
 	c.release()
-	c.loop.later(func() {
+	c.loop.deferCall(func() {
 		if c.state == stateDialFailed {
 			c.state.apply(eventClosed)
 			handler.OnOpen(wrapped)
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -21,7 +21,7 @@
 
 func TestDialReportsItsResult(t *testing.T) {
 	l := startLoop(t, 10, func(c *Conn) AcceptedHandler {
-		return &echoHandler{conn: c, times: 1, closed: make(chan error, 1)}
+		return &echoHandler{conn: c, copies: 1, closed: make(chan error, 1)}
 	})
 	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	check(t, err)
--- a/internal/eventloop/dialed_conn_test.go
+++ b/internal/eventloop/dialed_conn_test.go
@@ -34,53 +34,53 @@
 
 var dialedScenarios = []dialedScenario{
 	{"closed while dialing", func(m *manualLoop, _ *dialCallRecorder) {
-		m.inState(stateDialing)
+		m.expectState(stateDialing)
 		m.conn.Close()
-		m.inState(stateClosed)
+		m.expectState(stateClosed)
 	}, nil},
 	{"closed after flush while dialing", func(m *manualLoop, _ *dialCallRecorder) {
 		m.conn.CloseAfterFlush()
-		m.inState(stateDialingToClose)
+		m.expectState(stateDialingToClose)
 		m.flush()
-		m.inState(stateClosed)
+		m.expectState(stateClosed)
 	}, nil},
 	{"closed after flush in the turn that connects", func(m *manualLoop, h *dialCallRecorder) {
 		h.onOpen = func() {
-			m.inState(stateFlushing)
+			m.expectState(stateFlushing)
 			m.conn.Write([]byte("dropped"))
 		}
 		m.conn.CloseAfterFlush()
-		m.turns()
-		if got := m.peerReceives(); got != "" {
+		m.runTurnsUntilIdle()
+		if got := m.readPeerToEnd(); got != "" {
 			m.t.Errorf("the peer received %q", got)
 		}
 	}, []string{"open", "close"}},
 	{"connected", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
-		m.inState(stateOpen)
+		m.runTurn()
+		m.expectState(stateOpen)
 	}, []string{"open"}},
 	{"refused", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
 	}, []string{"open: ECONNREFUSED"}},
 	{"refused, and closed before the report", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
-		m.turn()
-		m.inState(stateDialFailed)
+		m.runTurn()
+		m.expectState(stateDialFailed)
 		m.conn.Close()
-		m.inState(stateClosed)
+		m.expectState(stateClosed)
 	}, nil},
 	{"refused, and closed by the report", func(m *manualLoop, h *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
 		h.onOpen = func() {
-			m.inState(stateClosed)
+			m.expectState(stateClosed)
 			m.conn.Close()
 		}
 	}, []string{"open: ECONNREFUSED"}},
 	{"refused, and closed after flush before the report", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
-		m.turn()
+		m.runTurn()
 		m.conn.CloseAfterFlush()
-		m.inState(stateDialFailed)
+		m.expectState(stateDialFailed)
 	}, []string{"open: ECONNREFUSED"}},
 	{"closed after flush in the turn that is refused", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
@@ -89,55 +89,55 @@
 	{"timed out", func(m *manualLoop, _ *dialCallRecorder) {
 		m.now += 2 * time.Second
 		m.checkDials()
-		m.inState(stateDialFailed)
+		m.expectState(stateDialFailed)
 	}, []string{"open: deadline exceeded"}},
 	{"ended by the peer", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+		m.runTurn()
 		m.peerSends("answer", true)
 	}, []string{"open", "data answer", "close: EOF"}},
 	{"closed", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+		m.runTurn()
 		m.peerSends("answer", true)
 		m.conn.Close()
 		m.conn.Close()
 	}, []string{"open", "close"}},
 	{"closed after flush", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+		m.runTurn()
 		m.conn.Write([]byte("last"))
 		m.conn.CloseAfterFlush()
 		m.conn.CloseAfterFlush()
 		m.conn.Write([]byte("dropped"))
-		m.turns()
-		if got := m.peerReceives(); got != "last" {
+		m.runTurnsUntilIdle()
+		if got := m.readPeerToEnd(); got != "last" {
 			m.t.Errorf("the peer received %q", got)
 		}
 	}, []string{"open", "close"}},
 	{"write failed after an answer", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+		m.runTurn()
 		m.peerSends("answer", false)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
 		m.flush()
 	}, []string{"open", "data answer", "close: EPIPE"}},
 	{"write failed after the end of input", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+		m.runTurn()
 		m.peerSends("answer", true)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
 		m.flush()
 	}, []string{"open", "data answer", "close: EOF"}},
 	{"write failed, then closed after flush", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+		m.runTurn()
 		m.peerSends("answer", false)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
 		m.flush()
-		m.inState(stateOpen)
+		m.expectState(stateOpen)
 		m.conn.CloseAfterFlush()
-		m.inState(stateFlushing)
+		m.expectState(stateFlushing)
 	}, []string{"open", "close: EPIPE"}},
 	{"write failed, then closed", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+		m.runTurn()
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
 		m.flush()
@@ -146,14 +146,14 @@
 }
 
 // Guards which calls the handler of a dialed connection gets, in which order, whatever ends the connection and when.
-func TestCallsOfADialedConnection(t *testing.T) {
+func TestDialedConnectionHandlerCalls(t *testing.T) {
 	for _, test := range dialedScenarios {
 		t.Run(test.name, func(t *testing.T) {
 			m := newManualLoop(t)
 			h := &dialCallRecorder{}
 			m.startDial(h)
 			test.run(m, h)
-			m.turns()
+			m.runTurnsUntilIdle()
 			if !slices.Equal(h.calls, test.want) {
 				t.Errorf("the handler got the calls %q, want %q", h.calls, test.want)
 			}
--- a/internal/eventloop/eviction.go
+++ b/internal/eventloop/eviction.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// maxEvictionTries is how many connections with unread input are skipped in the search for one to evict. It bounds
+	// maxEvictionCandidates is how many connections with unread input are skipped in the search for one to evict. It bounds
 	// the system calls that one eviction takes.
-	maxEvictionTries = 8
+	maxEvictionCandidates = 8
 
-	// silenceGrace is how long a client may take from its connect to its first message before its connection counts as
+	// firstMessageGracePeriod is how long a client may take from its connect to its first message before its connection counts as
 	// silent and is the first to be evicted. Higher, and a flood of connections that stay silent evicts idle ones
 	// of clients that have sent requests, because it counts as new for longer; lower, and a client whose first
 	// message takes longer than this loses its connection when room is needed.
-	silenceGrace = 250 * time.Millisecond
+	firstMessageGracePeriod = 250 * time.Millisecond
 
 	// longIdleThreshold is how long a client that has sent messages may be idle before it is evicted if this process runs
 	// out of descriptors. Well-behaved clients close an idle connection themselves after 4 s.
@@ -42,14 +42,14 @@
 		return evictLast
 	case a.completeMessages > 0:
 		return evictIdle
-	case now-a.lastActivity > silenceGrace:
+	case now-a.lastActivity > firstMessageGracePeriod:
 		return evictSilent
 	}
 	return evictLast
 }
 
-// evictsBefore reports whether a's connection is evicted before b's.
-func (a *messageActivity) evictsBefore(b *messageActivity, now time.Duration) bool {
+// isEvictedBefore reports whether a's connection is evicted before b's.
+func (a *messageActivity) isEvictedBefore(b *messageActivity, now time.Duration) bool {
 	priority := a.evictionPriority(now)
 	other := b.evictionPriority(now)
 	if priority != other {
@@ -66,29 +66,29 @@
 // clients that have sent requests nor those whose request is on its way. A candidate with unread input is skipped: a
 // request may be in it.
 func (l *Loop) evict(eligible func(*Conn) bool) bool {
-	var withInput []*Conn
-	for len(withInput) < maxEvictionTries {
-		victim := l.evictionCandidate(eligible, withInput)
+	var withUnreadInput []*Conn
+	for len(withUnreadInput) < maxEvictionCandidates {
+		victim := l.evictionCandidate(eligible, withUnreadInput)
 		if victim == nil {
 			return false
 		}
 		if !victim.hasInput() {
-			victim.closeFor(Evicted)
+			victim.closeWithCause(Evicted)
 			return true
 		}
-		withInput = append(withInput, victim)
+		withUnreadInput = append(withUnreadInput, victim)
 	}
 	return false
 }
 
 // evictionCandidate returns the next connection to be evicted that is not in without; nil if there is none.
-func (l *Loop) evictionCandidate(eligible func(*Conn) bool, without []*Conn) *Conn {
+func (l *Loop) evictionCandidate(eligible func(*Conn) bool, excluded []*Conn) *Conn {
 	var victim *Conn
 	for c := range l.accepted {
-		if c.owesAnswer() || !eligible(c) || slices.Contains(without, c) {
+		if c.hasOutstandingAnswers() || !eligible(c) || slices.Contains(excluded, c) {
 			continue
 		}
-		if victim == nil || c.activity.evictsBefore(&victim.activity, l.now) {
+		if victim == nil || c.activity.isEvictedBefore(&victim.activity, l.now) {
 			victim = c
 		}
 	}
--- a/internal/eventloop/eviction_test.go
+++ b/internal/eventloop/eviction_test.go
@@ -23,15 +23,15 @@
 		name string
 		conn *Conn
 	}{
-		{"silent for long", add(false, messageActivity{lastActivity: now - 2*silenceGrace})},
-		{"silent", add(false, messageActivity{lastActivity: now - silenceGrace - 1})},
-		{"idle for long", add(false, messageActivity{completeMessages: 1, lastActivity: now - 1000*silenceGrace})},
+		{"silent for long", add(false, messageActivity{lastActivity: now - 2*firstMessageGracePeriod})},
+		{"silent", add(false, messageActivity{lastActivity: now - firstMessageGracePeriod - 1})},
+		{"idle for long", add(false, messageActivity{completeMessages: 1, lastActivity: now - 1000*firstMessageGracePeriod})},
 		{"idle", add(false, messageActivity{completeMessages: 3, lastActivity: now - 2})},
 		{"second message begun", add(false, messageActivity{
-			completeMessages: 1, lastActivity: now - 9*silenceGrace, partialSince: now,
+			completeMessages: 1, lastActivity: now - 9*firstMessageGracePeriod, partialSince: now,
 		})},
-		{"first message begun", add(false, messageActivity{lastActivity: now - 2*silenceGrace, partialSince: now})},
-		{"new", add(false, messageActivity{lastActivity: now - silenceGrace})},
+		{"first message begun", add(false, messageActivity{lastActivity: now - 2*firstMessageGracePeriod, partialSince: now})},
+		{"new", add(false, messageActivity{lastActivity: now - firstMessageGracePeriod})},
 		{"newest", add(false, messageActivity{lastActivity: now})},
 	}
 	openRequests := add(true, messageActivity{})
@@ -57,14 +57,14 @@
 func TestConnectionWithUnreadInputIsNotEvicted(t *testing.T) {
 	handlers := make(chan *echoHandler, 3)
 	l := startLoop(t, 2, func(c *Conn) AcceptedHandler {
-		h := &echoHandler{conn: c, times: 1, completeMessages: 1, closed: make(chan error, 1)}
+		h := &echoHandler{conn: c, copies: 1, completeMessages: 1, closed: make(chan error, 1)}
 		handlers <- h
 		return h
 	})
 	first, second := dialLoop(t, l), dialLoop(t, l)
 	<-handlers
 	<-handlers
-	call(l, func() { // the loop reads nothing meanwhile
+	runOnLoop(l, func() { // the loop reads nothing meanwhile
 		if _, err := first.Write([]byte("request")); err != nil {
 			t.Error(err)
 		}
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -96,7 +96,7 @@
 	l := New(Config{MaxAcceptedConnections: 10, MaxUnreadBytes: 32 << 20})
 	l.calls = calls
 	l.Listen("127.0.0.1:0", func(c *Conn) AcceptedHandler {
-		return &echoHandler{conn: c, times: 1, closed: make(chan error, 1)}
+		return &echoHandler{conn: c, copies: 1, closed: make(chan error, 1)}
 	})
 	runLoop(t, l)
 	return l
@@ -140,7 +140,7 @@
 }
 
 // While the fault lasts, the dial ends at its timeout, with the fault as its reason.
-func TestDialEndsWithLocalFault(t *testing.T) {
+func TestDialTimeoutReportsLocalFault(t *testing.T) {
 	calls := &faultyCalls{}
 	l := startFaultyLoop(t, calls)
 	calls.mu.Lock()
@@ -194,7 +194,7 @@
 }
 
 // Short reads and writes, and calls that fail for a moment, leave every byte in its place.
-func TestShortAndFailingCallsLoseNothing(t *testing.T) {
+func TestPartialReadsWritesAndTransientErrorsLoseNoData(t *testing.T) {
 	for seed := range uint64(5) {
 		calls := &faultyCalls{random: rand.New(rand.NewPCG(seed, 0))}
 		l := startFaultyLoop(t, calls)
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -13,7 +13,7 @@
 // test sets what it reports of its requests and messages.
 type echoHandler struct {
 	conn             *Conn
-	times            int
+	copies           int
 	openRequests     bool
 	completeMessages int
 	partialMessage   bool
@@ -22,7 +22,7 @@
 }
 
 func (h *echoHandler) OnData(b []byte) {
-	for range h.times {
+	for range h.copies {
 		h.conn.Write(b, nil, []byte("|"))
 	}
 }
@@ -78,8 +78,8 @@
 	})
 }
 
-// call runs f on l's goroutine and waits until it has returned.
-func call(l *Loop, f func()) {
+// runOnLoop runs f on l's goroutine and waits until it has returned.
+func runOnLoop(l *Loop, f func()) {
 	done := make(chan struct{})
 	l.Post(func() {
 		f()
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -138,8 +138,8 @@
 // After an error of the one connection it may. All other errors are of this process or machine, as when descriptors run
 // out: the listener pauses, and the connections wait in the backlog. If this process has used up its own descriptors
 // (EMFILE), a client that is silent or idle for long is evicted first.
-func (ln *listener) handleError(err error) (again bool) {
-	if isOfOneConnection(err) {
+func (ln *listener) handleError(err error) (retryNow bool) {
+	if isPerConnectionError(err) {
 		return true
 	}
 	if isOneOf(err, unix.EMFILE) && ln.loop.evict((*Conn).isLongIdle) {
@@ -153,10 +153,10 @@
 	return false
 }
 
-// isOfOneConnection reports whether an accept failed because of the connection that it would have returned, or was
+// isPerConnectionError reports whether an accept failed because of the connection that it would have returned, or was
 // interrupted (EINTR). The connection was aborted while it waited (ECONNABORTED), or has a pending network error, which
 // Linux returns from accept instead of from the connection's first read (accept(2), "Error handling").
-func isOfOneConnection(err error) bool {
+func isPerConnectionError(err error) bool {
 	return isOneOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN,
 		unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ECONNRESET, unix.ETIMEDOUT)
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -6,14 +6,14 @@
 	"functionrouter/internal/logging"
 )
 
-// pauseThreshold is how much longer than expected a turn or a wait may take. Beyond it the machine is taken to have paused
+// processPauseThreshold is how much longer than expected a turn or a wait may take. Beyond it the machine is taken to have paused
 // the process meanwhile, and the input of the next turn counts as arrived before the pause (InputTime).
 //
 // It bounds the pause that goes unnoticed, and with it how much too late a request's deadline may be. A pause within a wait
 // goes unnoticed if it ends within the wait's timeout, which is at most sweepInterval, and this. Higher, and more answers come
 // too late after a pause; lower, and turns that are only long count as pauses, and requests that arrived after them get less
 // time than they have.
-const pauseThreshold = 50 * time.Millisecond
+const processPauseThreshold = 50 * time.Millisecond
 
 // Config bounds a Loop.
 type Config struct {
@@ -34,19 +34,19 @@
 	accepted  map[*Conn]struct{}
 	dialing   map[*Conn]struct{}
 	dialed    map[*Conn]struct{} // connected ones
-	datagram  map[*UDPConn]struct{}
-
-	now         time.Duration // of the present turn
-	inputTime   time.Duration // see InputTime
-	stopped     bool
-	deferred    []func()         // the calls for the next turn
-	running     []func()         // the deferred calls of this turn; both arrays are reused
-	unflushed   []*Conn          // with pending writes, or to be closed after their last write
-	totalUnread int              // bytes that all peers have yet to take; Conn.setUnsent keeps it
-	readBuffer  []byte           // shared by all sockets
-	lastSweep   time.Duration    // when sweep last ran
-	refusals    logging.Throttle // connections refused because of Config.MaxAcceptedConnections
-	interrupted interruptedLog
+	udpConns  map[*UDPConn]struct{}
+
+	now             time.Duration // of the present turn
+	inputTime       time.Duration // see InputTime
+	stopped         bool
+	deferred        []func()         // the calls for the next turn
+	runningDeferred []func()         // the deferred calls of this turn; both arrays are reused
+	unflushed       []*Conn          // with pending writes, or to be closed after their last write
+	totalUnread     int              // bytes that all peers have yet to take; Conn.setUnsent keeps it
+	readBuffer      []byte           // shared by all sockets
+	lastSweep       time.Duration    // when sweep last ran
+	refusals        logging.Throttle // connections refused because of Config.MaxAcceptedConnections
+	interrupted     interruptedLog
 
 	acceptedCount uint64      // connections accepted since the start
 	closeCounts   CloseCounts // accepted connections closed since the start
@@ -62,7 +62,7 @@
 		accepted:    map[*Conn]struct{}{},
 		dialing:     map[*Conn]struct{}{},
 		dialed:      map[*Conn]struct{}{},
-		datagram:    map[*UDPConn]struct{}{},
+		udpConns:    map[*UDPConn]struct{}{},
 		now:         c.now(),
 		inputTime:   c.now(),
 		readBuffer:  make([]byte, readBufferSize),
@@ -102,17 +102,17 @@
 	l.posts.add(call, l.poll)
 }
 
-// later defers call to the next turn. It must be called on the loop's goroutine.
-func (l *Loop) later(call func()) { l.deferred = append(l.deferred, call) }
+// deferCall defers call to the next turn. It must be called on the loop's goroutine.
+func (l *Loop) deferCall(call func()) { l.deferred = append(l.deferred, call) }
 
 // Run handles events until Stop, and then closes all descriptors without a call of their handlers. In each turn it calls
 // beginTurn with the time, then the handlers of what has happened, then endTurn, which returns the time at which it wants to
 // be called again at the latest. The loop also turns when there are events, and every 200 ms (sweepInterval).
 func (l *Loop) Run(beginTurn func(now time.Duration), endTurn func(now time.Duration) time.Duration) {
 	var posted []func()
-	next := l.now
+	nextTurn := l.now
 	for !l.stopped {
-		timeout := l.timeUntil(next)
+		timeout := l.timeUntil(nextTurn)
 		waitedFrom := l.clock.now()
 		events := l.poll.wait(timeout)
 		l.startTurn(waitedFrom, timeout)
@@ -122,7 +122,7 @@
 		l.poll.dispatch(events)
 		l.checkDials()
 		l.resumeAccepting()
-		next = min(endTurn(l.now), l.nextCheck(), l.now+sweepInterval)
+		nextTurn = min(endTurn(l.now), l.nextCheck(), l.now+sweepInterval)
 		l.flush()
 		if l.now-l.lastSweep > sweepInterval {
 			l.sweep()
@@ -134,12 +134,12 @@
 
 // startTurn sets the times of a turn for which the loop has waited since waitedFrom, for timeout at most.
 func (l *Loop) startTurn(waitedFrom, timeout time.Duration) {
-	turnBefore := l.now
+	previousTurn := l.now
 	l.now = l.clock.now()
 	switch {
-	case waitedFrom-turnBefore > pauseThreshold:
-		l.inputTime = turnBefore
-	case l.now-waitedFrom > timeout+pauseThreshold:
+	case waitedFrom-previousTurn > processPauseThreshold:
+		l.inputTime = previousTurn
+	case l.now-waitedFrom > timeout+processPauseThreshold:
 		l.inputTime = waitedFrom
 	default:
 		l.inputTime = l.now
@@ -161,12 +161,12 @@
 // runDeferred makes the calls that were deferred to this turn. What they defer waits for the next one: the two arrays
 // change places.
 func (l *Loop) runDeferred() {
-	spare := l.running[:0]
-	l.running = l.deferred
+	spare := l.runningDeferred[:0]
+	l.runningDeferred = l.deferred
 	l.deferred = spare
-	for i, call := range l.running {
+	for i, call := range l.runningDeferred {
 		call()
-		l.running[i] = nil
+		l.runningDeferred[i] = nil
 	}
 }
 
@@ -210,7 +210,7 @@
 			c.socket.close(l.poll)
 		}
 	}
-	for c := range l.datagram {
+	for c := range l.udpConns {
 		c.socket.close(l.poll)
 	}
 	l.poll.close()
--- a/internal/eventloop/manual_loop_test.go
+++ b/internal/eventloop/manual_loop_test.go
@@ -69,8 +69,8 @@
 	m.t.Cleanup(m.closeDescriptors)
 }
 
-// turn makes one turn at the loop's present time, with the steps of Run in their order.
-func (m *manualLoop) turn() {
+// runTurn makes one runTurn at the loop's present time, with the steps of Run in their order.
+func (m *manualLoop) runTurn() {
 	events := m.poll.wait(m.timeUntil(m.clock.now() + 50*time.Millisecond))
 	m.runDeferred()
 	m.poll.dispatch(events)
@@ -79,24 +79,24 @@
 	m.sweep()
 }
 
-// turns makes turns until nothing is left to be called.
-func (m *manualLoop) turns() {
-	m.turn()
+// runTurnsUntilIdle makes runTurnsUntilIdle until nothing is left to be called.
+func (m *manualLoop) runTurnsUntilIdle() {
+	m.runTurn()
 	for len(m.deferred) > 0 {
-		m.turn()
+		m.runTurn()
 	}
 }
 
-// inState checks the state of the connection under test.
-func (m *manualLoop) inState(want connState) {
+// expectState checks the state of the connection under test.
+func (m *manualLoop) expectState(want connState) {
 	m.t.Helper()
 	if m.conn.state != want {
 		m.t.Errorf("the connection is %v, want %v", m.conn.state, want)
 	}
 }
 
-// peerReceives reads what the peer receives until the end of the connection.
-func (m *manualLoop) peerReceives() string {
+// readPeerToEnd reads what the peer receives until the end of the connection.
+func (m *manualLoop) readPeerToEnd() string {
 	m.t.Helper()
 	got, err := io.ReadAll(m.peer)
 	check(m.t, err)
@@ -135,5 +135,5 @@
 	})
 	m.start()
 	m.peer = dialLoop(m.t, m.Loop)
-	m.turn()
+	m.runTurn()
 }
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -22,8 +22,8 @@
 // wakeToken is the token of the descriptor that wakes the poller.
 const wakeToken token = 0
 
-// pollable receives the events of a registered descriptor.
-type pollable interface {
+// eventReceiver receives the events of a registered descriptor.
+type eventReceiver interface {
 	// onEvents handles events, a mask of unix.EPOLL*.
 	onEvents(events uint32)
 	// isClientConnection reports whether the descriptor is a connection that a client has opened.
@@ -44,8 +44,8 @@
 	epollFD   int
 	wakeFD    int // an eventfd(2), which wake makes readable
 	lastToken token
-	polled    map[token]pollable // the receivers of the registrations; wakeToken has none
-	events    []unix.EpollEvent  // the result of the last wait
+	receivers map[token]eventReceiver // the receivers of the registrations; wakeToken has none
+	events    []unix.EpollEvent       // the result of the last wait
 }
 
 // newPoller returns a poller that polls its own wake-up descriptor alone. The caller has to close it.
@@ -60,11 +60,11 @@
 		return nil, fmt.Errorf("create the poller's wake-up: %w", err)
 	}
 	p := &poller{
-		calls:   calls,
-		epollFD: epollFD,
-		wakeFD:  wakeFD,
-		polled:  map[token]pollable{},
-		events:  make([]unix.EpollEvent, maxPollEvents),
+		calls:     calls,
+		epollFD:   epollFD,
+		wakeFD:    wakeFD,
+		receivers: map[token]eventReceiver{},
+		events:    make([]unix.EpollEvent, maxPollEvents),
 	}
 	if err := p.control(unix.EPOLL_CTL_ADD, wakeFD, wakeToken, unix.EPOLLIN); err != nil {
 		p.close()
@@ -79,12 +79,12 @@
 }
 
 // add registers fd for events, a mask of unix.EPOLL*.
-func (p *poller) add(fd int, events uint32, receiver pollable) (token, error) {
+func (p *poller) add(fd int, events uint32, receiver eventReceiver) (token, error) {
 	p.lastToken++
 	if err := p.control(unix.EPOLL_CTL_ADD, fd, p.lastToken, events); err != nil {
 		return 0, err
 	}
-	p.polled[p.lastToken] = receiver
+	p.receivers[p.lastToken] = receiver
 	return p.lastToken, nil
 }
 
@@ -94,7 +94,7 @@
 }
 
 // remove ends a registration. The caller closes the descriptor next, by which the kernel stops polling it.
-func (p *poller) remove(t token) { delete(p.polled, t) }
+func (p *poller) remove(t token) { delete(p.receivers, t) }
 
 // control changes the kernel's registration of fd. The token travels in the event's user data, which the unix package
 // splits into Fd and Pad.
@@ -126,13 +126,13 @@
 // clients come first: the request of a client that has gone must not be sent over a connection to a worker that opens in the
 // same turn.
 func (p *poller) dispatch(events []unix.EpollEvent) {
-	for _, ofClients := range []bool{true, false} {
+	for _, clientPass := range []bool{true, false} {
 		for i := range events {
 			t := tokenOf(&events[i])
-			if t == wakeToken && ofClients {
+			if t == wakeToken && clientPass {
 				p.clearWake()
 			}
-			if receiver := p.polled[t]; receiver != nil && receiver.isClientConnection() == ofClients {
+			if receiver := p.receivers[t]; receiver != nil && receiver.isClientConnection() == clientPass {
 				receiver.onEvents(events[i].Events)
 			}
 		}
--- a/internal/eventloop/poller_test.go
+++ b/internal/eventloop/poller_test.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// countingPollable counts its events, and runs onEvent at the first.
-type countingPollable struct {
+// countingReceiver counts its events, and runs onEvent at the first.
+type countingReceiver struct {
 	events  int
 	onEvent func()
 	client  bool
 }
 
-func (p *countingPollable) isClientConnection() bool { return p.client }
+func (p *countingReceiver) isClientConnection() bool { return p.client }
 
-func (p *countingPollable) onEvents(uint32) {
+func (p *countingReceiver) onEvents(uint32) {
 	p.events++
 	if p.onEvent != nil {
 		p.onEvent()
@@ -38,18 +38,18 @@
 
 // Two descriptors have events in one batch. The handler of the first closes the second and opens a new connection, which
 // gets the same descriptor: the old one's event must not reach it.
-func TestEventsDoNotOutliveTheirConnection(t *testing.T) {
+func TestEventsOfClosedDescriptorsAreDropped(t *testing.T) {
 	p, err := newPoller(kernelCalls{})
 	check(t, err)
 	t.Cleanup(p.close)
 	fds := [2]int{readableSocket(t), readableSocket(t)}
-	var receivers [2]countingPollable
+	var receivers [2]countingReceiver
 	var tokens [2]token
 	for i := range fds {
 		tokens[i], err = p.add(fds[i], unix.EPOLLIN, &receivers[i])
 		check(t, err)
 	}
-	var successor countingPollable
+	var successor countingReceiver
 	for i := range fds { // whichever comes first in the batch
 		other := 1 - i
 		receivers[i].onEvent = func() {
@@ -75,7 +75,7 @@
 }
 
 // The events of clients are handled before all others of a batch, in whatever order the kernel reports them.
-func TestEventsOfClientsComeFirst(t *testing.T) {
+func TestClientEventsAreDispatchedFirst(t *testing.T) {
 	p, err := newPoller(kernelCalls{})
 	check(t, err)
 	t.Cleanup(p.close)
@@ -83,7 +83,7 @@
 	for _, client := range []bool{false, true, false, true} {
 		fd := readableSocket(t)
 		t.Cleanup(func() { closeDescriptor(fd) })
-		receiver := &countingPollable{client: client}
+		receiver := &countingReceiver{client: client}
 		receiver.onEvent = func() { order = append(order, client) }
 		_, err := p.add(fd, unix.EPOLLIN, receiver)
 		check(t, err)
@@ -107,23 +107,23 @@
 func TestInputTimeAfterPauses(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	for _, test := range []struct {
-		name           string
-		turned, waited time.Duration // what the turn before and the wait have taken
-		beforeNow      time.Duration // the input time, at least
+		name                       string
+		turnDuration, waitDuration time.Duration // what the turn before and the wait have taken
+		minInputAge                time.Duration // the input time, at least
 	}{
 		{name: "short turn and wait"},
-		{name: "wait to its end", waited: timeout},
-		{name: "pause in the turn", turned: time.Second, beforeNow: time.Second},
-		{name: "pause in the wait", waited: time.Second, beforeNow: time.Second},
+		{name: "wait to its end", waitDuration: timeout},
+		{name: "pause in the turn", turnDuration: time.Second, minInputAge: time.Second},
+		{name: "pause in the wait", waitDuration: time.Second, minInputAge: time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l := New(Config{})
 			now := l.clock.now()
-			waitedFrom := now - test.waited
-			l.now = waitedFrom - test.turned
+			waitedFrom := now - test.waitDuration
+			l.now = waitedFrom - test.turnDuration
 			l.startTurn(waitedFrom, timeout)
-			if got := l.now - l.InputTime(); got < test.beforeNow || test.beforeNow == 0 && got != 0 {
-				t.Errorf("the input time is %v before now, want %v", got, test.beforeNow)
+			if got := l.now - l.InputTime(); got < test.minInputAge || test.minInputAge == 0 && got != 0 {
+				t.Errorf("the input time is %v before now, want %v", got, test.minInputAge)
 			}
 		})
 	}
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -22,8 +22,8 @@
 
 // readUpTo reads what has arrived, with so many reads at most. A read that does not fill the buffer is the last one, unless
 // the connection is read toEnd. The poller is level-triggered: it reports what is left in the next turn.
-func (c *Conn) readUpTo(reads int, toEnd bool) {
-	for range reads {
+func (c *Conn) readUpTo(maxReads int, toEnd bool) {
+	for range maxReads {
 		more, full := c.readOnce()
 		if !more || !full && !toEnd {
 			return
@@ -42,7 +42,7 @@
 	case err != nil && isTransient(err):
 		return false, false
 	case err != nil:
-		c.end(err)
+		c.closeAndNotify(err)
 		return false, false
 	case n == 0:
 		c.handleEndOfInput()
@@ -65,7 +65,7 @@
 // one direction only, and still read: its connection ends when all answers are written.
 func (c *Conn) handleEndOfInput() {
 	if !c.isAccepted || c.writeError != nil {
-		c.end(io.EOF)
+		c.closeAndNotify(io.EOF)
 		return
 	}
 	c.state.apply(eventEndOfInput)
@@ -73,8 +73,8 @@
 	if c.state.isClosed() {
 		return
 	}
-	if !c.owesAnswer() {
-		c.end(io.EOF)
+	if !c.hasOutstandingAnswers() {
+		c.closeAndNotify(io.EOF)
 		return
 	}
 	c.updateInterest()
--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/read_test.go
@@ -88,8 +88,8 @@
 // A client that has sent its last byte still gets its answer; then the connection ends. One that is owed nothing ends at
 // once.
 func TestHalfClosedClientIsAnswered(t *testing.T) {
-	for _, owed := range []bool{true, false} {
-		h := &echoHandler{openRequests: owed, closed: make(chan error, 1), inputEnded: make(chan struct{}, 1)}
+	for _, hasOpenRequest := range []bool{true, false} {
+		h := &echoHandler{openRequests: hasOpenRequest, closed: make(chan error, 1), inputEnded: make(chan struct{}, 1)}
 		l := startLoop(t, 10, func(c *Conn) AcceptedHandler {
 			h.conn = c
 			return h
@@ -97,15 +97,15 @@
 		client := dialLoop(t, l)
 		check(t, client.CloseWrite())
 		<-h.inputEnded
-		if owed {
+		if hasOpenRequest {
 			l.Post(func() {
 				h.conn.Write([]byte("answer"))
 				h.openRequests = false
 			})
 		}
 		got, err := io.ReadAll(client)
-		if err != nil || owed && string(got) != "answer" {
-			t.Errorf("owed an answer: %v: read %q, %v", owed, got, err)
+		if err != nil || hasOpenRequest && string(got) != "answer" {
+			t.Errorf("owed an answer: %v: read %q, %v", hasOpenRequest, got, err)
 		}
 		if err := <-h.closed; !errors.Is(err, io.EOF) {
 			t.Errorf("closed with %v", err)
@@ -114,7 +114,7 @@
 }
 
 // A connection that breaks while a half-closed client waits is reported.
-func TestHalfClosedClientThatResets(t *testing.T) {
+func TestResetOfHalfClosedConnectionIsReported(t *testing.T) {
 	h := &echoHandler{openRequests: true, closed: make(chan error, 1), inputEnded: make(chan struct{}, 1)}
 	l := startLoop(t, 10, func(*Conn) AcceptedHandler { return h })
 	client := dialLoop(t, l)
@@ -141,7 +141,7 @@
 
 // A client sends a request and goes while the machine pauses: both are handled in one turn, at whose end nothing is sent on
 // for a client that has gone.
-func TestRequestIsHandledWithTheEndOfItsClient(t *testing.T) {
+func TestDataAndEndOfInputAreHandledInSameTurn(t *testing.T) {
 	h := &turnRecorder{echoHandler: echoHandler{closed: make(chan error, 1)}, endOfInputAt: make(chan time.Duration, 1)}
 	accepted := make(chan struct{})
 	l := startLoop(t, 10, func(c *Conn) AcceptedHandler {
@@ -151,7 +151,7 @@
 	})
 	client := dialLoop(t, l)
 	<-accepted
-	call(l, func() {
+	runOnLoop(l, func() {
 		_, err := client.Write([]byte("request"))
 		if err := errors.Join(err, client.CloseWrite()); err != nil {
 			t.Error(err)
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -11,7 +11,7 @@
 }
 
 // register has the poller report events, a mask of unix.EPOLL*, to receiver. EPOLLERR and EPOLLHUP are always reported.
-func (s *socket) register(p *poller, events uint32, receiver pollable) error {
+func (s *socket) register(p *poller, events uint32, receiver eventReceiver) error {
 	t, err := p.add(s.fd, events, receiver)
 	if err != nil {
 		return err
--- a/internal/eventloop/sweep.go
+++ b/internal/eventloop/sweep.go
@@ -16,7 +16,7 @@
 	l.lastSweep = l.now
 	for c := range l.accepted {
 		if cause, timedOut := c.timedOut(); timedOut {
-			c.closeFor(cause)
+			c.closeWithCause(cause)
 		}
 	}
 	l.logRefusals()
--- a/internal/eventloop/sweep_test.go
+++ b/internal/eventloop/sweep_test.go
@@ -39,7 +39,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const step = 100 * time.Millisecond
-			closedAt := playUntilClosed(step, time.Minute, c.receive)
+			closedAt := simulateUntilClosed(step, time.Minute, c.receive)
 			if closedAt < c.want || closedAt > c.want+2*step {
 				t.Errorf("closed after %v, want %v", closedAt, c.want)
 			}
@@ -47,14 +47,14 @@
 	}
 }
 
-// playUntilClosed simulates an accepted connection in steps of time, and returns when the loop closed it, or end.
-func playUntilClosed(step, end time.Duration, receive func(h *echoHandler, at time.Duration) bool) time.Duration {
+// simulateUntilClosed simulates an accepted connection in steps of time, and returns when the loop closed it, or end.
+func simulateUntilClosed(step, maxDuration time.Duration, receive func(h *echoHandler, at time.Duration) bool) time.Duration {
 	l := New(Config{})
 	h := &echoHandler{}
 	conn := newAcceptedConn(l, h)
 	conn.activity.lastActivity = l.now
 	start := l.now
-	for at := time.Duration(0); at < end; at += step {
+	for at := time.Duration(0); at < maxDuration; at += step {
 		l.now = start + at
 		if receive(h, at) {
 			conn.handleData(nil)
@@ -64,5 +64,5 @@
 			return at
 		}
 	}
-	return end
+	return maxDuration
 }
--- a/internal/eventloop/udp.go
+++ b/internal/eventloop/udp.go
@@ -25,7 +25,7 @@
 func (l *Loop) DialUDP(addr string, h DialHandler) *UDPConn {
 	c := &UDPConn{loop: l, socket: socket{fd: noDescriptor}, handler: h, state: stateDialing}
 	if literal, err := netip.ParseAddrPort(addr); err == nil {
-		l.later(func() { c.open(literal, nil) })
+		l.deferCall(func() { c.open(literal, nil) })
 		return c
 	}
 	go func() {
@@ -73,7 +73,7 @@
 		c.socket.close(c.loop.poll)
 		return fmt.Errorf("poll the UDP socket to %s: %w", addr, err)
 	}
-	c.loop.datagram[c] = struct{}{}
+	c.loop.udpConns[c] = struct{}{}
 	return nil
 }
 
@@ -91,7 +91,7 @@
 		case err != nil && isTransient(err):
 			return
 		case err != nil:
-			c.shut()
+			c.tearDown()
 			c.handler.OnClose(err)
 			return
 		}
@@ -120,15 +120,15 @@
 		return
 	}
 	wasOpen := c.state == stateOpen
-	c.shut()
+	c.tearDown()
 	if wasOpen {
-		c.loop.later(func() { c.handler.OnClose(net.ErrClosed) })
+		c.loop.deferCall(func() { c.handler.OnClose(net.ErrClosed) })
 	}
 }
 
-// shut closes the socket and takes it out of the loop.
-func (c *UDPConn) shut() {
+// tearDown closes the socket and takes it out of the loop.
+func (c *UDPConn) tearDown() {
 	c.state.apply(eventClosed)
 	c.socket.close(c.loop.poll)
-	delete(c.loop.datagram, c)
+	delete(c.loop.udpConns, c)
 }
--- a/internal/eventloop/unread.go
+++ b/internal/eventloop/unread.go
@@ -17,7 +17,7 @@
 // begun or if the kernel took some, and leaves it if only more were added.
 func (c *Conn) setUnsent(unsent []byte) {
 	if len(c.unsent) == 0 || len(unsent) < len(c.unsent) {
-		c.takenAt = c.loop.now
+		c.lastSendProgress = c.loop.now
 	}
 	c.loop.totalUnread += len(unsent) - len(c.unsent)
 	c.unsent = unsent
@@ -41,7 +41,7 @@
 	var stalled *Conn
 	for _, connections := range []map[*Conn]struct{}{l.accepted, l.dialed} {
 		for c := range connections {
-			if len(c.unsent) > 0 && (stalled == nil || c.takenAt < stalled.takenAt) {
+			if len(c.unsent) > 0 && (stalled == nil || c.lastSendProgress < stalled.lastSendProgress) {
 				stalled = c
 			}
 		}
--- a/internal/eventloop/unread_test.go
+++ b/internal/eventloop/unread_test.go
@@ -11,7 +11,7 @@
 // Guards the last answers of a program that shuts down: what a turn has queued counts as unread before the
 // turn's flush, and a message of which only the beginning has arrived is reported.
 func TestUnreadBytesAndPartialMessagesAreReported(t *testing.T) {
-	h := &echoHandler{times: 1, partialMessage: true, closed: make(chan error, 1)}
+	h := &echoHandler{copies: 1, partialMessage: true, closed: make(chan error, 1)}
 	accepted := make(chan struct{})
 	l := startLoop(t, 10, func(c *Conn) AcceptedHandler {
 		h.conn = c
@@ -21,7 +21,7 @@
 	client := dialLoop(t, l)
 	<-accepted
 	queued := 0
-	call(l, func() {
+	runOnLoop(l, func() {
 		before := l.UnreadBytes()
 		h.conn.Write([]byte("answer"), nil, []byte("|"))
 		queued = l.UnreadBytes() - before
@@ -37,13 +37,13 @@
 		t.Fatal(err)
 	}
 	hasPartial := false
-	call(l, func() { hasPartial = l.HasPartialMessages() })
+	runOnLoop(l, func() { hasPartial = l.HasPartialMessages() })
 	if !hasPartial {
 		t.Error("the partial message is not reported")
 	}
 	check(t, client.Close())
 	t.Logf("closed with %v", <-h.closed)
-	call(l, func() { hasPartial = l.HasPartialMessages() })
+	runOnLoop(l, func() { hasPartial = l.HasPartialMessages() })
 	if hasPartial {
 		t.Error("the partial message of a closed connection counts")
 	}
@@ -60,7 +60,7 @@
 }
 
 // Peers that do not read use up what all together may leave unread. They are closed, and not the client that reads.
-func TestReaderIsServedBesidePeersThatDoNotRead(t *testing.T) {
+func TestReadingClientKeepsConnectionWhenOthersDoNotRead(t *testing.T) {
 	const peers, answerSize = 40, 200 << 10
 	handlers := make(chan *echoHandler, peers+1)
 	l := New(Config{MaxAcceptedConnections: peers + 1, MaxUnreadBytes: 5 * answerSize})
@@ -76,18 +76,18 @@
 	for range peers {
 		check(t, dialLoop(t, l).SetReadBuffer(4<<10))
 		h := <-handlers
-		call(l, func() { h.conn.Write(make([]byte, answerSize)) })
+		runOnLoop(l, func() { h.conn.Write(make([]byte, answerSize)) })
 	}
 	reader := dialLoop(t, l)
 	h := <-handlers
 	answer := bytes.Repeat([]byte("a"), 2*answerSize)
-	call(l, func() { h.conn.Write(answer) })
+	runOnLoop(l, func() { h.conn.Write(answer) })
 	got := make([]byte, len(answer))
 	if _, err := io.ReadFull(reader, got); err != nil {
 		t.Errorf("the client that reads: %v", err)
 	}
 	var closed CloseCounts
-	call(l, func() { closed = l.CloseCounts() })
+	runOnLoop(l, func() { closed = l.CloseCounts() })
 	if closed[PeerNotReading] == 0 || len(h.closed) > 0 {
 		t.Errorf("%d peers that do not read were closed, of those that read %d", closed[PeerNotReading], len(h.closed))
 	}
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -44,7 +44,7 @@
 	c.dropPending()
 	if c.writeError == nil {
 		c.updateInterest()
-		c.closeIfDone()
+		c.closeIfFlushed()
 	}
 }
 
@@ -54,19 +54,19 @@
 	c.pending = c.pending[:0]
 }
 
-// closeIfDone closes the connection if it only waited for the kernel to take its last bytes.
-func (c *Conn) closeIfDone() {
+// closeIfFlushed closes the connection if it only waited for the kernel to take its last bytes.
+func (c *Conn) closeIfFlushed() {
 	switch {
-	case c.state.isClosed() || c.hasUnwritten():
+	case c.state.isClosed() || c.hasUnwrittenBytes():
 	case c.state.closesAfterFlush():
-		c.closeFor(ClosedByHandler)
+		c.closeWithCause(ClosedByHandler)
 	case c.state == stateHalfClosed && !c.hasOpenRequests():
-		c.endLater(ClosedByPeer, io.EOF)
+		c.closeAndNotifyLater(ClosedByPeer, io.EOF)
 	}
 }
 
-// hasUnwritten reports whether there are bytes that the kernel has not taken.
-func (c *Conn) hasUnwritten() bool { return len(c.pending) > 0 || len(c.unsent) > 0 }
+// hasUnwrittenBytes reports whether there are bytes that the kernel has not taken.
+func (c *Conn) hasUnwrittenBytes() bool { return len(c.pending) > 0 || len(c.unsent) > 0 }
 
 // writePending writes what is pending, and copies what the kernel does not take to unsent.
 func (c *Conn) writePending() {
@@ -139,7 +139,7 @@
 		c.setUnsent(rest[0])
 	}
 	c.updateInterest()
-	c.closeIfDone()
+	c.closeIfFlushed()
 }
 
 // failWrite ends a connection that can't be written to. The peer may have sent something before the connection broke, such
@@ -150,12 +150,12 @@
 	}
 	c.writeError = err
 	c.setUnsent(nil)
-	c.loop.later(c.endAfterWriteError)
+	c.loop.deferCall(c.closeAfterWriteError)
 }
 
-// endAfterWriteError reads what the peer of a failed write has sent, and closes the connection. The read itself may end it
+// closeAfterWriteError reads what the peer of a failed write has sent, and closes the connection. The read itself may end it
 // with an error of its own.
-func (c *Conn) endAfterWriteError() {
+func (c *Conn) closeAfterWriteError() {
 	if c.state.isClosed() {
 		return
 	}
@@ -163,7 +163,7 @@
 		c.readUpTo(maxReadsAtEnd, true)
 	}
 	if !c.state.isClosed() {
-		c.shut(causeOfError(c.writeError, WriteFailed), c.writeError)
+		c.tearDown(causeOfError(c.writeError, WriteFailed), c.writeError)
 		c.handler.OnClose(c.writeError)
 	}
 }
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -12,7 +12,7 @@
 // kernel buffer, so that little is needed to fill it.
 func startEchoLoop(t *testing.T, copies int) (*Loop, *echoHandler) {
 	t.Helper()
-	h := &echoHandler{times: copies, completeMessages: 1, closed: make(chan error, 1)}
+	h := &echoHandler{copies: copies, completeMessages: 1, closed: make(chan error, 1)}
 	l := startLoop(t, 10, func(c *Conn) AcceptedHandler {
 		if err := unix.SetsockoptInt(c.socket.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 4<<10); err != nil {
 			t.Error(err)
@@ -24,7 +24,7 @@
 }
 
 // A reader that starts late, so that the socket fills and writes fall short, still gets every byte in order.
-func TestShortWritesLoseNothing(t *testing.T) {
+func TestShortWritesLoseNoData(t *testing.T) {
 	l, h := startEchoLoop(t, 3000)
 	client := dialLoop(t, l)
 	check(t, client.SetReadBuffer(64<<10))
@@ -32,16 +32,16 @@
 	write(t, client, text)
 	// Until the loop has written, and more than the kernel takes.
 	for unread := 0; unread == 0; {
-		call(l, func() { unread = l.UnreadBytes() })
+		runOnLoop(l, func() { unread = l.UnreadBytes() })
 	}
-	want := bytes.Repeat(append(bytes.Clone(text), '|'), h.times)
+	want := bytes.Repeat(append(bytes.Clone(text), '|'), h.copies)
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(client, got); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("the bytes differ; read error: %v", err)
 	}
 	// The loop may still have to count its last write.
 	for unread := 1; unread != 0; {
-		call(l, func() { unread = l.UnreadBytes() })
+		runOnLoop(l, func() { unread = l.UnreadBytes() })
 	}
 	if len(h.closed) > 0 { // the unread bytes of a closed connection don't count
 		t.Errorf("the connection was closed with %v before all its bytes were counted", <-h.closed)
