--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -9,15 +9,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// refusalLogInterval is the least time between two log lines on refused connections: with one line for each of them a
-// flood would fill the log.
+// refusalLogInterval is the minimum time between two log lines about refused connections. A log line for each of them
+// would let a flood of connections fill the log.
 const refusalLogInterval = time.Second
 
-// errTooManyConnections is logged for connections refused beyond the limit on accepted ones. No handler gets it.
+// errTooManyConnections is logged when connections are refused because the limit on accepted connections is reached. It
+// is never passed to a handler.
 var errTooManyConnections = errors.New("too many accepted connections")
 
-// admit takes a new connection over from a listener. It closes the connection if the limit on accepted ones is reached
-// and none can be evicted.
+// admit adds a connection that listener ln has accepted to the loop. If the limit on accepted connections is reached
+// and no connection can be evicted, admit closes the new connection.
 func (l *Loop) admit(ln *listener, fd int, peer netip.AddrPort) {
 	if !l.ensureAcceptCapacity() {
 		l.refusals.Add()
@@ -40,21 +41,23 @@
 	c.handler = c.acceptedHandler
 }
 
-// AcceptedCount returns how many connections were accepted since the start.
+// AcceptedCount returns how many connections were accepted since the start. Refused connections are not counted.
 func (l *Loop) AcceptedCount() uint64 { return l.acceptedCount }
 
-// CloseCounts returns how many accepted connections were closed since the start, by cause.
+// CloseCounts returns how many accepted connections were closed since the start, by cause. Refused connections are
+// counted as OverLimit.
 func (l *Loop) CloseCounts() CloseCounts { return l.closeCounts }
 
 // AcceptedConnections returns how many accepted connections are open.
 func (l *Loop) AcceptedConnections() int { return len(l.accepted) }
 
-// ensureAcceptCapacity reports whether one more connection may be accepted. Where the limit is reached it evicts one.
+// ensureAcceptCapacity reports whether another connection may be accepted. If the limit is reached, it first tries to
+// evict a connection.
 func (l *Loop) ensureAcceptCapacity() bool {
 	return len(l.accepted) < l.cfg.MaxAcceptedConnections || l.evict(anyConnection)
 }
 
-// logRefusals logs how many connections were refused since the last line, if any.
+// logRefusals logs how many connections were refused since its previous log line, if there were any.
 func (l *Loop) logRefusals() {
 	if count, due := l.refusals.Ready(l.now); due {
 		slog.Warn("connections refused", "count", count, "error", errTooManyConnections)
--- a/internal/eventloop/accept_test.go
+++ b/internal/eventloop/accept_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Each connection gets the handler of its own listener, also one on all addresses.
+// Guards against a connection that gets the handler of another listener, also if a listener listens on all addresses.
 func TestAcceptedConnectionsUseHandlerOfTheirListener(t *testing.T) {
 	found := make(chan string, 1)
 	accept := func(name string) acceptFunc {
@@ -23,21 +23,23 @@
 	runLoop(t, l)
 	addrs := l.Addrs()
 	_, wildcardPort, err := net.SplitHostPort(addrs[1])
-	check(t, err)
+	requireNoError(t, err)
 	for _, test := range []struct{ addr, want string }{
 		{addrs[0], "single"},
 		{"127.0.0.1:" + wildcardPort, "wildcard"},
 		{"127.0.0.2:" + wildcardPort, "wildcard"},
 	} {
 		conn, err := net.Dial("tcp", test.addr)
-		check(t, err)
+		requireNoError(t, err)
 		if got := <-found; got != test.want {
-			t.Errorf("%s: got listener %q, want %q", test.addr, got, test.want)
+			t.Errorf("connection to %s: got the handler of listener %q, want %q", test.addr, got, test.want)
 		}
-		check(t, conn.Close())
+		requireNoError(t, conn.Close())
 	}
 }
 
+// At the limit, a new connection is refused while the open one has an open request. Once that one is idle, it is
+// evicted for a new connection.
 func TestAcceptedConnectionsAreLimited(t *testing.T) {
 	accepted := make(chan *echoHandler, 10)
 	l := startLoop(t, 1, func(c *Conn) AcceptedHandler {
@@ -49,12 +51,12 @@
 	h := <-accepted
 	_, err := dialLoop(t, l).Read(make([]byte, 1))
 	if !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a second connection while the first is busy: %v", err)
+		t.Errorf("the second connection, while the first has an open request: got %v, want EOF or ECONNRESET", err)
 	}
 	runOnLoop(l, func() { h.openRequests = false })
 	dialLoop(t, l)
-	<-accepted // the idle one was evicted
+	<-accepted // accepted because the idle connection was evicted
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("the idle connection: got %v, want EOF", err)
 	}
 }
--- a/internal/eventloop/accepted_conn_test.go
+++ b/internal/eventloop/accepted_conn_test.go
@@ -9,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptedCallRecorder is the handler of an accepted connection that records its calls in order.
+// acceptedCallRecorder is the handler of an accepted connection. It records its calls in order.
 type acceptedCallRecorder struct {
 	calls        []string
 	openRequests bool
-	onData       func() // called by OnData, where set
-	onEndOfInput func() // called by OnEndOfInput, where set
+	onData       func() // called by OnData; nil: no call
+	onEndOfInput func() // called by OnEndOfInput; nil: no call
 }
 
 func (r *acceptedCallRecorder) OnData(b []byte) {
@@ -39,7 +39,8 @@
 
 func (r *acceptedCallRecorder) MessageProgress() (int, bool) { return 0, false }
 
-// acceptedScenario is what happens to an accepted connection, the calls that its handler gets and the counted cause.
+// acceptedScenario is a sequence of events on an accepted connection, with the calls that its handler should get and
+// the close cause that should be counted.
 type acceptedScenario struct {
 	name  string
 	run   func(m *manualLoop, h *acceptedCallRecorder)
@@ -48,10 +49,10 @@
 }
 
 var acceptedScenarios = []acceptedScenario{
-	{"end of input, nothing owed", func(m *manualLoop, _ *acceptedCallRecorder) {
+	{"end of input, no open request", func(m *manualLoop, _ *acceptedCallRecorder) {
 		m.peerSends("request", true)
 	}, []string{"data request", "end of input", "close: EOF"}, ClosedByPeer},
-	{"end of input, answered", func(m *manualLoop, h *acceptedCallRecorder) {
+	{"end of input, then the last answer", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.openRequests = true
 		m.peerSends("request", true)
 		m.runTurn()
@@ -60,23 +61,23 @@
 		h.openRequests = false
 		m.runTurnsUntilIdle()
 		if got := m.readPeerToEnd(); got != "answer" {
-			m.t.Errorf("the client received %q", got)
+			m.t.Errorf("the client received %q, want the answer", got)
 		}
 	}, []string{"data request", "end of input", "close: EOF"}, ClosedByPeer},
-	{"end of input, closed by its handler", func(m *manualLoop, h *acceptedCallRecorder) {
+	{"end of input, Close in OnEndOfInput", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.onEndOfInput = func() { m.conn.Close() }
 		m.peerSends("request", true)
 	}, []string{"data request", "end of input", "close"}, ClosedByHandler},
-	{"end of input, closed after flush, nothing owed", func(m *manualLoop, h *acceptedCallRecorder) {
+	{"end of input, CloseAfterFlush in OnEndOfInput, no open request", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.onEndOfInput = func() { m.conn.CloseAfterFlush() }
 		m.peerSends("request", true)
 	}, []string{"data request", "end of input", "close: EOF"}, ClosedByPeer},
-	{"end of input, closed after flush, answer owed", func(m *manualLoop, h *acceptedCallRecorder) {
+	{"end of input, CloseAfterFlush in OnEndOfInput, open request", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.openRequests = true
 		h.onEndOfInput = func() { m.conn.CloseAfterFlush() }
 		m.peerSends("request", true)
 	}, []string{"data request", "end of input", "close"}, ClosedByHandler},
-	{"end of input, closed after flush later", func(m *manualLoop, h *acceptedCallRecorder) {
+	{"end of input, then CloseAfterFlush", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.openRequests = true
 		m.peerSends("request", true)
 		m.runTurn()
@@ -92,7 +93,7 @@
 		m.conn.Write([]byte("answer"))
 		m.flush()
 	}, []string{"data request", "end of input", "close: EPIPE"}, ResetByPeer},
-	{"end of input, then a write fails and it is closed", func(m *manualLoop, h *acceptedCallRecorder) {
+	{"end of input, then a write fails, then CloseAfterFlush", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.openRequests = true
 		m.peerSends("request", true)
 		m.runTurn()
@@ -101,11 +102,11 @@
 		m.flush()
 		m.conn.CloseAfterFlush()
 	}, []string{"data request", "end of input", "close: EPIPE"}, ResetByPeer},
-	{"closed after flush while data arrives", func(m *manualLoop, h *acceptedCallRecorder) {
+	{"CloseAfterFlush in OnData", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.onData = func() { m.conn.CloseAfterFlush() }
 		m.peerSends("request", true)
 	}, []string{"data request", "close"}, ClosedByHandler},
-	{"closed after flush, peer does not read", func(m *manualLoop, _ *acceptedCallRecorder) {
+	{"CloseAfterFlush, peer does not read", func(m *manualLoop, _ *acceptedCallRecorder) {
 		m.calls.writeError = unix.EAGAIN
 		m.conn.Write([]byte("answer"))
 		m.conn.CloseAfterFlush()
@@ -115,41 +116,41 @@
 		m.now += closeTimeout + time.Millisecond
 		m.sweep()
 	}, []string{"close"}, PeerNotReading},
-	{"closed after flush, then reset", func(m *manualLoop, _ *acceptedCallRecorder) {
+	{"CloseAfterFlush, then the peer resets", func(m *manualLoop, _ *acceptedCallRecorder) {
 		m.calls.writeError = unix.EAGAIN
 		m.conn.Write([]byte("answer"))
 		m.conn.CloseAfterFlush()
 		m.runTurn()
-		check(m.t, m.peer.(*net.TCPConn).SetLinger(0))
-		check(m.t, m.peer.Close())
+		requireNoError(m.t, m.peer.(*net.TCPConn).SetLinger(0))
+		requireNoError(m.t, m.peer.Close())
 	}, []string{"close: ECONNRESET"}, ResetByPeer},
-	{"closed after flush, then a write fails", func(m *manualLoop, _ *acceptedCallRecorder) {
+	{"CloseAfterFlush, then a write fails", func(m *manualLoop, _ *acceptedCallRecorder) {
 		m.peerSends("not read any more", false)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("answer"))
 		m.conn.CloseAfterFlush()
 		m.flush()
 	}, []string{"close: EPIPE"}, ResetByPeer},
-	{"write failed after a request", func(m *manualLoop, _ *acceptedCallRecorder) {
+	{"write fails before the request is read", func(m *manualLoop, _ *acceptedCallRecorder) {
 		m.peerSends("request", false)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("answer"))
 		m.flush()
 	}, []string{"data request", "close: EPIPE"}, ResetByPeer},
-	{"write failed after the end of input", func(m *manualLoop, _ *acceptedCallRecorder) {
+	{"write fails before the request and the end of input are read", func(m *manualLoop, _ *acceptedCallRecorder) {
 		m.peerSends("request", true)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("answer"))
 		m.flush()
 	}, []string{"data request", "close: EOF"}, ClosedByPeer},
-	{"write failed, and closed after flush by what is read then", func(m *manualLoop, h *acceptedCallRecorder) {
+	{"write fails, then CloseAfterFlush in OnData", func(m *manualLoop, h *acceptedCallRecorder) {
 		h.onData = func() { m.conn.CloseAfterFlush() }
 		m.peerSends("request", true)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("answer"))
 		m.flush()
 	}, []string{"data request", "close: EPIPE"}, ResetByPeer},
-	{"write failed, and the time to close is over", func(m *manualLoop, _ *acceptedCallRecorder) {
+	{"write fails, then CloseAfterFlush and closeTimeout", func(m *manualLoop, _ *acceptedCallRecorder) {
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("answer"))
 		m.flush()
@@ -157,7 +158,7 @@
 		m.now += closeTimeout + time.Millisecond
 		m.sweep()
 	}, []string{"close"}, PeerNotReading},
-	{"closed", func(m *manualLoop, _ *acceptedCallRecorder) {
+	{"Close", func(m *manualLoop, _ *acceptedCallRecorder) {
 		m.peerSends("not read any more", true)
 		m.conn.Close()
 		m.conn.CloseAfterFlush()
@@ -165,8 +166,8 @@
 	}, []string{"close"}, ClosedByHandler},
 }
 
-// Guards which calls the handler of an accepted connection gets, in which order, and the counted cause, whatever ends the
-// connection and when.
+// Guards which calls the handler of an accepted connection gets, in which order, and which cause is counted, depending
+// on how and when the connection ends.
 func TestAcceptedConnectionHandlerCalls(t *testing.T) {
 	for _, test := range acceptedScenarios {
 		t.Run(test.name, func(t *testing.T) {
@@ -181,7 +182,7 @@
 			var wantCounts CloseCounts
 			wantCounts[test.cause] = 1
 			if m.CloseCounts() != wantCounts {
-				t.Errorf("the causes were counted %v, want one %v", m.CloseCounts(), test.cause)
+				t.Errorf("the close counts are %v, want 1 for %v only", m.CloseCounts(), test.cause)
 			}
 		})
 	}
--- a/internal/eventloop/activity.go
+++ b/internal/eventloop/activity.go
@@ -3,29 +3,31 @@
 import "time"
 
 const (
-	// idleTimeout closes an accepted connection without open requests on which no complete message has
-	// arrived for this long, and nothing was answered. It bounds how long a client that has gone without a close,
-	// or that does not read, holds a descriptor. Well-behaved clients close an idle connection themselves after
-	// 4 s (operators' protocol), so that none of theirs gets here. Higher, and connections of clients that have
-	// gone are held for longer; below 4 s, and a close may cross a request.
+	// idleTimeout is how long an accepted connection without open requests may go without a complete message and
+	// without an answer before the loop closes it. It bounds how long a descriptor is held by a client that has
+	// disappeared without closing its connection, or that does not read. Well-behaved clients close an idle connection
+	// themselves after 4 s (operators' protocol), so this timeout does not affect them. A higher value holds the
+	// connections of disappeared clients for longer. With a value below 4 s, the loop may close a connection while a
+	// request is on its way.
 	idleTimeout = 15 * time.Second
 
-	// messageTimeout is the time for a complete message: for the first one from the accept on, for each
-	// further one from its first byte on. Bytes that trickle in don't extend it. It bounds how long a client
-	// that sends nothing, or half a message, holds a descriptor. By the operators' terms such a client is owed a
-	// close within 3 s of connecting; the sweep that closes it may come up to two sweepIntervals later. Higher,
-	// and the close comes too late; lower, and a slow client loses a request that it is still sending.
+	// messageTimeout is how long a complete message may take to arrive. The time starts at the accept for the first
+	// message, and at the first byte for each further one. Bytes that arrive slowly do not extend it. It bounds how
+	// long a descriptor is held by a client that sends nothing or only part of a message. The operators' terms require
+	// that such a client's connection is closed within 3 s of connecting, and the sweep that closes it may run up to
+	// two sweepIntervals after the timeout. A higher value closes such connections too late. A lower value makes a slow
+	// client lose a request that it is still sending.
 	messageTimeout = 2500 * time.Millisecond
 )
 
-// messageActivity follows the messages of an accepted connection, for its timeouts and its eviction priority.
+// messageActivity tracks the messages of an accepted connection, for its timeouts and its eviction priority.
 type messageActivity struct {
-	completeMessages int           // received so far
-	lastActivity     time.Duration // last complete message or answer; before the first message, the accept
-	partialSince     time.Duration // when the beginning of a message arrived whose end has not; 0: there is none
+	completeMessages int           // number received so far
+	lastActivity     time.Duration // time of the last complete message or answer, initially of the accept
+	partialSince     time.Duration // when the first part of an incomplete message arrived; 0 if there is none
 }
 
-// recordProgress records the handler's MessageProgress after it has received data.
+// recordProgress updates the activity from the handler's MessageProgress after the handler has received data.
 func (a *messageActivity) recordProgress(complete int, partial bool, now time.Duration) {
 	if complete > a.completeMessages {
 		a.completeMessages = complete
@@ -40,16 +42,17 @@
 	}
 }
 
-// recordAnswer records that something is written: the connection is idle from its last answer on, however long that
-// took. What is written before the first complete message is no answer.
+// recordAnswer records that an answer is written. The connection counts as idle from its last answer on, however long
+// that answer took. Bytes that are written before the first complete message are not an answer.
 func (a *messageActivity) recordAnswer(now time.Duration) {
 	if a.completeMessages > 0 {
 		a.lastActivity = now
 	}
 }
 
-// timedOut reports whether a timeout of the connection has expired, and the cause to close it for. A peer with unread
-// bytes, which reads slowly or not at all, has the idle timeout even if it has sent part of a message.
+// timedOut reports whether a timeout of the connection has expired, and the cause to close it with. hasUnread means
+// that the peer has left bytes unread: it reads slowly or not at all. Then the idle timeout applies, even if the peer
+// has sent part of a message.
 func (a *messageActivity) timedOut(now time.Duration, hasUnread bool) (cause CloseCause, timedOut bool) {
 	switch {
 	case hasUnread:
@@ -62,8 +65,7 @@
 	return IdleTimeout, now-a.lastActivity > idleTimeout
 }
 
-// HasPartialMessages reports whether the beginning of a message has arrived on an open accepted connection, and its
-// end has not.
+// HasPartialMessages reports whether any open accepted connection has received only part of a message.
 func (l *Loop) HasPartialMessages() bool {
 	for c := range l.accepted {
 		if c.activity.partialSince > 0 {
--- a/internal/eventloop/address.go
+++ b/internal/eventloop/address.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketAddress converts addr to its socket domain and the kernel's form.
+// socketAddress returns the socket domain of addr, and addr in the form that system calls take.
 func socketAddress(addr netip.AddrPort) (domain int, sockaddr unix.Sockaddr) {
 	ip := addr.Addr().Unmap()
 	if ip.Is4() {
@@ -17,7 +17,7 @@
 	return unix.AF_INET6, &unix.SockaddrInet6{Addr: ip.As16(), Port: int(addr.Port()), ZoneId: zoneIndex(ip.Zone())}
 }
 
-// zoneIndex returns the number of an IPv6 zone's interface, 0 if there is none.
+// zoneIndex returns the interface index of an IPv6 zone, or 0 if zone is empty or there is no such interface.
 func zoneIndex(zone string) uint32 {
 	if zone == "" {
 		return 0
@@ -29,7 +29,8 @@
 	return uint32(link.Index)
 }
 
-// addrPortOf converts the kernel's form of an address; the zero AddrPort stands for any that is not IP.
+// addrPortOf converts an address from the form that system calls return. It returns the zero AddrPort for an address
+// that is not IP.
 func addrPortOf(sockaddr unix.Sockaddr) netip.AddrPort {
 	switch s := sockaddr.(type) {
 	case *unix.SockaddrInet4:
@@ -40,7 +41,7 @@
 	return netip.AddrPort{}
 }
 
-// resolveTCP resolves a "host:port", which may block where the host is a name.
+// resolveTCP resolves addr, a "host:port". It may block if the host is a name.
 func resolveTCP(addr string) (netip.AddrPort, error) {
 	resolved, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// clockOrigin is the clock's reading at its start. It is above zero so that instants shortly before the start
-// are positive too, and zero can stand for "never".
+// clockOrigin is the clock's reading at its start. It is positive so that times shortly before the start are positive
+// too, and zero can mean that something has not happened.
 const clockOrigin = time.Hour
 
-// never is a time that does not come.
+// never is later than any reading of the clock.
 const never = time.Duration(1<<63 - 1)
 
 // clock is a monotonic clock with readings in whole microseconds. It is safe for concurrent use.
@@ -14,13 +14,13 @@
 	start time.Time
 }
 
-// now reads the clock.
+// now returns the present reading of the clock.
 func (c clock) now() time.Duration {
 	return (clockOrigin + time.Since(c.start)).Truncate(time.Microsecond)
 }
 
-// fromWallTime converts a wall-clock time to a reading of the clock. A step of the wall clock since the start shifts the
-// result.
+// fromWallTime converts a wall-clock time to a reading of the clock. If the wall clock was stepped since the start, the
+// result is off by the step.
 func (c clock) fromWallTime(t time.Time) time.Duration {
 	return (clockOrigin + t.Sub(c.start.Round(0))).Truncate(time.Microsecond)
 }
--- a/internal/eventloop/close_cause_test.go
+++ b/internal/eventloop/close_cause_test.go
@@ -26,22 +26,22 @@
 		{errors.New("other"), WriteFailed},
 	} {
 		if got := causeOfError(test.err, WriteFailed); got != test.want {
-			t.Errorf("%v: got %v, want %v", test.err, got, test.want)
+			t.Errorf("cause of error %v: got %v, want %v", test.err, got, test.want)
 		}
 	}
 }
 
-// Guards the names of the fields in the log of the counters.
+// Guards against causes without a name or with the same name: the names are the field names in the log of the counters.
 func TestCloseCauseNames(t *testing.T) {
 	seen := map[string]bool{}
 	for cause := range closeCauseCount {
 		if name := cause.String(); name == "" || seen[name] {
-			t.Errorf("the cause %d has the name %q", cause, name)
+			t.Errorf("the cause %d has the empty or duplicate name %q", cause, name)
 		} else {
 			seen[name] = true
 		}
 	}
 	if got := closeCauseCount.String(); got != "CloseCause(10)" {
-		t.Errorf("got %q", got)
+		t.Errorf("the value after the last cause prints as %q, want CloseCause(10)", got)
 	}
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -8,35 +8,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// Conn is a TCP connection, accepted or dialed. Its methods must be called on the loop's goroutine. They may be called at
-// any time, also by the Conn's own handler and after the connection has closed.
+// Conn is a TCP connection, accepted or dialed. Its methods must be called on the loop's goroutine. They may be called
+// at any time, also by the Conn's own handler and after the connection has closed.
 type Conn struct {
 	loop       *Loop
 	socket     socket
 	remoteAddr netip.AddrPort
-	isAccepted bool // or else it was dialed
+	isAccepted bool // false: it was dialed
 
 	handler         Handler
 	acceptedHandler AcceptedHandler // the handler of an accepted connection; nil for a dialed one
 	dial            *dial           // nil once the dial has ended, and for an accepted connection
 
-	state connState // changed by connState.apply alone
+	state connState // changed only by connState.apply
 
-	// writeError is why the connection can't be written to any more; nil while it can. It is no connState: the direction
-	// to the peer may break in any of its states, and what the peer sent before is still read in the next turn if the
-	// state wants input. The connection closes after that.
+	// writeError is the error because of which the connection can no longer be written to; nil while it can. It is not
+	// part of connState because writing can fail in any state. If the state wants input, the data that the peer sent
+	// before the failure is still read in the next turn, before the connection closes.
 	writeError error
 
-	pending          [][]byte      // written in this turn
-	unsent           []byte        // written in earlier turns; the kernel has yet to take it
-	lastSendProgress time.Duration // when the kernel last took some of unsent, or unsent began
+	pending          [][]byte      // buffers queued by Write in this turn
+	unsent           []byte        // bytes of earlier turns that the kernel has not taken yet
+	lastSendProgress time.Duration // when the kernel last took some of unsent, or unsent got its first bytes
 	activity         messageActivity
 }
 
 // RemoteAddr returns the peer's address, or the zero AddrPort if it is not known.
 func (c *Conn) RemoteAddr() netip.AddrPort { return c.remoteAddr }
 
-// updateInterest registers the socket for the events that the connection waits for.
+// updateInterest registers the socket for the events that the connection waits for: input, and space for its unsent
+// bytes.
 func (c *Conn) updateInterest() {
 	var events uint32
 	if c.state.wantsInput() {
@@ -55,8 +56,8 @@
 
 func (c *Conn) isClientConnection() bool { return c.isAccepted }
 
-// onEvents handles what the poller reports. A connection that broke is read all the same: what the peer sent before is in
-// the socket, and the read returns the error that broke it.
+// onEvents handles the events that the poller reports. A broken connection is still read: the socket holds the data
+// that the peer sent before, and the read then returns the error that broke the connection.
 func (c *Conn) onEvents(events uint32) {
 	const hangupOrError = unix.EPOLLERR | unix.EPOLLHUP
 	if c.state.isDialing() {
@@ -73,16 +74,16 @@
 			c.closeAndNotify(c.pendingError())
 		}
 	case events&(unix.EPOLLRDHUP|hangupOrError) != 0:
-		// The connection is read to the end of its input in this turn, as far as maxReadsAtEnd reads go. Otherwise what the
-		// peer sent before the end could be handled in an earlier turn than the end, and a request whose client has gone
-		// could be forwarded to a worker.
+		// Read the connection to the end of its input in this turn, within the limit of maxReadsAtEnd reads. Otherwise
+		// the data that the peer sent before the end could be handled in an earlier turn than the end, and the router
+		// could forward a request to a worker although its client has disconnected.
 		c.readUpTo(maxReadsAtEnd, true)
 	case events&unix.EPOLLIN != 0:
 		c.readUpTo(maxReadsPerTurn, false)
 	}
 }
 
-// pendingError returns the error with which the connection broke.
+// pendingError returns the error that broke the connection, or io.EOF if the socket reports none.
 func (c *Conn) pendingError() error {
 	if err := c.loop.calls.connectResult(c.socket.fd); err != nil {
 		return err
@@ -90,15 +91,15 @@
 	return io.EOF
 }
 
-// closeAndNotify closes a connection that the peer or the network has ended, and calls the handler's OnClose at once. It must not be
-// called while a handler runs.
+// closeAndNotify closes a connection that the peer or the network has ended, and calls the handler's OnClose before it
+// returns. It must not be called while a handler runs.
 func (c *Conn) closeAndNotify(err error) {
 	c.tearDown(causeOfError(err, ReadFailed), err)
 	c.handler.OnClose(err)
 }
 
-// closeAndNotifyLater closes a connection while a handler may be running, or at the end of a turn: OnClose is called in the next
-// turn, if the connection was connected.
+// closeAndNotifyLater closes a connection. It may be called while a handler runs and at the end of a turn: OnClose is
+// called in the next turn, if the connection was connected.
 func (c *Conn) closeAndNotifyLater(cause CloseCause, err error) {
 	wasConnected := c.state.isConnected()
 	c.tearDown(cause, err)
@@ -107,7 +108,8 @@
 	}
 }
 
-// tearDown counts the end of an accepted connection and closes the socket. The caller calls the handler.
+// tearDown closes the connection, and counts the close if the connection is an accepted one. The caller is responsible
+// for the call of OnClose.
 func (c *Conn) tearDown(cause CloseCause, err error) {
 	if c.isAccepted {
 		c.loop.recordClose(c, cause, err)
@@ -116,7 +118,7 @@
 	c.release()
 }
 
-// release closes the socket, drops what is not written and takes the connection out of the loop.
+// release closes the socket, drops the bytes that are not written, and removes the connection from the loop.
 func (c *Conn) release() {
 	c.dial = nil
 	c.dropPending()
@@ -127,43 +129,45 @@
 	delete(c.loop.dialed, c)
 }
 
-// CloseAfterFlush closes the connection when the kernel has taken everything that was written. Nothing more is read, and
-// later writes are dropped. An accepted connection whose peer does not read is closed 2 s after its last complete message or
-// answer (closeTimeout). The handler's OnClose is called in a later turn if the connection was ever open.
+// CloseAfterFlush closes the connection when the kernel has taken everything that was written. Nothing more is read,
+// and later writes are dropped. If the peer of an accepted connection does not read, the connection is closed 2 s after
+// its last complete message or answer (closeTimeout). The handler's OnClose is called in a later turn if the connection
+// was ever open.
 //
-// A connection that is still dialing is closed at the end of the turn, and the handler gets no further call. If the dial ends
-// in the same turn, OnOpen is called all the same, and after a success OnClose. Of a dial that has failed before, OnOpen still
-// reports the error; Close prevents that.
+// A connection that is still dialing is closed at the end of the turn, and the handler gets no further call. If the
+// dial ends in the same turn, OnOpen is still called, followed by OnClose if the dial has succeeded. If the dial has
+// failed before CloseAfterFlush is called, OnOpen still reports the error; Close prevents that.
 func (c *Conn) CloseAfterFlush() {
 	if c.state.apply(eventCloseAfterFlush) {
 		c.loop.unflushed = append(c.loop.unflushed, c)
 	}
 }
 
-// Close closes the connection and drops its pending writes. Its handler's OnClose is called in a later turn if
-// the connection was ever open; else the handler gets no further call. A second Close does nothing.
+// Close closes the connection and drops its pending writes. The handler's OnClose is called in a later turn if the
+// connection was ever open; otherwise the handler gets no further call. A second Close does nothing.
 func (c *Conn) Close() {
 	if c.state == stateDialFailed {
-		c.state.apply(eventClosed) // the failure is not reported any more
+		c.state.apply(eventClosed) // OnOpen does not report the failure
 		return
 	}
 	c.closeWithCause(ClosedByHandler)
 }
 
-// closeWithCause closes the connection with the cause that is counted.
+// closeWithCause closes the connection if it is not closed yet. The close of an accepted connection is counted under
+// cause.
 func (c *Conn) closeWithCause(cause CloseCause) {
 	if !c.state.isClosed() {
 		c.closeAndNotifyLater(cause, nil)
 	}
 }
 
-// hasOutstandingAnswers reports whether an accepted connection has a request without an answer, or an answer that has
-// yet to be sent: a close drops what is queued, and with it the only answer to a request.
+// hasOutstandingAnswers reports whether an accepted connection has an unanswered request or an answer that is not
+// completely sent. Closing the connection would drop the queued bytes, which may be the only answer to a request.
 func (c *Conn) hasOutstandingAnswers() bool {
 	return c.hasOpenRequests() || c.hasUnwrittenBytes()
 }
 
-// hasOpenRequests reports whether requests of an accepted connection have no answer yet.
+// hasOpenRequests reports whether an accepted connection has unanswered requests.
 func (c *Conn) hasOpenRequests() bool {
 	return c.acceptedHandler.HasOpenRequests()
 }
--- a/internal/eventloop/conn_state.go
+++ b/internal/eventloop/conn_state.go
@@ -1,7 +1,8 @@
 package eventloop
 
-// connState is the state of a Conn, from its dial or accept to its close. It says which calls the handler has yet to get
-// and whether input is read and writes are accepted. The method apply alone changes it, by connTransitions:
+// connState is the state of a Conn, from its dial or accept to its close. It determines which calls the handler has yet
+// to get, whether input is read, and whether writes are accepted. Only the method apply changes it, according to
+// connTransitions:
 //
 //	state           | connected | dial failed | end of input | close after flush | closed
 //	dialing         | open      | dial failed | -            | dialing to close  | closed
@@ -11,60 +12,63 @@
 //	flushing        | -         | -           | -            | -                 | closed
 //	dial failed     | -         | -           | -            | -                 | closed
 //
-// A "-" is an event that cannot occur in the state or that changes nothing. An accepted connection starts as open, a
-// dialed one as dialing; closed is final. A UDPConn is only ever dialing, open or closed.
+// A "-" is an event that cannot occur in the state or that does not change it. An accepted connection starts in the
+// state open, a dialed one in the state dialing; closed is final. A UDPConn uses only the states dialing, open and
+// closed.
 type connState uint8
 
 const (
-	// The address is being resolved, the socket is connecting, or the dial waits for its next attempt. The handler gets
-	// OnOpen.
+	// The address is being resolved, the socket is connecting, or the dial waits for its next attempt. The handler has
+	// yet to get OnOpen.
 	stateDialing connState = iota // dialing
 
-	// CloseAfterFlush was called while dialing. The end of the turn closes the connection without a call of the handler,
-	// unless the dial ends in the same turn.
+	// CloseAfterFlush was called while dialing. The connection closes at the end of the turn without a call of the
+	// handler, unless the dial ends in the same turn.
 	stateDialingToClose // dialing to close
 
-	// Input is read and writes are accepted. The handler gets OnClose, as in the next two states.
+	// Input is read and writes are accepted. In this state and the next two, the handler has yet to get OnClose.
 	stateOpen // open
 
-	// The client has sent its last byte (it has sent a FIN) and may still read: writes are accepted. Only accepted
-	// connections get here, as long as they owe an answer.
+	// The client has ended its direction (sent a FIN) and may still read: writes are accepted. Only accepted
+	// connections enter this state, and they stay in it while answers are outstanding.
 	stateHalfClosed // half-closed
 
-	// CloseAfterFlush was called. Nothing more is read or accepted for writing; the connection closes when the kernel has
-	// taken all that was written, or after closeTimeout.
+	// CloseAfterFlush was called. No more input is read and no more writes are accepted. The connection closes when the
+	// kernel has taken everything that was written; an accepted connection also closes after closeTimeout.
 	stateFlushing // flushing
 
-	// The dial has failed and its socket is closed. The handler gets OnOpen with the error in the next turn, which makes
-	// the state closed. Close makes it closed before that, and the handler gets no call.
+	// The dial has failed and its socket is closed. In the next turn the handler gets OnOpen with the error, and the
+	// state becomes closed. If Close is called before that, the state becomes closed at once and the handler gets no
+	// call.
 	stateDialFailed // dial failed
 
-	// The socket is closed. The handler gets no further call, or only the OnClose that is due in the next turn.
+	// The socket is closed. The handler gets no further call, except for an OnClose that is due in the next turn.
 	stateClosed // closed
 )
 
-// connEvent is what changes a connState.
+// connEvent is an event that may change a connState.
 type connEvent uint8
 
 const (
 	// The dial's socket is connected.
 	eventConnected connEvent = iota // connected
 
-	// The dial has failed for good or has timed out.
+	// The dial has timed out, or has failed and is not retried.
 	eventDialFailed // dial failed
 
-	// An accepted connection has read the end of its input.
+	// The end of an accepted connection's input was read.
 	eventEndOfInput // end of input
 
 	// The handler has called CloseAfterFlush.
 	eventCloseAfterFlush // close after flush
 
-	// The connection has ended for any reason: Close, a timeout, an eviction, the peer or an error. Of a failed dial:
-	// the failure has been reported, or Close has made the report unnecessary.
+	// The connection has ended because of Close, a timeout, an eviction, the peer or an error. After a failed dial:
+	// OnOpen is about to report the failure, or Close was called and the failure is not reported.
 	eventClosed // closed
 )
 
-// connTransitions holds the next state for each state and event. An event that is not listed leaves the state as it is.
+// connTransitions holds the next state for each state and event. An event that is not listed for a state does not
+// change it.
 var connTransitions = [...]map[connEvent]connState{
 	stateDialing: {
 		eventConnected:       stateOpen,
@@ -95,7 +99,7 @@
 	stateClosed: {},
 }
 
-// apply changes the state by event, and reports whether it is another one than before.
+// apply changes the state according to event, and reports whether the state has changed.
 func (s *connState) apply(event connEvent) bool {
 	next, changes := connTransitions[*s][event]
 	if changes {
@@ -104,19 +108,19 @@
 	return changes
 }
 
-// isDialing reports whether the dial has neither succeeded nor failed. Conn.dial is set exactly then.
+// isDialing reports whether the dial has neither succeeded nor failed. Conn.dial is not nil in these states only.
 func (s connState) isDialing() bool { return s == stateDialing || s == stateDialingToClose }
 
-// isConnected reports whether the socket is connected: the handler of a dial has got OnOpen(nil) or gets it now, and
-// OnClose is due.
+// isConnected reports whether the socket is connected. The handler of a dial has got OnOpen(nil), or gets it in this
+// turn, and has yet to get OnClose.
 func (s connState) isConnected() bool {
 	return s == stateOpen || s == stateHalfClosed || s == stateFlushing
 }
 
-// isClosed reports whether the socket is closed for good.
+// isClosed reports whether the socket is closed and will not be opened again.
 func (s connState) isClosed() bool { return s == stateDialFailed || s == stateClosed }
 
-// wantsInput reports whether input is read, now or once the dial has succeeded.
+// wantsInput reports whether input is read, either now or once the dial has succeeded.
 func (s connState) wantsInput() bool { return s == stateDialing || s == stateOpen }
 
 // acceptsWrites reports whether Write may queue buffers.
--- a/internal/eventloop/conn_state_test.go
+++ b/internal/eventloop/conn_state_test.go
@@ -12,9 +12,9 @@
 	}
 )
 
-// Guards the table of connState's documentation: every state with every event.
+// Guards the table in the documentation of connState, for every state with every event.
 func TestConnTransitions(t *testing.T) {
-	want := map[connState][]connState{ // in the order of allConnEvents; the state itself where nothing changes
+	want := map[connState][]connState{ // the state after each event, in the order of allConnEvents
 		stateDialing:        {stateOpen, stateDialFailed, stateDialing, stateDialingToClose, stateClosed},
 		stateDialingToClose: {stateFlushing, stateDialFailed, stateDialingToClose, stateDialingToClose, stateClosed},
 		stateOpen:           {stateOpen, stateOpen, stateHalfClosed, stateFlushing, stateClosed},
@@ -24,20 +24,22 @@
 		stateClosed:         {stateClosed, stateClosed, stateClosed, stateClosed, stateClosed},
 	}
 	if len(connTransitions) != len(allConnStates) || len(want) != len(allConnStates) {
-		t.Fatalf("the table has %d states, the test %d, want %d", len(connTransitions), len(want), len(allConnStates))
+		t.Fatalf("connTransitions has %d states, this test %d, want %d",
+			len(connTransitions), len(want), len(allConnStates))
 	}
 	for _, state := range allConnStates {
 		for i, event := range allConnEvents {
 			got := state
 			changed := got.apply(event)
 			if got != want[state][i] || changed != (want[state][i] != state) {
-				t.Errorf("%v, %v: got %v, changed %v; want %v", state, event, got, changed, want[state][i])
+				t.Errorf("state %v, event %v: got state %v, changed %v; want state %v",
+					state, event, got, changed, want[state][i])
 			}
 		}
 	}
 }
 
-// Guards what each state stands for: each was once a combination of flags.
+// Guards the properties of each state. Each state replaces a combination of separate flags.
 func TestConnStateProperties(t *testing.T) {
 	type properties struct {
 		dialing, connected, closed, wantsInput, acceptsWrites, closesAfterFlush bool
@@ -60,7 +62,7 @@
 			closesAfterFlush: state.closesAfterFlush(),
 		}
 		if got != want {
-			t.Errorf("%v: got %+v, want %+v", state, got, want)
+			t.Errorf("state %v: got %+v, want %+v", state, got, want)
 		}
 	}
 }
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -10,33 +10,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// dialRetryInterval is the time between two attempts to open a socket while this machine lacks resources for it.
+// dialRetryInterval is the time between two attempts to open a socket while this machine lacks the resources for it.
 const dialRetryInterval = 10 * time.Millisecond
 
-// ErrLocalFault is in the error of a dial that failed because this machine lacked resources, such as descriptors or ports.
-// It does not mean that the peer is at fault.
+// ErrLocalFault is wrapped by the error of a dial that failed because this machine lacked resources, such as
+// descriptors or ports. Such an error does not mean that the peer is at fault.
 var ErrLocalFault = errors.New("this machine can't open a connection")
 
-// dial is what a connection needs until it is connected. It may take several sockets, one after another.
+// dial holds what a connection needs until it is connected. A dial may use several sockets, one after another.
 type dial struct {
 	handler   DialHandler
 	addr      string        // the "host:port" that Dial was given
-	deadline  time.Duration // when the dial times out; never: it does not
-	retryAt   time.Duration // when the next socket is tried; 0: one is connecting, or the address is being resolved
+	deadline  time.Duration // when the dial times out; never if it has no timeout
+	retryAt   time.Duration // when the next socket is opened; 0 while connecting or resolving the address
 	lastError error         // why the last socket failed; nil while one is connecting
 }
 
-// Dial opens a TCP connection to addr, a "host:port", and returns at once; h.OnOpen gets the result in a later turn. If the
-// Conn is closed before that, h gets no call. A timeout of 0 is none.
+// Dial opens a TCP connection to addr, a "host:port", and returns at once; h.OnOpen gets the result in a later turn. If
+// the Conn is closed before that, h gets no call. A timeout of 0 means that the dial does not time out.
 //
-// The Conn must not be written to before OnOpen. The bytes are dropped, and the flush at the end of the turn breaks the dial
-// (updateInterest). A socket that is connecting is then polled for input and no longer for EPOLLOUT, so that a connect which
-// succeeds is not noticed until the peer sends something or closes, and may time out. While the name is being resolved or
-// the dial waits for a retry, there is no descriptor: the change of its events fails, the failure closes the Conn, and h
-// gets OnClose without OnOpen.
+// The Conn must not be written to before OnOpen. The bytes would be dropped, and the flush at the end of the turn would
+// break the dial by calling updateInterest. A socket that is connecting would then be polled for input and no longer
+// for EPOLLOUT, so that a successful connect is noticed only when the peer sends something or closes, and the dial may
+// time out. While the name is being resolved or the dial waits for a retry, there is no descriptor: updateInterest
+// would fail, the failure would close the Conn, and h would get OnClose without OnOpen.
 //
 // While this machine lacks a resource for the socket, such as descriptors, ports or buffers, the dial is retried until
-// timeout: such an error does not mean that the peer is at fault.
+// timeout, because such an error does not mean that the peer is at fault.
 func (l *Loop) Dial(addr string, timeout time.Duration, h DialHandler) *Conn {
 	c := &Conn{
 		loop:    l,
@@ -61,7 +61,8 @@
 	return c
 }
 
-// handleResolved begins to connect to the address that a host name was resolved to, or ends the dial with err.
+// handleResolved begins to connect to addr, the address of the dialed host name. If err is not nil, the name could not
+// be resolved, and the dial fails.
 func (c *Conn) handleResolved(addr netip.AddrPort, err error) {
 	if !c.state.isDialing() { // closed or timed out in the meantime
 		return
@@ -74,8 +75,9 @@
 	c.connect()
 }
 
-// connect begins to connect a new socket. A non-blocking connect goes on after EINPROGRESS, and also after EINTR: to begin
-// it again would fail. The poller reports EPOLLOUT when it has ended, in success or failure.
+// connect begins to connect a new socket. A non-blocking connect continues in the kernel after EINPROGRESS and also
+// after EINTR; calling connect(2) again would fail. The poller reports EPOLLOUT when the connect has succeeded or
+// failed.
 func (c *Conn) connect() {
 	c.dial.retryAt = 0
 	c.dial.lastError = nil
@@ -99,7 +101,8 @@
 	}
 }
 
-// finishConnect handles the end of a connect that was in progress: it calls OnOpen, or ends or retries the dial.
+// finishConnect handles the end of a connect that was in progress. It calls OnOpen after a success; after an error it
+// fails or retries the dial.
 func (c *Conn) finishConnect() {
 	err := c.loop.calls.connectResult(c.socket.fd)
 	if err == nil && c.isSelfConnected() {
@@ -120,9 +123,9 @@
 	handler.OnOpen(nil)
 }
 
-// isSelfConnected reports whether the kernel has connected the socket to itself. Linux does so if the dialed port of
-// this machine has no listener and the kernel picks the same port as the socket's own, out of its ephemeral ports (TCP
-// simultaneous open).
+// isSelfConnected reports whether the kernel has connected the socket to itself (TCP simultaneous open). Linux does so
+// if the dialed port of this machine has no listener and the kernel picks that port from its ephemeral ports as the
+// socket's own.
 func (c *Conn) isSelfConnected() bool {
 	if !c.remoteAddr.Addr().IsLoopback() {
 		return false
@@ -131,7 +134,7 @@
 	return err == nil && addrPortOf(local) == c.remoteAddr
 }
 
-// handleConnectError schedules a retry after a fault of this machine, and ends the dial after any other error.
+// handleConnectError schedules a retry if err is a fault of this machine, and fails the dial after any other error.
 func (c *Conn) handleConnectError(err error) {
 	retryAt := c.loop.now + dialRetryInterval
 	if !isLocalFault(err) {
@@ -149,7 +152,8 @@
 		unix.EADDRINUSE, unix.EAGAIN, unix.ENETUNREACH, unix.ENETDOWN)
 }
 
-// failDial ends the dial. OnOpen reports it in the next turn, unless the handler closes the connection before that.
+// failDial ends the dial with err. OnOpen reports it in the next turn, unless the handler closes the connection before
+// that.
 func (c *Conn) failDial(err error) {
 	handler := c.dial.handler
 	wrapped := fmt.Errorf("dial %s: %w", c.dial.addr, err)
@@ -163,7 +167,8 @@
 	})
 }
 
-// timeoutError returns why the dial has not succeeded in time.
+// timeoutError returns the error of a dial that has timed out: the local fault if the dial was waiting for a retry, and
+// os.ErrDeadlineExceeded otherwise.
 func (d *dial) timeoutError() error {
 	if d.lastError != nil {
 		return fmt.Errorf("%w: %w", ErrLocalFault, d.lastError)
@@ -171,7 +176,7 @@
 	return os.ErrDeadlineExceeded
 }
 
-// checkDials ends the dials that have timed out, and retries those whose retry is due.
+// checkDials fails the dials that have timed out, and retries those whose retry is due.
 func (l *Loop) checkDials() {
 	for c := range l.dialing {
 		switch {
--- a/internal/eventloop/dialed_conn_test.go
+++ b/internal/eventloop/dialed_conn_test.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// dialCallRecorder is the handler of a dialed connection that records its calls in order.
+// dialCallRecorder is the handler of a dialed connection. It records its calls in order.
 type dialCallRecorder struct {
 	calls  []string
-	onOpen func() // called by OnOpen, where set
+	onOpen func() // called by OnOpen; nil: no call
 }
 
 func (r *dialCallRecorder) OnOpen(err error) {
@@ -25,7 +25,8 @@
 
 func (r *dialCallRecorder) OnClose(err error) { r.calls = append(r.calls, describeCall("close", err)) }
 
-// dialedScenario is what happens to a connection that is being dialed, and the calls that its handler gets.
+// dialedScenario is a sequence of events on a connection that is being dialed, with the calls that its handler should
+// get.
 type dialedScenario struct {
 	name string
 	run  func(m *manualLoop, h *dialCallRecorder)
@@ -33,18 +34,18 @@
 }
 
 var dialedScenarios = []dialedScenario{
-	{"closed while dialing", func(m *manualLoop, _ *dialCallRecorder) {
+	{"Close while dialing", func(m *manualLoop, _ *dialCallRecorder) {
 		m.expectState(stateDialing)
 		m.conn.Close()
 		m.expectState(stateClosed)
 	}, nil},
-	{"closed after flush while dialing", func(m *manualLoop, _ *dialCallRecorder) {
+	{"CloseAfterFlush while dialing", func(m *manualLoop, _ *dialCallRecorder) {
 		m.conn.CloseAfterFlush()
 		m.expectState(stateDialingToClose)
 		m.flush()
 		m.expectState(stateClosed)
 	}, nil},
-	{"closed after flush in the turn that connects", func(m *manualLoop, h *dialCallRecorder) {
+	{"CloseAfterFlush in the turn in which the dial succeeds", func(m *manualLoop, h *dialCallRecorder) {
 		h.onOpen = func() {
 			m.expectState(stateFlushing)
 			m.conn.Write([]byte("dropped"))
@@ -62,27 +63,27 @@
 	{"refused", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
 	}, []string{"open: ECONNREFUSED"}},
-	{"refused, and closed before the report", func(m *manualLoop, _ *dialCallRecorder) {
+	{"refused, Close before OnOpen", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
 		m.runTurn()
 		m.expectState(stateDialFailed)
 		m.conn.Close()
 		m.expectState(stateClosed)
 	}, nil},
-	{"refused, and closed by the report", func(m *manualLoop, h *dialCallRecorder) {
+	{"refused, Close in OnOpen", func(m *manualLoop, h *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
 		h.onOpen = func() {
 			m.expectState(stateClosed)
 			m.conn.Close()
 		}
 	}, []string{"open: ECONNREFUSED"}},
-	{"refused, and closed after flush before the report", func(m *manualLoop, _ *dialCallRecorder) {
+	{"refused, CloseAfterFlush before OnOpen", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
 		m.runTurn()
 		m.conn.CloseAfterFlush()
 		m.expectState(stateDialFailed)
 	}, []string{"open: ECONNREFUSED"}},
-	{"closed after flush in the turn that is refused", func(m *manualLoop, _ *dialCallRecorder) {
+	{"CloseAfterFlush in the turn in which the dial is refused", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
 		m.conn.CloseAfterFlush()
 	}, []string{"open: ECONNREFUSED"}},
@@ -91,17 +92,17 @@
 		m.checkDials()
 		m.expectState(stateDialFailed)
 	}, []string{"open: deadline exceeded"}},
-	{"ended by the peer", func(m *manualLoop, _ *dialCallRecorder) {
+	{"closed by the peer", func(m *manualLoop, _ *dialCallRecorder) {
 		m.runTurn()
 		m.peerSends("answer", true)
 	}, []string{"open", "data answer", "close: EOF"}},
-	{"closed", func(m *manualLoop, _ *dialCallRecorder) {
+	{"Close", func(m *manualLoop, _ *dialCallRecorder) {
 		m.runTurn()
 		m.peerSends("answer", true)
 		m.conn.Close()
 		m.conn.Close()
 	}, []string{"open", "close"}},
-	{"closed after flush", func(m *manualLoop, _ *dialCallRecorder) {
+	{"CloseAfterFlush", func(m *manualLoop, _ *dialCallRecorder) {
 		m.runTurn()
 		m.conn.Write([]byte("last"))
 		m.conn.CloseAfterFlush()
@@ -112,21 +113,21 @@
 			m.t.Errorf("the peer received %q", got)
 		}
 	}, []string{"open", "close"}},
-	{"write failed after an answer", func(m *manualLoop, _ *dialCallRecorder) {
+	{"write fails before the answer is read", func(m *manualLoop, _ *dialCallRecorder) {
 		m.runTurn()
 		m.peerSends("answer", false)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
 		m.flush()
 	}, []string{"open", "data answer", "close: EPIPE"}},
-	{"write failed after the end of input", func(m *manualLoop, _ *dialCallRecorder) {
+	{"write fails before the answer and the end of input are read", func(m *manualLoop, _ *dialCallRecorder) {
 		m.runTurn()
 		m.peerSends("answer", true)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
 		m.flush()
 	}, []string{"open", "data answer", "close: EOF"}},
-	{"write failed, then closed after flush", func(m *manualLoop, _ *dialCallRecorder) {
+	{"write fails, then CloseAfterFlush", func(m *manualLoop, _ *dialCallRecorder) {
 		m.runTurn()
 		m.peerSends("answer", false)
 		m.calls.writeError = unix.EPIPE
@@ -136,7 +137,7 @@
 		m.conn.CloseAfterFlush()
 		m.expectState(stateFlushing)
 	}, []string{"open", "close: EPIPE"}},
-	{"write failed, then closed", func(m *manualLoop, _ *dialCallRecorder) {
+	{"write fails, then Close", func(m *manualLoop, _ *dialCallRecorder) {
 		m.runTurn()
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
@@ -145,7 +146,8 @@
 	}, []string{"open", "close"}},
 }
 
-// Guards which calls the handler of a dialed connection gets, in which order, whatever ends the connection and when.
+// Guards which calls the handler of a dialed connection gets, and in which order, depending on how and when the
+// connection ends.
 func TestDialedConnectionHandlerCalls(t *testing.T) {
 	for _, test := range dialedScenarios {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/eventloop/eviction.go
+++ b/internal/eventloop/eviction.go
@@ -6,39 +6,41 @@
 )
 
 const (
-	// maxEvictionCandidates is how many connections with unread input are skipped in the search for one to evict. It bounds
-	// the system calls that one eviction takes.
+	// maxEvictionCandidates is the maximum number of connections that one eviction examines. Those with unread input
+	// are skipped. The limit bounds the system calls of one eviction.
 	maxEvictionCandidates = 8
 
-	// firstMessageGracePeriod is how long a client may take from its connect to its first message before its connection counts as
-	// silent and is the first to be evicted. Higher, and a flood of connections that stay silent evicts idle ones
-	// of clients that have sent requests, because it counts as new for longer; lower, and a client whose first
-	// message takes longer than this loses its connection when room is needed.
+	// firstMessageGracePeriod is how long after its connect a client may take to begin its first message before its
+	// connection counts as silent. Silent connections are the first to be evicted. With a higher value, silent
+	// connections count as new for longer, and a flood of them evicts the idle connections of clients that have sent
+	// requests. With a lower value, a client whose first message takes longer loses its connection when an eviction is
+	// necessary.
 	firstMessageGracePeriod = 250 * time.Millisecond
 
-	// longIdleThreshold is how long a client that has sent messages may be idle before it is evicted if this process runs
-	// out of descriptors. Well-behaved clients close an idle connection themselves after 4 s.
+	// longIdleThreshold is how long a client that has sent messages must be idle before it may be evicted because this
+	// process runs out of descriptors. Well-behaved clients close an idle connection themselves after 4 s.
 	longIdleThreshold = 5 * time.Second
 )
 
-// evictionPriority orders the connections that owe no answer: the lowest is closed first to make room.
+// evictionPriority orders the accepted connections without outstanding answers. Those with the lowest value are evicted
+// first.
 type evictionPriority uint8
 
 const (
-	// The client should have begun a message by now, and has not.
+	// The client has not begun a message within firstMessageGracePeriod.
 	evictSilent evictionPriority = iota // silent
 
-	// The client has sent complete messages, and no part of another.
+	// The client has sent complete messages, and no part of a further one.
 	evictIdle // idle
 
 	// The client is new or has sent part of a message.
 	evictLast // last
 )
 
-// evictionPriority returns the priority of the connection at now.
+// evictionPriority returns the priority of the connection at the time now.
 func (a *messageActivity) evictionPriority(now time.Duration) evictionPriority {
 	switch {
-	case a.partialSince > 0: // the rest may be on its way, and the client can't know that it was not read
+	case a.partialSince > 0: // the rest may be on its way, and the client can't know that the router did not read it
 		return evictLast
 	case a.completeMessages > 0:
 		return evictIdle
@@ -58,13 +60,13 @@
 	return a.lastActivity < b.lastActivity
 }
 
-// evict makes room for a new connection by closing an accepted one that owes no answer and is eligible. It
-// returns false if there is none.
+// evict closes an accepted connection to make room for a new one. Only eligible connections without outstanding answers
+// are candidates. evict returns false if it has closed none.
 //
-// The candidate with the lowest eviction priority goes first, and among equals the one that has been inactive for
-// longest. So connections that are opened by hundreds and stay silent displace each other, and neither those of
-// clients that have sent requests nor those whose request is on its way. A candidate with unread input is skipped: a
-// request may be in it.
+// The candidate with the lowest eviction priority is closed first; among candidates of equal priority, the one that has
+// been inactive for longest. Connections that are opened by the hundreds and stay silent therefore evict each other,
+// but not the connections of clients that have sent requests or whose requests are on their way. A candidate with
+// unread input is skipped because the input may contain a request.
 func (l *Loop) evict(eligible func(*Conn) bool) bool {
 	var withUnreadInput []*Conn
 	for len(withUnreadInput) < maxEvictionCandidates {
@@ -81,7 +83,7 @@
 	return false
 }
 
-// evictionCandidate returns the next connection to be evicted that is not in without; nil if there is none.
+// evictionCandidate returns the next connection to evict that is not in excluded, or nil if there is none.
 func (l *Loop) evictionCandidate(eligible func(*Conn) bool, excluded []*Conn) *Conn {
 	var victim *Conn
 	for c := range l.accepted {
@@ -95,10 +97,10 @@
 	return victim
 }
 
-// anyConnection makes every connection that owes no answer eligible for eviction.
+// anyConnection makes every connection eligible for eviction.
 func anyConnection(*Conn) bool { return true }
 
-// isLongIdle reports whether the client is silent, or idle for longer than longIdleThreshold.
+// isLongIdle reports whether the client is silent, or has been idle for longer than longIdleThreshold.
 func (c *Conn) isLongIdle() bool {
 	switch c.activity.evictionPriority(c.loop.now) {
 	case evictSilent:
--- a/internal/eventloop/eviction_test.go
+++ b/internal/eventloop/eviction_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// Guards clients with requests against connections that are opened by hundreds and stay silent: those are
-// evicted first, the oldest first. A new one may have its request on the way, one that has sent part of a
-// request may have the rest on the way, and one whose answer is pending or unread would
-// lose it.
+// Guards the order of eviction. Hundreds of connections that stay silent must not displace clients with requests, so
+// silent connections are evicted first, the oldest before the others. A new connection may have its request on the way,
+// and one that has sent part of a request may have the rest on the way: these are evicted last. A connection whose
+// answer is pending or unread would lose it and is not evicted.
 func TestSilentConnectionsAreEvictedFirst(t *testing.T) {
 	l := New(Config{})
 	now := l.now
@@ -25,12 +25,16 @@
 	}{
 		{"silent for long", add(false, messageActivity{lastActivity: now - 2*firstMessageGracePeriod})},
 		{"silent", add(false, messageActivity{lastActivity: now - firstMessageGracePeriod - 1})},
-		{"idle for long", add(false, messageActivity{completeMessages: 1, lastActivity: now - 1000*firstMessageGracePeriod})},
+		{"idle for long", add(false, messageActivity{
+			completeMessages: 1, lastActivity: now - 1000*firstMessageGracePeriod,
+		})},
 		{"idle", add(false, messageActivity{completeMessages: 3, lastActivity: now - 2})},
 		{"second message begun", add(false, messageActivity{
 			completeMessages: 1, lastActivity: now - 9*firstMessageGracePeriod, partialSince: now,
 		})},
-		{"first message begun", add(false, messageActivity{lastActivity: now - 2*firstMessageGracePeriod, partialSince: now})},
+		{"first message begun", add(false, messageActivity{
+			lastActivity: now - 2*firstMessageGracePeriod, partialSince: now,
+		})},
 		{"new", add(false, messageActivity{lastActivity: now - firstMessageGracePeriod})},
 		{"newest", add(false, messageActivity{lastActivity: now})},
 	}
@@ -46,14 +50,14 @@
 		}
 	}
 	if l.evict(anyConnection) || openRequests.state != stateOpen || pendingAnswer.state != stateOpen || unreadAnswer.state != stateOpen {
-		t.Error("a connection that owes an answer was evicted")
+		t.Error("a connection with an outstanding answer was evicted")
 	}
 	if pendingAnswer.activity.lastActivity != now {
-		t.Error("a connection counts as idle though it was just answered")
+		t.Error("writing an answer did not update the connection's last activity")
 	}
 }
 
-// A connection whose request has arrived and is not read yet is not evicted; another one is.
+// Guards a connection whose request has arrived but has not been read yet: another connection is evicted instead.
 func TestConnectionWithUnreadInputIsNotEvicted(t *testing.T) {
 	handlers := make(chan *echoHandler, 3)
 	l := startLoop(t, 2, func(c *Conn) AcceptedHandler {
@@ -64,7 +68,7 @@
 	first, second := dialLoop(t, l), dialLoop(t, l)
 	<-handlers
 	<-handlers
-	runOnLoop(l, func() { // the loop reads nothing meanwhile
+	runOnLoop(l, func() { // the loop reads nothing while this function runs
 		if _, err := first.Write([]byte("request")); err != nil {
 			t.Error(err)
 		}
@@ -74,9 +78,9 @@
 	})
 	got := make([]byte, len("request|"))
 	if _, err := io.ReadFull(first, got); err != nil || string(got) != "request|" {
-		t.Errorf("the client with a request read %q, %v", got, err)
+		t.Errorf("the client with a request read %q, error %v", got, err)
 	}
 	if _, err := second.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle client: %v", err)
+		t.Errorf("the idle client: got %v, want EOF", err)
 	}
 }
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -12,16 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// faultyCalls are system calls that fail as a test says.
+// faultyCalls makes system calls fail as a test specifies.
 type faultyCalls struct {
 	kernelCalls
 	mu sync.Mutex
-	// The errors that the next calls end with, in order; then they succeed.
+	// The errors that the next calls return, in order. Calls after these succeed.
 	socketErrors, connectErrors, acceptErrors, waitErrors []error
-	// random, where set, makes reads and writes fail for a moment or fall short.
+	// If random is not nil, reads and writes randomly fail with a transient error or transfer fewer bytes than
+	// requested.
 	random *rand.Rand
 }
 
+// takeError removes the first error from errs, a field of f, and returns it. It returns nil if there is none.
 func takeError(f *faultyCalls, errs *[]error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,7 +63,7 @@
 	return f.kernelCalls.wait(poller, events, timeoutMs)
 }
 
-// transientError returns an error for one call in four, and nil for the others.
+// transientError returns an error for one call in three on average, and nil for the others.
 func (f *faultyCalls) transientError() error {
 	if f.random == nil {
 		return nil
@@ -90,7 +92,7 @@
 	return f.kernelCalls.write(fd, bufs)
 }
 
-// startFaultyLoop runs a loop of echoes over calls.
+// startFaultyLoop runs a loop that uses calls and whose handlers echo what they receive.
 func startFaultyLoop(t *testing.T, calls *faultyCalls) *Loop {
 	t.Helper()
 	l := New(Config{MaxAcceptedConnections: 10, MaxUnreadBytes: 32 << 20})
@@ -102,7 +104,8 @@
 	return l
 }
 
-// Whatever accept(2) fails with, the connection that waits is accepted in the end.
+// Guards against a connection that stays in the backlog: it must be accepted eventually, whatever error accept(2)
+// returns.
 func TestAcceptErrors(t *testing.T) {
 	for _, err := range []unix.Errno{
 		unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM,
@@ -114,13 +117,13 @@
 			write(t, client, []byte("request"))
 			got := make([]byte, len("request|"))
 			if _, err := io.ReadFull(client, got); err != nil || string(got) != "request|" {
-				t.Errorf("read %q, %v", got, err)
+				t.Errorf("the client read %q, error %v", got, err)
 			}
 		})
 	}
 }
 
-// A dial that fails because this machine lacks a resource is retried; it is no fault of the peer.
+// Guards the retry of a dial that fails because this machine lacks a resource: such an error is no fault of the peer.
 func TestDialIsRetriedAfterLocalFaults(t *testing.T) {
 	for _, err := range []unix.Errno{
 		unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN, unix.ENETUNREACH,
@@ -134,12 +137,12 @@
 			calls.mu.Unlock()
 			r := newDialRecorder()
 			l.Post(func() { l.Dial(l.Addrs()[0], testTimeout, r) })
-			check(t, <-r.opened)
+			requireNoError(t, <-r.opened)
 		})
 	}
 }
 
-// While the fault lasts, the dial ends at its timeout, with the fault as its reason.
+// While this machine lacks a resource, a dial ends only at its timeout, and its error names the local fault.
 func TestDialTimeoutReportsLocalFault(t *testing.T) {
 	calls := &faultyCalls{}
 	l := startFaultyLoop(t, calls)
@@ -151,14 +154,14 @@
 	r := newDialRecorder()
 	l.Post(func() { l.Dial(l.Addrs()[0], 50*time.Millisecond, r) })
 	if err := <-r.opened; !errors.Is(err, ErrLocalFault) || !errors.Is(err, unix.ENFILE) {
-		t.Errorf("the dial ended with %v", err)
+		t.Errorf("the dial ended with %v, want ErrLocalFault and ENFILE", err)
 	}
 }
 
-// A connect that a signal interrupts goes on in the kernel; it must not be begun again.
+// Guards against a second connect(2) after a signal has interrupted the first, which continues in the kernel.
 func TestInterruptedConnect(t *testing.T) {
 	l := New(Config{})
-	check(t, l.Start())
+	requireNoError(t, l.Start())
 	t.Cleanup(l.closeDescriptors)
 	peer := startFaultyLoop(t, &faultyCalls{})
 	l.calls = &interruptedConnect{}
@@ -168,18 +171,18 @@
 		l.poll.dispatch(l.poll.wait(time.Second))
 		l.runDeferred()
 	}
-	check(t, <-r.opened)
+	requireNoError(t, <-r.opened)
 }
 
-// interruptedConnect begins a connect and reports that a signal came.
+// interruptedConnect makes connect start a connect and return EINTR.
 type interruptedConnect struct{ kernelCalls }
 
 func (c *interruptedConnect) connect(fd int, addr unix.Sockaddr) error {
-	_ = c.kernelCalls.connect(fd, addr) // in progress
+	_ = c.kernelCalls.connect(fd, addr) // the connect is in progress
 	return unix.EINTR
 }
 
-// Waits that a signal interrupts lose nothing.
+// Guards against losing events when signals interrupt waits.
 func TestInterruptedWaits(t *testing.T) {
 	calls := &faultyCalls{}
 	for range 100 {
@@ -193,41 +196,42 @@
 	}
 }
 
-// Short reads and writes, and calls that fail for a moment, leave every byte in its place.
+// Guards the order and completeness of the data when reads and writes are short or fail temporarily.
 func TestPartialReadsWritesAndTransientErrorsLoseNoData(t *testing.T) {
 	for seed := range uint64(5) {
 		calls := &faultyCalls{random: rand.New(rand.NewPCG(seed, 0))}
 		l := startFaultyLoop(t, calls)
 		client := dialLoop(t, l)
 		text := bytes.Repeat([]byte("0123456789"), 20000)
-		go func() { _, _ = client.Write(text) }() // the reader sees what is missing
+		go func() { _, _ = client.Write(text) }() // the read loop below detects missing bytes
 		var got []byte
 		for buf := make([]byte, 4096); len(bytes.ReplaceAll(got, []byte("|"), nil)) < len(text); {
 			n, err := client.Read(buf)
 			got = append(got, buf[:n]...)
 			if err != nil {
-				t.Fatalf("seed %d: after %d bytes: %v", seed, len(got), err)
+				t.Fatalf("seed %d: the read after %d bytes failed: %v", seed, len(got), err)
 			}
 		}
 		if !bytes.Equal(bytes.ReplaceAll(got, []byte("|"), nil), text) {
-			t.Errorf("seed %d: the bytes differ", seed)
+			t.Errorf("seed %d: the echoed bytes differ from those sent", seed)
 		}
 	}
 }
 
-// A worker that answers and resets at once: the write after its reset fails, and its answer is read all the same.
+// Guards against losing the answer of a worker that answers and resets the connection at once: the router's next write
+// fails, and the answer must still be read.
 func TestAnswerBeforeResetIsRead(t *testing.T) {
 	l := New(Config{})
-	check(t, l.Start())
+	requireNoError(t, l.Start())
 	t.Cleanup(l.closeDescriptors)
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	check(t, err)
+	requireNoError(t, err)
 	h := &recordingHandler{received: make(chan string, 10)}
 	c := &Conn{loop: l, socket: socket{fd: fds[0]}, handler: h, state: stateOpen}
-	check(t, c.socket.register(l.poll, unix.EPOLLIN, c))
+	requireNoError(t, c.socket.register(l.poll, unix.EPOLLIN, c))
 	l.dialed[c] = struct{}{}
 	_, err = unix.Write(fds[1], []byte("answer"))
-	check(t, err)
+	requireNoError(t, err)
 	closeDescriptor(fds[1])
 	c.Write([]byte("next call"))
 	l.flush()
@@ -240,8 +244,8 @@
 	}
 }
 
-// A single failure of accept causes no pause: connections must not wait for it. While accept goes on failing, the pauses
-// grow, up to a bound.
+// Guards against a pause after a single failure of accept, for which new connections would have to wait. While accept
+// keeps failing, the pauses grow, up to a limit.
 func TestAcceptPauses(t *testing.T) {
 	l := New(Config{MaxAcceptedConnections: 10, MaxUnreadBytes: 1 << 20})
 	calls := &faultyCalls{}
@@ -249,7 +253,7 @@
 	l.Listen("127.0.0.1:0", func(c *Conn) AcceptedHandler {
 		return &echoHandler{conn: c, closed: make(chan error, 1)}
 	})
-	check(t, l.Start())
+	requireNoError(t, l.Start())
 	t.Cleanup(l.closeDescriptors)
 	ln := l.listeners[0]
 	for range 5 { // accept fails once for each connection
@@ -261,7 +265,7 @@
 		}
 	}
 	if len(l.accepted) != 5 {
-		t.Errorf("%d connections were accepted", len(l.accepted))
+		t.Errorf("%d connections were accepted, want 5", len(l.accepted))
 	}
 	for _, want := range []time.Duration{1, 2, 4, 8, 16, 20, 20, 20} {
 		calls.acceptErrors = []error{unix.ENFILE, unix.ENFILE}
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// testTimeout bounds what a test waits for. No test takes as long unless it fails.
+// testTimeout limits how long a test waits for an event. A test reaches it only if it fails.
 const testTimeout = 20 * time.Second
 
-// echoHandler answers each piece of data with as many copies of it as times says, each with a "|" behind it. A
-// test sets what it reports of its requests and messages.
+// echoHandler answers each received piece of data with the given number of copies of it, each followed by a "|". A test
+// sets the requests and messages that the handler reports.
 type echoHandler struct {
 	conn             *Conn
 	copies           int
 	openRequests     bool
 	completeMessages int
 	partialMessage   bool
-	inputEnded       chan struct{} // where set, receives a value at the end of input
+	inputEnded       chan struct{} // if not nil, receives a value at the end of input
 	closed           chan error
 }
 
@@ -35,7 +35,7 @@
 func (h *echoHandler) HasOpenRequests() bool        { return h.openRequests }
 func (h *echoHandler) MessageProgress() (int, bool) { return h.completeMessages, h.partialMessage }
 
-// newAcceptedConn returns an open accepted connection of l that has no descriptor.
+// newAcceptedConn returns an open accepted connection of l without a descriptor.
 func newAcceptedConn(l *Loop, h AcceptedHandler) *Conn {
 	c := &Conn{
 		loop:            l,
@@ -49,7 +49,8 @@
 	return c
 }
 
-// startLoop runs a loop until the test ends. It listens on a free port and accepts maxAccepted connections.
+// startLoop runs a loop until the test ends. The loop listens on a free port and keeps at most maxAccepted accepted
+// connections open.
 func startLoop(t *testing.T, maxAccepted int, accept func(*Conn) AcceptedHandler) *Loop {
 	t.Helper()
 	l := New(Config{
@@ -88,7 +89,7 @@
 	<-done
 }
 
-// dialLoop connects a client to l until the test ends.
+// dialLoop returns a client's connection to l, which is closed when the test ends.
 func dialLoop(t *testing.T, l *Loop) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", l.Addrs()[0])
@@ -96,10 +97,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() }) // some tests close it themselves
-	check(t, conn.SetDeadline(time.Now().Add(testTimeout)))
+	requireNoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	return conn.(*net.TCPConn)
 }
 
+// write writes b to conn, and stops the test on an error.
 func write(t *testing.T, conn net.Conn, b []byte) {
 	t.Helper()
 	if _, err := conn.Write(b); err != nil {
@@ -107,7 +109,8 @@
 	}
 }
 
-func check(t *testing.T, err error) {
+// requireNoError stops the test if err is not nil.
+func requireNoError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/eventloop/interrupted_log.go
+++ b/internal/eventloop/interrupted_log.go
@@ -8,14 +8,14 @@
 	"functionrouter/internal/logging"
 )
 
-// interruptedLogInterval is the least time between two log lines on connections that ended with open requests.
+// interruptedLogInterval is the minimum time between two log lines about connections that ended with open requests.
 const interruptedLogInterval = time.Second
 
 // interruptedLog collects the accepted connections that ended before their requests were answered, for one log line. A
-// single one is a client that no longer waits; many at once, or ends of clients that did not close, point to a fault of the
-// router or the network.
+// single such connection comes from a client that no longer waits. Many at once, or connections that their clients did
+// not close, point to a fault of the router or the network.
 type interruptedLog struct {
-	throttle  logging.Throttle // counts the connections
+	throttle  logging.Throttle // counts the connections since the previous log line
 	lastAddr  netip.AddrPort
 	lastCause CloseCause
 	lastError error
@@ -26,8 +26,8 @@
 	return interruptedLog{throttle: logging.Throttle{Interval: interruptedLogInterval}}
 }
 
-// recordClose counts the end of an accepted connection. It must be called before the handler's OnClose, after which no
-// request counts as open.
+// recordClose counts the close of an accepted connection. It must be called before the handler's OnClose, because the
+// handler reports no open requests after that.
 func (l *Loop) recordClose(c *Conn, cause CloseCause, err error) {
 	l.closeCounts[cause]++
 	if !c.hasOpenRequests() {
@@ -39,7 +39,7 @@
 	l.interrupted.lastError = err
 }
 
-// logInterrupted logs how many connections ended with open requests since the last line, if any.
+// logInterrupted logs how many connections ended with open requests since its previous log line, if there were any.
 func (l *Loop) logInterrupted() {
 	count, due := l.interrupted.throttle.Ready(l.now)
 	if !due {
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// listenBacklog is how many connections may wait to be accepted. Linux limits it to /proc/sys/net/core/somaxconn.
+	// listenBacklog is how many connections may wait to be accepted. Linux caps it at /proc/sys/net/core/somaxconn.
 	listenBacklog = 4096
 
-	// maxAcceptsPerTurn is how many connections one turn accepts at most: a flood of them must not keep the loop from
-	// the open ones.
+	// maxAcceptsPerTurn is how many connections a listener accepts in one turn at most, so that a flood of new
+	// connections does not keep the loop from serving the open ones.
 	maxAcceptsPerTurn = 64
 
-	// A failed accept is retried at once. While further ones fail, the listener pauses between them, first for
-	// minAcceptPause and twice as long each time, up to maxAcceptPause.
+	// After a failed accept, the listener tries again at once. If further attempts fail, it pauses after each of them,
+	// first for minAcceptPause and then twice as long each time, up to maxAcceptPause.
 	minAcceptPause = time.Millisecond
 	maxAcceptPause = 20 * time.Millisecond
 
-	// maxAcceptDoublings keeps the shift of pauseAfter from overflowing. The pause has reached maxAcceptPause long before.
+	// maxAcceptDoublings keeps the shift in pauseAfter from overflowing. The pause reaches maxAcceptPause after fewer
+	// doublings.
 	maxAcceptDoublings = 8
 
-	// acceptLogInterval is the least time between two log lines on failed accepts.
+	// acceptLogInterval is the minimum time between two log lines about failed accepts of a listener.
 	acceptLogInterval = time.Second
 )
 
-// acceptFunc returns the handler of a new connection of one listener. It runs on the loop's goroutine.
+// acceptFunc returns the handler of a new connection. It runs on the loop's goroutine.
 type acceptFunc func(*Conn) AcceptedHandler
 
 // listener is a socket that accepts connections.
@@ -40,24 +41,24 @@
 	accept acceptFunc
 
 	socket   socket
-	failures int           // accepts that have failed in a row
-	paused   bool          // it is not polled, because accept fails
+	failures int           // consecutive failed accepts
+	paused   bool          // the listener is not polled because accept fails
 	resumeAt time.Duration // when the pause ends
-	loggedAt time.Duration // when a failed accept was last logged; 0: never
+	loggedAt time.Duration // when a failed accept was last logged; 0 if none was
 }
 
-// Listen registers a listener on addr, a "host:port"; without a host it listens on all addresses, IPv4 and IPv6. Listen
+// Listen registers a listener on addr, a "host:port". Without a host it listens on all addresses, IPv4 and IPv6. Listen
 // must be called before Start, which opens the listener.
 //
-// The loop calls accept for each new connection, on its own goroutine. accept returns the connection's handler. It may call
-// Write and CloseAfterFlush of the Conn, but not Close: a close asks the handler HasOpenRequests, and the Conn has no handler
-// until accept has returned.
+// The loop calls accept for each new connection, on the loop's goroutine. accept returns the connection's handler. It
+// may call Write and CloseAfterFlush of the Conn, but not Close: Close calls the handler's HasOpenRequests, and the
+// Conn has no handler until accept has returned.
 func (l *Loop) Listen(addr string, accept func(*Conn) AcceptedHandler) {
 	l.listeners = append(l.listeners, &listener{loop: l, addr: addr, accept: accept, socket: socket{fd: noDescriptor}})
 }
 
-// Addrs returns the addresses that the loop listens on, with the ports that the kernel has chosen. It returns none before
-// Start.
+// Addrs returns the addresses that the loop listens on, including the ports that the kernel has chosen. Before Start it
+// returns none.
 func (l *Loop) Addrs() []string {
 	var addrs []string
 	for _, listener := range l.listeners {
@@ -79,15 +80,15 @@
 	}
 	if err := ln.socket.register(ln.loop.poll, unix.EPOLLIN, ln); err != nil {
 		ln.close()
-		return fmt.Errorf("poll the listener on %s: %w", ln.addr, err)
+		return fmt.Errorf("register the listener on %s with the poller: %w", ln.addr, err)
 	}
 	return nil
 }
 
-// bind opens a socket that listens on addr. SO_REUSEADDR lets it have the port while connections of a process before this
-// one are still in TIME_WAIT. A socket on all IPv6 addresses takes IPv4 too (IPV6_V6ONLY off).
+// bind opens a socket that listens on addr. SO_REUSEADDR allows it to use the port while connections of an earlier
+// process are still in TIME_WAIT. A socket on all IPv6 addresses also accepts IPv4 (IPV6_V6ONLY off).
 func (ln *listener) bind(addr netip.AddrPort) error {
-	if !addr.Addr().IsValid() { // no host: all addresses, of both families
+	if !addr.Addr().IsValid() { // no host: all addresses, IPv4 and IPv6
 		addr = netip.AddrPortFrom(netip.IPv6Unspecified(), addr.Port())
 	}
 	domain, sockaddr := socketAddress(addr)
@@ -117,8 +118,8 @@
 
 func (ln *listener) isClientConnection() bool { return false }
 
-// onEvents accepts the connections that wait, up to a bound. The poller is level-triggered: while some are left, the next
-// wait returns at once.
+// onEvents accepts the waiting connections, up to maxAcceptsPerTurn. The poller is level-triggered: if connections are
+// left, the next wait returns at once.
 func (ln *listener) onEvents(uint32) {
 	for range maxAcceptsPerTurn {
 		fd, peer, err := ln.loop.calls.accept(ln.socket.fd)
@@ -133,11 +134,12 @@
 	}
 }
 
-// handleError handles a failed accept. It reports whether the next one may be tried at once.
+// handleError handles a failed accept. It reports whether accept may be called again at once.
 //
-// After an error of the one connection it may. All other errors are of this process or machine, as when descriptors run
-// out: the listener pauses, and the connections wait in the backlog. If this process has used up its own descriptors
-// (EMFILE), a client that is silent or idle for long is evicted first.
+// It may if the error concerns a single connection. Any other error concerns this process or machine, for example a
+// lack of descriptors: from the second consecutive failure on, the listener pauses, and the connections wait in the
+// backlog. If this process has used up its own descriptors (EMFILE), the loop first tries to evict a client that is
+// silent or has been idle for long.
 func (ln *listener) handleError(err error) (retryNow bool) {
 	if isPerConnectionError(err) {
 		return true
@@ -154,20 +156,21 @@
 }
 
 // isPerConnectionError reports whether an accept failed because of the connection that it would have returned, or was
-// interrupted (EINTR). The connection was aborted while it waited (ECONNABORTED), or has a pending network error, which
-// Linux returns from accept instead of from the connection's first read (accept(2), "Error handling").
+// interrupted (EINTR). Such a connection was aborted while it waited (ECONNABORTED), or it has a pending network error,
+// which Linux returns from accept instead of from the connection's first read (accept(2), "Error handling").
 func isPerConnectionError(err error) bool {
 	return isOneOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN,
 		unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ECONNRESET, unix.ETIMEDOUT)
 }
 
-// pauseAfter returns how long the listener pauses after so many failures in a row.
+// pauseAfter returns how long the listener pauses after the given number of consecutive failures.
 func pauseAfter(failures int) time.Duration {
-	doublings := min(max(failures-2, 0), maxAcceptDoublings) // the first pause is after the second failure
+	doublings := min(max(failures-2, 0), maxAcceptDoublings) // the first pause follows the second failure
 	return min(minAcceptPause<<doublings, maxAcceptPause)
 }
 
-// pause stops polling the listener until resumeAt, and logs err, which made accept fail.
+// pause stops polling the listener until resumeAt. It logs err, the error of the failed accept, at most once per
+// acceptLogInterval.
 func (ln *listener) pause(err error) {
 	now := ln.loop.now
 	if ln.loggedAt == 0 || now-ln.loggedAt >= acceptLogInterval {
@@ -175,13 +178,13 @@
 		slog.Error("accept failed", "address", ln.addr, "error", err)
 	}
 	if err := ln.socket.setInterest(ln.loop.poll, 0); err != nil {
-		return // it stays polled, so that the next turn tries to accept again
+		return // the listener stays polled, and the next turn tries to accept again
 	}
 	ln.paused = true
 	ln.resumeAt = now + pauseAfter(ln.failures)
 }
 
-// resumeAccepting polls those listeners again whose pause has ended.
+// resumeAccepting polls the listeners again whose pause has ended.
 func (l *Loop) resumeAccepting() {
 	for _, ln := range l.listeners {
 		if ln.paused && l.now >= ln.resumeAt && ln.socket.setInterest(l.poll, unix.EPOLLIN) == nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -6,23 +6,25 @@
 	"functionrouter/internal/logging"
 )
 
-// processPauseThreshold is how much longer than expected a turn or a wait may take. Beyond it the machine is taken to have paused
-// the process meanwhile, and the input of the next turn counts as arrived before the pause (InputTime).
+// processPauseThreshold is how much longer than expected a turn or a wait may take. If it takes longer, the loop
+// assumes that the machine has paused the process, and that the input of the next turn arrived before the pause
+// (InputTime).
 //
-// It bounds the pause that goes unnoticed, and with it how much too late a request's deadline may be. A pause within a wait
-// goes unnoticed if it ends within the wait's timeout, which is at most sweepInterval, and this. Higher, and more answers come
-// too late after a pause; lower, and turns that are only long count as pauses, and requests that arrived after them get less
-// time than they have.
+// It bounds the pauses that the loop does not detect, and thereby how much too late the router may assume a request's
+// deadline to be. The loop does not detect a pause during a wait that ends less than this threshold after the wait's
+// timeout, which is at most sweepInterval. A higher value makes more answers come too late after a pause. A lower value
+// makes turns that are only long count as pauses, and requests that arrived after them get less time than they have.
 const processPauseThreshold = 50 * time.Millisecond
 
-// Config bounds a Loop.
+// Config sets the limits of a Loop.
 type Config struct {
-	MaxAcceptedConnections int // accepted connections that are open at once
-	MaxUnreadBytes         int // bytes that all peers, accepted and dialed, may leave unread together
+	MaxAcceptedConnections int // limit on accepted connections that are open at the same time
+	MaxUnreadBytes         int // limit on the bytes that all peers, accepted and dialed, leave unread in total
 }
 
-// Loop owns the poller, the listeners and the connections. Create one with New, call Listen for each address, then Start
-// and Run. Post may be called on any goroutine after Start, all other methods on the loop's goroutine alone.
+// Loop owns the poller, the listeners and the connections. Create one with New, call Listen for each address, then
+// Start and Run. After Start, Post may be called on any goroutine. All other methods may be called only on the loop's
+// goroutine.
 type Loop struct {
 	cfg   Config
 	clock clock
@@ -33,16 +35,16 @@
 	listeners []*listener
 	accepted  map[*Conn]struct{}
 	dialing   map[*Conn]struct{}
-	dialed    map[*Conn]struct{} // connected ones
+	dialed    map[*Conn]struct{} // only connected ones
 	udpConns  map[*UDPConn]struct{}
 
-	now             time.Duration // of the present turn
+	now             time.Duration // time of the present turn
 	inputTime       time.Duration // see InputTime
 	stopped         bool
-	deferred        []func()         // the calls for the next turn
-	runningDeferred []func()         // the deferred calls of this turn; both arrays are reused
-	unflushed       []*Conn          // with pending writes, or to be closed after their last write
-	totalUnread     int              // bytes that all peers have yet to take; Conn.setUnsent keeps it
+	deferred        []func()         // calls for the next turn
+	runningDeferred []func()         // deferred calls of this turn; the arrays of both slices are reused
+	unflushed       []*Conn          // connections with pending writes or to be closed after their last write
+	totalUnread     int              // bytes that all peers have yet to take; updated by Conn.setUnsent
 	readBuffer      []byte           // shared by all sockets
 	lastSweep       time.Duration    // when sweep last ran
 	refusals        logging.Throttle // connections refused because of Config.MaxAcceptedConnections
@@ -71,8 +73,8 @@
 	}
 }
 
-// Start opens the poller and the listeners. If it fails, nothing is open, and the error says which address can't be
-// listened on.
+// Start opens the poller and the listeners. If it fails, nothing is left open, and the error names the address that
+// can't be listened on.
 func (l *Loop) Start() error {
 	poll, err := newPoller(l.calls)
 	if err != nil {
@@ -96,8 +98,8 @@
 
 // Post schedules call on the loop's goroutine. It never blocks and may be called on any goroutine, after Start.
 //
-// A call that is posted once the last turn of Run has begun to make the posted ones is not made, nor is one that is posted
-// after Run has returned.
+// A call is dropped if it is posted after the last turn of Run has begun to make the posted calls, or after Run has
+// returned.
 func (l *Loop) Post(call func()) {
 	l.posts.add(call, l.poll)
 }
@@ -105,9 +107,9 @@
 // deferCall defers call to the next turn. It must be called on the loop's goroutine.
 func (l *Loop) deferCall(call func()) { l.deferred = append(l.deferred, call) }
 
-// Run handles events until Stop, and then closes all descriptors without a call of their handlers. In each turn it calls
-// beginTurn with the time, then the handlers of what has happened, then endTurn, which returns the time at which it wants to
-// be called again at the latest. The loop also turns when there are events, and every 200 ms (sweepInterval).
+// Run handles events until Stop is called, and then closes all descriptors without calling their handlers. Each turn
+// calls beginTurn with the time, then the handlers of the turn's events, then endTurn, which returns the time by which
+// it must be called again. A turn also starts when there are events, and at least every 200 ms (sweepInterval).
 func (l *Loop) Run(beginTurn func(now time.Duration), endTurn func(now time.Duration) time.Duration) {
 	var posted []func()
 	nextTurn := l.now
@@ -132,7 +134,8 @@
 	l.closeDescriptors()
 }
 
-// startTurn sets the times of a turn for which the loop has waited since waitedFrom, for timeout at most.
+// startTurn sets the times of a turn. waitedFrom is when the wait before this turn began, and timeout is the timeout of
+// that wait.
 func (l *Loop) startTurn(waitedFrom, timeout time.Duration) {
 	previousTurn := l.now
 	l.now = l.clock.now()
@@ -146,11 +149,13 @@
 	}
 }
 
-// InputTime returns the earliest time at which the input that is read in this turn may have arrived: the present turn's,
-// unless the machine has paused the process before it. The peers' deadlines went on during the pause.
+// InputTime returns the earliest time at which the input that is read in this turn may have arrived. This is the time
+// of the present turn, unless the machine paused the process before it. The peers' deadlines continue to run during a
+// pause.
 func (l *Loop) InputTime() time.Duration { return l.inputTime }
 
-// timeUntil returns how long the poller may wait for a turn that is due at next.
+// timeUntil returns how long the poller may wait for a turn that is due at next. It returns 0 if calls are deferred to
+// that turn.
 func (l *Loop) timeUntil(next time.Duration) time.Duration {
 	if len(l.deferred) > 0 {
 		return 0
@@ -158,8 +163,8 @@
 	return max(next-l.clock.now(), 0)
 }
 
-// runDeferred makes the calls that were deferred to this turn. What they defer waits for the next one: the two arrays
-// change places.
+// runDeferred makes the calls that were deferred to this turn. Calls that are deferred meanwhile wait for the next
+// turn: the two slices are swapped to reuse their arrays.
 func (l *Loop) runDeferred() {
 	spare := l.runningDeferred[:0]
 	l.runningDeferred = l.deferred
@@ -170,7 +175,7 @@
 	}
 }
 
-// runPosted makes the calls that other goroutines have posted. It returns their array, for the next turn.
+// runPosted makes the calls that other goroutines have posted. It returns their slice, which the next turn reuses.
 func (l *Loop) runPosted(spare []func()) []func() {
 	batch := l.posts.take(spare)
 	for i, call := range batch {
@@ -183,7 +188,7 @@
 // Stop makes Run return after the present turn.
 func (l *Loop) Stop() { l.stopped = true }
 
-// nextCheck returns when a dial or a listener needs a turn at the latest: a timeout, a retry, or the end of a pause.
+// nextCheck returns the time by which a dial or a listener needs a turn: the earliest timeout, retry or end of a pause.
 func (l *Loop) nextCheck() time.Duration {
 	next := never
 	for c := range l.dialing {
--- a/internal/eventloop/manual_loop_test.go
+++ b/internal/eventloop/manual_loop_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// scriptedCalls are system calls that end with the errors that a test has set, for as long as they are set.
+// scriptedCalls makes system calls return the errors that a test has set, for as long as they are set.
 type scriptedCalls struct {
 	kernelCalls
 	connectResultError error
@@ -32,7 +32,7 @@
 	return s.kernelCalls.write(fd, bufs)
 }
 
-// describeCall returns the name of a handler's call, with the error that it got.
+// describeCall describes a handler's call by its name and the error that it got.
 func describeCall(name string, err error) string {
 	var errno unix.Errno
 	switch {
@@ -46,13 +46,13 @@
 	return name + ": " + err.Error()
 }
 
-// manualLoop is a loop whose turns a test makes one by one.
+// manualLoop is a loop whose turns a test runs one by one.
 type manualLoop struct {
 	*Loop
 	t     *testing.T
 	calls *scriptedCalls
 	conn  *Conn    // the connection under test
-	peer  net.Conn // its other end
+	peer  net.Conn // the peer's end of conn
 }
 
 func newManualLoop(t *testing.T) *manualLoop {
@@ -65,11 +65,11 @@
 
 func (m *manualLoop) start() {
 	m.t.Helper()
-	check(m.t, m.Start())
+	requireNoError(m.t, m.Start())
 	m.t.Cleanup(m.closeDescriptors)
 }
 
-// runTurn makes one runTurn at the loop's present time, with the steps of Run in their order.
+// runTurn runs one turn at the time m.now. It makes its steps in the order of Run.
 func (m *manualLoop) runTurn() {
 	events := m.poll.wait(m.timeUntil(m.clock.now() + 50*time.Millisecond))
 	m.runDeferred()
@@ -79,7 +79,7 @@
 	m.sweep()
 }
 
-// runTurnsUntilIdle makes runTurnsUntilIdle until nothing is left to be called.
+// runTurnsUntilIdle runs turns until no calls are deferred.
 func (m *manualLoop) runTurnsUntilIdle() {
 	m.runTurn()
 	for len(m.deferred) > 0 {
@@ -91,42 +91,42 @@
 func (m *manualLoop) expectState(want connState) {
 	m.t.Helper()
 	if m.conn.state != want {
-		m.t.Errorf("the connection is %v, want %v", m.conn.state, want)
+		m.t.Errorf("the connection is in state %v, want %v", m.conn.state, want)
 	}
 }
 
-// readPeerToEnd reads what the peer receives until the end of the connection.
+// readPeerToEnd returns what the peer receives until the connection ends.
 func (m *manualLoop) readPeerToEnd() string {
 	m.t.Helper()
 	got, err := io.ReadAll(m.peer)
-	check(m.t, err)
+	requireNoError(m.t, err)
 	return string(got)
 }
 
-// peerSends makes the peer send text, and end its side of the connection if last is true.
+// peerSends makes the peer send text and, if last is true, end its direction of the connection.
 func (m *manualLoop) peerSends(text string, last bool) {
 	m.t.Helper()
 	write(m.t, m.peer, []byte(text))
 	if last {
-		check(m.t, m.peer.(*net.TCPConn).CloseWrite())
+		requireNoError(m.t, m.peer.(*net.TCPConn).CloseWrite())
 	}
 }
 
-// startDial begins to dial a listening peer, whose end of the connection is m.peer.
+// startDial begins to dial a listening peer. m.peer is the peer's end of the connection.
 func (m *manualLoop) startDial(h DialHandler) {
 	m.t.Helper()
 	m.start()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	check(m.t, err)
-	m.t.Cleanup(func() { check(m.t, listener.Close()) })
+	requireNoError(m.t, err)
+	m.t.Cleanup(func() { requireNoError(m.t, listener.Close()) })
 	m.conn = m.Dial(listener.Addr().String(), time.Second, h)
 	m.peer, err = listener.Accept()
-	check(m.t, err)
+	requireNoError(m.t, err)
 	m.t.Cleanup(func() { _ = m.peer.Close() }) // some tests close it themselves
-	check(m.t, m.peer.SetDeadline(time.Now().Add(testTimeout)))
+	requireNoError(m.t, m.peer.SetDeadline(time.Now().Add(testTimeout)))
 }
 
-// accept accepts a connection from a client, whose end of it is m.peer.
+// accept makes the loop accept a connection from a client. m.peer is the client's end of the connection.
 func (m *manualLoop) accept(h AcceptedHandler) {
 	m.t.Helper()
 	m.Listen("127.0.0.1:0", func(c *Conn) AcceptedHandler {
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -8,15 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxPollEvents is how many events one wait returns at most. It is as many as a router has descriptors, so that after a
-// pause of the machine one turn handles everything that happened meanwhile.
+// maxPollEvents is how many events one wait returns at most. A router has no more descriptors than this, so that after
+// a pause of the machine one turn handles everything that happened meanwhile.
 const maxPollEvents = 1024
 
-// maxInterruptions is how often in a row a wait may be interrupted before its turn begins without events.
+// maxInterruptions is how often in a row signals may interrupt a wait before its turn begins without events.
 const maxInterruptions = 10
 
-// token identifies one registration of a descriptor with the poller. No token is used twice, although descriptor numbers
-// are: an event of a registration that has ended finds no receiver.
+// token identifies one registration of a descriptor with the poller. The kernel reuses descriptor numbers, but no token
+// is used twice, so that an event of a registration that has ended has no receiver.
 type token uint64
 
 // wakeToken is the token of the descriptor that wakes the poller.
@@ -30,15 +30,15 @@
 	isClientConnection() bool
 }
 
-// poller waits for events on descriptors by epoll(7). Only wake may be called on another goroutine than the loop's.
+// poller waits for events on descriptors with epoll(7). Only wake may be called on a goroutine other than the loop's.
 //
-// It is level-triggered, which is epoll's default: each wait reports a descriptor for as long as its condition lasts. So a
-// handler may leave input unread, and the next turn gets the event again. The events that this package uses:
+// It is level-triggered, which is epoll's default: each wait reports a descriptor for as long as its condition lasts. A
+// handler may therefore leave input unread, and gets the event again in the next turn. This package uses these events:
 //
 //   - EPOLLIN: there is input, or a connection to accept. The end of the input counts as input.
 //   - EPOLLOUT: the send buffer has space. On a connecting socket: the connect has ended.
-//   - EPOLLRDHUP: the peer has ended its direction (a FIN) or the connection broke.
-//   - EPOLLHUP: both directions have ended. EPOLLERR: the socket has a pending error. These two are reported always.
+//   - EPOLLRDHUP: the peer has ended its direction (a FIN), or the connection broke.
+//   - EPOLLHUP: both directions have ended. EPOLLERR: the socket has a pending error. These two are always reported.
 type poller struct {
 	calls     systemCalls
 	epollFD   int
@@ -48,7 +48,7 @@
 	events    []unix.EpollEvent       // the result of the last wait
 }
 
-// newPoller returns a poller that polls its own wake-up descriptor alone. The caller has to close it.
+// newPoller returns a poller that polls only its own wake-up descriptor. The caller must close it.
 func newPoller(calls systemCalls) (*poller, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -57,7 +57,7 @@
 	wakeFD, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
 		closeDescriptor(epollFD)
-		return nil, fmt.Errorf("create the poller's wake-up: %w", err)
+		return nil, fmt.Errorf("create the poller's wake-up descriptor: %w", err)
 	}
 	p := &poller{
 		calls:     calls,
@@ -68,7 +68,7 @@
 	}
 	if err := p.control(unix.EPOLL_CTL_ADD, wakeFD, wakeToken, unix.EPOLLIN); err != nil {
 		p.close()
-		return nil, fmt.Errorf("poll the wake-up: %w", err)
+		return nil, fmt.Errorf("register the poller's wake-up descriptor: %w", err)
 	}
 	return p, nil
 }
@@ -78,7 +78,8 @@
 	closeDescriptor(p.wakeFD)
 }
 
-// add registers fd for events, a mask of unix.EPOLL*.
+// add registers fd for events, a mask of unix.EPOLL*, which dispatch passes to receiver. It returns the token of the
+// registration.
 func (p *poller) add(fd int, events uint32, receiver eventReceiver) (token, error) {
 	p.lastToken++
 	if err := p.control(unix.EPOLL_CTL_ADD, fd, p.lastToken, events); err != nil {
@@ -93,23 +94,24 @@
 	return p.control(unix.EPOLL_CTL_MOD, fd, t, events)
 }
 
-// remove ends a registration. The caller closes the descriptor next, by which the kernel stops polling it.
+// remove ends a registration. The caller must close the descriptor next, which makes the kernel stop polling it.
 func (p *poller) remove(t token) { delete(p.receivers, t) }
 
-// control changes the kernel's registration of fd. The token travels in the event's user data, which the unix package
+// control changes the kernel's registration of fd. The token is stored in the event's user data, which the unix package
 // splits into Fd and Pad.
 func (p *poller) control(operation, fd int, t token, events uint32) error {
 	event := unix.EpollEvent{Events: events, Fd: int32(t), Pad: int32(t >> 32)}
 	return unix.EpollCtl(p.epollFD, operation, fd, &event)
 }
 
+// tokenOf returns the token that control has stored in the event's user data.
 func tokenOf(event *unix.EpollEvent) token {
 	return token(uint32(event.Fd)) | token(uint32(event.Pad))<<32
 }
 
-// wait waits for events for at most timeout, which is rounded up to milliseconds. The result is valid until the next wait. A
-// wait that a signal interrupts ends with the events that there are: a process that continues after a pause must handle them
-// in its first turn.
+// wait waits for events for at most timeout, which is rounded up to milliseconds. The result is valid until the next
+// wait. If a signal interrupts the wait, wait returns the events that are present without waiting further, because a
+// process that continues after a pause must handle them in its first turn.
 func (p *poller) wait(timeout time.Duration) []unix.EpollEvent {
 	timeoutMs := int(max((timeout+time.Millisecond-1)/time.Millisecond, 0))
 	for range maxInterruptions {
@@ -117,14 +119,14 @@
 		if err == nil {
 			return p.events[:n]
 		}
-		timeoutMs = 0 // it was EINTR: no other error is possible with a valid descriptor and buffer
+		timeoutMs = 0 // the error is EINTR: no other is possible with a valid descriptor and buffer
 	}
 	return nil
 }
 
-// dispatch gives the events to their receivers, and drops those whose registration has ended in the meantime. Events of
-// clients come first: the request of a client that has gone must not be sent over a connection to a worker that opens in the
-// same turn.
+// dispatch passes the events to their receivers, and drops those whose registration has ended in the meantime. Events
+// of client connections are handled first, so that the request of a client that has disconnected is not sent over a
+// worker connection that opens in the same turn.
 func (p *poller) dispatch(events []unix.EpollEvent) {
 	for _, clientPass := range []bool{true, false} {
 		for i := range events {
@@ -139,11 +141,11 @@
 	}
 }
 
-// wake ends a wait, or the next one. It may be called on any goroutine.
+// wake ends the present wait, or the next one if there is none. It may be called on any goroutine.
 func (p *poller) wake() {
 	one := [8]byte{1}
 	for {
-		// EAGAIN: the eventfd's counter is full, so that the poller is awake.
+		// EAGAIN means that the eventfd's counter is full, so that the poller does not wait.
 		if _, err := unix.Write(p.wakeFD, one[:]); !errors.Is(err, unix.EINTR) {
 			return
 		}
@@ -153,5 +155,5 @@
 // clearWake makes the wake-up descriptor unreadable again.
 func (p *poller) clearWake() {
 	var count [8]byte
-	_, _ = unix.Read(p.wakeFD, count[:]) // after EINTR the next wait returns at once; EAGAIN: it is unreadable already
+	_, _ = unix.Read(p.wakeFD, count[:]) // EINTR: the next wait returns at once; EAGAIN: it is already unreadable
 }
--- a/internal/eventloop/poller_test.go
+++ b/internal/eventloop/poller_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// countingReceiver counts its events, and runs onEvent at the first.
+// countingReceiver counts its events, and calls onEvent at the first one.
 type countingReceiver struct {
 	events  int
 	onEvent func()
@@ -25,59 +25,60 @@
 	}
 }
 
-// readableSocket returns a descriptor with a byte to read.
+// readableSocket returns the descriptor of a socket that has a byte to read.
 func readableSocket(t *testing.T) int {
 	t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	check(t, err)
+	requireNoError(t, err)
 	t.Cleanup(func() { closeDescriptor(fds[1]) })
 	_, err = unix.Write(fds[1], []byte("x"))
-	check(t, err)
+	requireNoError(t, err)
 	return fds[0]
 }
 
-// Two descriptors have events in one batch. The handler of the first closes the second and opens a new connection, which
-// gets the same descriptor: the old one's event must not reach it.
+// Guards against an event of a closed connection that reaches a new one with the same descriptor number. Two
+// descriptors have events in one batch. The handler of the first closes the second and opens a new connection, which
+// gets the second's number.
 func TestEventsOfClosedDescriptorsAreDropped(t *testing.T) {
 	p, err := newPoller(kernelCalls{})
-	check(t, err)
+	requireNoError(t, err)
 	t.Cleanup(p.close)
 	fds := [2]int{readableSocket(t), readableSocket(t)}
 	var receivers [2]countingReceiver
 	var tokens [2]token
 	for i := range fds {
 		tokens[i], err = p.add(fds[i], unix.EPOLLIN, &receivers[i])
-		check(t, err)
+		requireNoError(t, err)
 	}
 	var successor countingReceiver
-	for i := range fds { // whichever comes first in the batch
+	for i := range fds { // the kernel may report either of them first
 		other := 1 - i
 		receivers[i].onEvent = func() {
 			p.remove(tokens[other])
-			check(t, unix.Dup3(readableSocket(t), fds[other], unix.O_CLOEXEC)) // closes the old one
+			requireNoError(t, unix.Dup3(readableSocket(t), fds[other], unix.O_CLOEXEC)) // closes the old descriptor
 			_, err := p.add(fds[other], unix.EPOLLIN, &successor)
-			check(t, err)
+			requireNoError(t, err)
 		}
 	}
 	events := p.wait(time.Second)
 	if len(events) != 2 {
-		t.Fatalf("%d events in the batch", len(events))
+		t.Fatalf("%d events in the batch, want 2", len(events))
 	}
 	p.dispatch(events)
 	if receivers[0].events+receivers[1].events != 1 || successor.events != 0 {
-		t.Errorf("the old connections received %d and %d events, the new one %d",
+		t.Errorf("the old connections received %d and %d events, want 1 in total; the new one received %d, want 0",
 			receivers[0].events, receivers[1].events, successor.events)
 	}
 	p.dispatch(p.wait(time.Second))
 	if successor.events != 1 {
-		t.Errorf("the new connection received %d events of its own", successor.events)
+		t.Errorf("the new connection received %d events of its own, want 1", successor.events)
 	}
 }
 
-// The events of clients are handled before all others of a batch, in whatever order the kernel reports them.
+// Events of client connections must be handled before all others of a batch, in whatever order the kernel reports them.
 func TestClientEventsAreDispatchedFirst(t *testing.T) {
 	p, err := newPoller(kernelCalls{})
-	check(t, err)
+	requireNoError(t, err)
 	t.Cleanup(p.close)
 	var order []bool
 	for _, client := range []bool{false, true, false, true} {
@@ -86,33 +87,35 @@
 		receiver := &countingReceiver{client: client}
 		receiver.onEvent = func() { order = append(order, client) }
 		_, err := p.add(fd, unix.EPOLLIN, receiver)
-		check(t, err)
+		requireNoError(t, err)
 	}
 	p.dispatch(p.wait(time.Second))
 	if !slices.Equal(order, []bool{true, true, false, false}) {
-		t.Errorf("handled in the order %v, true for clients", order)
+		t.Errorf("the events were handled in the order %v (true: of a client), want clients first", order)
 	}
 }
 
-// A call that is posted while the loop ends is not made, and touches no descriptor that is closed by then.
+// A call that is posted after Run has returned must not be made, and Post must not use a descriptor that is closed by
+// then.
 func TestPostAfterRunHasReturned(t *testing.T) {
 	l := New(Config{})
-	check(t, l.Start())
+	requireNoError(t, l.Start())
 	l.Post(l.Stop)
 	l.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Hour })
 	l.Post(func() { t.Error("called") })
 }
 
-// Input that is read after a pause may have arrived when the pause began; without a pause it has arrived in this turn.
+// Guards InputTime. Input that is read after a pause of the process may have arrived when the pause began; without a
+// pause it counts as arrived in the present turn.
 func TestInputTimeAfterPauses(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	for _, test := range []struct {
 		name                       string
-		turnDuration, waitDuration time.Duration // what the turn before and the wait have taken
-		minInputAge                time.Duration // the input time, at least
+		turnDuration, waitDuration time.Duration // of the previous turn and of the wait
+		minInputAge                time.Duration // how long before now the input time is at least; 0: it is now
 	}{
 		{name: "short turn and wait"},
-		{name: "wait to its end", waitDuration: timeout},
+		{name: "wait until its timeout", waitDuration: timeout},
 		{name: "pause in the turn", turnDuration: time.Second, minInputAge: time.Second},
 		{name: "pause in the wait", waitDuration: time.Second, minInputAge: time.Second},
 	} {
@@ -123,7 +126,7 @@
 			l.now = waitedFrom - test.turnDuration
 			l.startTurn(waitedFrom, timeout)
 			if got := l.now - l.InputTime(); got < test.minInputAge || test.minInputAge == 0 && got != 0 {
-				t.Errorf("the input time is %v before now, want %v", got, test.minInputAge)
+				t.Errorf("the input time is %v before now, want at least %v (0: exactly now)", got, test.minInputAge)
 			}
 		})
 	}
--- a/internal/eventloop/post_queue.go
+++ b/internal/eventloop/post_queue.go
@@ -2,14 +2,15 @@
 
 import "sync"
 
-// postQueue holds the calls that other goroutines have posted to the loop's. It is safe for concurrent use.
+// postQueue holds the calls that other goroutines have posted to the loop's goroutine. It is safe for concurrent use.
 type postQueue struct {
 	mu     sync.Mutex
 	calls  []func()
-	closed bool // no more calls are made
+	closed bool // calls are dropped
 }
 
-// add queues call, and wakes the poller for the first one. It holds the lock meanwhile, so that the poller is not closed.
+// add queues call, and wakes the poller if the queue was empty. It holds the lock meanwhile, so that the poller is not
+// closed before it is woken.
 func (q *postQueue) add(call func(), p *poller) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -22,7 +23,8 @@
 	}
 }
 
-// take returns the queued calls in order. The queue reuses the array of spare, a batch that is no longer needed.
+// take removes the queued calls and returns them in order. The queue reuses the array of spare, a batch that is no
+// longer needed.
 func (q *postQueue) take(spare []func()) []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -31,7 +33,7 @@
 	return batch
 }
 
-// close drops what is queued and whatever is added later. The poller may be closed afterwards.
+// close drops the queued calls and all that are added later. The poller may be closed after close has returned.
 func (q *postQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -11,17 +11,17 @@
 	// readBufferSize is the size of the buffer that all sockets share, in bytes. No datagram is larger.
 	readBufferSize = 64 << 10
 
-	// maxReadsPerTurn is how often one connection is read in one turn: one that always has input must not keep the
-	// loop from the others.
+	// maxReadsPerTurn is how often one connection is read in one turn at most, so that a connection that always has
+	// input does not keep the loop from serving the others.
 	maxReadsPerTurn = 4
 
-	// maxReadsAtEnd is how often a connection is read in one turn if its peer has ended it or it can't be written to any
-	// more.
+	// maxReadsAtEnd is how often a connection is read in one turn at most if its peer has ended it or it can no longer
+	// be written to.
 	maxReadsAtEnd = 64
 )
 
-// readUpTo reads what has arrived, with so many reads at most. A read that does not fill the buffer is the last one, unless
-// the connection is read toEnd. The poller is level-triggered: it reports what is left in the next turn.
+// readUpTo reads the data that has arrived, in at most maxReads reads. Unless toEnd is set, it stops after a read that
+// does not fill the buffer. The poller is level-triggered and reports the remaining data in the next turn.
 func (c *Conn) readUpTo(maxReads int, toEnd bool) {
 	for range maxReads {
 		more, full := c.readOnce()
@@ -31,8 +31,8 @@
 	}
 }
 
-// readOnce reads one buffer and handles it. It reports whether there may be more to read, and whether the buffer was
-// filled. An interrupted read counts as both, so that it is repeated.
+// readOnce reads once into the shared buffer and handles the data. It reports whether there may be more to read, and
+// whether the buffer was filled. It reports both for an interrupted read, so that the read is repeated.
 func (c *Conn) readOnce() (more, full bool) {
 	buffer := c.loop.readBuffer
 	n, err := c.loop.calls.read(c.socket.fd, buffer)
@@ -52,7 +52,7 @@
 	return c.state.wantsInput(), n == len(buffer)
 }
 
-// handleData gives data to the handler, and records the messages of an accepted connection.
+// handleData passes data to the handler, and records the message progress of an accepted connection.
 func (c *Conn) handleData(data []byte) {
 	c.handler.OnData(data)
 	if c.acceptedHandler != nil {
@@ -61,8 +61,8 @@
 	}
 }
 
-// handleEndOfInput handles the end of the peer's input (a FIN). A dialed connection ends with it. A client may have closed
-// one direction only, and still read: its connection ends when all answers are written.
+// handleEndOfInput handles the end of the peer's input (a FIN). A dialed connection closes at once. A client may have
+// closed only its sending direction and may still read, so its connection closes when all answers are written.
 func (c *Conn) handleEndOfInput() {
 	if !c.isAccepted || c.writeError != nil {
 		c.closeAndNotify(io.EOF)
--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/read_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// recordingHandler sends what it receives to a channel, in order.
+// recordingHandler sends what it receives to a channel, in order, and closeRecord for the close.
 type recordingHandler struct{ received chan string }
 
 const closeRecord = "closed"
@@ -24,20 +24,21 @@
 
 func (h *recordingHandler) MessageProgress() (int, bool) { return 1, false }
 
-// next returns what h received next.
+// next waits for the next record of h and returns it.
 func (h *recordingHandler) next(t *testing.T) string {
 	t.Helper()
 	select {
 	case received := <-h.received:
 		return received
 	case <-time.After(testTimeout):
-		t.Fatal("nothing was received in time")
+		t.Fatal("the handler received nothing within testTimeout")
 		return ""
 	}
 }
 
-// While the loop is busy no connection is read. A close in the meantime, of the connection that has sent much or of
-// another, is reported as soon as the loop goes on, after the data that was sent before it.
+// Guards the order of data and close. While the loop is busy, it reads no connection. If peers close their connections
+// in the meantime, the closes must be reported when the loop continues: for a connection with more data than one turn
+// reads, after all its data.
 func TestCloseIsReportedAfterItsData(t *testing.T) {
 	handlers := []*recordingHandler{{make(chan string, 1000)}, {make(chan string, 1000)}}
 	accepted := make(chan struct{})
@@ -60,13 +61,13 @@
 		<-unblock
 	})
 	<-blocked
-	text := bytes.Repeat([]byte("x"), (maxReadsPerTurn+1)*readBufferSize) // more than one turn reads
+	text := bytes.Repeat([]byte("x"), (maxReadsPerTurn+1)*readBufferSize) // more than the loop reads in one turn
 	written := make(chan error, 1)
-	go func() { // the kernel may not take all of it before the loop reads
+	go func() { // Write may block until the loop reads
 		_, err := sender.Write(text)
 		written <- errors.Join(err, sender.Close())
 	}()
-	check(t, silent.Close())
+	requireNoError(t, silent.Close())
 	close(unblock)
 
 	size := 0
@@ -76,17 +77,17 @@
 			size += len(received)
 		}
 	}
-	check(t, <-written)
+	requireNoError(t, <-written)
 	if size != len(text) {
-		t.Errorf("the close was reported after %d bytes of %d", size, len(text))
+		t.Errorf("the close was reported after %d of %d bytes", size, len(text))
 	}
 	if received := handlers[1].next(t); received != closeRecord {
-		t.Errorf("the silent connection received %q", received)
+		t.Errorf("the handler of the silent connection got %q, want only the close", received)
 	}
 }
 
-// A client that has sent its last byte still gets its answer; then the connection ends. One that is owed nothing ends at
-// once.
+// A client that has ended its direction (sent a FIN) must still get its answer; then the connection ends. Without an
+// open request it ends at once.
 func TestHalfClosedClientIsAnswered(t *testing.T) {
 	for _, hasOpenRequest := range []bool{true, false} {
 		h := &echoHandler{openRequests: hasOpenRequest, closed: make(chan error, 1), inputEnded: make(chan struct{}, 1)}
@@ -95,7 +96,7 @@
 			return h
 		})
 		client := dialLoop(t, l)
-		check(t, client.CloseWrite())
+		requireNoError(t, client.CloseWrite())
 		<-h.inputEnded
 		if hasOpenRequest {
 			l.Post(func() {
@@ -105,7 +106,7 @@
 		}
 		got, err := io.ReadAll(client)
 		if err != nil || hasOpenRequest && string(got) != "answer" {
-			t.Errorf("owed an answer: %v: read %q, %v", hasOpenRequest, got, err)
+			t.Errorf("open request %v: the client read %q, error %v", hasOpenRequest, got, err)
 		}
 		if err := <-h.closed; !errors.Is(err, io.EOF) {
 			t.Errorf("closed with %v", err)
@@ -113,21 +114,21 @@
 	}
 }
 
-// A connection that breaks while a half-closed client waits is reported.
+// A half-closed connection waits for an answer and is not read. If the client resets it, the handler must be told.
 func TestResetOfHalfClosedConnectionIsReported(t *testing.T) {
 	h := &echoHandler{openRequests: true, closed: make(chan error, 1), inputEnded: make(chan struct{}, 1)}
 	l := startLoop(t, 10, func(*Conn) AcceptedHandler { return h })
 	client := dialLoop(t, l)
-	check(t, client.CloseWrite())
+	requireNoError(t, client.CloseWrite())
 	<-h.inputEnded
-	check(t, client.SetLinger(0))
-	check(t, client.Close())
+	requireNoError(t, client.SetLinger(0))
+	requireNoError(t, client.Close())
 	if err := <-h.closed; !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 		t.Errorf("closed with %v", err)
 	}
 }
 
-// turnRecorder records the turns in which a client's data and the end of its input were handled.
+// turnRecorder records the times of the turns in which a client's data and the end of its input were handled.
 type turnRecorder struct {
 	echoHandler
 	loop         *Loop
@@ -139,8 +140,8 @@
 
 func (h *turnRecorder) OnEndOfInput() { h.endOfInputAt <- h.loop.now }
 
-// A client sends a request and goes while the machine pauses: both are handled in one turn, at whose end nothing is sent on
-// for a client that has gone.
+// Guards against forwarding the request of a client that has disconnected. If a client sends a request and disconnects
+// while the machine pauses the process, the loop must handle both in one turn.
 func TestDataAndEndOfInputAreHandledInSameTurn(t *testing.T) {
 	h := &turnRecorder{echoHandler: echoHandler{closed: make(chan error, 1)}, endOfInputAt: make(chan time.Duration, 1)}
 	accepted := make(chan struct{})
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -7,10 +7,11 @@
 type socket struct {
 	fd       int // noDescriptor while it is not open
 	token    token
-	interest uint32 // the events that it is registered for, a mask of unix.EPOLL*
+	interest uint32 // the events that the poller reports, a mask of unix.EPOLL*
 }
 
-// register has the poller report events, a mask of unix.EPOLL*, to receiver. EPOLLERR and EPOLLHUP are always reported.
+// register makes the poller report events, a mask of unix.EPOLL*, to receiver. EPOLLERR and EPOLLHUP are always
+// reported.
 func (s *socket) register(p *poller, events uint32, receiver eventReceiver) error {
 	t, err := p.add(s.fd, events, receiver)
 	if err != nil {
--- a/internal/eventloop/sweep.go
+++ b/internal/eventloop/sweep.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	// sweepInterval is how often connections are checked for timeouts, and the longest that the loop sleeps.
+	// sweepInterval is how often connections are checked for timeouts, and the longest time that the loop waits for
+	// events.
 	sweepInterval = 200 * time.Millisecond
 
-	// closeTimeout is how long a peer may take to read its last answers after the handler has called CloseAfterFlush. It
-	// is counted from the connection's last complete message or answer.
+	// closeTimeout is how long the peer of an accepted connection may take to read its last answers after the handler
+	// has called CloseAfterFlush. It is counted from the connection's last complete message or answer.
 	closeTimeout = 2 * time.Second
 )
 
@@ -23,8 +24,8 @@
 	l.logInterrupted()
 }
 
-// timedOut reports whether an accepted connection has to be closed because of a timeout, and for which cause. One with
-// open requests is not, unless it is flushing.
+// timedOut reports whether an accepted connection must be closed because of a timeout, and the cause to close it with.
+// A connection with open requests times out only while it is flushing.
 func (c *Conn) timedOut() (cause CloseCause, timedOut bool) {
 	if c.state == stateFlushing && c.loop.now-c.activity.lastActivity > closeTimeout {
 		return PeerNotReading, true
--- a/internal/eventloop/sweep_test.go
+++ b/internal/eventloop/sweep_test.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Guards the time that a client has for its message: complete messages count, not the bytes that trickle in,
-// and a client that has sent one may keep its connection for longer.
+// Guards the timeouts of accepted connections. Only complete messages extend the time that a client has for its
+// message, not single bytes that arrive slowly. A client that has sent a complete message may keep its connection for
+// longer.
 func TestAcceptedConnectionsTimeOut(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// receive sets the state of h at a time since the accept and reports whether data arrives then.
+		// receive sets the state of h at the time at since the accept, and reports whether data arrives then.
 		receive func(h *echoHandler, at time.Duration) bool
-		want    time.Duration // when the connection is closed
+		want    time.Duration // time since the accept at which the connection is closed
 	}{
 		{"silent", func(*echoHandler, time.Duration) bool { return false }, messageTimeout},
-		{"trickling", func(h *echoHandler, _ time.Duration) bool {
+		{"incomplete message that keeps growing", func(h *echoHandler, _ time.Duration) bool {
 			h.partialMessage = true
 			return true
 		}, messageTimeout},
@@ -28,7 +29,7 @@
 			h.partialMessage = at >= 5*time.Second
 			return at == 0 || h.partialMessage
 		}, 5*time.Second + messageTimeout},
-		{"message after message", func(h *echoHandler, _ time.Duration) bool {
+		{"a complete message at each step", func(h *echoHandler, _ time.Duration) bool {
 			h.completeMessages++
 			return true
 		}, time.Minute},
@@ -47,8 +48,11 @@
 	}
 }
 
-// simulateUntilClosed simulates an accepted connection in steps of time, and returns when the loop closed it, or end.
-func simulateUntilClosed(step, maxDuration time.Duration, receive func(h *echoHandler, at time.Duration) bool) time.Duration {
+// simulateUntilClosed simulates an accepted connection in steps of time. It returns the time since the accept at which
+// the loop closed the connection, or maxDuration if the loop did not.
+func simulateUntilClosed(
+	step, maxDuration time.Duration, receive func(h *echoHandler, at time.Duration) bool,
+) time.Duration {
 	l := New(Config{})
 	h := &echoHandler{}
 	conn := newAcceptedConn(l, h)
--- a/internal/eventloop/syscalls.go
+++ b/internal/eventloop/syscalls.go
@@ -7,32 +7,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// systemCalls are the calls on sockets and on the poller that can fail, or read or write less than asked. Tests replace
-// them to inject the failures that Linux documents; kernelCalls makes the plain calls. No call blocks except wait, and all
-// errors are errnos (unix.Errno).
+// systemCalls are the calls on sockets and on the poller that can fail, or read or write less than requested. Tests
+// replace them to inject the failures that Linux documents; kernelCalls makes the actual calls. No call blocks except
+// wait, and all errors are errnos (unix.Errno).
 type systemCalls interface {
 	// socket opens a non-blocking socket that is closed on exec.
 	socket(domain, socketType int) (fd int, err error)
-	// connect begins to connect a socket. EINPROGRESS and EINTR leave it connecting; the poller reports EPOLLOUT when
-	// it has succeeded or failed.
+	// connect begins to connect a socket. After EINPROGRESS or EINTR the connect continues, and the poller reports
+	// EPOLLOUT when it has succeeded or failed.
 	connect(fd int, addr unix.Sockaddr) error
-	// connectResult returns how a connect that was in progress ended, and later the error that broke a connection. It
-	// takes the socket's pending error (SO_ERROR), so that the next call returns nil.
+	// connectResult returns the result of a connect that was in progress, and later the error that broke the
+	// connection. It clears the socket's pending error (SO_ERROR), so that the next call returns nil.
 	connectResult(fd int) error
-	// accept takes a connection from the backlog, as a non-blocking socket. EAGAIN: none waits.
+	// accept takes a connection from the backlog, as a non-blocking socket. EAGAIN means that none waits.
 	accept(listener int) (fd int, peer unix.Sockaddr, err error)
-	// read reads up to len(b) bytes, or one datagram. n of 0 without an error is the end of a stream's input. EAGAIN:
-	// nothing has arrived.
+	// read reads up to len(b) bytes, or one datagram. An n of 0 without an error is the end of a stream's input. EAGAIN
+	// means that nothing has arrived.
 	read(fd int, b []byte) (n int, err error)
-	// peek is read without taking the bytes.
+	// peek reads like read, but leaves the bytes in the socket.
 	peek(fd int, b []byte) (n int, err error)
-	// write writes bufs, in one gathered call, as far as the send buffer has space. EAGAIN: it has none.
+	// write writes bufs in one gathered call, as far as the send buffer has space. EAGAIN means that it has none.
 	write(fd int, bufs [][]byte) (n int, err error)
-	// wait waits for events for timeoutMs milliseconds at most. EINTR: a signal ended it.
+	// wait waits for events for at most timeoutMs milliseconds. EINTR means that a signal ended the wait.
 	wait(poller int, events []unix.EpollEvent, timeoutMs int) (n int, err error)
 }
 
-// kernelCalls are the system calls of Linux.
+// kernelCalls implements systemCalls with the system calls of Linux.
 type kernelCalls struct{}
 
 func (kernelCalls) socket(domain, socketType int) (int, error) {
@@ -75,23 +75,23 @@
 	return unix.EpollWait(poller, events, timeoutMs)
 }
 
-// isTransient reports whether a call on a socket failed for a moment only, because there is nothing to read or no space to
-// write (EAGAIN), a signal came (EINTR), or the kernel lacks memory. The socket is unchanged, and the call may be made
-// again.
+// isTransient reports whether a call on a socket failed only temporarily: there is nothing to read or no space to write
+// (EAGAIN), a signal interrupted the call (EINTR), or the kernel lacks memory. The socket is unchanged, and the call
+// may be repeated.
 func isTransient(err error) bool {
 	return isOneOf(err, unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM)
 }
 
-// isOneOf reports whether err is one of the kernel's errors.
+// isOneOf reports whether err is or wraps one of errnos.
 func isOneOf(err error, errnos ...unix.Errno) bool {
 	var errno unix.Errno
 	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
 
-// disableNagle makes the kernel send small writes at once (TCP_NODELAY) instead of waiting for more or for the peer's
-// acknowledgment. An error is ignored: the socket works without the option, with some delay.
+// disableNagle makes the kernel send small writes at once (TCP_NODELAY) instead of waiting for more data or for the
+// peer's acknowledgment. An error is ignored: the socket works without the option, with some delay.
 func disableNagle(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
 
-// closeDescriptor closes fd. On Linux it is closed whatever the error, and must not be closed again: another socket may
-// have its number by then.
+// closeDescriptor closes fd. Linux closes it even if close(2) returns an error. It must not be closed again, because
+// another socket may have got its number in the meantime.
 func closeDescriptor(fd int) { _ = unix.Close(fd) }
--- a/internal/eventloop/udp.go
+++ b/internal/eventloop/udp.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxDatagramsPerTurn is how many datagrams of one socket are read in one turn.
+// maxDatagramsPerTurn is how many datagrams are read from one socket in one turn at most.
 const maxDatagramsPerTurn = 16
 
 // UDPConn is a connected UDP socket. Its methods must be called on the loop's goroutine.
@@ -20,8 +20,8 @@
 	state   connState // dialing, open or closed
 }
 
-// DialUDP opens a connected UDP socket to addr, a "host:port", and returns at once; h.OnOpen gets the result in a later
-// turn. If the UDPConn is closed before that, h gets no call. The socket receives datagrams of addr alone.
+// DialUDP opens a UDP socket that is connected to addr, a "host:port", and returns at once; h.OnOpen gets the result in
+// a later turn. If the UDPConn is closed before that, h gets no call. The socket receives only datagrams from addr.
 func (l *Loop) DialUDP(addr string, h DialHandler) *UDPConn {
 	c := &UDPConn{loop: l, socket: socket{fd: noDescriptor}, handler: h, state: stateDialing}
 	if literal, err := netip.ParseAddrPort(addr); err == nil {
@@ -39,9 +39,10 @@
 	return c
 }
 
-// open opens the socket, unless err says that its address could not be resolved, and calls the handler's OnOpen.
+// open opens the socket and reports the result to the handler's OnOpen. If err is not nil, the address could not be
+// resolved, and OnOpen gets err.
 func (c *UDPConn) open(addr netip.AddrPort, err error) {
-	if c.state.isClosed() { // by Close, in the meantime
+	if c.state.isClosed() { // Close was called in the meantime
 		return
 	}
 	if err == nil {
@@ -56,8 +57,8 @@
 	c.handler.OnOpen(nil)
 }
 
-// connect opens the socket, connects it to addr and registers it with the poller. To connect a UDP socket sends nothing: it
-// sets the peer's address, and has the kernel report ICMP errors of that peer.
+// connect opens the socket, connects it to addr and registers it with the poller. Connecting a UDP socket sends
+// nothing: it sets the peer's address, and makes the kernel report ICMP errors of that peer.
 func (c *UDPConn) connect(addr netip.AddrPort) error {
 	domain, sockaddr := socketAddress(addr)
 	fd, err := c.loop.calls.socket(domain, unix.SOCK_DGRAM)
@@ -71,7 +72,7 @@
 	}
 	if err := c.socket.register(c.loop.poll, unix.EPOLLIN, c); err != nil {
 		c.socket.close(c.loop.poll)
-		return fmt.Errorf("poll the UDP socket to %s: %w", addr, err)
+		return fmt.Errorf("register the UDP socket to %s with the poller: %w", addr, err)
 	}
 	c.loop.udpConns[c] = struct{}{}
 	return nil
@@ -79,8 +80,8 @@
 
 func (c *UDPConn) isClientConnection() bool { return false }
 
-// onEvents reads the datagrams that have arrived, up to a bound. An error closes the socket, such as ECONNREFUSED, by which
-// Linux reports an ICMP message that the peer's port has no listener.
+// onEvents reads the datagrams that have arrived, up to maxDatagramsPerTurn. An error closes the socket, for example
+// ECONNREFUSED, with which Linux reports an ICMP message that the peer's port has no listener.
 func (c *UDPConn) onEvents(uint32) {
 	buffer := c.loop.readBuffer
 	for range maxDatagramsPerTurn {
@@ -102,19 +103,20 @@
 	}
 }
 
-// Write sends each buffer as one datagram, at once; the caller may reuse the buffers afterwards. An error is not reported: a
-// datagram that can't be sent is lost, as any datagram may be on the network. Before OnOpen and after Close nothing is sent.
+// Write sends each buffer as one datagram, at once; the caller may reuse the buffers afterwards. Errors are not
+// reported: a datagram that can't be sent is lost, as any datagram may be on the network. Before OnOpen and after Close
+// nothing is sent.
 func (c *UDPConn) Write(bufs ...[]byte) {
 	if c.state != stateOpen {
 		return
 	}
 	for _, b := range bufs {
-		_, _ = c.loop.calls.write(c.socket.fd, [][]byte{b}) // lost
+		_, _ = c.loop.calls.write(c.socket.fd, [][]byte{b}) // after an error the datagram is lost
 	}
 }
 
-// Close closes the socket. The handler's OnClose gets net.ErrClosed in a later turn if the socket was ever open; else the
-// handler gets no further call.
+// Close closes the socket. The handler's OnClose gets net.ErrClosed in a later turn if the socket was ever open;
+// otherwise the handler gets no further call.
 func (c *UDPConn) Close() {
 	if c.state.isClosed() {
 		return
@@ -126,7 +128,7 @@
 	}
 }
 
-// tearDown closes the socket and takes it out of the loop.
+// tearDown closes the socket and removes it from the loop.
 func (c *UDPConn) tearDown() {
 	c.state.apply(eventClosed)
 	c.socket.close(c.loop.poll)
--- a/internal/eventloop/udp_address_test.go
+++ b/internal/eventloop/udp_address_test.go
@@ -9,14 +9,14 @@
 	"unsafe"
 )
 
-// hiddenAddressVariable marks the process in which the test hides local addresses.
+// hiddenAddressVariable is the environment variable that marks the process in which the test hides local addresses.
 const hiddenAddressVariable = "LOOP_TEST_WITHOUT_ADDRESS"
 
-// Guards the directory's socket on a system that does not tell a UDP socket its local address: nbio, to which
-// it was handed, panicked there, and the program ended 10 ms after its start.
+// Guards the directory's socket on a system that does not report the local address of a UDP socket. The library nbio,
+// which handled this socket before, panicked there, and the program ended 10 ms after its start.
 func TestUDPNeedsNoLocalAddress(t *testing.T) {
 	if os.Getenv(hiddenAddressVariable) == "" {
-		// In a process of its own: the filter can't be removed again.
+		// A separate process, because the filter can't be removed again.
 		cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$", "-test.v")
 		cmd.Env = append(os.Environ(), hiddenAddressVariable+"=1")
 		if out, err := cmd.CombinedOutput(); err != nil {
@@ -30,7 +30,7 @@
 	exchangeDatagrams(t, peer, addr)
 }
 
-// hideLocalAddresses makes getsockname fail from now on, in all threads of the process, by a seccomp filter
+// hideLocalAddresses makes getsockname fail from now on in all threads of the process, with a seccomp filter
 // (seccomp(2), linux/filter.h).
 func hideLocalAddresses(t *testing.T) {
 	t.Helper()
@@ -46,10 +46,10 @@
 		seccompNumberForAMD64 = 317
 		seccompNumberForARM64 = 277
 	)
-	// The kernel's sock_filter; the jump for an equal value goes to the next instruction, so it stays 0.
+	// The kernel's sock_filter. The jump for an equal value goes to the next instruction, so its offset stays 0.
 	type instruction struct {
 		code     uint16
-		_        uint8 // jump where true
+		_        uint8 // offset of the jump for an equal value
 		jumpElse uint8
 		operand  uint32
 	}
@@ -67,7 +67,7 @@
 		length  uint16
 		program *instruction
 	}{uint16(len(program)), &program[0]}
-	// The filter must be set by the thread that has given up new privileges.
+	// The thread that sets the filter must be the one that has given up new privileges.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	if _, _, errno := syscall.RawSyscall6(syscall.SYS_PRCTL, prSetNoNewPrivs, 1, 0, 0, 0, 0); errno != 0 {
--- a/internal/eventloop/udp_test.go
+++ b/internal/eventloop/udp_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// udpHandler records what happens on a UDP socket.
+// udpHandler records the calls that a UDP socket makes.
 type udpHandler struct {
 	opened, closed chan error
 	data           chan string
@@ -22,17 +22,17 @@
 func (h *udpHandler) OnData(b []byte)   { h.data <- string(b) }
 func (h *udpHandler) OnClose(err error) { h.closed <- err }
 
-// listenUDP returns a peer for the loop's sockets, open until the test ends.
+// listenUDP returns a UDP peer for the loop's sockets. It is closed when the test ends.
 func listenUDP(t *testing.T) net.PacketConn {
 	t.Helper()
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
-	check(t, err)
+	requireNoError(t, err)
 	t.Cleanup(func() { _ = peer.Close() }) // some tests close it themselves
-	check(t, peer.SetDeadline(time.Now().Add(testTimeout)))
+	requireNoError(t, peer.SetDeadline(time.Now().Add(testTimeout)))
 	return peer
 }
 
-// exchangeDatagrams makes a new loop send a datagram to peer, receive the answer, and close the socket.
+// exchangeDatagrams makes a new loop send a datagram to peer at addr, receive the answer, and close the socket.
 func exchangeDatagrams(t *testing.T, peer net.PacketConn, addr string) {
 	t.Helper()
 	l := New(Config{})
@@ -40,18 +40,18 @@
 	h := newUDPHandler()
 	var c *UDPConn
 	l.Post(func() { c = l.DialUDP(addr, h) })
-	check(t, <-h.opened)
+	requireNoError(t, <-h.opened)
 	l.Post(func() { c.Write([]byte("query")) })
 	buf := make([]byte, 16)
 	n, from, err := peer.ReadFrom(buf)
 	if err != nil || string(buf[:n]) != "query" {
-		t.Fatalf("the peer read %q, %v", buf[:n], err)
+		t.Fatalf("the peer read %q, error %v", buf[:n], err)
 	}
 	if _, err := peer.WriteTo([]byte("answer"), from); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-h.data; got != "answer" {
-		t.Errorf("read %q", got)
+		t.Errorf("the handler received %q", got)
 	}
 	l.Post(func() {
 		c.Close()
@@ -62,7 +62,8 @@
 	}
 }
 
-// A socket whose peer has gone closes by itself; one closed while it is still being dialed is never opened.
+// A socket whose peer has no listener any more must close by itself, with one call of OnClose. A socket that is closed
+// while it is being dialed must not be opened.
 func TestUDPSocketClosesOnce(t *testing.T) {
 	l := startLoop(t, 1, nil)
 	peer := listenUDP(t)
@@ -70,8 +71,8 @@
 	h := newUDPHandler()
 	var c *UDPConn
 	l.Post(func() { c = l.DialUDP(addr, h) })
-	check(t, <-h.opened)
-	check(t, peer.Close())
+	requireNoError(t, <-h.opened)
+	requireNoError(t, peer.Close())
 	l.Post(func() { c.Write([]byte("query")) })
 	if err := <-h.closed; !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("closed with %v", err)
@@ -82,11 +83,11 @@
 	})
 
 	cancelled := newUDPHandler()
-	l.Post(func() { l.DialUDP(addr, cancelled).Close() }) // its dial ends in a later turn at the earliest
+	l.Post(func() { l.DialUDP(addr, cancelled).Close() }) // the dial would end in a later turn
 	last := newUDPHandler()
 	l.Post(func() { l.DialUDP(addr, last) })
-	check(t, <-last.opened)
+	requireNoError(t, <-last.opened)
 	if len(cancelled.opened)+len(cancelled.closed)+len(h.closed) > 0 {
-		t.Error("a socket that was closed while dialing, or had closed, made another call")
+		t.Error("the handler of a socket that was closed while dialing, or had already closed, got another call")
 	}
 }
--- a/internal/eventloop/unread.go
+++ b/internal/eventloop/unread.go
@@ -2,19 +2,20 @@
 
 import "errors"
 
-// Unread bytes are those written to a connection that the kernel does not take, since the peer reads slowly or not at
-// all and the socket's send buffer is full. They are bounded for each connection by maxConnUnreadBytes and for all of them
-// together by Config.MaxUnreadBytes.
+// Unread bytes are bytes written to a connection that the kernel does not take because the socket's send buffer is
+// full: the peer reads slowly or not at all. They are limited by maxConnUnreadBytes for each connection, and by
+// Config.MaxUnreadBytes for all connections in total.
 
-// maxConnUnreadBytes is how much is kept for one peer that reads slowly: 32 answers of 16 KiB and their headers. A
-// connection on which more is written is closed.
+// maxConnUnreadBytes is how many unread bytes the loop keeps for one peer: 32 answers of 16 KiB and their headers. A
+// connection with more unread bytes is closed.
 const maxConnUnreadBytes = 640 << 10
 
-// errPeerNotReading closes a connection whose peer leaves too many bytes unread, by itself or together with all others.
+// errPeerNotReading is the error of a connection that is closed because its peer leaves too many bytes unread, or
+// because all peers together do.
 var errPeerNotReading = errors.New("peer does not read")
 
-// setUnsent sets the bytes that the kernel has yet to take, and keeps the loop's total. It sets takenAt if they have just
-// begun or if the kernel took some, and leaves it if only more were added.
+// setUnsent sets the bytes that the kernel has yet to take, and updates the loop's total. It updates lastSendProgress
+// if there were no unsent bytes before or if the kernel took some, but not if bytes were only added.
 func (c *Conn) setUnsent(unsent []byte) {
 	if len(c.unsent) == 0 || len(unsent) < len(c.unsent) {
 		c.lastSendProgress = c.loop.now
@@ -23,9 +24,9 @@
 	c.unsent = unsent
 }
 
-// limitUnread closes the connections whose peers have taken nothing for longest until the total is within the limit. One
-// whose unread bytes have begun in this turn is among the last of them: its peer may be reading. More bytes on top of
-// unread ones don't move a connection back in this order: see setUnsent.
+// limitUnread closes the connections whose peers have taken nothing for longest until the total is within the limit. A
+// connection that got its first unread bytes in this turn is among the last to be closed, because its peer may be
+// reading. Adding bytes to unread ones does not change this order (see setUnsent).
 func (l *Loop) limitUnread() {
 	for l.totalUnread > l.cfg.MaxUnreadBytes {
 		stalled := l.longestStalled()
@@ -36,7 +37,8 @@
 	}
 }
 
-// longestStalled returns the connection with unread bytes whose peer has taken nothing for longest; nil if there is none.
+// longestStalled returns the connection with unread bytes whose peer has taken nothing for longest, or nil if there is
+// none.
 func (l *Loop) longestStalled() *Conn {
 	var stalled *Conn
 	for _, connections := range []map[*Conn]struct{}{l.accepted, l.dialed} {
@@ -49,7 +51,7 @@
 	return stalled
 }
 
-// UnreadBytes returns how many bytes the peers of accepted connections have yet to take, pending writes included.
+// UnreadBytes returns how many bytes the peers of accepted connections have yet to take, including pending writes.
 func (l *Loop) UnreadBytes() int {
 	sum := 0
 	for c := range l.accepted {
--- a/internal/eventloop/unread_test.go
+++ b/internal/eventloop/unread_test.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Guards the last answers of a program that shuts down: what a turn has queued counts as unread before the
-// turn's flush, and a message of which only the beginning has arrived is reported.
+// Guards the last answers of a router that shuts down. Bytes that a turn has queued must count as unread before the
+// turn's flush, and a message that has arrived only in part must be reported.
 func TestUnreadBytesAndPartialMessagesAreReported(t *testing.T) {
 	h := &echoHandler{copies: 1, partialMessage: true, closed: make(chan error, 1)}
 	accepted := make(chan struct{})
@@ -27,7 +27,7 @@
 		queued = l.UnreadBytes() - before
 	})
 	if queued != 7 {
-		t.Errorf("%d bytes of 7 count as unread in the turn that queued them", queued)
+		t.Errorf("%d bytes count as unread in the turn that queued them, want 7", queued)
 	}
 	if _, err := io.ReadFull(client, make([]byte, 7)); err != nil {
 		t.Fatal(err)
@@ -41,25 +41,26 @@
 	if !hasPartial {
 		t.Error("the partial message is not reported")
 	}
-	check(t, client.Close())
+	requireNoError(t, client.Close())
 	t.Logf("closed with %v", <-h.closed)
 	runOnLoop(l, func() { hasPartial = l.HasPartialMessages() })
 	if hasPartial {
-		t.Error("the partial message of a closed connection counts")
+		t.Error("the partial message of a closed connection is reported")
 	}
 }
 
+// A peer that leaves more than maxConnUnreadBytes unread must be disconnected, with an error as the reason.
 func TestPeerThatDoesNotReadIsClosed(t *testing.T) {
 	l, h := startEchoLoop(t, 40000)
 	client := dialLoop(t, l)
-	check(t, client.SetReadBuffer(4<<10))
+	requireNoError(t, client.SetReadBuffer(4<<10))
 	write(t, client, bytes.Repeat([]byte("x"), 200)) // 8 MB of answers
 	if err := <-h.closed; err == nil {
 		t.Error("closed without a reason")
 	}
 }
 
-// Peers that do not read use up what all together may leave unread. They are closed, and not the client that reads.
+// Peers that do not read use up Config.MaxUnreadBytes. They must be closed, and not the client that reads.
 func TestReadingClientKeepsConnectionWhenOthersDoNotRead(t *testing.T) {
 	const peers, answerSize = 40, 200 << 10
 	handlers := make(chan *echoHandler, peers+1)
@@ -74,7 +75,7 @@
 	})
 	runLoop(t, l)
 	for range peers {
-		check(t, dialLoop(t, l).SetReadBuffer(4<<10))
+		requireNoError(t, dialLoop(t, l).SetReadBuffer(4<<10))
 		h := <-handlers
 		runOnLoop(l, func() { h.conn.Write(make([]byte, answerSize)) })
 	}
@@ -84,11 +85,12 @@
 	runOnLoop(l, func() { h.conn.Write(answer) })
 	got := make([]byte, len(answer))
 	if _, err := io.ReadFull(reader, got); err != nil {
-		t.Errorf("the client that reads: %v", err)
+		t.Errorf("the client that reads its answer failed: %v", err)
 	}
 	var closed CloseCounts
 	runOnLoop(l, func() { closed = l.CloseCounts() })
 	if closed[PeerNotReading] == 0 || len(h.closed) > 0 {
-		t.Errorf("%d peers that do not read were closed, of those that read %d", closed[PeerNotReading], len(h.closed))
+		t.Errorf("%d peers that do not read were closed, want at least 1; %d peers that read were closed, want 0",
+			closed[PeerNotReading], len(h.closed))
 	}
 }
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -7,13 +7,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxWriteVectors is the most buffers in one gathered write. The kernel takes 1,024 (IOV_MAX).
+// maxWriteVectors is how many buffers one gathered write takes at most. The kernel takes up to 1,024 (IOV_MAX).
 const maxWriteVectors = 512
 
-// Write queues buffers until the end of the turn; the caller must not change them before that. They are dropped if the
-// connection is closed, can't be written to any more, or is not connected yet, and after CloseAfterFlush. It must not be
-// called before OnOpen: see Loop.Dial. A peer that leaves too many bytes unread is disconnected: the handler's OnClose gets
-// the error in a later turn.
+// Write queues buffers until the end of the turn; the caller must not change them before that. The buffers are dropped
+// if the connection is closed, is not connected yet or can no longer be written to, and after CloseAfterFlush. Write
+// must not be called before OnOpen (see Loop.Dial). A peer that leaves too many bytes unread is disconnected: the
+// handler's OnClose gets the error in a later turn.
 func (c *Conn) Write(bufs ...[]byte) {
 	if !c.state.acceptsWrites() || c.writeError != nil {
 		return
@@ -36,7 +36,7 @@
 	l.unflushed = l.unflushed[:0]
 }
 
-// flush writes what is pending, and closes a connection that only waited for that.
+// flush writes the pending buffers, and closes a connection that was only waiting for that.
 func (c *Conn) flush() {
 	if c.state.isConnected() && c.writeError == nil {
 		c.writePending()
@@ -48,13 +48,13 @@
 	}
 }
 
-// dropPending removes what is pending, and keeps the array for the next turn.
+// dropPending removes the pending buffers, and keeps their slice for the next turn.
 func (c *Conn) dropPending() {
 	clear(c.pending)
 	c.pending = c.pending[:0]
 }
 
-// closeIfFlushed closes the connection if it only waited for the kernel to take its last bytes.
+// closeIfFlushed closes the connection if it was only waiting for the kernel to take its last bytes.
 func (c *Conn) closeIfFlushed() {
 	switch {
 	case c.state.isClosed() || c.hasUnwrittenBytes():
@@ -68,7 +68,7 @@
 // hasUnwrittenBytes reports whether there are bytes that the kernel has not taken.
 func (c *Conn) hasUnwrittenBytes() bool { return len(c.pending) > 0 || len(c.unsent) > 0 }
 
-// writePending writes what is pending, and copies what the kernel does not take to unsent.
+// writePending writes the pending buffers, and copies the bytes that the kernel does not take to unsent.
 func (c *Conn) writePending() {
 	rest := c.pending
 	if len(c.unsent) == 0 {
@@ -92,8 +92,8 @@
 	c.loop.limitUnread()
 }
 
-// writeBuffers writes bufs in as few system calls as possible, and returns those that the kernel did not take because the
-// socket's send buffer is full. It changes the slice, not the bytes.
+// writeBuffers writes bufs in as few system calls as possible. It returns the rest that the kernel did not take because
+// the socket's send buffer is full. It changes the slice, but not the bytes.
 func (c *Conn) writeBuffers(bufs [][]byte) (rest [][]byte, err error) {
 	for len(bufs) > 0 {
 		n, err := c.loop.calls.write(c.socket.fd, bufs[:min(len(bufs), maxWriteVectors)])
@@ -123,7 +123,8 @@
 	return bufs
 }
 
-// writeUnsent writes what earlier turns could not. The poller calls for it by EPOLLOUT: the send buffer has space again.
+// writeUnsent writes the bytes that earlier turns could not write. It is called when the poller reports EPOLLOUT: the
+// send buffer has space again.
 func (c *Conn) writeUnsent() {
 	if c.state.isClosed() || c.writeError != nil || len(c.unsent) == 0 {
 		return
@@ -142,8 +143,8 @@
 	c.closeIfFlushed()
 }
 
-// failWrite ends a connection that can't be written to. The peer may have sent something before the connection broke, such
-// as a worker its answers: endAfterWriteError reads that first, in the next turn.
+// failWrite marks a connection as no longer writable, and schedules its close. The peer may have sent data before the
+// connection broke, such as the answers of a worker: closeAfterWriteError reads that data first, in the next turn.
 func (c *Conn) failWrite(err error) {
 	if c.state.isClosed() || c.writeError != nil {
 		return
@@ -153,8 +154,8 @@
 	c.loop.deferCall(c.closeAfterWriteError)
 }
 
-// closeAfterWriteError reads what the peer of a failed write has sent, and closes the connection. The read itself may end it
-// with an error of its own.
+// closeAfterWriteError reads the data that the peer of a failed write has sent, and closes the connection. A read that
+// fails closes the connection with the error of the read.
 func (c *Conn) closeAfterWriteError() {
 	if c.state.isClosed() {
 		return
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// startEchoLoop runs a loop whose connections answer with so many copies of what they receive, through a small
-// kernel buffer, so that little is needed to fill it.
+// startEchoLoop runs a loop whose connections answer with the given number of copies of what they receive. The kernel's
+// send buffers are small, so that little data fills them.
 func startEchoLoop(t *testing.T, copies int) (*Loop, *echoHandler) {
 	t.Helper()
 	h := &echoHandler{copies: copies, completeMessages: 1, closed: make(chan error, 1)}
@@ -23,23 +23,24 @@
 	return l, h
 }
 
-// A reader that starts late, so that the socket fills and writes fall short, still gets every byte in order.
+// Guards the order and completeness of an answer when the client starts to read late, so that the send buffer fills and
+// writes are short.
 func TestShortWritesLoseNoData(t *testing.T) {
 	l, h := startEchoLoop(t, 3000)
 	client := dialLoop(t, l)
-	check(t, client.SetReadBuffer(64<<10))
+	requireNoError(t, client.SetReadBuffer(64<<10))
 	text := bytes.Repeat([]byte("0123456789"), 20)
 	write(t, client, text)
-	// Until the loop has written, and more than the kernel takes.
+	// Wait until the loop has written more than the kernel takes.
 	for unread := 0; unread == 0; {
 		runOnLoop(l, func() { unread = l.UnreadBytes() })
 	}
 	want := bytes.Repeat(append(bytes.Clone(text), '|'), h.copies)
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(client, got); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("the bytes differ; read error: %v", err)
+		t.Errorf("the received bytes differ from those sent; read error: %v", err)
 	}
-	// The loop may still have to count its last write.
+	// Wait until the loop has counted its last write.
 	for unread := 1; unread != 0; {
 		runOnLoop(l, func() { unread = l.UnreadBytes() })
 	}
