--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -9,7 +9,7 @@
 )
 
 // Conn is a TCP connection, accepted or dialed. Its methods must be called on the loop's goroutine. They may be called
-// at any time, also by the Conn's own handler and after the connection has closed.
+// at any time, including by the Conn's own handler and after the connection has closed.
 type Conn struct {
 	loop       *Loop
 	socket     socket
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -237,10 +237,10 @@
 	l.flush()
 	l.runDeferred()
 	if got := h.next(t); got != "answer" {
-		t.Errorf("received %q", got)
+		t.Errorf("the handler received %q first, want the answer", got)
 	}
 	if got := h.next(t); got != closeRecord {
-		t.Errorf("received %q", got)
+		t.Errorf("the handler received %q after the answer, want the close", got)
 	}
 }
 
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -136,10 +136,10 @@
 
 // handleError handles a failed accept. It reports whether accept may be called again at once.
 //
-// It may if the error concerns a single connection. Any other error concerns this process or machine, for example a
-// lack of descriptors: from the second consecutive failure on, the listener pauses, and the connections wait in the
-// backlog. If this process has used up its own descriptors (EMFILE), the loop first tries to evict a client that is
-// silent or has been idle for long.
+// accept may be called again at once if the error concerns a single connection. Any other error concerns this process
+// or machine, for example a lack of descriptors: from the second consecutive failure on, the listener pauses, and the
+// connections wait in the backlog. If this process has used up its own descriptors (EMFILE), the loop first tries to
+// evict a client that is silent or has been idle for long.
 func (ln *listener) handleError(err error) (retryNow bool) {
 	if isPerConnectionError(err) {
 		return true
@@ -184,7 +184,7 @@
 	ln.resumeAt = now + pauseAfter(ln.failures)
 }
 
-// resumeAccepting polls the listeners again whose pause has ended.
+// resumeAccepting resumes polling of the listeners whose pause has ended.
 func (l *Loop) resumeAccepting() {
 	for _, ln := range l.listeners {
 		if ln.paused && l.now >= ln.resumeAt && ln.socket.setInterest(l.poll, unix.EPOLLIN) == nil {
--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/read_test.go
@@ -109,12 +109,13 @@
 			t.Errorf("open request %v: the client read %q, error %v", hasOpenRequest, got, err)
 		}
 		if err := <-h.closed; !errors.Is(err, io.EOF) {
-			t.Errorf("closed with %v", err)
+			t.Errorf("OnClose got %v, want EOF", err)
 		}
 	}
 }
 
-// A half-closed connection waits for an answer and is not read. If the client resets it, the handler must be told.
+// A half-closed connection waits for an answer and is not read. If the client resets it, OnClose must still report the
+// reset.
 func TestResetOfHalfClosedConnectionIsReported(t *testing.T) {
 	h := &echoHandler{openRequests: true, closed: make(chan error, 1), inputEnded: make(chan struct{}, 1)}
 	l := startLoop(t, 10, func(*Conn) AcceptedHandler { return h })
@@ -124,7 +125,7 @@
 	requireNoError(t, client.SetLinger(0))
 	requireNoError(t, client.Close())
 	if err := <-h.closed; !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		t.Errorf("closed with %v", err)
+		t.Errorf("OnClose got %v, want ECONNRESET or EPIPE", err)
 	}
 }
 
--- a/internal/eventloop/sweep_test.go
+++ b/internal/eventloop/sweep_test.go
@@ -42,7 +42,7 @@
 			const step = 100 * time.Millisecond
 			closedAt := simulateUntilClosed(step, time.Minute, c.receive)
 			if closedAt < c.want || closedAt > c.want+2*step {
-				t.Errorf("closed after %v, want %v", closedAt, c.want)
+				t.Errorf("closed after %v, want %v or up to two steps later", closedAt, c.want)
 			}
 		})
 	}
--- a/internal/eventloop/udp_test.go
+++ b/internal/eventloop/udp_test.go
@@ -51,19 +51,19 @@
 		t.Fatal(err)
 	}
 	if got := <-h.data; got != "answer" {
-		t.Errorf("the handler received %q", got)
+		t.Errorf("the handler received %q, want the answer", got)
 	}
 	l.Post(func() {
 		c.Close()
 		c.Close()
 	})
 	if err := <-h.closed; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("closed with %v", err)
+		t.Errorf("OnClose got %v, want net.ErrClosed", err)
 	}
 }
 
-// A socket whose peer has no listener any more must close by itself, with one call of OnClose. A socket that is closed
-// while it is being dialed must not be opened.
+// A socket whose peer no longer listens must close by itself, with one call of OnClose. A socket that is closed while
+// it is being dialed must not be opened.
 func TestUDPSocketClosesOnce(t *testing.T) {
 	l := startLoop(t, 1, nil)
 	peer := listenUDP(t)
@@ -75,7 +75,7 @@
 	requireNoError(t, peer.Close())
 	l.Post(func() { c.Write([]byte("query")) })
 	if err := <-h.closed; !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("closed with %v", err)
+		t.Errorf("OnClose got %v, want ECONNREFUSED", err)
 	}
 	l.Post(func() {
 		c.Write([]byte("late"))
--- a/internal/eventloop/unread.go
+++ b/internal/eventloop/unread.go
@@ -11,7 +11,7 @@
 const maxConnUnreadBytes = 640 << 10
 
 // errPeerNotReading is the error of a connection that is closed because its peer leaves too many bytes unread, or
-// because all peers together do.
+// because all peers together leave too many unread.
 var errPeerNotReading = errors.New("peer does not read")
 
 // setUnsent sets the bytes that the kernel has yet to take, and updates the loop's total. It updates lastSendProgress
--- a/internal/eventloop/unread_test.go
+++ b/internal/eventloop/unread_test.go
@@ -56,7 +56,7 @@
 	requireNoError(t, client.SetReadBuffer(4<<10))
 	write(t, client, bytes.Repeat([]byte("x"), 200)) // 8 MB of answers
 	if err := <-h.closed; err == nil {
-		t.Error("closed without a reason")
+		t.Error("OnClose got no error")
 	}
 }
 
