--- a/internal/eventloop/dialed_conn_test.go
+++ b/internal/eventloop/dialed_conn_test.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// dialCallRecorder is the handler of a dialed connection that records its calls in order.
+// dialCallRecorder is the handler of a dialed connection. It records its calls in order.
 type dialCallRecorder struct {
 	calls  []string
-	onOpen func() // called by OnOpen, where set
+	onOpen func() // called by OnOpen; nil: no call
 }
 
 func (r *dialCallRecorder) OnOpen(err error) {
@@ -25,7 +25,8 @@
 
 func (r *dialCallRecorder) OnClose(err error) { r.calls = append(r.calls, describeCall("close", err)) }
 
-// dialedScenario is what happens to a connection that is being dialed, and the calls that its handler gets.
+// dialedScenario is a sequence of events on a connection that is being dialed, with the calls that its handler should
+// get.
 type dialedScenario struct {
 	name string
 	run  func(m *manualLoop, h *dialCallRecorder)
@@ -33,111 +34,111 @@
 }
 
 var dialedScenarios = []dialedScenario{
-	{"closed while dialing", func(m *manualLoop, _ *dialCallRecorder) {
-		m.inState(stateDialing)
+	{"Close while dialing", func(m *manualLoop, _ *dialCallRecorder) {
+		m.expectState(stateDialing)
 		m.conn.Close()
-		m.inState(stateClosed)
+		m.expectState(stateClosed)
 	}, nil},
-	{"closed after flush while dialing", func(m *manualLoop, _ *dialCallRecorder) {
+	{"CloseAfterFlush while dialing", func(m *manualLoop, _ *dialCallRecorder) {
 		m.conn.CloseAfterFlush()
-		m.inState(stateDialingToClose)
+		m.expectState(stateDialingToClose)
 		m.flush()
-		m.inState(stateClosed)
+		m.expectState(stateClosed)
 	}, nil},
-	{"closed after flush in the turn that connects", func(m *manualLoop, h *dialCallRecorder) {
+	{"CloseAfterFlush in the turn in which the dial succeeds", func(m *manualLoop, h *dialCallRecorder) {
 		h.onOpen = func() {
-			m.inState(stateFlushing)
+			m.expectState(stateFlushing)
 			m.conn.Write([]byte("dropped"))
 		}
 		m.conn.CloseAfterFlush()
-		m.turns()
-		if got := m.peerReceives(); got != "" {
+		m.runTurnsUntilIdle()
+		if got := m.readPeerToEnd(); got != "" {
 			m.t.Errorf("the peer received %q", got)
 		}
 	}, []string{"open", "close"}},
 	{"connected", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
-		m.inState(stateOpen)
+		m.runTurn()
+		m.expectState(stateOpen)
 	}, []string{"open"}},
 	{"refused", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
 	}, []string{"open: ECONNREFUSED"}},
-	{"refused, and closed before the report", func(m *manualLoop, _ *dialCallRecorder) {
+	{"refused, Close before OnOpen", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
-		m.turn()
-		m.inState(stateDialFailed)
+		m.runTurn()
+		m.expectState(stateDialFailed)
 		m.conn.Close()
-		m.inState(stateClosed)
+		m.expectState(stateClosed)
 	}, nil},
-	{"refused, and closed by the report", func(m *manualLoop, h *dialCallRecorder) {
+	{"refused, Close in OnOpen", func(m *manualLoop, h *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
 		h.onOpen = func() {
-			m.inState(stateClosed)
+			m.expectState(stateClosed)
 			m.conn.Close()
 		}
 	}, []string{"open: ECONNREFUSED"}},
-	{"refused, and closed after flush before the report", func(m *manualLoop, _ *dialCallRecorder) {
+	{"refused, CloseAfterFlush before OnOpen", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
-		m.turn()
+		m.runTurn()
 		m.conn.CloseAfterFlush()
-		m.inState(stateDialFailed)
+		m.expectState(stateDialFailed)
 	}, []string{"open: ECONNREFUSED"}},
-	{"closed after flush in the turn that is refused", func(m *manualLoop, _ *dialCallRecorder) {
+	{"CloseAfterFlush in the turn in which the dial is refused", func(m *manualLoop, _ *dialCallRecorder) {
 		m.calls.connectResultError = unix.ECONNREFUSED
 		m.conn.CloseAfterFlush()
 	}, []string{"open: ECONNREFUSED"}},
 	{"timed out", func(m *manualLoop, _ *dialCallRecorder) {
 		m.now += 2 * time.Second
 		m.checkDials()
-		m.inState(stateDialFailed)
+		m.expectState(stateDialFailed)
 	}, []string{"open: deadline exceeded"}},
-	{"ended by the peer", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+	{"closed by the peer", func(m *manualLoop, _ *dialCallRecorder) {
+		m.runTurn()
 		m.peerSends("answer", true)
 	}, []string{"open", "data answer", "close: EOF"}},
-	{"closed", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+	{"Close", func(m *manualLoop, _ *dialCallRecorder) {
+		m.runTurn()
 		m.peerSends("answer", true)
 		m.conn.Close()
 		m.conn.Close()
 	}, []string{"open", "close"}},
-	{"closed after flush", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+	{"CloseAfterFlush", func(m *manualLoop, _ *dialCallRecorder) {
+		m.runTurn()
 		m.conn.Write([]byte("last"))
 		m.conn.CloseAfterFlush()
 		m.conn.CloseAfterFlush()
 		m.conn.Write([]byte("dropped"))
-		m.turns()
-		if got := m.peerReceives(); got != "last" {
+		m.runTurnsUntilIdle()
+		if got := m.readPeerToEnd(); got != "last" {
 			m.t.Errorf("the peer received %q", got)
 		}
 	}, []string{"open", "close"}},
-	{"write failed after an answer", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+	{"write fails before the answer is read", func(m *manualLoop, _ *dialCallRecorder) {
+		m.runTurn()
 		m.peerSends("answer", false)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
 		m.flush()
 	}, []string{"open", "data answer", "close: EPIPE"}},
-	{"write failed after the end of input", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+	{"write fails before the answer and the end of input are read", func(m *manualLoop, _ *dialCallRecorder) {
+		m.runTurn()
 		m.peerSends("answer", true)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
 		m.flush()
 	}, []string{"open", "data answer", "close: EOF"}},
-	{"write failed, then closed after flush", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+	{"write fails, then CloseAfterFlush", func(m *manualLoop, _ *dialCallRecorder) {
+		m.runTurn()
 		m.peerSends("answer", false)
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
 		m.flush()
-		m.inState(stateOpen)
+		m.expectState(stateOpen)
 		m.conn.CloseAfterFlush()
-		m.inState(stateFlushing)
+		m.expectState(stateFlushing)
 	}, []string{"open", "close: EPIPE"}},
-	{"write failed, then closed", func(m *manualLoop, _ *dialCallRecorder) {
-		m.turn()
+	{"write fails, then Close", func(m *manualLoop, _ *dialCallRecorder) {
+		m.runTurn()
 		m.calls.writeError = unix.EPIPE
 		m.conn.Write([]byte("request"))
 		m.flush()
@@ -145,15 +146,16 @@
 	}, []string{"open", "close"}},
 }
 
-// Guards which calls the handler of a dialed connection gets, in which order, whatever ends the connection and when.
-func TestCallsOfADialedConnection(t *testing.T) {
+// Guards which calls the handler of a dialed connection gets, and in which order, depending on how and when the
+// connection ends.
+func TestDialedConnectionHandlerCalls(t *testing.T) {
 	for _, test := range dialedScenarios {
 		t.Run(test.name, func(t *testing.T) {
 			m := newManualLoop(t)
 			h := &dialCallRecorder{}
 			m.startDial(h)
 			test.run(m, h)
-			m.turns()
+			m.runTurnsUntilIdle()
 			if !slices.Equal(h.calls, test.want) {
 				t.Errorf("the handler got the calls %q, want %q", h.calls, test.want)
 			}
