--- a/internal/frontend/webhook/payload.go
+++ b/internal/frontend/webhook/payload.go
@@ -27,7 +27,7 @@
 	errUnknownClass        = errors.New("unknown class")
 	errRequestBodyTooLarge = errors.New("body is too long")
 	errMalformedKey        = errors.New("key is not 16 hex digits in lower case")
-	errValueOutOfRange    = errors.New("a figure is out of range")
+	errFigureOutOfRange    = errors.New("a figure is out of range")
 	errOutsideRetention    = errors.New("the order's timestamp is outside the ledger's retention")
 )
 
@@ -79,7 +79,7 @@
 		return deliveredRequest{}, errMalformedKey
 	}
 	if !p.Data.isInRange() {
-		return deliveredRequest{}, errValueOutOfRange
+		return deliveredRequest{}, errFigureOutOfRange
 	}
 	isOrder := r.classes[class].CarriesOrders
 	if isOrder && !r.isWithinRetention(p.Timestamp) {
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -155,7 +155,7 @@
 	running := s.attempts[:0]
 	for _, a := range s.attempts {
 		if !a.ended && a.deadline <= now {
-			a.finish(0, errReplyTimeout)
+			a.end(0, errReplyTimeout)
 		}
 		if !a.ended {
 			next = min(next, a.deadline)
