--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,9 +5,9 @@
 const (
 	// The ratios of the delay to the latency objective at which load shedding begins. Higher, and queues eat
 	// the objective; lower, and requests are shed that would have been served in time.
-	shedStart       = 0.5
-	shedStartBehind = 0.25 // where the settings have a class of more value
-	shedStartFirst  = 0.15 // for requests beyond their quota, or predicted to miss their objective
+	shedStart           = 0.5
+	shedStartLowerValue = 0.25 // where the settings have a class of more value
+	shedStartEarliest   = 0.15 // for requests beyond their quota, or predicted to miss their objective
 
 	// shedSlope is how fast the chance to be shed grows with that ratio: from 0 at the start to 1 half an
 	// objective later.
@@ -16,9 +16,9 @@
 	// maxShedChance bounds the chance to be shed: the requests that are left show when the delay is gone.
 	maxShedChance = 0.9
 
-	// moreValuable is how many times the value for its work a class must have to go before another. Higher,
+	// minValueDensityRatio is how many times the value for its work a class must have to go before another. Higher,
 	// and classes of nearly the same value share the shedding; lower, and an estimate's noise decides.
-	moreValuable = 1.5
+	minValueDensityRatio = 1.5
 
 	// explorationInterval is the least time between two requests that are admitted against the estimates.
 	// Longer, and a wrong estimate stays; shorter, and more requests are late.
@@ -35,14 +35,14 @@
 //
 // Now and then one request goes against the estimates, so that a wrong one is corrected. The draw in
 // shouldShed is made in every case.
-func (p *Policy) admit(r *request, to target) bool {
-	latency := to.latency
-	if to.likelyWarm {
-		latency -= p.remainingLoadTime(to.worker, r)
+func (p *Policy) admit(r *request, chosen target) bool {
+	latency := chosen.latency
+	if chosen.likelyWarm {
+		latency -= p.remainingLoadTime(chosen.worker, r)
 	}
-	shed, drain := p.shouldShed(r, to.worker, latency)
+	shed, drainTime := p.shouldShed(r, chosen.worker, latency)
 	missesDeadline := latency > p.timeLeft(r)
-	lateBeyondQuota := r.overQuota && to.score > p.objective(r)
+	lateBeyondQuota := r.overQuota && chosen.score > p.objective(r)
 	tooLate := missesDeadline || lateBeyondQuota
 	isRetry := len(r.attempts) > 0
 	if !tooLate && (!shed || isRetry) {
@@ -55,7 +55,7 @@
 	if tooLate {
 		reason = PredictedTooLate
 	}
-	p.endUnserved(r, drain, reason)
+	p.endUnserved(r, drainTime, reason)
 	return false
 }
 
@@ -83,7 +83,7 @@
 //	           shedStartBehind where such a class of more value exists, else shedStart
 //
 // It draws once in every case: a short cut would shift all later draws.
-func (p *Policy) shouldShed(r *request, w *worker, latency nanoseconds) (shed bool, drain nanoseconds) {
+func (p *Policy) shouldShed(r *request, w *worker, latency nanoseconds) (shed bool, drainTime nanoseconds) {
 	start, objective := p.shedThreshold(r, latency)
 	delay := max(p.estimates.standingDelay, nanoseconds(p.otherRoutersShare())*w.queue.excess(p.now))
 	chance := min(shedSlope*(float64(delay/objective)-start), maxShedChance)
@@ -94,20 +94,20 @@
 func (p *Policy) shedThreshold(r *request, latency nanoseconds) (start float64, objective nanoseconds) {
 	start = shedStart
 	objective = p.objective(r)
-	own := p.valueDensity(p.classOf(r))
+	density := p.valueDensity(p.classOf(r))
 	for i := range p.classes {
-		other := &p.classes[i]
-		if p.valueDensity(other) > moreValuable*own {
-			start = shedStartBehind
-			objective = min(objective, nanoseconds(other.settings.LatencyObjective))
+		otherClass := &p.classes[i]
+		if p.valueDensity(otherClass) > minValueDensityRatio*density {
+			start = shedStartLowerValue
+			objective = min(objective, nanoseconds(otherClass.settings.LatencyObjective))
 		}
 	}
 	missesObjective := latency > p.objective(r)
 	switch {
 	case r.overQuota:
-		start = shedStartFirst * p.cfg.OverQuotaWeight
+		start = shedStartEarliest * p.cfg.OverQuotaWeight
 	case missesObjective:
-		start = shedStartFirst
+		start = shedStartEarliest
 	}
 	return start, objective
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -14,22 +14,22 @@
 	expectedLatency time.Duration // the prediction when it was sent
 	number          int           // among the request's attempts, from 0
 	inFlightBefore  int           // our attempts in flight at the worker when it was sent
-	wasNotWarm      bool          // no instance was believed warm there: it was absent or still loading
+	wasCold         bool          // no instance was believed warm there: it was absent or still loading
 	likelyWarm      bool          // but another router had probably had it loaded
 	cancelled       bool          // by us; its end may still come
 	ended           bool
 }
 
 // expectedWarm reports whether a load would be a surprise.
-func (a *attempt) expectedWarm() bool { return !a.wasNotWarm || a.likelyWarm }
+func (a *attempt) expectedWarm() bool { return !a.wasCold || a.likelyWarm }
 
 // sendAttempt sends r to a worker and records the attempt. If a rule forbids it, nothing changes; place has
 // just checked the same rules, so that does not happen.
 //
 // The order counts: the load is read before the attempt is in flight, which makes its instance warm; the
 // quota is charged and inFlightBefore taken before the attempt is counted.
-func (p *Policy) sendAttempt(r *request, to target) {
-	w := to.worker
+func (p *Policy) sendAttempt(r *request, chosen target) {
+	w := chosen.worker
 	load := p.remainingLoadTime(w, r)
 	i := w.instance(r.function.id)
 	if !p.emit(SendAttempt{Request: r.id(), Worker: w.id()}) {
@@ -40,11 +40,11 @@
 		worker:          w,
 		instance:        i,
 		sentAt:          p.now,
-		expectedLatency: to.latency.duration(),
+		expectedLatency: chosen.latency.duration(),
 		number:          len(r.attempts),
 		inFlightBefore:  len(w.inFlight),
-		wasNotWarm:      load > 0,
-		likelyWarm:      to.likelyWarm,
+		wasCold:         load > 0,
+		likelyWarm:      chosen.likelyWarm,
 	}
 	chargeQuota(r)
 	r.attempts = append(r.attempts, a)
@@ -58,7 +58,7 @@
 // recordAwaitedLoad records the load that a begins or awaits, if its function was not warm. A load that is
 // under way keeps its expected end. While loads fail, either kind restarts the pause before the next one.
 func (p *Policy) recordAwaitedLoad(a *attempt, load nanoseconds) {
-	if !a.wasNotWarm {
+	if !a.wasCold {
 		return
 	}
 	if a.instance.loadEndsAt == 0 && !p.cfg.MissWhenNotLoaded {
@@ -94,7 +94,7 @@
 		p.closeRequest(r)
 	}
 	p.continueAfter(a, e.Outcome)
-	p.forgetIfSettled(r)
+	p.deleteIfComplete(r)
 }
 
 // openAttempt returns the attempt that e reports on, or nil if there is none that has not ended.
@@ -134,8 +134,8 @@
 		return
 	}
 	// NotSent mostly means that no time was left; a fault of this machine ends the request alike.
-	timeIsOver := outcome == NotSent || outcome == TimedOut && p.outOfTime(r)
-	if timeIsOver {
+	noTimeLeft := outcome == NotSent || outcome == TimedOut && p.outOfTime(r)
+	if noTimeLeft {
 		p.endUnserved(r, 0, DeadlineExceeded)
 		return
 	}
--- a/policy/config_check.go
+++ b/policy/config_check.go
@@ -11,27 +11,27 @@
 		return &ConfigError{"Classes", "empty"}
 	}
 	for i := range cfg.Classes {
-		if !cfg.Classes[i].isPossible() {
+		if !cfg.Classes[i].isValid() {
 			return &ConfigError{fmt.Sprintf("Classes[%d]", i), fmt.Sprintf("impossible: %+v", cfg.Classes[i])}
 		}
 	}
 	return validateNumbers(cfg)
 }
 
-// isPossible reports whether a class's times are usable and its enumerations known.
-func (c *Class) isPossible() bool {
-	timesPossible := c.LatencyObjective > 0 && c.Deadline > 0 && c.DedupWindow >= 0
+// isValid reports whether a class's times are usable and its enumerations known.
+func (c *Class) isValid() bool {
+	timesValid := c.LatencyObjective > 0 && c.Deadline > 0 && c.DedupWindow >= 0
 	enumsKnown := c.Idempotency <= NotIdempotent && c.DedupScope <= DedupCell
-	return timesPossible && enumsKnown
+	return timesValid && enumsKnown
 }
 
 // validateNumbers checks the settings that must be finite and not negative, and those that are shares.
 func validateNumbers(cfg *Config) error {
 	noLimit := math.MaxFloat64
 	for _, setting := range []struct {
-		field string
-		value float64
-		most  float64
+		field      string
+		value      float64
+		upperBound float64
 	}{
 		{"MaxAttempts", float64(cfg.MaxAttempts), noLimit},
 		{"Tick", float64(cfg.Tick), noLimit},
@@ -44,8 +44,8 @@
 		{"LoadCommandAllowance", cfg.LoadCommandAllowance, noLimit},
 		{"LoadCommandsPerRequest", cfg.LoadCommandsPerRequest, noLimit},
 	} {
-		possible := setting.value >= 0 && setting.value <= setting.most // false for NaN
-		if !possible {
+		inRange := setting.value >= 0 && setting.value <= setting.upperBound // false for NaN
+		if !inRange {
 			return &ConfigError{setting.field, fmt.Sprintf("impossible: %v", setting.value)}
 		}
 	}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -93,7 +93,7 @@
 // making its instance count as warm; lastHeard and the recent sends of an earlier slow start stay too.
 func (p *Policy) resetWorker(w *worker, startedAt time.Duration) {
 	for _, i := range w.instances {
-		i.forget()
+		i.markNotLoaded()
 	}
 	w.queue = queueEstimate{}
 	w.health.unserved = make([]decayingMean, len(p.classes))
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -19,24 +19,24 @@
 	// function unlike its class is learned late; lower, and its first answers decide.
 	runTimePrior = 5
 
-	// runTimeMemory is how many answers a mean run time remembers. Higher, and a change is learned late;
+	// runTimeWindow is how many answers a mean run time remembers. Higher, and a change is learned late;
 	// lower, and the mean follows chance.
-	runTimeMemory = 30
+	runTimeWindow = 30
 
 	// ratioRetention is what a ratio keeps of its sums at each observation, and a function's saturation at
 	// each answer in time: about 1/(1-0.97), 33 of them, are remembered. Higher, and a change is learned
 	// late; lower, and chance decides.
 	ratioRetention = 0.97
 
-	// delayMemory is the time in which a decaying mean decays by the factor e: that of the excess delay at a
+	// delayTimeConstant is the time in which a decaying mean decays by the factor e: that of the excess delay at a
 	// worker, since a queue drains in about that, and that of the share that the worker leaves unserved.
 	// Longer, and a worker is avoided for what is over; shorter, and what few answers tell is forgotten
 	// before the next.
-	delayMemory = 3 * time.Second
+	delayTimeConstant = 3 * time.Second
 
-	// fewObservations is the number below which a decaying mean is remembered for longer, in proportion:
+	// fullDecayObservations is the number below which a decaying mean is remembered for longer, in proportion:
 	// where few answers come, there are no newer ones to go by.
-	fewObservations = 6
+	fullDecayObservations = 6
 
 	// maxReportedQueue bounds the queue length that a load report is believed to tell, in requests.
 	maxReportedQueue = 1000
@@ -79,14 +79,14 @@
 // decayingMean is the mean of recent observations, whose weights decay over delayMemory, and of one more of
 // 0: it falls to 0 when no more come.
 type decayingMean struct {
-	sum   float64
-	count float64
-	at    time.Duration // of the latest observation, to which sum and count belong
+	sum       float64
+	count     float64
+	updatedAt time.Duration // of the latest observation, to which sum and count belong
 }
 
 // retention is the part of its weight that an observation has kept since m.at.
 func (m *decayingMean) retention(now time.Duration) float64 {
-	return math.Exp(-float64(now-m.at) / float64(delayMemory) * min(1, max(1, m.count)/fewObservations))
+	return math.Exp(-float64(now-m.updatedAt) / float64(delayTimeConstant) * min(1, max(1, m.count)/fullDecayObservations))
 }
 
 func (m *decayingMean) value(now time.Duration) float64 {
@@ -98,7 +98,7 @@
 	retained := m.retention(now)
 	m.sum = m.sum*retained + v
 	m.count = m.count*retained + 1
-	m.at = now
+	m.updatedAt = now
 }
 
 // runTimeEstimate is the mean run time of requests that found a warm instance.
@@ -107,9 +107,9 @@
 	count float64 // answers that the mean rests on, at most runTimeMemory
 }
 
-func (e *runTimeEstimate) observe(took nanoseconds) {
-	e.count = min(e.count+1, runTimeMemory)
-	e.mean += (min(took, outlierClip*e.mean) - e.mean) / nanoseconds(e.count)
+func (e *runTimeEstimate) observe(runTime nanoseconds) {
+	e.count = min(e.count+1, runTimeWindow)
+	e.mean += (min(runTime, outlierClip*e.mean) - e.mean) / nanoseconds(e.count)
 }
 
 // queueEstimate predicts the queueing delay at one worker; see Policy.queueingDelay.
@@ -153,5 +153,5 @@
 
 // decayServedWork lets the served work decay; it is called once in sweepInterval.
 func (e *fleetEstimates) decayServedWork() {
-	e.servedWork -= e.servedWork * nanoseconds(sweepInterval) / nanoseconds(rateMemory)
+	e.servedWork -= e.servedWork * nanoseconds(sweepInterval) / nanoseconds(rateTimeConstant)
 }
--- a/policy/functions.go
+++ b/policy/functions.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// rateMemory is the time over which rates are remembered: those of a function's requests, which decay by the
+// rateTimeConstant is the time over which rates are remembered: those of a function's requests, which decay by the
 // factor e in it, and of the work that is served, which loses a tenth of itself at each sweep. Longer, and a
 // function that has become popular gets its replicas late; shorter, and a router that sees few requests takes
 // chance for a rate.
-const rateMemory = 10 * time.Second
+const rateTimeConstant = 10 * time.Second
 
 // function is what our requests for one function have shown.
 type function struct {
@@ -31,7 +31,7 @@
 		f = &function{id: e.Function, runTime: runTimeEstimate{mean: c.runTime.mean}}
 		p.functions[e.Function] = f
 	}
-	f.recentRequests *= math.Exp(-float64(p.now-f.lastRequest) / float64(rateMemory))
+	f.recentRequests *= math.Exp(-float64(p.now-f.lastRequest) / float64(rateTimeConstant))
 	f.lastRequest = p.now
 	f.loadTime = e.LoadTime
 	if unknown := f.loadTime <= 0 || f.loadTime > longestPlausibleTime; unknown {
@@ -42,4 +42,6 @@
 
 // recordSaturation counts an answer that was late or overloaded although the function was loaded: one replica
 // more is wanted, up to most.
-func (f *function) recordSaturation(most int) { f.saturation = min(f.saturation+1, float64(most)) }
+func (f *function) recordSaturation(maxSaturation int) {
+	f.saturation = min(f.saturation+1, float64(maxSaturation))
+}
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -19,9 +19,9 @@
 	// often.
 	gossipBudgetPerRequest = 2
 
-	// gossipBeliefPercent is the part of the keep-alive time for which an announced instance is believed to
+	// gossipValidityPercent is the part of the keep-alive time for which an announced instance is believed to
 	// be loaded. The rest is for the age of the message.
-	gossipBeliefPercent = 90
+	gossipValidityPercent = 90
 
 	// announceDivisor is the part of the keep-alive time after which a loaded instance is announced again.
 	announceDivisor = 4
@@ -33,8 +33,8 @@
 	budget  float64 // receivers that may be told
 }
 
-// earn adds the budget of one request, up to one message to all routers.
-func (g *gossipOutbox) earn(routers int) {
+// addBudget adds the budget of one request, up to one message to all routers.
+func (g *gossipOutbox) addBudget(routers int) {
 	g.budget = min(g.budget+gossipBudgetPerRequest, float64(routers))
 }
 
@@ -74,11 +74,11 @@
 			continue
 		}
 		i := w.instance(functionID)
-		i.warmUntil = max(i.warmUntil, p.now+gossipBelief(p.cfg.InstanceKeepAlive))
+		i.warmUntil = max(i.warmUntil, p.now+gossipValidity(p.cfg.InstanceKeepAlive))
 	}
 }
 
-// gossipBelief is how long an announced instance is believed to be loaded.
-func gossipBelief(keepAlive time.Duration) time.Duration {
-	return keepAlive * gossipBeliefPercent / 100
+// gossipValidity is how long an announced instance is believed to be loaded.
+func gossipValidity(keepAlive time.Duration) time.Duration {
+	return keepAlive * gossipValidityPercent / 100
 }
--- a/policy/instances.go
+++ b/policy/instances.go
@@ -15,8 +15,8 @@
 	waiting            []*request    // requests that wait for that answer
 }
 
-// forget drops the belief that the function is loaded or being loaded.
-func (i *instance) forget() {
+// markNotLoaded drops the belief that the function is loaded or being loaded.
+func (i *instance) markNotLoaded() {
 	i.warmUntil = 0
 	i.loadEndsAt = 0
 	i.concurrency = 0
@@ -36,6 +36,6 @@
 
 // isBusy reports whether one request more would exceed what the instances are known to run at a time: what
 // the request says of one instance, or what was seen to be served.
-func (i *instance) isBusy(concurrencyOfOne float64) bool {
-	return float64(i.inFlight) >= max(concurrencyOfOne, 1, float64(i.concurrency))
+func (i *instance) isBusy(instanceConcurrency float64) bool {
+	return float64(i.inFlight) >= max(instanceConcurrency, 1, float64(i.concurrency))
 }
--- a/policy/learning.go
+++ b/policy/learning.go
@@ -1,19 +1,19 @@
 package policy
 
 const (
-	// leastRunShare is the least part of an answer's time that counts as run time, whatever queueing is
+	// minRunTimeShare is the least part of an answer's time that counts as run time, whatever queueing is
 	// predicted. An estimate of the queue that is too high would else make the run time vanish. Higher, and
 	// queues count as run time.
-	leastRunShare = 0.25
+	minRunTimeShare = 0.25
 
-	// lateLoadShare is the part of a load by which an answer must be late to show that it waited for a load,
+	// loadWaitShare is the part of a load by which an answer must be late to show that it waited for a load,
 	// where answers do not say so. Higher, and loads count as queueing; lower, and queueing counts as loads.
-	lateLoadShare = 0.5
+	loadWaitShare = 0.5
 
 	// The standing delay follows a rise slowly, over about 20 answers, and a fall fast, over 4: it is what
 	// most answers exceed, and sheds load only while that goes on.
-	standingDelayRise = 20
-	standingDelayFall = 4
+	standingDelayRiseAnswers = 20
+	standingDelayFallAnswers = 4
 
 	// loadRatioGain is the weight of one load in the ratio of the real to the hinted load time: about five
 	// loads are remembered. Higher, and one odd load decides; lower, and a store that has slowed down is
@@ -30,20 +30,20 @@
 func (p *Policy) learnFromOutcome(a *attempt, e AttemptEnded) {
 	switch e.Outcome {
 	case Served:
-		p.recordAlive(a.worker)
+		p.recordWorkerAnswered(a.worker)
 		p.recordUnserved(a, 0)
 		a.request.function.served = true
 		p.estimates.servedWork += p.classOf(a.request).runTime.mean
 		p.learnFromAnswer(a, e)
 	case Errored, WorkerOverloaded, FunctionNotLoaded:
-		p.recordAlive(a.worker)
+		p.recordWorkerAnswered(a.worker)
 		p.learnFromRejection(a, e)
 	case Cancelled, TimedOut:
 		// It counts if the worker had all of the request's time, no load was expected, and it took far longer
 		// than predicted. An early cancel by the client or by us proves nothing. It counts for the class
 		// alone: the worker may serve others well.
-		muchLate := e.Duration > outlierClip*a.expectedLatency
-		if !a.wasNotWarm && p.outOfTime(a.request) && muchLate {
+		farBeyondPrediction := e.Duration > outlierClip*a.expectedLatency
+		if !a.wasCold && p.outOfTime(a.request) && farBeyondPrediction {
 			p.recordUnserved(a, 1)
 		}
 	case ConnectionReset:
@@ -63,21 +63,21 @@
 func (p *Policy) learnFromAnswer(a *attempt, e AttemptEnded) {
 	r := a.request
 	p.observeLoadReport(a.worker, e.LoadReport) // first: it is part of the queueing that is predicted next
-	took := nanoseconds(e.Duration)
+	latency := nanoseconds(e.Duration)
 	runTime := p.predictedRunTime(r)
 	queueing := p.queueingDelay(a.worker, a.inFlightBefore)
 	waitedForLoad := p.waitedForLoad(e, runTime+queueing, r.function)
 	p.learnInstance(a)
-	p.learnLateness(a, e, took-runTime)
-	beliefWasWrong := a.wasNotWarm && p.cfg.MissWhenNotLoaded // the function was loaded there
-	if waitedForLoad || beliefWasWrong {
-		if p.beganLoad(a, e, waitedForLoad) {
-			p.loadSucceeded(took-runTime-queueing, r.function)
+	p.learnLateness(a, e, latency-runTime)
+	unexpectedlyWarm := a.wasCold && p.cfg.MissWhenNotLoaded // the function was loaded there
+	if waitedForLoad || unexpectedlyWarm {
+		if p.startedLoad(a, e, waitedForLoad) {
+			p.loadSucceeded(latency-runTime-queueing, r.function)
 		}
 		return // its time is not that of a queue and a run at a worker as we knew it
 	}
 	p.learnQueueing(a, e, runTime, queueing)
-	p.learnRunTime(r, max(took-queueing, took*leastRunShare), runTime)
+	p.learnRunTime(r, max(latency-queueing, latency*minRunTimeShare), runTime)
 }
 
 // waitedForLoad reports whether an answer waited for a load: as it says, or where answers do not, as its time
@@ -86,14 +86,14 @@
 	if p.cfg.InstanceStatusInAnswers || p.cfg.MissWhenNotLoaded {
 		return e.InstanceStatus == LoadStarted || e.InstanceStatus == LoadAwaited
 	}
-	return nanoseconds(e.Duration) > expected+p.predictedLoadTime(f)*lateLoadShare
+	return nanoseconds(e.Duration) > expected+p.predictedLoadTime(f)*loadWaitShare
 }
 
-// beganLoad reports whether an answered attempt began the load itself, so that its time is that of a whole
+// startedLoad reports whether an answered attempt began the load itself, so that its time is that of a whole
 // load.
-func (p *Policy) beganLoad(a *attempt, e AttemptEnded, waitedForLoad bool) bool {
+func (p *Policy) startedLoad(a *attempt, e AttemptEnded, waitedForLoad bool) bool {
 	if e.InstanceStatus == InstanceUnknown {
-		return a.wasNotWarm && waitedForLoad
+		return a.wasCold && waitedForLoad
 	}
 	return e.InstanceStatus == LoadStarted
 }
@@ -115,7 +115,7 @@
 	objective := p.classOf(a.request).settings.LatencyObjective
 	// Where answers do not tell of loads, one that was slowed by a load counts here too.
 	withoutLoad := e.InstanceStatus == InstanceUnknown || e.InstanceStatus == InstanceWarm
-	if !a.wasNotWarm && withoutLoad {
+	if !a.wasCold && withoutLoad {
 		p.observeStandingDelay(delay, outlierClip*nanoseconds(objective))
 	}
 	if e.Duration < objective {
@@ -126,12 +126,12 @@
 }
 
 // observeStandingDelay moves the standing delay towards that of an answer, which counts as most at the most.
-func (p *Policy) observeStandingDelay(delay, most nanoseconds) {
-	answers := nanoseconds(standingDelayRise)
+func (p *Policy) observeStandingDelay(delay, maxDelay nanoseconds) {
+	answers := nanoseconds(standingDelayRiseAnswers)
 	if delay < p.estimates.standingDelay {
-		answers = standingDelayFall
+		answers = standingDelayFallAnswers
 	}
-	p.estimates.standingDelay += (min(delay, most) - p.estimates.standingDelay) / answers
+	p.estimates.standingDelay += (min(delay, maxDelay) - p.estimates.standingDelay) / answers
 }
 
 // learnQueueing learns how long requests queue at the worker: over our requests in flight, and beyond them.
@@ -139,14 +139,14 @@
 	queue := &a.worker.queue
 	inFlight := float64(a.inFlightBefore)
 	delay := nanoseconds(e.Duration) - runTime
-	most := outlierClip * p.objective(a.request)
-	ours := queueing - max(0, queue.excess(p.now)) // what our requests in flight explain of the delay
-	queue.observeExcess(p.now, min(delay, most)-ours)
+	maxDelay := outlierClip * p.objective(a.request)
+	ownDelay := queueing - max(0, queue.excess(p.now)) // what our requests in flight explain of the delay
+	queue.observeExcess(p.now, min(delay, maxDelay)-ownDelay)
 	delay = clamp(delay, -runTime, outlierClip*(runTime+queueing))
 	queue.slope.observe(inFlight, float64(delay))
 	p.estimates.queueSlope.observe(inFlight, float64(delay))
 	if queued := p.estimates.reportedQueue(e.LoadReport); queued >= 0 {
-		p.estimates.delayPerQueued.observe(queued, float64(max(delay-ours, 0)))
+		p.estimates.delayPerQueued.observe(queued, float64(max(delay-ownDelay, 0)))
 	}
 }
 
@@ -157,27 +157,27 @@
 	if queued < 0 {
 		return
 	}
-	most := outlierClip * nanoseconds(p.classes[0].settings.LatencyObjective)
-	w.queue.observeExcess(p.now, min(nanoseconds(p.estimates.delayPerQueued.predict(queued)), most))
+	maxDelay := outlierClip * nanoseconds(p.classes[0].settings.LatencyObjective)
+	w.queue.observeExcess(p.now, min(nanoseconds(p.estimates.delayPerQueued.predict(queued)), maxDelay))
 }
 
 // learnRunTime learns from a run time: the mean of r's function and class, and what work hints are worth.
 // predicted is what was expected.
-func (p *Policy) learnRunTime(r *request, ran, predicted nanoseconds) {
+func (p *Policy) learnRunTime(r *request, runTime, predicted nanoseconds) {
 	c := p.classOf(r)
 	if hint := r.arrived.WorkHint; hint > 0 {
-		c.actualWork += min(ran, outlierClip*predicted) - c.actualWork/runTimeMemory
-		c.hintedWork += nanoseconds(min(hint, longestPlausibleTime)) - c.hintedWork/runTimeMemory
+		c.actualWork += min(runTime, outlierClip*predicted) - c.actualWork/runTimeWindow
+		c.hintedWork += nanoseconds(min(hint, longestPlausibleTime)) - c.hintedWork/runTimeWindow
 	}
-	r.function.runTime.observe(ran)
-	c.runTime.observe(ran)
+	r.function.runTime.observe(runTime)
+	c.runTime.observe(runTime)
 }
 
 // learnFromRejection learns from an answer without a result.
 func (p *Policy) learnFromRejection(a *attempt, e AttemptEnded) {
 	i := a.instance
 	if e.Outcome == FunctionNotLoaded || e.InstanceStatus == LoadFailed {
-		i.forget()
+		i.markNotLoaded()
 	} else if e.Outcome == WorkerOverloaded && i.inFlight == 0 && !i.loadCommandPending {
 		i.loadEndsAt = 0 // the worker began no load for it
 	}
@@ -215,8 +215,8 @@
 }
 
 // loadSucceeded learns from a whole load of f, which ends the backoff.
-func (p *Policy) loadSucceeded(took nanoseconds, f *function) {
+func (p *Policy) loadSucceeded(duration nanoseconds, f *function) {
 	p.loadBackoff = loadBackoff{}
-	ratio := clamp(float64(took)/float64(f.loadTime), minLoadRatio, maxLoadRatio)
+	ratio := clamp(float64(duration)/float64(f.loadTime), minLoadRatio, maxLoadRatio)
 	p.estimates.loadRatio += loadRatioGain * (ratio - p.estimates.loadRatio)
 }
--- a/policy/load_commands.go
+++ b/policy/load_commands.go
@@ -108,9 +108,9 @@
 	p.learnFromLoadCommand(i, f, e)
 	waiting := i.waiting
 	i.waiting = nil
-	mayStay := e.Outcome == Served || e.Outcome == ConnectionReset // a connection may break alone
+	workerUsable := e.Outcome == Served || e.Outcome == ConnectionReset // a connection may break alone
 	for _, r := range waiting {
-		if !mayStay {
+		if !workerUsable {
 			r.triedWorkers = append(r.triedWorkers, w)
 		}
 		p.place(r)
@@ -122,7 +122,7 @@
 	w := i.worker
 	switch e.Outcome {
 	case Served:
-		p.recordAlive(w)
+		p.recordWorkerAnswered(w)
 		i.warmUntil = p.now + p.cfg.InstanceKeepAlive
 		p.announce(i, f)
 		if wholeLoad := e.Duration > f.loadTime/loadedAlreadyDivisor; wholeLoad {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -33,7 +33,7 @@
 
 // health is what the policy knows of whether a worker serves.
 type health struct {
-	lastHeard           time.Duration // when it last answered anything
+	lastAnswer          time.Duration // when it last answered anything
 	lastHealthCheck     time.Duration // when its health was last checked
 	checkPending        bool          // that health check has no result yet
 	lastReset           time.Duration // when a connection to it last broke under an attempt
@@ -44,11 +44,11 @@
 
 // silentSince is when w last answered anything, or when the oldest attempt in flight was sent if that is
 // later. There must be one.
-func (w *worker) silentSince() time.Duration { return max(w.health.lastHeard, w.inFlight[0].sentAt) }
+func (w *worker) silentSince() time.Duration { return max(w.health.lastAnswer, w.inFlight[0].sentAt) }
 
-// recordAlive records that w has answered: it is not ejected any more.
-func (p *Policy) recordAlive(w *worker) {
-	w.health.lastHeard = p.now
+// recordWorkerAnswered records that w has answered: it is not ejected any more.
+func (p *Policy) recordWorkerAnswered(w *worker) {
+	w.health.lastAnswer = p.now
 	w.health.consecutiveFailures = 0
 	w.health.ejectedUntil = 0
 }
@@ -74,14 +74,14 @@
 	return p.cfg.AllowHealthChecks || p.now < w.health.ejectedUntil || len(w.inFlight) > 0
 }
 
-// checkSuspects checks the health of workers that are silent for too long, and of those whose ejection is
+// sendDueHealthChecks checks the health of workers that are silent for too long, and of those whose ejection is
 // over.
-func (p *Policy) checkSuspects() {
+func (p *Policy) sendDueHealthChecks() {
 	for _, w := range p.fleet {
 		if w.endpoint.State == Gone || w.health.checkPending {
 			continue
 		}
-		if p.isSilent(w) || p.mayReturn(w) {
+		if p.isSilent(w) || p.ejectionExpired(w) {
 			p.checkHealth(w)
 		}
 	}
@@ -97,8 +97,8 @@
 	return p.now-w.silentSince() > silenceFactor*expected
 }
 
-// mayReturn reports whether w's ejection is over, so that a health check may end it.
-func (p *Policy) mayReturn(w *worker) bool {
+// ejectionExpired reports whether w's ejection is over, so that a health check may end it.
+func (p *Policy) ejectionExpired(w *worker) bool {
 	return w.health.consecutiveFailures > 0 && p.now >= w.health.ejectedUntil
 }
 
@@ -120,12 +120,12 @@
 	w.health.checkPending = false
 	switch e.Outcome {
 	case TimedOut, Unreachable, ConnectionReset:
-		if w.health.lastHeard < w.health.lastHealthCheck {
+		if w.health.lastAnswer < w.health.lastHealthCheck {
 			p.eject(w)
 			p.cancelRepeatableAttempts(w)
 		}
 	default:
-		p.recordAlive(w)
+		p.recordWorkerAnswered(w)
 		p.observeLoadReport(w, e.LoadReport)
 	}
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -36,9 +36,9 @@
 		p.waitOrRefuse(r, earliest)
 		return
 	}
-	to := p.lowestScore(r, candidates, preference)
-	if p.admit(r, to) {
-		p.sendAttempt(r, to)
+	chosen := p.lowestScore(r, candidates, preference)
+	if p.admit(r, chosen) {
+		p.sendAttempt(r, chosen)
 	}
 }
 
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -70,7 +70,7 @@
 		cfg := testConfig()
 		cfg.RouterCount = routers
 		h := newHarness(t, cfg, 6)
-		h.policy.estimates.servedWork = 6 * nanoseconds(rateMemory) // all are at work, so one function deserves one worker
+		h.policy.estimates.servedWork = 6 * nanoseconds(rateTimeConstant) // all are at work, so one function deserves one worker
 		sends := map[WorkerID]int{}
 		for range 4 { // as many as an instance runs at a time
 			_, w := h.arriveAndSend(classIdempotent, 7)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -17,10 +17,10 @@
 	// sweepInterval is the time between two sweeps, which decay the served work and forget what is unused.
 	sweepInterval = time.Second
 
-	// functionMemory is how long after its last request a function is remembered. It bounds the memory for
+	// functionRetention is how long after its last request a function is remembered. It bounds the memory for
 	// functions that are requested once; a function that comes back later starts from its class's estimates.
 	// It must exceed LoadCommandTimeout: a load command is settled only while its function is remembered.
-	functionMemory = 2 * time.Minute
+	functionRetention = 2 * time.Minute
 
 	// rngStream is the second half of the random generator's seed: any fixed number, the same at all routers.
 	rngStream = 0x7468796d65
@@ -120,7 +120,7 @@
 // housekeeping does the periodic work and sets the timer of the next run.
 func (p *Policy) housekeeping() {
 	p.setTimer(housekeepingInterval, timer{kind: housekeepingTimer})
-	p.checkSuspects()
+	p.sendDueHealthChecks()
 	p.sendGossip()
 	p.placeWaiting()
 	if p.now-p.lastSweep >= sweepInterval {
@@ -147,6 +147,6 @@
 	for _, w := range p.fleet {
 		maps.DeleteFunc(w.instances, func(_ FunctionID, i *instance) bool { return i.isUnused(p.now) })
 	}
-	oldest := p.now - functionMemory
+	oldest := p.now - functionRetention
 	maps.DeleteFunc(p.functions, func(_ FunctionID, f *function) bool { return f.lastRequest < oldest })
 }
--- a/policy/quotas.go
+++ b/policy/quotas.go
@@ -9,9 +9,9 @@
 	// maxQuotaPerSecond bounds a quota, in requests a second, so that no arithmetic on it overflows.
 	maxQuotaPerSecond = 1e9
 
-	// quotaChanceFactor is how many standard deviations of a second's arrivals a bucket holds beside the
+	// quotaBurstDeviations is how many standard deviations of a second's arrivals a bucket holds beside the
 	// second's worth: a tenant within its quota must not look beyond it by chance.
-	quotaChanceFactor = 3
+	quotaBurstDeviations = 3
 )
 
 // tokenBucket is this router's part of a tenant's quota. A request whose first attempt is sent takes a token.
@@ -30,8 +30,8 @@
 // refill adds the tokens of the time since the last refill, up to a second's worth, some for chance, and a
 // whole one, so that a quota of less than one a second can be used at all.
 func (b *tokenBucket) refill(now time.Duration) {
-	most := b.refillPerSecond + quotaChanceFactor*math.Sqrt(b.refillPerSecond) + 1
-	b.tokens = min(b.tokens+b.refillPerSecond*(now-b.refilledAt).Seconds(), most)
+	capacity := b.refillPerSecond + quotaBurstDeviations*math.Sqrt(b.refillPerSecond) + 1
+	b.tokens = min(b.tokens+b.refillPerSecond*(now-b.refilledAt).Seconds(), capacity)
 	b.refilledAt = now
 }
 
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -64,7 +64,7 @@
 	floor := min(likelyWarmChance, lostInstanceChance*float64(p.cfg.RouterCount+1))
 	if preferred != nil && preferred == first {
 		others := r.function.recentRequests * float64(p.cfg.RouterCount-1) / float64(replicas)
-		return max(floor, 1-math.Exp(-others*float64(p.cfg.InstanceKeepAlive)/float64(rateMemory)))
+		return max(floor, 1-math.Exp(-others*float64(p.cfg.InstanceKeepAlive)/float64(rateTimeConstant)))
 	}
 	if first != nil && p.remainingLoadTime(first, r) > 0 {
 		return 0
@@ -87,22 +87,22 @@
 	work := nanoseconds(f.recentRequests) * runTime
 	share := work * nanoseconds(p.readyWorkers) / max(p.estimates.servedWork, runTime)
 	replicas = 1 + int(p.otherRoutersShare()*max(float64(share), f.saturation))
-	own := p.ownReplica(f.id, min(replicas, p.readyWorkers))
-	return f.id ^ FunctionID(own)<<replicaKeyShift, replicas
+	replicaIndex := p.assignedReplica(f.id, min(replicas, p.readyWorkers))
+	return f.id ^ FunctionID(replicaIndex)<<replicaKeyShift, replicas
 }
 
-// ownReplica returns the number of the replica, from 0, that this router keeps to: the one that ranks first
+// assignedReplica returns the number of the replica, from 0, that this router keeps to: the one that ranks first
 // for its seed. The keys hashed here only order the replicas; they are not those that rank workers.
-func (p *Policy) ownReplica(f FunctionID, replicas int) int {
-	own := 0
-	ownWeight := rendezvousWeight(f, WorkerID(p.replicaSeed))
+func (p *Policy) assignedReplica(f FunctionID, replicas int) int {
+	assigned := 0
+	assignedWeight := rendezvousWeight(f, WorkerID(p.replicaSeed))
 	for n := 1; n < replicas; n++ {
-		if weight := rendezvousWeight(f+FunctionID(n), WorkerID(p.replicaSeed)); weight > ownWeight {
-			own = n
-			ownWeight = weight
+		if weight := rendezvousWeight(f+FunctionID(n), WorkerID(p.replicaSeed)); weight > assignedWeight {
+			assigned = n
+			assignedWeight = weight
 		}
 	}
-	return own
+	return assigned
 }
 
 // The constants of the hash: odd numbers of 64 random-looking bits, from splitmix64 (the golden ratio, and
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -65,7 +65,7 @@
 		return
 	}
 	p.loadCommands.recordRequest(p.now)
-	p.gossip.earn(p.cfg.RouterCount)
+	p.gossip.addBudget(p.cfg.RouterCount)
 	e.TimeLeft = max(e.TimeLeft, 0)
 	r := &request{arrived: e, function: p.recordFunctionRequest(e), deadline: p.now + e.TimeLeft}
 	p.requests[e.Request] = r
@@ -111,11 +111,11 @@
 // retryAfter returns the advice when to come back: wait within the settings' limit, less a random part. It is
 // 0 where the settings allow no advice.
 func (p *Policy) retryAfter(wait nanoseconds) time.Duration {
-	most := nanoseconds(p.cfg.MaxRetryAfter)
-	if !p.cfg.AllowRetryAfter || most <= 0 {
+	maxWait := nanoseconds(p.cfg.MaxRetryAfter)
+	if !p.cfg.AllowRetryAfter || maxWait <= 0 {
 		return 0
 	}
-	wait = clamp(wait, nanoseconds(housekeepingInterval), most)
+	wait = clamp(wait, nanoseconds(housekeepingInterval), maxWait)
 	kept := nanoseconds(1 - p.rng.Float64()*retryJitter)
 	return (wait * kept).duration()
 }
@@ -128,11 +128,11 @@
 			p.cancelAttempt(a)
 		}
 	}
-	p.forgetIfSettled(r)
+	p.deleteIfComplete(r)
 }
 
-// forgetIfSettled forgets r if nothing about it is open.
-func (p *Policy) forgetIfSettled(r *request) {
+// deleteIfComplete forgets r if nothing about it is open.
+func (p *Policy) deleteIfComplete(r *request) {
 	if r.finished && r.attemptsInFlight == 0 {
 		delete(p.requests, r.id())
 	}
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -73,12 +73,12 @@
 // listed yet).
 func (p *Policy) repeatAllowed(r *request, w *worker) bool {
 	settings := &p.classOf(r).settings
-	ran := r.mayHaveRun
+	earlierAttempt := r.mayHaveRun
 	arrivesAt := p.now + p.cfg.Tick
-	if !settings.repeatableAt(arrivesAt, ran.sentAt) {
+	if !settings.repeatableAt(arrivesAt, earlierAttempt.sentAt) {
 		return false
 	}
-	return settings.Idempotency == Idempotent || w == nil || settings.shareDedupScope(ran.worker, w)
+	return settings.Idempotency == Idempotent || w == nil || settings.shareDedupScope(earlierAttempt.worker, w)
 }
 
 // repeatIsHarmless reports whether the client may repeat r, whichever worker the repeat reaches: nothing ran,
@@ -92,12 +92,12 @@
 
 // repeatableAt reports whether a request that was sent at sentAt may run again at the time at, where its key
 // is known.
-func (c *Class) repeatableAt(at, sentAt time.Duration) bool {
+func (c *Class) repeatableAt(repeatedAt, sentAt time.Duration) bool {
 	switch c.Idempotency {
 	case Idempotent:
 		return true
 	case IdempotentWithKey:
-		return at < sentAt+c.DedupWindow
+		return repeatedAt < sentAt+c.DedupWindow
 	default:
 		return false
 	}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -67,9 +67,9 @@
 }
 
 // meanWorkPerWorker is the work that a ready worker serves us on average within a time.
-func (p *Policy) meanWorkPerWorker(within time.Duration) nanoseconds {
-	perSecond := p.estimates.servedWork / nanoseconds(rateMemory.Seconds())
-	return perSecond / nanoseconds(max(p.readyWorkers, 1)) * nanoseconds(within.Seconds())
+func (p *Policy) meanWorkPerWorker(window time.Duration) nanoseconds {
+	perSecond := p.estimates.servedWork / nanoseconds(rateTimeConstant.Seconds())
+	return perSecond / nanoseconds(max(p.readyWorkers, 1)) * nanoseconds(window.Seconds())
 }
 
 // recordSlowStartSend remembers an attempt at a worker that is warming up.
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// timerOfToken returns the timer whose token this is, or false if no timer has it.
-func timerOfToken(token uint64) (t timer, ok bool) {
+// timerForToken returns the timer whose token this is, or false if no timer has it.
+func timerForToken(token uint64) (t timer, ok bool) {
 	switch {
 	case token == housekeepingToken:
 		return timer{kind: housekeepingTimer}, true
@@ -59,7 +59,7 @@
 
 // timerFired does what a timer was set for.
 func (p *Policy) timerFired(e TimerFired) {
-	t, ok := timerOfToken(e.Token)
+	t, ok := timerForToken(e.Token)
 	if !ok {
 		return
 	}
--- a/policy/timers_test.go
+++ b/policy/timers_test.go
@@ -11,11 +11,11 @@
 		{kind: deadlineTimer, request: 7},
 		{kind: deadlineTimer, request: ^RequestID(0)},
 	} {
-		if got, ok := timerOfToken(want.token()); !ok || got != want {
+		if got, ok := timerForToken(want.token()); !ok || got != want {
 			t.Errorf("%+v has token %d, which is taken for %+v, %v", want, want.token(), got, ok)
 		}
 	}
-	if got, ok := timerOfToken(deadlineTokenOffset - 1); ok {
+	if got, ok := timerForToken(deadlineTokenOffset - 1); ok {
 		t.Errorf("an unknown token is taken for %+v", got)
 	}
 }
