--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// Action is something for the router to do. Only this package's types are actions. UnloadInstance,
-// FetchEndpoints, CloseIdleConnections and LogLine are not emitted today; the simulator's wire knows them.
+// Action is something for the router to do. Only the types of this package are actions. The policy currently
+// does not emit UnloadInstance, FetchEndpoints, CloseIdleConnections and LogLine; the simulator's protocol
+// has messages for them.
 type Action interface{ action() }
 
-// SendAttempt sends a request to a worker; a request's attempts are numbered from 0 in the order of their
-// sends. Timeout is always 0 today.
+// SendAttempt sends a request to a worker. The attempts of a request are numbered from 0 in the order in
+// which they are sent. Timeout is currently always 0.
 type SendAttempt struct {
 	Request RequestID
 	Worker  WorkerID
@@ -25,36 +26,36 @@
 
 // The reasons to end a request without a result.
 const (
-	// DeadlineExceeded: its time ran out.
+	// DeadlineExceeded: the request's time ran out.
 	DeadlineExceeded UnservedReason = iota // deadline_exceeded
-	// NoWorkerAvailable: no worker may take it, or none soon enough.
+	// NoWorkerAvailable: no worker may take the request, or none may take it soon enough.
 	NoWorkerAvailable // no_worker_available
-	// PredictedTooLate: it was predicted to miss its deadline at the worker with the lowest score or, beyond
-	// its tenant's quota, its latency objective.
+	// PredictedTooLate: the request was predicted to miss its deadline at the worker with the lowest score
+	// or, for a request beyond its tenant's quota, its latency objective.
 	PredictedTooLate // predicted_too_late
-	// LoadShed: it was shed in overload.
+	// LoadShed: the request was shed in overload.
 	LoadShed // load_shed
 
 	// UnservedReasonCount is the number of reasons.
 	UnservedReasonCount = iota
 )
 
-// RefuseRequest is a final answer that promises that the request did no work, or that repeating it is
+// RefuseRequest is a final answer. It promises that the request did no work, or that repeating the request is
 // harmless.
 type RefuseRequest struct {
 	Request    RequestID
-	RetryAfter time.Duration // advice when to try again; 0: none
+	RetryAfter time.Duration // advised time until the client tries again; 0: no advice
 	Reason     UnservedReason
 }
 
-// FailRequest is a final answer that promises nothing: the request may have run.
+// FailRequest is a final answer that does not promise that the request never ran.
 type FailRequest struct {
 	Request RequestID
 	Reason  UnservedReason
 }
 
-// LoadInstance commands a worker to hold a number of instances of a function; with 0 it only asks how many
-// there are.
+// LoadInstance commands a worker to hold a number of instances of a function. With 0 instances it only asks
+// how many the worker holds.
 type LoadInstance struct {
 	Worker    WorkerID
 	Function  FunctionID
@@ -70,13 +71,13 @@
 // CheckHealth sends a health check to a worker; HealthCheckEnded follows.
 type CheckHealth struct{ Worker WorkerID }
 
-// SendGossip sends a message to another router, or to all others with a negative To.
+// SendGossip sends a message to another router, or to all other routers if To is negative.
 type SendGossip struct {
 	To   int
 	Data []byte
 }
 
-// SetTimer asks for a TimerFired with the token after a time.
+// SetTimer asks the router for a TimerFired event with the same token after a time.
 type SetTimer struct {
 	After time.Duration
 	Token uint64
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,38 +3,42 @@
 import "time"
 
 const (
-	// The ratios of the delay to the latency objective at which load shedding begins. Higher, and queues eat
-	// the objective; lower, and requests are shed that would have been served in time.
+	// The ratios of the delay to the latency objective at which load shedding begins. With higher values,
+	// queueing uses up the objective; with lower values, requests are shed that would be served in time.
 	shedStart           = 0.5
-	shedStartLowerValue = 0.25 // where the settings have a class of more value
+	shedStartLowerValue = 0.25 // where the settings have a class of higher value
 	shedStartEarliest   = 0.15 // for requests beyond their quota, or predicted to miss their objective
 
-	// shedSlope is how fast the chance to be shed grows with that ratio: from 0 at the start to 1 half an
-	// objective later.
+	// shedSlope is the increase of the probability of shedding per unit of that ratio: the probability grows
+	// from 0 at the start to 1 when the delay is longer by half an objective.
 	shedSlope = 2
 
-	// maxShedChance bounds the chance to be shed: the requests that are left show when the delay is gone.
+	// maxShedChance bounds the probability of shedding: the requests that are still served show when the
+	// delay is over.
 	maxShedChance = 0.9
 
-	// minValueDensityRatio is how many times the value for its work a class must have to go before another. Higher,
-	// and classes of nearly the same value share the shedding; lower, and an estimate's noise decides.
+	// minValueDensityRatio is the factor by which a class's ratio of value to work must exceed that of
+	// another class for the other class to be shed first. With a higher factor, classes of nearly the same
+	// value share the shedding; with a lower factor, the noise of an estimate decides which class is shed.
 	minValueDensityRatio = 1.5
 
-	// explorationInterval is the least time between two requests that are admitted against the estimates.
-	// Longer, and a wrong estimate stays; shorter, and more requests are late.
+	// explorationInterval is the shortest time between two requests that are admitted although the estimates
+	// speak against them. With a longer interval, a wrong estimate lasts longer; with a shorter interval,
+	// more requests are late.
 	explorationInterval = time.Second
 )
 
-// admit reports whether r is sent to its target, the worker with the lowest score. Otherwise it ends r
-// unserved, at once:
+// admit reports whether the router sends r to chosen, the worker with the lowest score. If it does not, admit
+// ends r unserved at once, for one of these reasons:
 //
-//   - because the target is predicted to miss r's deadline. Another worker may not be: the preferred worker's
-//     bonus counts in the score, and in the latency only if the function is likely warm there;
-//   - because r is beyond its tenant's quota and even the lowest score misses its latency objective;
-//   - because load is shed. A retry is not shed: work was done for it already.
+//   - The chosen worker is predicted to miss r's deadline. Another worker may be predicted to meet it: the
+//     preferred worker's bonus always counts in the score, but in the latency only if the function is likely
+//     warm at that worker.
+//   - r is beyond its tenant's quota, and even the lowest score misses r's latency objective.
+//   - Load is shed. A retry is not shed, because work has already been done for its request.
 //
-// Now and then one request goes against the estimates, so that a wrong one is corrected. The draw in
-// shouldShed is made in every case.
+// Once in explorationInterval, a request is admitted against the estimates, so that a wrong estimate is
+// corrected. shouldShed draws its random number whether or not the result is used.
 func (p *Policy) admit(r *request, chosen target) bool {
 	latency := chosen.latency
 	if chosen.likelyWarm {
@@ -59,8 +63,8 @@
 	return false
 }
 
-// explore reports whether r, which the estimates speak against, is sent all the same: one request in
-// explorationInterval, and none beyond its quota.
+// explore reports whether r is sent although the estimates speak against it. At most one request in
+// explorationInterval is, and none that is beyond its tenant's quota.
 func (p *Policy) explore(r *request) bool {
 	if r.overQuota || p.now-p.lastExploration < explorationInterval {
 		return false
@@ -69,20 +73,23 @@
 	return true
 }
 
-// shouldShed draws whether r gives way to others in overload. drain is the time until it would not need to. A
-// delay that most answers exceed serves nobody, so a growing part of the requests is shed:
+// shouldShed draws at random whether r is shed in overload. drainTime is the time after which the delay is
+// predicted to be below the threshold of shedding. While most answers are delayed too long, serving every
+// request makes all of them late, so a growing part of the requests is shed:
 //
 //	chance = min(shedSlope * (delay/objective - start), maxShedChance)
 //
-//	delay      the standing delay of the workers that we use or, if longer, the excess of w's queue times
-//	           otherRoutersShare, which is 0 for a lone router: its excess is its own doing
-//	objective  the shortest of r's latency objective and those of the classes with more than moreValuable
-//	           times the value for their work
-//	start      the ratio at which shedding begins: shedStartFirst times OverQuotaWeight for requests beyond
-//	           their tenant's quota; shedStartFirst for those whose latency misses their objective; then
-//	           shedStartBehind where such a class of more value exists, else shedStart
+//	delay      the longer of the standing delay of the workers that this router uses, and the excess delay
+//	           of w's queue times otherRoutersShare; the share is 0 for a single router, since its own
+//	           requests cause the excess
+//	objective  the shortest of r's latency objective and the objectives of the classes whose ratio of value
+//	           to work is more than minValueDensityRatio times that of r's class
+//	start      the ratio at which shedding begins, by the first case that applies: shedStartEarliest times
+//	           OverQuotaWeight for a request beyond its tenant's quota; shedStartEarliest for a request
+//	           whose predicted latency misses its objective; shedStartLowerValue if a class with such a
+//	           higher ratio of value to work exists; else shedStart
 //
-// It draws once in every case: a short cut would shift all later draws.
+// The function draws once per call, whatever the chance: skipping a draw would change all later draws.
 func (p *Policy) shouldShed(r *request, w *worker, latency nanoseconds) (shed bool, drainTime nanoseconds) {
 	start, objective := p.shedThreshold(r, latency)
 	delay := max(p.estimates.standingDelay, nanoseconds(p.otherRoutersShare())*w.queue.excess(p.now))
@@ -90,7 +97,7 @@
 	return p.rng.Float64() < chance, delay - nanoseconds(start)*objective
 }
 
-// shedThreshold returns the ratio of the delay to an objective at which r may be shed, and that objective.
+// shedThreshold returns the ratio of the delay to an objective above which r may be shed, and that objective.
 func (p *Policy) shedThreshold(r *request, latency nanoseconds) (start float64, objective nanoseconds) {
 	start = shedStart
 	objective = p.objective(r)
@@ -112,7 +119,7 @@
 	return start, objective
 }
 
-// valueDensity is the value of a class's requests for the work that they take.
+// valueDensity is the ratio of the value of a class's requests to the work that they take.
 func (p *Policy) valueDensity(c *class) float64 {
 	if p.cfg.WeightByWork {
 		return c.settings.PriorityWeight
@@ -120,5 +127,5 @@
 	return c.settings.PriorityWeight / max(float64(c.runTime.mean), 1)
 }
 
-// otherRoutersShare is the part of the fleet's traffic that other routers carry.
+// otherRoutersShare is the part of the fleet's traffic that the other routers carry.
 func (p *Policy) otherRoutersShare() float64 { return 1 - 1/float64(p.cfg.RouterCount) }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -11,23 +11,24 @@
 	worker          *worker
 	instance        *instance
 	sentAt          time.Duration
-	expectedLatency time.Duration // the prediction when it was sent
-	number          int           // among the request's attempts, from 0
-	inFlightBefore  int           // our attempts in flight at the worker when it was sent
-	wasCold         bool          // no instance was believed warm there: it was absent or still loading
-	likelyWarm      bool          // but another router had probably had it loaded
-	cancelled       bool          // by us; its end may still come
+	expectedLatency time.Duration // the predicted latency when it was sent
+	number          int           // position among the request's attempts, from 0
+	inFlightBefore  int           // this router's attempts in flight at the worker when it was sent
+	wasCold         bool          // the function was not assumed warm at the worker: absent or still loading
+	likelyWarm      bool          // the function was cold for this router but probably loaded for another one
+	cancelled       bool          // the router has cancelled it; its AttemptEnded may still follow
 	ended           bool
 }
 
-// expectedWarm reports whether a load would be a surprise.
+// expectedWarm reports whether the prediction assumed that the attempt does not have to wait for a load.
 func (a *attempt) expectedWarm() bool { return !a.wasCold || a.likelyWarm }
 
-// sendAttempt sends r to a worker and records the attempt. If a rule forbids it, nothing changes; place has
-// just checked the same rules, so that does not happen.
+// sendAttempt sends r to a worker and records the attempt. If a rule forbids the attempt, sendAttempt changes
+// nothing; this does not happen, because place has just checked the same rules.
 //
-// The order counts: the load is read before the attempt is in flight, which makes its instance warm; the
-// quota is charged and inFlightBefore taken before the attempt is counted.
+// The order of the steps matters: the remaining load time is read before the attempt is in flight, because an
+// attempt in flight makes its instance count as warm. The quota is charged and inFlightBefore is read before
+// the attempt is counted.
 func (p *Policy) sendAttempt(r *request, chosen target) {
 	w := chosen.worker
 	load := p.remainingLoadTime(w, r)
@@ -56,7 +57,8 @@
 }
 
 // recordAwaitedLoad records the load that a begins or awaits, if its function was not warm. A load that is
-// under way keeps its expected end. While loads fail, either kind restarts the pause before the next one.
+// under way keeps its expected end. While loads fail, an attempt that begins or awaits a load restarts the
+// pause before the next load.
 func (p *Policy) recordAwaitedLoad(a *attempt, load nanoseconds) {
 	if !a.wasCold {
 		return
@@ -65,7 +67,7 @@
 		a.instance.loadEndsAt = p.now + load.duration()
 	}
 	if p.loadBackoff.pauseEnded(p.now) {
-		p.loadBackoff.extend(p.now, 0) // this load shows whether others may begin
+		p.loadBackoff.extend(p.now, 0) // the result of this load shows whether other loads may begin
 	}
 }
 
@@ -76,11 +78,12 @@
 	}
 }
 
-// attemptEnded takes an attempt out of what is in flight, learns from its end, and decides what its request
-// does next. Reports on unknown attempts and on those that have ended are ignored.
+// attemptEnded removes an attempt from the attempts in flight, updates the estimates from its result, and
+// decides what happens to its request next. Results of unknown attempts and of attempts that have already
+// ended are ignored.
 //
-// The order counts: learning reads how many attempts are left in flight, and may drop the belief of a load
-// that the next step commands.
+// The order of the steps matters: learnFromOutcome reads how many attempts are left in flight, and it may
+// clear the load state of the instance, which continueAfter may set again with a load command.
 func (p *Policy) attemptEnded(e AttemptEnded) {
 	a := p.openAttempt(e)
 	if a == nil {
@@ -106,7 +109,7 @@
 	return r.attempts[e.Attempt]
 }
 
-// recordAttemptEnd takes a out of what is in flight, and records whether its request may have run.
+// recordAttemptEnd removes a from the attempts in flight, and records whether its request may have run.
 func (p *Policy) recordAttemptEnd(a *attempt, outcome Outcome) {
 	r := a.request
 	a.ended = true
@@ -116,15 +119,16 @@
 	if !outcome.NeverRan() && r.mayHaveRun == nil {
 		r.mayHaveRun = a
 	}
-	// A connection may break alone: the worker, which has the instance, is tried once more over another one.
+	// A reset may affect a single connection only: the worker, which has the instance, is tried once more
+	// over another connection.
 	firstReset := outcome == ConnectionReset && a.number == 0
 	if !firstReset {
 		r.triedWorkers = append(r.triedWorkers, a.worker)
 	}
 }
 
-// continueAfter decides what the request of an ended attempt does next: it waits for a load, ends or goes
-// elsewhere.
+// continueAfter decides what happens to the request of an ended attempt next: it waits for a load, ends
+// unserved or is placed again.
 func (p *Policy) continueAfter(a *attempt, outcome Outcome) {
 	r := a.request
 	if r.finished || r.attemptsInFlight > 0 {
@@ -133,7 +137,8 @@
 	if outcome == FunctionNotLoaded && p.waitForLoad(r, a.instance) {
 		return
 	}
-	// NotSent mostly means that no time was left; a fault of this machine ends the request alike.
+	// NotSent usually means that no time was left. If a fault of the router's machine caused it, the request
+	// ends in the same way.
 	noTimeLeft := outcome == NotSent || outcome == TimedOut && p.outOfTime(r)
 	if noTimeLeft {
 		p.endUnserved(r, 0, DeadlineExceeded)
--- a/policy/classes.go
+++ b/policy/classes.go
@@ -1,14 +1,14 @@
 package policy
 
-// class is a class of requests, with what its requests have shown.
+// class is a class of requests with the estimates that the answers to its requests have given.
 type class struct {
 	settings   Class
 	runTime    runTimeEstimate
-	actualWork nanoseconds // recent run times of requests with a work hint, decaying
-	hintedWork nanoseconds // their hints; equal at first, so that hints are believed
+	actualWork nanoseconds // decaying sum of the run times of requests with a work hint
+	hintedWork nanoseconds // decaying sum of their hints; equal to actualWork at first: hints count as exact
 }
 
-// newClass returns a class whose estimates are guesses until answers come.
+// newClass returns a class whose estimates are derived from its latency objective until answers arrive.
 func newClass(settings Class) class {
 	mean := initialRunTimeShare * nanoseconds(settings.LatencyObjective)
 	return class{
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// resubscribeDivisor is the part of ImplicitListAge after which a lost subscription is renewed. What was
-// listed ImplicitListAge ago counts as known to us, whether we were told or not: the renewal must come well
-// before. A higher divisor costs the directory more calls.
+// resubscribeDivisor is the part of ImplicitListAge after which a lost subscription is renewed. An endpoint
+// that was listed ImplicitListAge ago counts as known to this router, whether or not the router received the
+// update, so the renewal must come well before that. With a higher divisor, the router calls the directory
+// more often.
 const resubscribeDivisor = 8
 
-// worker is what the policy knows and believes of one worker.
+// worker is what the policy knows and estimates about one worker.
 type worker struct {
 	endpoint     Endpoint      // as last listed
-	inFlight     []*attempt    // our attempts, in the order of their sends
-	loadCommands int           // our load commands that have no answer yet
-	health       health        // whether it serves; see outlier.go
-	slowStart    slowStart     // what it bears after a start; see slow_start.go
-	queue        queueEstimate // how long requests queue there
+	inFlight     []*attempt    // this router's attempts, in the order in which they were sent
+	loadCommands int           // this router's load commands that have no answer yet
+	health       health        // whether the worker answers; see outlier.go
+	slowStart    slowStart     // the worker's limit after a start; see slow_start.go
+	queue        queueEstimate // how long requests queue at the worker
 	instances    map[FunctionID]*instance
 }
 
 func (w *worker) id() WorkerID { return w.endpoint.Worker }
 
-// instance returns what is believed of a function at w. It adds an entry for one that is not known.
+// instance returns the entry of a function at w. It adds one if there is none.
 func (w *worker) instance(f FunctionID) *instance {
 	if w.instances[f] == nil {
 		w.instances[f] = &instance{worker: w}
@@ -28,7 +29,7 @@
 	return w.instances[f]
 }
 
-// isUnused reports whether w may be forgotten.
+// isUnused reports whether the policy may delete its entry of w.
 func (w *worker) isUnused() bool {
 	return w.endpoint.State == Gone && len(w.inFlight) == 0 && w.loadCommands == 0
 }
@@ -55,7 +56,7 @@
 	p.countReadyWorkers()
 }
 
-// markUnlistedGone marks the workers that a whole list lacks as gone.
+// markUnlistedGone marks the workers that are missing from a full list as gone.
 func (p *Policy) markUnlistedGone(listed map[WorkerID]bool) {
 	for _, w := range p.fleet {
 		if !listed[w.id()] {
@@ -73,8 +74,8 @@
 	}
 }
 
-// endpointUpdated applies one entry of the endpoint list. A worker whose process is new starts without a
-// past.
+// endpointUpdated applies one entry of the endpoint list. If the worker's process is new, what was learned of
+// an earlier process is dropped.
 func (p *Policy) endpointUpdated(e Endpoint) {
 	w, known := p.workers[e.Worker]
 	if !known {
@@ -89,8 +90,8 @@
 }
 
 // resetWorker drops what was learned of an earlier process of w, and begins the slow start of the one started
-// at startedAt. Attempts in flight and load commands stay until they end, and an attempt in flight goes on
-// making its instance count as warm; lastHeard and the recent sends of an earlier slow start stay too.
+// at startedAt. Attempts in flight and load commands stay until they end, and an attempt in flight still
+// makes its instance count as warm. lastAnswer and the recent sends of an earlier slow start stay too.
 func (p *Policy) resetWorker(w *worker, startedAt time.Duration) {
 	for _, i := range w.instances {
 		i.markNotLoaded()
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -7,52 +7,57 @@
 )
 
 const (
-	// outlierClip bounds how far one observation may be off: it counts as at most this multiple of what was
-	// expected. Higher, and one stalled answer spoils an estimate; lower, and a real rise is learned slowly.
+	// outlierClip bounds the effect of one observation: it counts as at most this multiple of the expected
+	// value. With a higher multiple, one stalled answer distorts an estimate; with a lower multiple, a real
+	// increase is learned slowly.
 	outlierClip = 3
 
-	// initialRunTimeShare is the run time that is assumed until answers come, as a part of the latency
-	// objective. An objective is usually a few times the run time. The first answers replace it.
+	// initialRunTimeShare is the run time that is assumed until answers arrive, as a share of the latency
+	// objective. An objective is usually a few times the run time. The first answers replace the assumption.
 	initialRunTimeShare = 0.25
 
-	// runTimePrior is how many answers the run time of the class weighs in that of a function. Higher, and a
-	// function unlike its class is learned late; lower, and its first answers decide.
+	// runTimePrior is the weight, in answers, of the class's run time in the estimate for a function. With a
+	// higher value, a run time that differs from the class's is learned late; with a lower value, the first
+	// answers of a function dominate its estimate.
 	runTimePrior = 5
 
-	// runTimeWindow is how many answers a mean run time remembers. Higher, and a change is learned late;
-	// lower, and the mean follows chance.
+	// runTimeWindow is the number of answers over which a mean run time is averaged. With a higher value, a
+	// change is learned late; with a lower value, the mean follows random variation.
 	runTimeWindow = 30
 
-	// ratioRetention is what a ratio keeps of its sums at each observation, and a function's saturation at
-	// each answer in time: about 1/(1-0.97), 33 of them, are remembered. Higher, and a change is learned
-	// late; lower, and chance decides.
+	// ratioRetention is the factor by which a ratio decays its sums at each observation, and by which a
+	// function's saturation decays at each answer in time. The sums cover about 1/(1-0.97), that is 33,
+	// observations. With a higher value, a change is learned late; with a lower value, the ratio follows
+	// random variation.
 	ratioRetention = 0.97
 
-	// delayTimeConstant is the time in which a decaying mean decays by the factor e: that of the excess delay at a
-	// worker, since a queue drains in about that, and that of the share that the worker leaves unserved.
-	// Longer, and a worker is avoided for what is over; shorter, and what few answers tell is forgotten
-	// before the next.
+	// delayTimeConstant is the time in which a decaying mean decays by the factor e. It applies to the excess
+	// delay at a worker, since a queue drains in about that time, and to the share of attempts that the
+	// worker leaves unserved. With a longer time, a worker is still avoided after its delay is over; with a
+	// shorter time, the result of a few answers decays before the next answers arrive.
 	delayTimeConstant = 3 * time.Second
 
-	// fullDecayObservations is the number below which a decaying mean is remembered for longer, in proportion:
-	// where few answers come, there are no newer ones to go by.
+	// fullDecayObservations is the number of observations below which a decaying mean decays more slowly, in
+	// proportion to their number: where few answers arrive, no newer ones replace them.
 	fullDecayObservations = 6
 
+	// maxReportedQueue bounds the queue length that is accepted from a load report, in requests.
+
 	// maxReportedQueue bounds the queue length that a load report is believed to tell, in requests.
 	maxReportedQueue = 1000
 
-	// loadReportQueueField is the name of the queue length among Config.LoadReportFields.
+	// loadReportQueueField is the name of the queue length in Config.LoadReportFields.
 	loadReportQueueField = "queue"
 )
 
-// nanoseconds is an estimated time. Estimates are made of products, quotients and means, so they are
-// floating-point numbers. Clock readings, settings and what enters or leaves the policy are of type
+// nanoseconds is an estimated time. Estimates are calculated from products, quotients and means, so they are
+// floating-point numbers. Clock readings, settings, and the times in events and actions are of type
 // time.Duration.
 type nanoseconds float64
 
 func (n nanoseconds) duration() time.Duration { return time.Duration(n) }
 
-// clamp returns v within the bounds, and the lower one for what is not a number.
+// clamp returns v limited to the range from low to high, or low if v is not a number.
 func clamp[T ~float64](v, low, high T) T {
 	if math.IsNaN(float64(v)) {
 		return low
@@ -60,8 +65,8 @@
 	return min(max(v, low), high)
 }
 
-// ratioEstimator fits a line through the origin, y = slope * x, to observations that decay with each newer
-// one. Its slope is the ratio of the sums of y and x.
+// ratioEstimator fits a line through the origin, y = slope * x, to observations whose weight decays with each
+// newer one. Its slope is the ratio of the sums of y and x.
 type ratioEstimator struct {
 	sumX float64
 	sumY float64
@@ -72,21 +77,22 @@
 	e.sumY = e.sumY*ratioRetention + y
 }
 
-// predict returns the y of x. With less than one x observed in all, the slope is taken for smaller than it
-// is.
+// predict returns the y predicted for x. While the sum of the observed x is below 1, the predicted slope is
+// smaller than the fitted one.
 func (e *ratioEstimator) predict(x float64) float64 { return x * e.sumY / max(e.sumX, 1) }
 
-// decayingMean is the mean of recent observations, whose weights decay over delayMemory, and of one more of
-// 0: it falls to 0 when no more come.
+// decayingMean is the mean of recent observations, whose weights decay over delayTimeConstant, and of one
+// constant observation of 0, so that the mean falls to 0 when no more observations arrive.
 type decayingMean struct {
 	sum       float64
 	count     float64
-	updatedAt time.Duration // of the latest observation, to which sum and count belong
+	updatedAt time.Duration // time of the latest observation, to which sum and count belong
 }
 
-// retention is the part of its weight that an observation has kept since m.at.
+// retention is the share of its weight that an observation has kept since m.updatedAt.
 func (m *decayingMean) retention(now time.Duration) float64 {
-	return math.Exp(-float64(now-m.updatedAt) / float64(delayTimeConstant) * min(1, max(1, m.count)/fullDecayObservations))
+	return math.Exp(-float64(now-m.updatedAt) / float64(delayTimeConstant) *
+		min(1, max(1, m.count)/fullDecayObservations))
 }
 
 func (m *decayingMean) value(now time.Duration) float64 {
@@ -104,7 +110,7 @@
 // runTimeEstimate is the mean run time of requests that found a warm instance.
 type runTimeEstimate struct {
 	mean  nanoseconds
-	count float64 // answers that the mean rests on, at most runTimeMemory
+	count float64 // number of answers in the mean, at most runTimeWindow
 }
 
 func (e *runTimeEstimate) observe(runTime nanoseconds) {
@@ -114,36 +120,36 @@
 
 // queueEstimate predicts the queueing delay at one worker; see Policy.queueingDelay.
 type queueEstimate struct {
-	slope       ratioEstimator // nanoseconds of delay over our requests in flight
-	excessDelay decayingMean   // nanoseconds that other routers' requests add
+	slope       ratioEstimator // nanoseconds of delay per request that this router has in flight
+	excessDelay decayingMean   // nanoseconds of delay that other routers' requests add
 }
 
-// excess is the delay that other routers' requests add. It is negative where our own requests explain too
-// much.
+// excess is the delay that other routers' requests add. It is negative if the delay predicted for this
+// router's own requests is too long.
 func (q *queueEstimate) excess(now time.Duration) nanoseconds {
 	return nanoseconds(q.excessDelay.value(now))
 }
 
-// observeExcess learns from a delay beyond the one that our requests explain.
+// observeExcess records the part of a delay that this router's own requests do not explain.
 func (q *queueEstimate) observeExcess(now time.Duration, delay nanoseconds) {
 	q.excessDelay.observe(now, float64(delay))
 }
 
-// fleetEstimates is what the answers of all workers together have shown.
+// fleetEstimates are the estimates that the answers of all workers have given together.
 type fleetEstimates struct {
-	queueSlope     ratioEstimator // nanoseconds of queueing delay over our requests in flight at a worker
-	delayPerQueued ratioEstimator // nanoseconds of queueing delay over the queue length in load reports
+	queueSlope     ratioEstimator // nanoseconds of queueing delay per request of this router in flight
+	delayPerQueued ratioEstimator // nanoseconds of queueing delay per queued request in load reports
 	queueField     int            // index of the queue length in a load report; -1: not reported
 	standingDelay  nanoseconds    // the delay that most answers of warm instances exceed
-	loadRatio      float64        // real load time over the hinted one
-	servedWork     nanoseconds    // run time of the requests served to us, decaying over rateMemory
+	loadRatio      float64        // ratio of the real load time to the hinted one
+	servedWork     nanoseconds    // run time of this router's served requests, decaying over rateTimeConstant
 }
 
 func newFleetEstimates(loadReportFields []string) fleetEstimates {
 	return fleetEstimates{loadRatio: 1, queueField: slices.Index(loadReportFields, loadReportQueueField)}
 }
 
-// reportedQueue returns the queue length in a load report, negative where it tells none.
+// reportedQueue returns the queue length in a load report, or a negative number if the report has none.
 func (e *fleetEstimates) reportedQueue(report []float64) float64 {
 	if e.queueField < 0 || e.queueField >= len(report) {
 		return -1
@@ -151,7 +157,7 @@
 	return clamp(report[e.queueField], -1, maxReportedQueue)
 }
 
-// decayServedWork lets the served work decay; it is called once in sweepInterval.
+// decayServedWork decays the served work; it is called once per sweepInterval.
 func (e *fleetEstimates) decayServedWork() {
 	e.servedWork -= e.servedWork * nanoseconds(sweepInterval) / nanoseconds(rateTimeConstant)
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RequestID identifies a request. A router uses none again while the policy may know it: until its final
-// answer, its cancel and the ends of all its attempts.
+// RequestID identifies a request. A router must not reuse an id while the policy may still hold the request:
+// until the request's final answer or cancellation, and the ends of all its attempts.
 type RequestID uint32
 
 // WorkerID identifies a worker. It survives a restart of the worker's process.
@@ -12,16 +12,16 @@
 // FunctionID identifies a function (a model) that workers load on demand.
 type FunctionID uint64
 
-// WorkerState is the state of a worker by the endpoint list.
+// WorkerState is the state of a worker according to the endpoint list.
 type WorkerState uint8
 
 // The worker states.
 const (
-	// Gone: no longer listed.
+	// Gone: the worker is no longer listed.
 	Gone WorkerState = iota // gone
-	// Ready: takes requests.
+	// Ready: the worker takes requests.
 	Ready // ready
-	// Draining: finishes what it has and takes no more.
+	// Draining: the worker finishes the requests that it has and takes no more.
 	Draining // draining
 )
 
@@ -32,7 +32,7 @@
 	Zone      int
 	Cell      int
 	Weight    float64       // size relative to other workers; 0: unknown
-	StartedAt time.Duration // clock time of the process's last start; 0: long ago
+	StartedAt time.Duration // clock time of the last start of the worker's process; 0: long ago
 }
 
 // EndpointUpdateKind is the kind of an [EndpointUpdate].
@@ -42,15 +42,15 @@
 const (
 	// IncrementalUpdate holds changed entries only.
 	IncrementalUpdate EndpointUpdateKind = iota // incremental
-	// FullUpdate holds the whole list; workers that it lacks are gone.
+	// FullUpdate holds the whole list; workers that are missing from it are gone.
 	FullUpdate // full
-	// CachedUpdate holds the whole list as last known, possibly out of date.
+	// CachedUpdate holds the whole list as last known, which may be out of date.
 	CachedUpdate // cached
-	// UpdateFailed: a fetch failed or the subscription broke; it has no entries.
+	// UpdateFailed: a fetch failed or the subscription broke. The update has no entries.
 	UpdateFailed // failed
 )
 
-// Event is something that happened at the router. Only this package's types are events.
+// Event is something that happened at the router. Only the types of this package are events.
 type Event interface{ event() }
 
 // EndpointUpdate says what changed in the endpoint list, or what it holds as a whole.
@@ -59,37 +59,37 @@
 	Endpoints []Endpoint
 }
 
-// RequestArrived is a new request, which is owed one final answer. One whose id is in use or whose class is
-// out of range is ignored, and gets none.
+// RequestArrived is a new request, which must get one final answer. The policy ignores it, and gives it no
+// answer, if its id is in use or its class is out of range.
 type RequestArrived struct {
 	Request     RequestID
 	Class       int // index into Config.Classes
 	Tenant      int // index into Config.Tenants; out of range: none
 	Function    FunctionID
-	Concurrency float64       // requests that one instance runs at a time
-	MemoryMB    float64       // memory of one instance, in MiB; not read today
+	Concurrency float64       // requests that one instance runs at the same time
+	MemoryMB    float64       // memory of one instance, in MiB; the policy does not read it
 	LoadTime    time.Duration // usual time of a load; 0: unknown
 	WorkHint    time.Duration // hint of the request's run time; 0: none
-	TimeLeft    time.Duration // until the client gives up
-	IsRepeat    bool          // the client has sent it before; not read today
+	TimeLeft    time.Duration // time until the client gives up
+	IsRepeat    bool          // the client has sent the request before; the policy does not read it
 }
 
-// ClientCancelled says that the client has left; no answer is owed any more.
+// ClientCancelled says that the client has left; the request no longer needs an answer.
 type ClientCancelled struct{ Request RequestID }
 
 // TimerFired says that a timer set by SetTimer has expired.
 type TimerFired struct{ Token uint64 }
 
-// HealthCheckEnded is the result of a CheckHealth. Any answer is a sign of life, also one that tells of bad
-// health: only TimedOut, Unreachable and ConnectionReset count as failures.
+// HealthCheckEnded is the result of a CheckHealth. Any answer shows that the worker is reachable, even an
+// answer that reports bad health. Only TimedOut, Unreachable and ConnectionReset count as failures.
 type HealthCheckEnded struct {
 	Worker     WorkerID
 	Outcome    Outcome
 	Duration   time.Duration
-	LoadReport []float64 // in the order of Config.LoadReportFields; empty where none came
+	LoadReport []float64 // in the order of Config.LoadReportFields; empty if the answer carried none
 }
 
-// GossipReceived is a message of another router.
+// GossipReceived is a message from another router.
 type GossipReceived struct {
 	From int
 	Data []byte
@@ -101,7 +101,7 @@
 	Function  FunctionID
 	Outcome   Outcome
 	Duration  time.Duration
-	Instances int // instances that are loaded at the worker
+	Instances int // number of instances that are loaded at the worker
 }
 
 // ResponseStarted says that the response of a streamed request has begun to reach the client.
@@ -118,11 +118,11 @@
 	Outcome             Outcome
 	InstanceStatus      InstanceStatus
 	FunctionConcurrency int // requests of the function at the worker, with Config.ConcurrencyInAnswers
-	// RequestClosed says that no answer is owed any more: the client has its final answer, or has cancelled.
-	// It must be true where the outcome is Served, else the request is placed again.
+	// RequestClosed says that the request no longer needs an answer: the client has its final answer or has
+	// cancelled. It must be true if the outcome is Served; otherwise the policy places the request again.
 	RequestClosed bool
 	Duration      time.Duration
-	LoadReport    []float64 // in the order of Config.LoadReportFields; empty where none came
+	LoadReport    []float64 // in the order of Config.LoadReportFields; empty if the answer carried none
 }
 
 func (EndpointUpdate) event()   {}
--- a/policy/functions.go
+++ b/policy/functions.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// rateTimeConstant is the time over which rates are remembered: those of a function's requests, which decay by the
-// factor e in it, and of the work that is served, which loses a tenth of itself at each sweep. Longer, and a
-// function that has become popular gets its replicas late; shorter, and a router that sees few requests takes
-// chance for a rate.
+// rateTimeConstant is the time over which rates are averaged: the rate of a function's requests, which decays
+// by the factor e in this time, and the rate of served work, which loses a tenth at each sweep. With a longer
+// time, a function that has become popular gets its replicas late; with a shorter time, a router that sees
+// few requests takes random variation for a rate.
 const rateTimeConstant = 10 * time.Second
 
-// function is what our requests for one function have shown.
+// function is what this router's requests for one function have shown.
 type function struct {
 	id             FunctionID
-	loadTime       time.Duration // usual time of a load, by the latest request's hint
-	lastRequest    time.Duration // when the latest request came
+	loadTime       time.Duration // usual time of a load, from the latest request's hint
+	lastRequest    time.Duration // time of the latest request
 	runTime        runTimeEstimate
-	served         bool    // some worker has served it
-	saturation     float64 // replicas wanted beyond the first, by answers that were late or overloaded
-	recentRequests float64 // decaying over rateMemory; while a request is first placed, those before it
+	served         bool    // some worker has served the function
+	saturation     float64 // wanted replicas beyond the first, from answers that were late or overloaded
+	recentRequests float64 // decays over rateTimeConstant; excludes a request that is being placed first
 }
 
-// recordFunctionRequest returns the function that a request is for, after its rate has decayed to now and the
-// request's time and load hint are recorded. recentRequests grows once the request is placed.
+// recordFunctionRequest returns the function of a request. It decays the function's rate to now and records
+// the request's time and load hint. recentRequests grows only after the request has been placed.
 func (p *Policy) recordFunctionRequest(e RequestArrived) *function {
 	c := &p.classes[e.Class]
 	f := p.functions[e.Function]
@@ -35,13 +35,13 @@
 	f.lastRequest = p.now
 	f.loadTime = e.LoadTime
 	if unknown := f.loadTime <= 0 || f.loadTime > longestPlausibleTime; unknown {
-		f.loadTime = c.settings.LatencyObjective // as long as an answer should take
+		f.loadTime = c.settings.LatencyObjective // the time that a whole answer may take
 	}
 	return f
 }
 
-// recordSaturation counts an answer that was late or overloaded although the function was loaded: one replica
-// more is wanted, up to most.
+// recordSaturation counts an answer that was late or overloaded although the function was loaded: one more
+// replica is needed. maxSaturation bounds the count.
 func (f *function) recordSaturation(maxSaturation int) {
 	f.saturation = min(f.saturation+1, float64(maxSaturation))
 }
