--- a/policy/config_check.go
+++ b/policy/config_check.go
@@ -15,7 +15,7 @@
 			return &ConfigError{
 				fmt.Sprintf("Classes[%d]", i),
 				fmt.Sprintf(
-					"LatencyObjective or Deadline not positive, DedupWindow negative or enumeration unknown: %+v",
+					"LatencyObjective or Deadline <= 0, DedupWindow < 0, or unknown enum value: %+v",
 					cfg.Classes[i],
 				),
 			}
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -8,37 +8,37 @@
 
 const (
 	// gossipEntrySize is the size of a gossip entry in bytes: the big-endian ids of a worker and of a
-	// function that it has loaded. Peers read this form.
+	// function that the worker has loaded. The other routers read this format.
 	gossipEntrySize = 16
 
-	// gossipMaxEntries bounds the entries of a message; the latest are kept.
+	// gossipMaxEntries bounds the entries of a message; the latest entries are kept.
 	gossipMaxEntries = 16
 
-	// gossipBudgetPerRequest is how many receivers of a message a request pays for, however many routers
-	// there are: it bounds the cost of gossip for each request, and with many routers messages leave less
-	// often.
+	// gossipBudgetPerRequest is the number of message receivers that one request adds to the budget,
+	// whatever the number of routers. It bounds the cost of gossip per request; with many routers, messages
+	// are sent less often.
 	gossipBudgetPerRequest = 2
 
-	// gossipValidityPercent is the part of the keep-alive time for which an announced instance is believed to
-	// be loaded. The rest is for the age of the message.
+	// gossipValidityPercent is the part of the keep-alive time for which an announced instance is assumed to
+	// be loaded. The rest allows for the age of the message.
 	gossipValidityPercent = 90
 
 	// announceDivisor is the part of the keep-alive time after which a loaded instance is announced again.
 	announceDivisor = 4
 )
 
-// gossipOutbox gathers what the next message to the other routers says.
+// gossipOutbox collects the entries of the next message to the other routers.
 type gossipOutbox struct {
 	entries []byte  // of loaded instances, oldest first
-	budget  float64 // receivers that may be told
+	budget  float64 // number of receivers that messages may be sent to
 }
 
-// addBudget adds the budget of one request, up to one message to all routers.
+// addBudget adds the budget of one request. The budget is at most one message to all routers.
 func (g *gossipOutbox) addBudget(routers int) {
 	g.budget = min(g.budget+gossipBudgetPerRequest, float64(routers))
 }
 
-// announce adds to the next message that f is loaded at i's worker, unless it was said lately.
+// announce adds to the next message that f is loaded at i's worker, unless this was announced recently.
 func (p *Policy) announce(i *instance, f *function) {
 	hasPeers := p.cfg.AllowGossip && p.cfg.RouterCount > 1
 	if !hasPeers || p.now-i.announcedAt <= p.cfg.InstanceKeepAlive/announceDivisor {
@@ -49,7 +49,7 @@
 	p.gossip.entries = binary.BigEndian.AppendUint64(p.gossip.entries, uint64(f.id))
 }
 
-// sendGossip sends the gathered entries to all other routers once the budget covers it.
+// sendGossip sends the collected entries to all other routers once the budget covers the message.
 func (p *Policy) sendGossip() {
 	g := &p.gossip
 	peers := float64(p.cfg.RouterCount - 1)
@@ -63,8 +63,9 @@
 	}
 }
 
-// gossipReceived believes another router that functions are loaded at workers, for a little less than the
-// keep-alive time. Entries of workers that are not ready here, and a last one that is cut off, are ignored.
+// gossipReceived records the functions that another router announces as loaded at workers. They are assumed
+// loaded for a little less than the keep-alive time. Entries of workers that are not ready at this router,
+// and an incomplete last entry, are ignored.
 func (p *Policy) gossipReceived(entries []byte) {
 	for ; len(entries) >= gossipEntrySize; entries = entries[gossipEntrySize:] {
 		workerID := WorkerID(binary.BigEndian.Uint64(entries))
@@ -78,7 +79,7 @@
 	}
 }
 
-// gossipValidity is how long an announced instance is believed to be loaded.
+// gossipValidity is the time for which an announced instance is assumed to be loaded.
 func gossipValidity(keepAlive time.Duration) time.Duration {
 	return keepAlive * gossipValidityPercent / 100
 }
--- a/policy/instances.go
+++ b/policy/instances.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// instance is what the policy believes of one function at one worker: whether it is loaded, being loaded, or
-// neither.
+// instance is the assumed state of one function at one worker: loaded, being loaded, or neither.
 type instance struct {
 	worker             *worker
-	warmUntil          time.Duration // believed to be loaded until then
+	warmUntil          time.Duration // the function is assumed loaded until then
 	announcedAt        time.Duration // when the other routers were last told that it is loaded
-	loadEndsAt         time.Duration // when a load under way is expected to end; 0: none is
-	inFlight           int           // our attempts
-	concurrency        int           // most of our requests that were seen to be served at a time
-	loadCommandPending bool          // our load command has no answer yet
+	loadEndsAt         time.Duration // expected end of a load under way; 0: no load is under way
+	inFlight           int           // this router's attempts
+	concurrency        int           // most of this router's requests that were seen served at the same time
+	loadCommandPending bool          // this router's load command has no answer yet
 	waiting            []*request    // requests that wait for that answer
 }
 
-// markNotLoaded drops the belief that the function is loaded or being loaded.
+// markNotLoaded records that the function is neither loaded nor being loaded.
 func (i *instance) markNotLoaded() {
 	i.warmUntil = 0
 	i.loadEndsAt = 0
 	i.concurrency = 0
 }
 
-// isUnused reports whether the entry may be forgotten at now, since it says nothing.
+// isUnused reports whether the entry may be deleted at now, because it holds no information.
 func (i *instance) isUnused(now time.Duration) bool {
 	return i.inFlight == 0 && !i.loadCommandPending && now > i.warmUntil && now > i.loadEndsAt
 }
 
-// isLoading reports whether a load is believed to be under way.
+// isLoading reports whether a load is assumed to be under way.
 func (i *instance) isLoading() bool { return i.loadEndsAt > 0 }
 
-// isWarm reports whether the function is believed to be loaded at now: by an answer or by gossip, or because
-// an attempt of ours is at it, which has it loaded or soon shows that it is not.
+// isWarm reports whether the function is assumed to be loaded at now: because an answer or gossip said so, or
+// because an attempt of this router is in flight there. The attempt makes the worker load the function, or
+// soon shows that it is not loaded.
 func (i *instance) isWarm(now time.Duration) bool { return now < i.warmUntil || i.inFlight > 0 }
 
-// isBusy reports whether one request more would exceed what the instances are known to run at a time: what
-// the request says of one instance, or what was seen to be served.
+// isBusy reports whether one more request would exceed the number that the instances are known to run at the
+// same time: what the request says of one instance, or what was seen served.
 func (i *instance) isBusy(instanceConcurrency float64) bool {
 	return float64(i.inFlight) >= max(instanceConcurrency, 1, float64(i.concurrency))
 }
--- a/policy/load_commands.go
+++ b/policy/load_commands.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// loadedAlreadyDivisor tells a load command that found the function loaded, or nearly so, from one that
-// waited for a whole load: it took less than this part of the hinted load time.
+// loadedAlreadyDivisor separates a load command that found the function loaded, or nearly loaded, from one
+// that waited for a whole load: the former took at most the hinted load time divided by this value.
 const loadedAlreadyDivisor = 5
 
-// loadCommandBudget bounds the load commands within a window: an allowance, and more for the requests that
-// came in it.
+// loadCommandBudget bounds the load commands within a window: an allowance, and additional commands for each
+// request that arrived in the window.
 type loadCommandBudget struct {
 	window     time.Duration   // 0: no bound
 	allowance  float64         // load commands that are always allowed
-	perRequest float64         // further ones for each request
-	commands   []time.Duration // when those within the window were sent
-	requests   []time.Duration // when those within the window came
+	perRequest float64         // additional commands per request
+	commands   []time.Duration // send times of the commands within the window
+	requests   []time.Duration // arrival times of the requests within the window
 }
 
 func newLoadCommandBudget(cfg *Config) loadCommandBudget {
@@ -27,7 +27,7 @@
 	}
 }
 
-// recordRequest counts a request that came at now.
+// recordRequest counts a request that arrived at now.
 func (b *loadCommandBudget) recordRequest(now time.Duration) {
 	if b.window > 0 {
 		b.requests = append(dropBefore(now-b.window, b.requests), now)
@@ -41,9 +41,9 @@
 	}
 }
 
-// allowsAnother reports whether one more load command at now stays within the budget. Requests must have come
-// after the start of the window to count, commands at its start count too: at the edge the budget is the
-// smaller one.
+// allowsAnother reports whether one more load command at now stays within the budget. A request counts if it
+// arrived after the start of the window; a command also counts at the start itself. In the edge case the
+// budget is therefore the smaller one.
 func (b *loadCommandBudget) allowsAnother(now time.Duration) bool {
 	if b.window <= 0 {
 		return true
@@ -59,8 +59,8 @@
 	return slices.DeleteFunc(times, func(t time.Duration) bool { return t < earliest })
 }
 
-// loadCommandAllowed reports whether a load command may be sent: to a ready worker within the budget, while
-// one that only asks for the number of instances costs nothing.
+// loadCommandAllowed reports whether a load command may be sent: to a ready worker, within the budget. A
+// command that only asks for the number of instances may be sent to any known worker and is not charged.
 func (p *Policy) loadCommandAllowed(a LoadInstance) bool {
 	w := p.workers[a.Worker]
 	if w == nil || !p.cfg.AllowLoadCommands {
@@ -72,8 +72,8 @@
 	return w.endpoint.State == Ready && p.loadCommands.allowsAnother(p.now)
 }
 
-// waitForLoad has r, whose function i's worker lacks, wait for a load there, which it commands if that is not
-// done. It returns false if the rules or the budget forbid the command.
+// waitForLoad makes r wait for a load at i's worker, which lacks r's function. It commands the load unless a
+// command is pending. It returns false if the rules or the budget forbid the command.
 func (p *Policy) waitForLoad(r *request, i *instance) bool {
 	if !i.loadCommandPending && !p.commandLoad(i, r.function) {
 		return false
@@ -83,7 +83,7 @@
 	return true
 }
 
-// commandLoad commands i's worker to load f, and reports whether it was allowed to.
+// commandLoad commands i's worker to load f, and reports whether the command was allowed.
 func (p *Policy) commandLoad(i *instance, f *function) bool {
 	if !p.emit(LoadInstance{Worker: i.worker.id(), Function: f.id, Instances: 1}) {
 		return false
@@ -94,7 +94,7 @@
 	return true
 }
 
-// loadCommandEnded takes the result of a load command and places the requests that waited for it.
+// loadCommandEnded handles the result of a load command and places the requests that waited for it.
 func (p *Policy) loadCommandEnded(e LoadCommandEnded) {
 	w := p.workers[e.Worker]
 	f := p.functions[e.Function]
@@ -108,7 +108,8 @@
 	p.learnFromLoadCommand(i, f, e)
 	waiting := i.waiting
 	i.waiting = nil
-	workerUsable := e.Outcome == Served || e.Outcome == ConnectionReset // a connection may break alone
+	// After a reset the worker may still be used, because a reset may affect a single connection only.
+	workerUsable := e.Outcome == Served || e.Outcome == ConnectionReset
 	for _, r := range waiting {
 		if !workerUsable {
 			r.triedWorkers = append(r.triedWorkers, w)
@@ -133,7 +134,8 @@
 	case Unreachable:
 		p.eject(w)
 	case ConnectionReset:
-		// A connection may break alone: a health check tells, where one may be sent.
+		// A reset may affect a single connection only. A health check shows whether the worker failed, where
+		// health checks are allowed.
 		if !w.health.checkPending && !p.checkHealth(w) {
 			p.eject(w)
 		}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -5,23 +5,23 @@
 
 // The outcomes. WorkerOverloaded, Unreachable, NotSent and FunctionNotLoaded prove that an attempt never ran.
 const (
-	// Served: answered with success.
+	// Served: the worker answered with success.
 	Served Outcome = iota // served
-	// Errored: answered with an error.
+	// Errored: the worker answered with an error.
 	Errored // errored
-	// WorkerOverloaded: rejected by the worker before it looked at the request.
+	// WorkerOverloaded: the worker rejected the request before looking at it.
 	WorkerOverloaded // worker_overloaded
-	// TimedOut: no answer in time.
+	// TimedOut: no answer arrived in time.
 	TimedOut // timed_out
 	// Unreachable: no connection could be made.
 	Unreachable // unreachable
 	// ConnectionReset: the connection broke before the answer.
 	ConnectionReset // connection_reset
-	// Cancelled: cancelled by the router.
+	// Cancelled: the router cancelled the attempt.
 	Cancelled // cancelled
-	// NotSent: it never left the router, or reached the worker after its deadline and did not run.
+	// NotSent: the attempt never left the router, or reached the worker after its deadline and did not run.
 	NotSent // not_sent
-	// FunctionNotLoaded: rejected because the worker has no instance of the function.
+	// FunctionNotLoaded: the worker rejected the request because it has no instance of the function.
 	FunctionNotLoaded // function_not_loaded
 )
 
@@ -30,16 +30,16 @@
 	return o == WorkerOverloaded || o == Unreachable || o == NotSent || o == FunctionNotLoaded
 }
 
-// InstanceStatus is what an answer says of the function's instance at the worker.
+// InstanceStatus is what an answer says about the function's instance at the worker.
 type InstanceStatus uint8
 
 // The instance statuses.
 const (
-	// InstanceUnknown: the answer says nothing of it.
+	// InstanceUnknown: the answer does not mention the instance.
 	InstanceUnknown InstanceStatus = iota // unknown
-	// InstanceWarm: an instance was loaded already.
+	// InstanceWarm: an instance was already loaded.
 	InstanceWarm // warm
-	// LoadStarted: the request began a load.
+	// LoadStarted: the request started a load.
 	LoadStarted // load_started
 	// LoadAwaited: the request waited for a load that was under way.
 	LoadAwaited // load_awaited
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -6,55 +6,58 @@
 )
 
 const (
-	// firstEjectionTime is how long a worker is ejected at first; each further failure in a row doubles it.
-	// Longer, and a worker that is well again stays idle; shorter, and a dead one is tried often.
+	// firstEjectionTime is the duration of the first ejection; each further failure in a row doubles it. With
+	// a longer time, a recovered worker stays idle; with a shorter time, a failed one is tried often.
 	firstEjectionTime = time.Second
 
-	// maxEjectionTime bounds the time of an ejection: a worker that is well again is noticed at most this
-	// late.
+	// maxEjectionTime bounds the duration of an ejection: a recovered worker is noticed after at most this
+	// time.
 	maxEjectionTime = 8 * time.Second
 
-	// maxEjectionDoublings keeps the doubled time from overflowing; maxEjectionTime is reached long before.
+	// maxEjectionDoublings keeps the doubled time from overflowing. maxEjectionTime is reached with fewer
+	// doublings.
 	maxEjectionDoublings = 10
 
-	// minHealthCheckInterval is the least time between two health checks of a worker that is silent. Shorter,
-	// and a slow worker is asked in vain; longer, and a dead one keeps its attempts.
+	// minHealthCheckInterval is the shortest time between two health checks of a silent worker. With a
+	// shorter time, a slow worker is checked without need; with a longer time, a failed worker keeps its
+	// attempts.
 	minHealthCheckInterval = 4 * housekeepingInterval
 
-	// cancelTicks is how many ticks pass at most until a cancelled attempt's request is sent elsewhere: one
-	// until the attempt's end is known, one until the next attempt is at its worker.
+	// cancelTicks is the largest number of ticks until a cancelled attempt's request is sent elsewhere: one
+	// until the attempt's end is known, and one until the next attempt is at its worker.
 	cancelTicks = 2
 
-	// silenceFactor bounds the silence of a worker with attempts in flight: its health is checked after this
-	// multiple of the expected latency and one housekeepingInterval. Higher, and a dead worker is noticed
-	// late; lower, and slow ones are checked for nothing.
+	// silenceFactor determines when a worker with attempts in flight counts as silent: when it has not
+	// answered for more than this multiple of the sum of the expected latency and one housekeepingInterval.
+	// The policy then checks its health. With a higher factor, a failed worker is noticed late; with a lower
+	// factor, slow workers are checked without need.
 	silenceFactor = 2
 )
 
-// health is what the policy knows of whether a worker serves.
+// health is what the policy knows about whether a worker serves requests.
 type health struct {
-	lastAnswer          time.Duration // when it last answered anything
+	lastAnswer          time.Duration // when the worker last answered anything
 	lastHealthCheck     time.Duration // when its health was last checked
 	checkPending        bool          // that health check has no result yet
-	lastReset           time.Duration // when a connection to it last broke under an attempt
+	lastReset           time.Duration // when a connection to it last broke during an attempt
 	consecutiveFailures int           // ejections since it last answered
 	ejectedUntil        time.Duration
-	unserved            []decayingMean // by class: the share of attempts that it left unserved
+	unserved            []decayingMean // by class: the share of attempts that the worker left unserved
 }
 
-// silentSince is when w last answered anything, or when the oldest attempt in flight was sent if that is
-// later. There must be one.
+// silentSince is when w last answered anything or, if that is later, when its oldest attempt in flight was
+// sent. At least one attempt must be in flight.
 func (w *worker) silentSince() time.Duration { return max(w.health.lastAnswer, w.inFlight[0].sentAt) }
 
-// recordWorkerAnswered records that w has answered: it is not ejected any more.
+// recordWorkerAnswered records that w has answered, which ends an ejection.
 func (p *Policy) recordWorkerAnswered(w *worker) {
 	w.health.lastAnswer = p.now
 	w.health.consecutiveFailures = 0
 	w.health.ejectedUntil = 0
 }
 
-// eject keeps requests off w, for longer each time in a row. A failure while it is ejected already counts for
-// nothing.
+// eject keeps requests away from w for a time. Each further ejection in a row lasts longer, up to
+// maxEjectionTime. A failure during an ejection has no effect.
 func (p *Policy) eject(w *worker) {
 	h := &w.health
 	if p.now < h.ejectedUntil {
@@ -65,8 +68,8 @@
 	h.consecutiveFailures++
 }
 
-// isEjected reports whether w takes no requests: it must answer a health check first or, where none may be
-// sent, its time must be over and one attempt at a time may try it.
+// isEjected reports whether w takes no requests. An ejection ends when w answers a health check. Where health
+// checks are not allowed, one trial attempt at a time may be sent to w once the ejection time is over.
 func (p *Policy) isEjected(w *worker) bool {
 	if w.health.consecutiveFailures == 0 {
 		return false
@@ -74,8 +77,8 @@
 	return p.cfg.AllowHealthChecks || p.now < w.health.ejectedUntil || len(w.inFlight) > 0
 }
 
-// sendDueHealthChecks checks the health of workers that are silent for too long, and of those whose ejection is
-// over.
+// sendDueHealthChecks checks the health of workers that have been silent for too long, and of workers whose
+// ejection time is over.
 func (p *Policy) sendDueHealthChecks() {
 	for _, w := range p.fleet {
 		if w.endpoint.State == Gone || w.health.checkPending {
@@ -87,8 +90,8 @@
 	}
 }
 
-// isSilent reports whether w has had attempts in flight for suspiciously long without any answer, and was not
-// checked lately.
+// isSilent reports whether w has had attempts in flight for too long without any answer, and was not checked
+// recently.
 func (p *Policy) isSilent(w *worker) bool {
 	if len(w.inFlight) == 0 || p.now-w.health.lastHealthCheck <= minHealthCheckInterval {
 		return false
@@ -97,21 +100,22 @@
 	return p.now-w.silentSince() > silenceFactor*expected
 }
 
-// ejectionExpired reports whether w's ejection is over, so that a health check may end it.
+// ejectionExpired reports whether w's ejection time is over, so that a health check may end the ejection.
 func (p *Policy) ejectionExpired(w *worker) bool {
 	return w.health.consecutiveFailures > 0 && p.now >= w.health.ejectedUntil
 }
 
-// checkHealth sends w a health check, and reports whether the settings allowed one. Where they do not, the
-// time is recorded all the same, so that a silent worker is looked at no more often.
+// checkHealth sends w a health check, and reports whether the settings allowed it. The time of the check is
+// recorded even if they did not, so that a silent worker is not considered more often.
 func (p *Policy) checkHealth(w *worker) bool {
 	w.health.checkPending = p.emit(CheckHealth{Worker: w.id()})
 	w.health.lastHealthCheck = p.now
 	return w.health.checkPending
 }
 
-// healthCheckEnded takes the result of a health check. A worker that answered nothing since it was sent is
-// ejected, and its attempts are cancelled where their requests may go elsewhere.
+// healthCheckEnded handles the result of a health check. If the check failed and the worker has answered
+// nothing since it was sent, the worker is ejected, and its attempts are cancelled if their requests may go
+// elsewhere.
 func (p *Policy) healthCheckEnded(e HealthCheckEnded) {
 	w := p.workers[e.Worker]
 	if w == nil {
@@ -130,9 +134,10 @@
 	}
 }
 
-// cancelRepeatableAttempts cancels the attempts at w whose requests may be sent elsewhere once they have
-// ended, judged by the class and the attempt's own age alone: the rules may still forbid the repeat, for the
-// attempts that are used up, the DedupScope, or an earlier attempt that may have run.
+// cancelRepeatableAttempts cancels the attempts at w whose requests may be sent elsewhere once the attempts
+// have ended. It decides by the class and the attempt's own age only: the rules may still forbid the repeat,
+// because the attempts are used up, because of the DedupScope, or because of an earlier attempt that may have
+// run.
 func (p *Policy) cancelRepeatableAttempts(w *worker) {
 	repeatedAt := p.now + cancelTicks*p.cfg.Tick
 	for _, a := range slices.Clone(w.inFlight) {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -9,18 +9,18 @@
 // target is a worker that a request may be sent to.
 type target struct {
 	worker     *worker
-	score      nanoseconds // the lowest of all candidates; this one's may be up to a tick higher
-	latency    nanoseconds // predicted there
-	likelyWarm bool        // not known to have the function loaded, but likely, for another router
+	score      nanoseconds // lowest score of all candidates; this worker's may be up to a tick higher
+	latency    nanoseconds // predicted latency at this worker
+	likelyWarm bool        // cold for this router, but another router has probably had the function loaded
 }
 
-// place sends r to the worker with the lowest score, has it wait, or ends it unserved:
+// place sends r to the worker with the lowest score, makes it wait, or ends it unserved:
 //
 //  1. The candidates are the workers that the rules allow and that have not failed r before.
-//  2. The preferred worker is where r's function should be loaded if it must be.
-//  3. While loads fail, workers where r would begin one are no candidates.
-//  4. With a candidate left, admission decides on the one with the lowest score.
-//  5. With none, r waits if a worker may take it in time, else it is refused.
+//  2. The preferred worker is the one that should load r's function if the function must be loaded.
+//  3. While loads fail, workers at which r would start a load are removed from the candidates.
+//  4. If a candidate is left, admission decides whether r is sent to the one with the lowest score.
+//  5. If none is left, r waits if a worker may take it in time; otherwise it is refused.
 func (p *Policy) place(r *request) {
 	if r.finished || r.attemptsInFlight > 0 {
 		return
@@ -42,14 +42,14 @@
 	}
 }
 
-// candidates returns the workers that r may go to now, in the fleet's order.
+// candidates returns the workers that r may be sent to now, in the order of the fleet.
 func (p *Policy) candidates(r *request) []*worker {
 	return slices.DeleteFunc(slices.Clone(p.fleet), func(w *worker) bool {
 		return p.isEjected(w) || slices.Contains(r.triedWorkers, w) || !p.sendAllowed(r, w)
 	})
 }
 
-// withoutNewLoads removes the candidates at which r would begin a load. The preferred worker stays for a
+// withoutNewLoads removes the candidates at which r would start a load. The preferred worker remains for a
 // first attempt if another router has probably had the function loaded there.
 func (p *Policy) withoutNewLoads(r *request, candidates []*worker, preference preference) []*worker {
 	isRetry := len(r.attempts) > 0
@@ -58,7 +58,7 @@
 	})
 }
 
-// waitOrRefuse has r wait for a worker if one may take it at earliest or later, in time; else it refuses r.
+// waitOrRefuse makes r wait if a worker may take it in time, at earliest or later; otherwise it refuses r.
 func (p *Policy) waitOrRefuse(r *request, earliest time.Duration) {
 	enoughTime := nanoseconds(r.deadline-earliest) > p.predictedRunTime(r)
 	if enoughTime && p.mayBePlacedLater(r) {
@@ -68,8 +68,8 @@
 	p.endUnserved(r, nanoseconds(earliest-p.now), NoWorkerAvailable)
 }
 
-// mayBePlacedLater reports whether a worker that takes nothing now may take r later: one that is ejected or
-// warming up, or, where none is ready, one that is not listed yet.
+// mayBePlacedLater reports whether a worker that cannot take r now may take it later: a worker that is
+// ejected or warming up or, if no worker is ready, one that is not listed yet.
 func (p *Policy) mayBePlacedLater(r *request) bool {
 	if p.readyWorkers == 0 && p.attemptAllowed(r, nil) {
 		return true
@@ -79,9 +79,9 @@
 	})
 }
 
-// lowestScore returns the candidate with the lowest score, of which the preferred worker's is lower by the
-// load that it may not need. Scores that are closer than a tick, which the clock can't tell apart, are a tie,
-// drawn at random.
+// lowestScore returns the candidate with the lowest score. The preferred worker's score is lower by the load
+// that it may not need. Scores that differ by at most a tick, which the clock can't distinguish, are a tie,
+// which is drawn at random.
 func (p *Policy) lowestScore(r *request, candidates []*worker, preference preference) target {
 	bonus := nanoseconds(preference.warmChance) * p.predictedLoadTime(r.function)
 	scores := make([]nanoseconds, len(candidates))
@@ -102,8 +102,8 @@
 	}
 }
 
-// drawTie returns the index of one of the scores that are at most highest, each with the same chance
-// (reservoir sampling: one draw for each tie, also for a lone one).
+// drawTie returns the index of one of the scores that are at most highest, each with the same probability
+// (reservoir sampling with one draw per tied score, even if there is only one).
 func (p *Policy) drawTie(scores []nanoseconds, highest nanoseconds) int {
 	chosen := 0
 	ties := 0
