--- a/policy/enum_string.go
+++ b/policy/enum_string.go
@@ -163,9 +163,9 @@
 	_ = x[deadlineTimer-2]
 }
 
-const _timerKind_name = "the periodic worksubscribe to the endpoint list againa request must get its final answer"
+const _timerKind_name = "housekeepingresubscribedeadline"
 
-var _timerKind_index = [...]uint8{0, 17, 53, 88}
+var _timerKind_index = [...]uint8{0, 12, 23, 31}
 
 func (i timerKind) String() string {
 	idx := int(i) - 0
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -9,42 +9,45 @@
 
 const (
 	// housekeepingInterval is the time between two runs of the periodic work. It bounds how late a waiting
-	// request, a silent worker or a pending gossip message is noticed: far below any latency objective, and
-	// cheap. A shorter interval costs processor time, a longer one latency. It is also the least Retry-After
-	// and resubscribe wait, and the unit of the pauses between health checks and between loads that fail.
+	// request, a silent worker or a pending gossip message is noticed: it is far below any latency objective,
+	// and the work is cheap. A shorter interval costs more processor time; a longer interval adds latency. It
+	// is also the shortest Retry-After and the shortest wait before a new subscription, and the unit of the
+	// pauses between health checks and between loads that fail.
 	housekeepingInterval = 50 * time.Millisecond
 
-	// sweepInterval is the time between two sweeps, which decay the served work and forget what is unused.
+	// sweepInterval is the time between two sweeps, which decay the served work and delete unused entries.
 	sweepInterval = time.Second
 
-	// functionRetention is how long after its last request a function is remembered. It bounds the memory for
-	// functions that are requested once; a function that comes back later starts from its class's estimates.
-	// It must exceed LoadCommandTimeout: a load command is settled only while its function is remembered.
+	// functionRetention is how long the policy keeps a function after its last request. It bounds the memory
+	// for functions that are requested only once; a function that is requested again later starts from the
+	// estimates of its class. It must exceed LoadCommandTimeout, because the result of a load command is
+	// ignored when its function is no longer kept.
 	functionRetention = 2 * time.Minute
 
-	// rngStream is the second half of the random generator's seed: any fixed number, the same at all routers.
+	// rngStream is the second half of the random generator's seed. Any fixed number works; it is the same at
+	// all routers.
 	rngStream = 0x7468796d65
 )
 
 // Policy takes the decisions of one router. It is not safe for concurrent use.
 type Policy struct {
 	cfg Config
-	rng *rand.Rand // draws every random choice
-	// replicaSeed differs between routers, so that they prefer different replicas of a function; see replica.
+	rng *rand.Rand // source of every random choice
+	// replicaSeed differs between routers, so that they use different replicas of a function; see replica.
 	replicaSeed uint64
 
-	now             time.Duration // of the event that is being handled
-	actions         []Action      // that answer it so far
+	now             time.Duration // time of the event that is being handled
+	actions         []Action      // actions emitted for that event so far
 	lastSweep       time.Duration
 	lastExploration time.Duration // when a request was last admitted against the estimates; see admit
 
 	workers      map[WorkerID]*worker
-	fleet        []*worker // the same workers, in the order of their first listing
-	readyWorkers int       // workers in the state Ready
-	subscribed   bool      // a subscription to the endpoint list is in force
+	fleet        []*worker // the same workers, in the order in which they were first listed
+	readyWorkers int       // number of workers in the state Ready
+	subscribed   bool      // a subscription to the endpoint list is active
 
 	requests  map[RequestID]*request
-	waiting   []*request // no worker may take them now; housekeeping places them again
+	waiting   []*request // requests that no worker may take now; housekeeping places them again
 	functions map[FunctionID]*function
 	classes   []class       // by RequestArrived.Class
 	quotas    []tokenBucket // by RequestArrived.Tenant
@@ -55,10 +58,10 @@
 	gossip       gossipOutbox
 }
 
-// New returns a Policy for one router, whose random choices all follow from seed, or a [*ConfigError].
-// Routers of one fleet need different seeds, so that they keep to different replicas of a function. The first
-// timer and the subscription are asked for with the first event's actions: until one is handled, nothing runs
-// by itself.
+// New returns a Policy for one router, or a [*ConfigError]. All random choices of the Policy follow from
+// seed. The routers of a fleet need different seeds, so that they use different replicas of a function. The
+// first timer and the subscription are requested with the actions of the first event; no timer runs before
+// that.
 func New(cfg Config, seed uint64) (*Policy, error) {
 	if err := validate(&cfg); err != nil {
 		return nil, err
@@ -85,10 +88,10 @@
 	return p, nil
 }
 
-// Handle takes an event, which happened at now, and appends the actions that answer it to actions. A now that
-// is earlier than that of the event before counts as the same time. Events of unknown requests, attempts,
+// Handle processes an event that happened at now, and appends the resulting actions to actions. If now is
+// earlier than the time of the previous event, it counts as that time. Events of unknown requests, attempts,
 // workers, functions and timers are ignored. The policy keeps neither the event's slices nor actions; the
-// data of a SendGossip are the caller's.
+// caller owns the data of a SendGossip.
 func (p *Policy) Handle(now time.Duration, event Event, actions []Action) []Action {
 	p.now = max(now, p.now)
 	p.actions = append(actions, p.actions...)
@@ -128,8 +131,8 @@
 	}
 }
 
-// placeWaiting tries again to place the requests that no worker could take. Those that still find none wait
-// on.
+// placeWaiting tries again to place the requests that no worker could take. A request that still finds no
+// worker continues to wait if there is enough time, or is refused.
 func (p *Policy) placeWaiting() {
 	waiting := p.waiting
 	p.waiting = nil
@@ -138,7 +141,7 @@
 	}
 }
 
-// sweep decays the served work and forgets workers, instances and functions that are no longer used.
+// sweep decays the served work and deletes the workers, instances and functions that are no longer used.
 func (p *Policy) sweep() {
 	p.lastSweep = p.now
 	p.estimates.decayServedWork()
--- a/policy/prediction.go
+++ b/policy/prediction.go
@@ -3,33 +3,37 @@
 import "math"
 
 const (
-	// fleetSlopePrior is how many requests in flight the fleet's queueing slope weighs in that of each
-	// worker. Higher, and a slow worker is told apart late; lower, and a few answers decide.
+	// fleetSlopePrior is the weight, in requests in flight, of the fleet's queueing slope in the slope of
+	// each worker. With a higher value, a slow worker is recognized late; with a lower value, a few answers
+	// determine the slope.
 	fleetSlopePrior = 8
 
-	// extraInstanceShare is the part of a load that a request is charged where all instances at a worker are
-	// busy: the worker may load a further one, or let the request wait. Higher, and requests leave for
-	// workers that must load; lower, and busy workers begin further loads.
+	// extraInstanceShare is the share of a load time that is added to the latency of a request where all
+	// instances at a worker are busy: the worker may load another instance, or make the request wait. With a
+	// higher value, requests go to workers that must load the function; with a lower value, busy workers load
+	// further instances.
 	extraInstanceShare = 0.3
 )
 
 // predictLatency predicts the latency of request r if it is sent to worker w now, as in the mask-aware
 // scheduler of InstGenIE (section 4.4; CalcCost in Algorithm 2: the latency of a worker's running batch with
 // the request added). The request goes to the worker with the lowest score: this latency, less a bonus at the
-// preferred worker (lowestScore).
+// preferred worker (see lowestScore).
 //
 //	latency = D(w, n) + R(r) + L(w, r) + U(w, r) + X(w, r) + O(w)
 //
-//	D  the queueing delay behind our n requests in flight at w. The paper knows the running batch and
-//	   computes its latency; we see our own requests alone and fit the delay online: see queueingDelay.
+//	D  the queueing delay behind the n requests of this router in flight at w. The paper's scheduler knows
+//	   the running batch and computes its latency; this router sees its own requests only and estimates the
+//	   delay from answers: see queueingDelay.
 //	R  the run time of r, the paper's estimated computation latency: see predictedRunTime.
-//	L  the time until the function is loaded at w, 0 if it is. The paper's cost ignores where a template is
-//	   held, so this term is ours: see loadTimeLeft.
-//	U  the share of r's class that w has left unserved, times the time that r has left. Ours: a request that
-//	   is not served waits in vain, and the rest of its time is what it loses.
-//	X  extraInstanceShare of a load where the instances at w are all busy: w may load a further one. Ours.
-//	O  how much longer than predicted w's oldest attempt has gone without any answer from w. Ours: an answer
-//	   that is overdue by some time is expected to take as much more.
+//	L  the time until the function is loaded at w, 0 if it is. Not in the paper, whose cost ignores where a
+//	   template is held: see loadTimeLeft.
+//	U  the share of attempts of r's class that w has left unserved, times the time that r has left. Not in
+//	   the paper: a request that is not served loses the rest of its time.
+//	X  extraInstanceShare of a load time if the instances at w are all busy, because w may load another
+//	   instance. Not in the paper.
+//	O  how much longer than predicted w's oldest attempt has been in flight without any answer from w. Not
+//	   in the paper: an answer that is overdue by some time is expected to take as much time again.
 func (p *Policy) predictLatency(w *worker, r *request) nanoseconds {
 	i := w.instances[r.function.id]
 	latency := p.queueingDelay(w, len(w.inFlight)) +
@@ -45,27 +49,29 @@
 	return latency
 }
 
-// queueingDelay predicts how long a request queues at w behind inFlight requests of ours:
+// queueingDelay predicts how long a request queues at w behind inFlight requests of this router:
 //
 //	D(w, n) = slope(w) * n + excess(w)
 //
 //	slope(w)  = max(0, sum of delays at w + prior * slope of the fleet) / (sum of n at w + prior)
-//	prior     = fleetSlopePrior, so many requests in flight
-//	excess(w) = max(0, recent mean of the delays beyond slope(w) * n, and of one 0)
+//	prior     = fleetSlopePrior, a number of requests in flight
+//	excess(w) = max(0, mean of the recent delays beyond slope(w) * n and of one constant 0)
 //
-// The sums decay with each answer (ratioEstimator). The slope is that of a line through the origin, fitted to
-// the answers of w and, as prior, of the fleet: a worker that nobody has heard of counts as average. The
-// excess is what other routers queue there; load reports and rejections for overload enter it too.
+// The sums decay with each answer (see ratioEstimator). The slope is that of a line through the origin,
+// fitted to the answers of w and, as prior, to those of the fleet: a worker without answers counts as
+// average. The excess is the delay that other routers' requests add at w; load reports and rejections for
+// overload also contribute to it.
 func (p *Policy) queueingDelay(w *worker, inFlight int) nanoseconds {
 	delays := w.queue.slope.sumY + p.estimates.queueSlope.predict(fleetSlopePrior)
 	slope := max(0, delays) / (w.queue.slope.sumX + fleetSlopePrior)
 	return nanoseconds(slope*float64(inFlight)) + max(0, w.queue.excess(p.now))
 }
 
-// predictedRunTime predicts how long r runs: by its work hint, scaled as earlier hints proved, or else by a
-// blend of the means of its class and its function, in which the class weighs like runTimePrior answers:
+// predictedRunTime predicts how long r runs. If r has a work hint, the prediction is the hint times the ratio
+// of real to hinted run times. Otherwise it combines the means of r's class and function, in which the class
+// has the weight of runTimePrior answers:
 //
-//	(runTimePrior * class mean + n * function mean) / (runTimePrior + n), n answers, at most runTimeMemory
+//	(runTimePrior * class mean + n * function mean) / (runTimePrior + n), n answers, at most runTimeWindow
 func (p *Policy) predictedRunTime(r *request) nanoseconds {
 	c := p.classOf(r)
 	f := &r.function.runTime
@@ -75,7 +81,8 @@
 	return (runTimePrior*c.runTime.mean + nanoseconds(f.count)*f.mean) / nanoseconds(runTimePrior+f.count)
 }
 
-// predictedLoadTime predicts how long a load of f takes: the hint, scaled as earlier hints proved.
+// predictedLoadTime predicts how long a load of f takes: the hint times the ratio of real to hinted load
+// times.
 func (p *Policy) predictedLoadTime(f *function) nanoseconds {
 	return nanoseconds(p.estimates.loadRatio * float64(f.loadTime))
 }
@@ -86,12 +93,12 @@
 	return p.loadTimeLeft(w.instances[r.function.id], r.function)
 }
 
-// loadTimeLeft is remainingLoadTime of an instance of f, or of none. A load under way counts before any
-// belief that the function is warm.
+// loadTimeLeft is remainingLoadTime for an instance of f, or for a nil instance. A load under way takes
+// precedence over the assumption that the function is warm.
 func (p *Policy) loadTimeLeft(i *instance, f *function) nanoseconds {
 	switch {
 	case i != nil && i.isLoading():
-		// A load that is late is expected to be as late again.
+		// A load that is overdue by some time is expected to take as much time again.
 		return nanoseconds(math.Abs(float64(i.loadEndsAt - p.now)))
 	case i != nil && i.isWarm(p.now):
 		return 0
@@ -100,8 +107,8 @@
 	}
 }
 
-// needsLoad reports whether r would begin a load at w. While one is under way there, r would wait for that
-// one.
+// needsLoad reports whether r would start a load at w. If a load is under way there, r would wait for it
+// instead.
 func (p *Policy) needsLoad(w *worker, r *request) bool {
 	i := w.instances[r.function.id]
 	if i != nil && i.isLoading() {
@@ -110,8 +117,8 @@
 	return p.loadTimeLeft(i, r.function) > 0
 }
 
-// overdue is how much longer than predicted the oldest of our attempts at w has gone without any answer from
-// w. There must be one.
+// overdue is how much longer than predicted this router's oldest attempt at w has been in flight without any
+// answer from w. At least one attempt must be in flight.
 func (p *Policy) overdue(w *worker) nanoseconds {
 	return max(0, nanoseconds(p.now-w.silentSince()-w.inFlight[0].expectedLatency))
 }
--- a/policy/quotas.go
+++ b/policy/quotas.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	// maxQuotaPerSecond bounds a quota, in requests a second, so that no arithmetic on it overflows.
+	// maxQuotaPerSecond bounds a quota, in requests per second, so that no arithmetic on it overflows.
 	maxQuotaPerSecond = 1e9
 
-	// quotaBurstDeviations is how many standard deviations of a second's arrivals a bucket holds beside the
-	// second's worth: a tenant within its quota must not look beyond it by chance.
+	// quotaBurstDeviations is the number of standard deviations of a second's arrivals that a bucket holds in
+	// addition to a second's tokens: a tenant within its quota must not exceed it by random variation.
 	quotaBurstDeviations = 3
 )
 
-// tokenBucket is this router's part of a tenant's quota. A request whose first attempt is sent takes a token.
+// tokenBucket is this router's part of a tenant's quota. The first attempt of a request takes one token.
 type tokenBucket struct {
 	tokens          float64
 	refillPerSecond float64
 	refilledAt      time.Duration
 }
 
-// newTokenBucket returns the bucket of a router that shares the tenant's quota with the others evenly.
+// newTokenBucket returns the bucket of one of several routers that divide the tenant's quota evenly.
 func newTokenBucket(tenant Tenant, routers int) tokenBucket {
 	rate := clamp(tenant.QuotaPerSecond, 0, maxQuotaPerSecond) / float64(routers)
 	return tokenBucket{tokens: rate + 1, refillPerSecond: rate}
 }
 
-// refill adds the tokens of the time since the last refill, up to a second's worth, some for chance, and a
-// whole one, so that a quota of less than one a second can be used at all.
+// refill adds the tokens for the time since the last refill. The bucket holds a second's tokens, an allowance
+// for random variation, and one more token, so that a quota of less than one request per second can be used.
 func (b *tokenBucket) refill(now time.Duration) {
 	capacity := b.refillPerSecond + quotaBurstDeviations*math.Sqrt(b.refillPerSecond) + 1
 	b.tokens = min(b.tokens+b.refillPerSecond*(now-b.refilledAt).Seconds(), capacity)
 	b.refilledAt = now
 }
 
-// assignQuota gives a new request the quota of its tenant, refilled to now, and records whether the request
-// is beyond it.
+// assignQuota sets the quota of a new request's tenant in the request, refills it to now, and records whether
+// the request is beyond it.
 func (p *Policy) assignQuota(r *request) {
 	tenant := r.arrived.Tenant
 	if tenant < 0 || tenant >= len(p.quotas) {
@@ -47,9 +47,9 @@
 	r.overQuota = r.quota.tokens < 1
 }
 
-// chargeQuota takes a token for r's first attempt, if r was within its quota on arrival. It is not taken on
-// arrival: a refused request that comes back is the same one, and would pay twice. Requests that arrive
-// before others are charged may take the tokens below 0.
+// chargeQuota takes a token for r's first attempt, if r was within its quota on arrival. The token is not
+// taken on arrival, because a refused request that the client sends again is the same request and would be
+// charged twice. If several requests arrive before the first of them is charged, the tokens may fall below 0.
 func chargeQuota(r *request) {
 	firstAttempt := len(r.attempts) == 0
 	if firstAttempt && r.quota != nil && !r.overQuota {
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -3,32 +3,34 @@
 import "math"
 
 const (
-	// likelyWarmChance is the chance from which an instance is counted on where a wrong guess costs little:
-	// an attempt at a worker that would have to load the function after all.
+	// likelyWarmChance is the probability from which an instance is assumed loaded where a wrong assumption
+	// costs little: an attempt at a worker that must load the function after all.
 	likelyWarmChance = 0.5
 
-	// lostInstanceChance is the least chance that the preferred worker has the function loaded although we do
-	// not know it, for each router and one more: even a lone router may have lost sight of an instance.
+	// lostInstanceChance is multiplied by the number of routers plus one to give the lowest probability that
+	// the preferred worker has the function loaded without this router's knowledge. The one is added because
+	// even a single router may have lost track of an instance.
 	lostInstanceChance = 0.2
 
-	// replicaKeyShift puts the number of a replica into the top 16 bits of its key.
+	// replicaKeyShift puts the index of a replica into the top 16 bits of its key.
 	replicaKeyShift = 48
 )
 
-// preference is where a request's function should be loaded.
+// preference is the worker at which a request's function should be loaded.
 type preference struct {
-	worker     *worker // nil: no candidate would begin a load
-	warmChance float64 // the chance that another router has had it loaded there, 0 to 1
+	worker     *worker // nil: no candidate would start a load
+	warmChance float64 // probability that another router has had the function loaded there, 0 to 1
 }
 
-// isLikelyWarm reports whether the function is probably loaded at w for another router.
+// isLikelyWarm reports whether w is the preferred worker and the function is probably loaded there for
+// another router.
 func (p preference) isLikelyWarm(w *worker) bool {
 	return w == p.worker && p.warmChance >= likelyWarmChance
 }
 
-// preferredWorker returns where r's function should be loaded: at the candidate that ranks first for our
-// replica of it, of those that would begin a load. Workers rank by rendezvous hashing (highest random
-// weight), which ranks them alike at all routers.
+// preferredWorker returns the worker at which r's function should be loaded: of the candidates that would
+// start a load, the one that ranks first for this router's replica of the function. Workers are ranked by
+// rendezvous hashing (highest random weight), which gives the same order at all routers.
 func (p *Policy) preferredWorker(r *request, candidates []*worker) preference {
 	key, replicas := p.replica(r)
 	var first, firstToLoad *worker
@@ -47,19 +49,21 @@
 	return preference{worker: firstToLoad, warmChance: p.warmChance(r, first, firstToLoad, replicas)}
 }
 
-// warmChance is the chance that the function is loaded at the preferred worker for other routers. If that
-// worker ranks first of all candidates, the others send their requests for the function there too, as many as
-// we do, and each keeps it warm:
+// warmChance is the probability that the function is loaded at the preferred worker for other routers. If
+// that worker ranks first of all candidates, the other routers that use the same replica send their requests
+// for the function there too. Each router is assumed to send as many as this router, and each keeps the
+// function warm:
 //
-//	chance = max(floor, 1 - exp(-others * InstanceKeepAlive / rateMemory))
+//	chance = max(floor, 1 - exp(-others * InstanceKeepAlive / rateTimeConstant))
 //
-//	others  requests of the other routers that use our replica, in rateMemory:
+//	others  requests in rateTimeConstant from the other routers that use the same replica:
 //	        recentRequests * (RouterCount - 1) / replicas
-//	floor   min(likelyWarmChance, lostInstanceChance * (RouterCount + 1)): 0.4 for a lone router, and just
-//	        likelyWarmChance for two or more. There isLikelyWarm holds for the preferred worker in every
-//	        case but the next.
+//	floor   min(likelyWarmChance, lostInstanceChance * (RouterCount + 1)): 0.4 for a single router, and
+//	        likelyWarmChance for two or more. With two or more, isLikelyWarm holds for the preferred worker,
+//	        except in the case below.
 //
-// If the first-ranked candidate is loading, others wait there, and the chance elsewhere is 0.
+// If the candidate that ranks first is loading the function, the other routers' requests wait there, and the
+// probability elsewhere is 0.
 func (p *Policy) warmChance(r *request, first, preferred *worker, replicas int) float64 {
 	floor := min(likelyWarmChance, lostInstanceChance*float64(p.cfg.RouterCount+1))
 	if preferred != nil && preferred == first {
@@ -72,15 +76,17 @@
 	return floor
 }
 
-// replica returns the key that ranks workers for our replica of r's function, and the number of replicas. A
-// function is spread over as many workers as its share of our work asks for, or more while they are
-// saturated; each router keeps to one of the replicas, and the others keep the rest warm:
+// replica returns the key that ranks workers for this router's replica of r's function, and the number of
+// replicas. A function is spread over as many workers as its share of this router's work requires, or over
+// more while its replicas are saturated. Each router uses one of the replicas; the other routers keep the
+// other replicas warm:
 //
 //	replicas = 1 + floor(otherRoutersShare * max(share, saturation))
 //	share    = recentRequests * run time * ready workers / max(served work, run time)
 //
-// A lone router has one replica, since its share of the others is 0: its own requests in flight tell it where
-// the function is crowded. The count is not bounded by the workers; the replica that we keep to is.
+// A single router has one replica, since otherRoutersShare is 0: its own requests in flight show where the
+// function is overloaded. The number of replicas is not bounded by the number of workers, but the index of
+// the replica that this router uses is.
 func (p *Policy) replica(r *request) (key FunctionID, replicas int) {
 	f := r.function
 	runTime := p.predictedRunTime(r)
@@ -91,8 +97,9 @@
 	return f.id ^ FunctionID(replicaIndex)<<replicaKeyShift, replicas
 }
 
-// assignedReplica returns the number of the replica, from 0, that this router keeps to: the one that ranks first
-// for its seed. The keys hashed here only order the replicas; they are not those that rank workers.
+// assignedReplica returns the index, from 0, of the replica that this router uses: the one that ranks first
+// for the router's seed. The keys hashed here only order the replicas; they are not the keys that rank
+// workers.
 func (p *Policy) assignedReplica(f FunctionID, replicas int) int {
 	assigned := 0
 	assignedWeight := rendezvousWeight(f, WorkerID(p.replicaSeed))
@@ -105,16 +112,16 @@
 	return assigned
 }
 
-// The constants of the hash: odd numbers of 64 random-looking bits, from splitmix64 (the golden ratio, and
-// its first multiplier) and xxHash64 (its second prime). All routers must use the same ones, and the same
-// shifts below, which mix the upper half of the product into the lower one.
+// The multipliers of the hash are odd 64-bit numbers that look random: from splitmix64 (the golden ratio, and
+// its first multiplier) and xxHash64 (its second prime). All routers must use the same multipliers, and the
+// same shifts in rendezvousWeight, which mix the upper half of the product into the lower half.
 const (
 	functionMultiplier = 0x9e3779b97f4a7c15
 	workerMultiplier   = 0xc2b2ae3d27d4eb4f
 	mixMultiplier      = 0xbf58476d1ce4e5b9
 )
 
-// rendezvousWeight is the weight that ranks w for f, the highest first (highest random weight: Thaler and
+// rendezvousWeight is the weight that ranks w for f, highest first (highest random weight: Thaler and
 // Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998).
 func rendezvousWeight(f FunctionID, w WorkerID) uint64 {
 	x := uint64(f)*functionMultiplier ^ uint64(w)*workerMultiplier
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -3,40 +3,40 @@
 import "time"
 
 const (
-	// longestPlausibleTime bounds the times that clients and workers name. A load time beyond it counts as
-	// unknown, and so does a work hint of at least it, though such a hint is learned from as if it were this
-	// long; the duration of an attempt counts as at most this one.
+	// longestPlausibleTime bounds the times that clients and workers report. A longer load time counts as
+	// unknown. A work hint of this time or longer is not used to predict a run time, but the ratio of real to
+	// hinted run times counts it as this time. A longer duration of an attempt counts as this time.
 	longestPlausibleTime = time.Hour
 
-	// answerMarginTicks is how many ticks before a request's deadline its final answer leaves. One tick may
-	// pass until the timer fires, and one on the way out.
+	// answerMarginTicks is the number of ticks between a request's final answer and its deadline. One tick
+	// may pass until the timer fires, and one until the answer has left the router.
 	answerMarginTicks = 2
 
-	// retryJitter is the part of a Retry-After that is drawn at random. Higher, and some clients come back
-	// too early; lower, and all that were refused together come back together.
+	// retryJitter is the part of a Retry-After that is drawn at random. With a higher value, some clients
+	// retry too early; with a lower value, clients that were refused together retry together.
 	retryJitter = 0.5
 )
 
 // request is a request that has no final answer yet, or has attempts in flight. It is in one of these states:
 //
-//	placed again soon  in Policy.waiting: no worker may take it now
-//	awaiting a load    in instance.waiting: a load command has no answer yet
-//	in flight          attemptsInFlight is 1
-//	finished           it has its answer, but an attempt has not ended: the worker may still run it
+//	waiting to be placed  in Policy.waiting: no worker may take it now
+//	waiting for a load    in instance.waiting: a load command has no answer yet
+//	in flight             attemptsInFlight is 1
+//	finished              it needs no answer, but an attempt has not ended: the worker may still run it
 //
-// It is forgotten once it is finished and no attempt is in flight.
+// It is deleted once it is finished and no attempt is in flight.
 type request struct {
-	arrived          RequestArrived // as it came, with a TimeLeft of at least 0
+	arrived          RequestArrived // as received, with a TimeLeft of at least 0
 	function         *function
 	deadline         time.Duration
-	quota            *tokenBucket // of its tenant; nil: the tenant has none
-	attempts         []*attempt   // in the order of their sends
+	quota            *tokenBucket // quota of its tenant; nil: the tenant has none
+	attempts         []*attempt   // in the order in which they were sent
 	attemptsInFlight int
 	mayHaveRun       *attempt  // the first attempt that may have run; nil: none
 	triedWorkers     []*worker // workers that rejected or failed it
-	overQuota        bool      // its tenant's quota was used up when it came
+	overQuota        bool      // its tenant's quota was used up when it arrived
 	responseStarted  bool      // part of the response has reached the client
-	finished         bool      // it has its final answer, or is owed none
+	finished         bool      // it has its final answer, or no longer needs one
 }
 
 func (r *request) id() RequestID { return r.arrived.Request }
@@ -58,8 +58,8 @@
 // outOfTime reports whether r's final answer is due.
 func (p *Policy) outOfTime(r *request) bool { return p.now >= r.deadline-p.answerMargin() }
 
-// requestArrived registers a new request, sets the timer of its deadline and places it. One of an unknown
-// class or with an id that is in use is ignored.
+// requestArrived registers a new request, sets the timer for its deadline and places it. A request of an
+// unknown class or with an id that is in use is ignored.
 func (p *Policy) requestArrived(e RequestArrived) {
 	if e.Class < 0 || e.Class >= len(p.classes) || p.requests[e.Request] != nil {
 		return
@@ -72,35 +72,36 @@
 	p.assignQuota(r)
 	p.setTimer(max(e.TimeLeft-p.answerMargin(), 0), timer{kind: deadlineTimer, request: e.Request})
 	p.place(r)
-	r.function.recentRequests++ // after placing r, which must not count itself
+	r.function.recentRequests++ // after placing r, because the placement of r must not count r itself
 }
 
-// responseStarted records that part of a response has reached the client: another attempt would add a second
-// one.
+// responseStarted records that part of a response has reached the client. Another attempt would send the
+// client a second response.
 func (p *Policy) responseStarted(e ResponseStarted) {
 	if r := p.requests[e.Request]; r != nil {
 		r.responseStarted = true
 	}
 }
 
-// clientCancelled ends a request that is owed no answer any more.
+// clientCancelled ends a request that no longer needs an answer.
 func (p *Policy) clientCancelled(e ClientCancelled) {
 	if r := p.requests[e.Request]; r != nil {
 		p.closeRequest(r)
 	}
 }
 
-// deadlineReached ends a request whose time has run out. One whose response is on its way gets that as its
-// answer.
+// deadlineReached ends a request whose time has run out, unless its response has begun to reach the client:
+// that response is its final answer.
 func (p *Policy) deadlineReached(id RequestID) {
 	if r := p.requests[id]; r != nil && !r.responseStarted {
 		p.endUnserved(r, 0, DeadlineExceeded)
 	}
 }
 
-// endUnserved gives r its final answer without a result, at once: a refusal, which the rules turn into a
-// failure unless a repeat is harmless. wait is the time after which a repeat may fare better, 0 if it is not
-// known. The advice is drawn also where r has its answer already: a short cut would shift all later draws.
+// endUnserved gives r its final answer without a result at once: a refusal, which emit turns into a failure
+// unless a repeat is harmless. wait is the time after which a retry has a better chance, 0 if that is not
+// known. The Retry-After is drawn even if r already has its answer, because skipping a draw would change all
+// later draws.
 func (p *Policy) endUnserved(r *request, wait nanoseconds, reason UnservedReason) {
 	refusal := RefuseRequest{Request: r.id(), RetryAfter: p.retryAfter(wait), Reason: reason}
 	if !r.finished && p.emit(refusal) {
@@ -108,8 +109,8 @@
 	}
 }
 
-// retryAfter returns the advice when to come back: wait within the settings' limit, less a random part. It is
-// 0 where the settings allow no advice.
+// retryAfter returns the time after which the client should retry: wait, limited by the settings, less a
+// random part. It is 0 if the settings do not allow a Retry-After.
 func (p *Policy) retryAfter(wait nanoseconds) time.Duration {
 	maxWait := nanoseconds(p.cfg.MaxRetryAfter)
 	if !p.cfg.AllowRetryAfter || maxWait <= 0 {
@@ -120,7 +121,7 @@
 	return (wait * kept).duration()
 }
 
-// closeRequest marks r as finished and cancels its attempts in flight, where the settings allow that.
+// closeRequest marks r as finished and cancels its attempts in flight, if the settings allow cancellation.
 func (p *Policy) closeRequest(r *request) {
 	r.finished = true
 	for _, a := range r.attempts {
@@ -131,7 +132,7 @@
 	p.deleteIfComplete(r)
 }
 
-// deleteIfComplete forgets r if nothing about it is open.
+// deleteIfComplete deletes r if it is finished and has no attempt in flight.
 func (p *Policy) deleteIfComplete(r *request) {
 	if r.finished && r.attemptsInFlight == 0 {
 		delete(p.requests, r.id())
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -3,8 +3,8 @@
 import "time"
 
 // emit appends an action to the answer if the rules allow it, and reports whether they did. Every action
-// passes here, so that no mistake elsewhere breaks a rule. A caller changes its own state only if the action
-// was emitted:
+// passes through emit, so that a fault elsewhere in the package cannot break a rule. A caller changes its own
+// state only if the action was emitted:
 //
 //  1. An action that the settings or the rules forbid is dropped.
 //  2. A load command is charged to its budget.
@@ -23,8 +23,8 @@
 	return true
 }
 
-// allowed reports whether the settings and the rules allow an action now. It only drops entries
-// that have left their windows. Actions without a rule are allowed.
+// allowed reports whether the settings and the rules allow an action now. The only state that it changes are
+// entries that have left their time windows, which it drops. Actions without a rule are allowed.
 func (p *Policy) allowed(action Action) bool {
 	switch a := action.(type) {
 	case SendAttempt:
@@ -47,8 +47,9 @@
 	}
 }
 
-// sendAllowed reports whether r may go to w now: one attempt at a time, as hedged requests are not used, to a
-// worker that is ready, in time, within the rules on repeats and on slow start.
+// sendAllowed reports whether r may be sent to w now. The worker must be ready, the deadline must not have
+// passed, the rules on repeats and on slow start must be met, and no attempt may be in flight, because hedged
+// requests are not used.
 func (p *Policy) sendAllowed(r *request, w *worker) bool {
 	answered := r.finished || r.responseStarted
 	if answered || r.attemptsInFlight > 0 {
@@ -60,7 +61,7 @@
 	return p.attemptAllowed(r, w) && p.slowStartAdmits(w, r.arrived.Class)
 }
 
-// attemptAllowed reports whether r may have another attempt at w, or with nil at some worker that is not
+// attemptAllowed reports whether r may have another attempt at w. A nil w stands for a worker that is not
 // listed yet.
 func (p *Policy) attemptAllowed(r *request, w *worker) bool {
 	if p.cfg.MaxAttempts > 0 && len(r.attempts) >= p.cfg.MaxAttempts {
@@ -69,8 +70,8 @@
 	return r.mayHaveRun == nil || p.repeatAllowed(r, w)
 }
 
-// repeatAllowed reports whether r, which may have run, may run again at w (nil: at a worker that is not
-// listed yet).
+// repeatAllowed reports whether r, which may have run, may run again at w. A nil w stands for a worker that
+// is not listed yet.
 func (p *Policy) repeatAllowed(r *request, w *worker) bool {
 	settings := &p.classOf(r).settings
 	earlierAttempt := r.mayHaveRun
@@ -78,11 +79,13 @@
 	if !settings.repeatableAt(arrivesAt, earlierAttempt.sentAt) {
 		return false
 	}
-	return settings.Idempotency == Idempotent || w == nil || settings.shareDedupScope(earlierAttempt.worker, w)
+	return settings.Idempotency == Idempotent || w == nil ||
+		settings.shareDedupScope(earlierAttempt.worker, w)
 }
 
-// repeatIsHarmless reports whether the client may repeat r, whichever worker the repeat reaches: nothing ran,
-// or a repeat has no effect anywhere. How long workers remember a key (DedupWindow) is not looked at.
+// repeatIsHarmless reports whether the client may repeat r, whichever worker the repeat reaches: either
+// nothing ran, or a repeat has no effect anywhere. DedupWindow, the time for which workers remember a key, is
+// not considered.
 func (p *Policy) repeatIsHarmless(r *request) bool {
 	neverRan := r.mayHaveRun == nil && r.attemptsInFlight == 0
 	settings := &p.classOf(r).settings
@@ -90,8 +93,8 @@
 	return neverRan || settings.Idempotency == Idempotent || detectedEverywhere
 }
 
-// repeatableAt reports whether a request that was sent at sentAt may run again at the time at, where its key
-// is known.
+// repeatableAt reports whether a request that was sent at sentAt may run again at repeatedAt, at a worker
+// that knows its idempotency key.
 func (c *Class) repeatableAt(repeatedAt, sentAt time.Duration) bool {
 	switch c.Idempotency {
 	case Idempotent:
@@ -103,7 +106,7 @@
 	}
 }
 
-// shareDedupScope reports whether two workers share the memory of idempotency keys.
+// shareDedupScope reports whether two workers share the store of idempotency keys.
 func (c *Class) shareDedupScope(a, b *worker) bool {
 	switch c.DedupScope {
 	case DedupFleet:
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -2,31 +2,34 @@
 
 import "time"
 
-// timerKind says what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 // The kinds of timers.
 const (
-	housekeepingTimer timerKind = iota // the periodic work
-	resubscribeTimer                   // subscribe to the endpoint list again
-	deadlineTimer                      // a request must get its final answer
+	// housekeepingTimer starts the periodic work.
+	housekeepingTimer timerKind = iota // housekeeping
+	// resubscribeTimer renews the subscription to the endpoint list.
+	resubscribeTimer // resubscribe
+	// deadlineTimer ends a request before its deadline.
+	deadlineTimer // deadline
 )
 
-// The tokens of the timers, as SetTimer and TimerFired carry them. A deadline's is an offset plus the
-// request's id, which has 32 bits.
+// The tokens of the timers, as in SetTimer and TimerFired. The token of a deadline timer is
+// deadlineTokenOffset plus the request's id, which has 32 bits.
 const (
 	housekeepingToken   = 0
 	resubscribeToken    = 1
 	deadlineTokenOffset = 1 << 32
 )
 
-// timer is a timer of the policy.
+// timer identifies a timer of the policy.
 type timer struct {
 	kind    timerKind
 	request RequestID // of a deadlineTimer
 }
 
-// token returns the number that stands for t outside this package.
+// token returns the number that identifies t outside this package.
 func (t timer) token() uint64 {
 	switch t.kind {
 	case housekeepingTimer:
@@ -38,7 +41,7 @@
 	}
 }
 
-// timerForToken returns the timer whose token this is, or false if no timer has it.
+// timerForToken returns the timer with a token, or false if no timer has it.
 func timerForToken(token uint64) (t timer, ok bool) {
 	switch {
 	case token == housekeepingToken:
@@ -52,12 +55,12 @@
 	}
 }
 
-// setTimer asks the router for a TimerFired of t after a time.
+// setTimer asks the router for a TimerFired event of t after a time.
 func (p *Policy) setTimer(after time.Duration, t timer) {
 	p.emit(SetTimer{After: after, Token: t.token()})
 }
 
-// timerFired does what a timer was set for.
+// timerFired does the work of the timer that has expired.
 func (p *Policy) timerFired(e TimerFired) {
 	t, ok := timerForToken(e.Token)
 	if !ok {
