--- a/policy/admission.go
+++ b/policy/admission.go
@@ -37,8 +37,8 @@
 //   - r is beyond its tenant's quota, and even the lowest score misses r's latency objective.
 //   - Load is shed. A retry is not shed, because work has already been done for its request.
 //
-// Once in explorationInterval, a request is admitted against the estimates, so that a wrong estimate is
-// corrected. shouldShed draws its random number whether or not the result is used.
+// At most once per explorationInterval, a request is admitted against the estimates, so that a wrong estimate
+// is corrected. shouldShed draws its random number whether or not the result is used.
 func (p *Policy) admit(r *request, chosen target) bool {
 	latency := chosen.latency
 	if chosen.likelyWarm {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -31,7 +31,7 @@
 // the attempt is counted.
 func (p *Policy) sendAttempt(r *request, chosen target) {
 	w := chosen.worker
-	load := p.remainingLoadTime(w, r)
+	loadTime := p.remainingLoadTime(w, r)
 	i := w.instance(r.function.id)
 	if !p.emit(SendAttempt{Request: r.id(), Worker: w.id()}) {
 		return
@@ -44,7 +44,7 @@
 		expectedLatency: chosen.latency.duration(),
 		number:          len(r.attempts),
 		inFlightBefore:  len(w.inFlight),
-		wasCold:         load > 0,
+		wasCold:         loadTime > 0,
 		likelyWarm:      chosen.likelyWarm,
 	}
 	chargeQuota(r)
@@ -53,18 +53,18 @@
 	w.inFlight = append(w.inFlight, a)
 	i.inFlight++
 	p.recordSlowStartSend(a)
-	p.recordAwaitedLoad(a, load)
+	p.recordAwaitedLoad(a, loadTime)
 }
 
 // recordAwaitedLoad records the load that a begins or awaits, if its function was not warm. A load that is
 // under way keeps its expected end. While loads fail, an attempt that begins or awaits a load restarts the
 // pause before the next load.
-func (p *Policy) recordAwaitedLoad(a *attempt, load nanoseconds) {
+func (p *Policy) recordAwaitedLoad(a *attempt, loadTime nanoseconds) {
 	if !a.wasCold {
 		return
 	}
 	if a.instance.loadEndsAt == 0 && !p.cfg.MissWhenNotLoaded {
-		a.instance.loadEndsAt = p.now + load.duration()
+		a.instance.loadEndsAt = p.now + loadTime.duration()
 	}
 	if p.loadBackoff.pauseEnded(p.now) {
 		p.loadBackoff.extend(p.now, 0) // the result of this load shows whether other loads may begin
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -42,8 +42,6 @@
 	fullDecayObservations = 6
 
 	// maxReportedQueue bounds the queue length that is accepted from a load report, in requests.
-
-	// maxReportedQueue bounds the queue length that a load report is believed to tell, in requests.
 	maxReportedQueue = 1000
 
 	// loadReportQueueField is the name of the queue length in Config.LoadReportFields.
--- a/policy/functions.go
+++ b/policy/functions.go
@@ -19,7 +19,7 @@
 	runTime        runTimeEstimate
 	served         bool    // some worker has served the function
 	saturation     float64 // wanted replicas beyond the first, from answers that were late or overloaded
-	recentRequests float64 // decays over rateTimeConstant; excludes a request that is being placed first
+	recentRequests float64 // decays over rateTimeConstant; excludes a request during its first placement
 }
 
 // recordFunctionRequest returns the function of a request. It decays the function's rate to now and records
--- a/policy/instances.go
+++ b/policy/instances.go
@@ -9,7 +9,7 @@
 	announcedAt        time.Duration // when the other routers were last told that it is loaded
 	loadEndsAt         time.Duration // expected end of a load under way; 0: no load is under way
 	inFlight           int           // this router's attempts
-	concurrency        int           // most of this router's requests that were seen served at the same time
+	concurrency        int           // largest number of this router's requests served at the same time
 	loadCommandPending bool          // this router's load command has no answer yet
 	waiting            []*request    // requests that wait for that answer
 }
--- a/policy/learning.go
+++ b/policy/learning.go
@@ -206,7 +206,7 @@
 // learnFromReset treats the first reset at a clock reading as a broken connection; other attempts on that
 // connection end at the same reading and are not counted. A health check shows whether the worker failed.
 // Where health checks are not allowed, the next dial shows it, and any request to the worker dials. (There, a
-// load command's reset ejects the worker, because it may be that no request follows.)
+// load command's reset ejects the worker, because possibly no request follows.)
 func (p *Policy) learnFromReset(a *attempt) {
 	w := a.worker
 	if w.health.checkPending || w.health.lastReset == p.now {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -68,8 +68,9 @@
 	h.consecutiveFailures++
 }
 
-// isEjected reports whether w takes no requests. An ejection ends when w answers a health check. Where health
-// checks are not allowed, one trial attempt at a time may be sent to w once the ejection time is over.
+// isEjected reports whether w takes no requests because it is ejected. It must answer a health check first.
+// Where health checks are not allowed, its ejection time must be over; then one trial attempt at a time may
+// be sent to it.
 func (p *Policy) isEjected(w *worker) bool {
 	if w.health.consecutiveFailures == 0 {
 		return false
--- a/policy/quotas.go
+++ b/policy/quotas.go
@@ -10,7 +10,8 @@
 	maxQuotaPerSecond = 1e9
 
 	// quotaBurstDeviations is the number of standard deviations of a second's arrivals that a bucket holds in
-	// addition to a second's tokens: a tenant within its quota must not exceed it by random variation.
+	// addition to a second's tokens, so that random variation does not put a tenant that keeps to its quota
+	// beyond it.
 	quotaBurstDeviations = 3
 )
 
@@ -35,7 +36,7 @@
 	b.refilledAt = now
 }
 
-// assignQuota sets the quota of a new request's tenant in the request, refills it to now, and records whether
+// assignQuota links a new request to the quota of its tenant, refills the quota to now, and records whether
 // the request is beyond it.
 func (p *Policy) assignQuota(r *request) {
 	tenant := r.arrived.Tenant
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -23,8 +23,8 @@
 	return true
 }
 
-// allowed reports whether the settings and the rules allow an action now. The only state that it changes are
-// entries that have left their time windows, which it drops. Actions without a rule are allowed.
+// allowed reports whether the settings and the rules allow an action now. It changes no state, except that it
+// drops entries that have left their time windows. Actions without a rule are allowed.
 func (p *Policy) allowed(action Action) bool {
 	switch a := action.(type) {
 	case SendAttempt:
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -11,7 +11,7 @@
 	housekeepingTimer timerKind = iota // housekeeping
 	// resubscribeTimer renews the subscription to the endpoint list.
 	resubscribeTimer // resubscribe
-	// deadlineTimer ends a request before its deadline.
+	// deadlineTimer ends a request whose final answer is due.
 	deadlineTimer // deadline
 )
 
