--- a/policy/learning.go
+++ b/policy/learning.go
@@ -11,8 +11,9 @@
 	// queueing counts as loads.
 	loadWaitShare = 0.5
 
-	// The standing delay follows an increase slowly, over about 20 answers, and a decrease quickly, over 4. It
-	// thus estimates the delay that most answers exceed, and load is shed only while most answers are delayed.
+	// The standing delay follows an increase slowly, over about 20 answers, and a decrease quickly, over 4.
+	// It thus estimates the delay that most answers exceed, and load is shed only while most answers are
+	// delayed.
 	standingDelayRiseAnswers = 20
 	standingDelayFallAnswers = 4
 
