--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -12,9 +12,9 @@
 )
 
 // An answer with a newer list is reported with all that it says of the workers.
-func TestClientFollowsTheList(t *testing.T) {
+func TestNewerListIsReported(t *testing.T) {
 	c := newTestClient(t)
-	c.follow()
+	c.receiveTwoWorkers()
 }
 
 // unusableAnswers are answers to a client that holds a list with serial 4.
@@ -22,37 +22,37 @@
 	name    string
 	message func(c *testClient) []byte
 }{
-	{"older than the list", func(c *testClient) []byte { return buildResponse(c.query(), 3) }},
-	{"unexpected id", func(c *testClient) []byte { return buildResponse(c.query()+1, 9, 0) }},
+	{"older than the list", func(c *testClient) []byte { return buildResponse(c.sendQuery(), 3) }},
+	{"unexpected id", func(c *testClient) []byte { return buildResponse(c.sendQuery()+1, 9, 0) }},
 	{"query answered before", func(c *testClient) []byte {
-		id := c.query()
+		id := c.sendQuery()
 		c.socket.OnData(buildResponse(id, 4, 0, 1))
 		return buildResponse(id, 9, 0)
 	}},
 	{"truncated", func(c *testClient) []byte {
-		b := buildResponse(c.query(), 9, 0)
+		b := buildResponse(c.sendQuery(), 9, 0)
 		b[2] |= flagTruncated >> 8
 		return b
 	}},
 	{"server failure", func(c *testClient) []byte {
-		b := buildResponse(c.query(), 9, 0)
+		b := buildResponse(c.sendQuery(), 9, 0)
 		b[3] |= 2
 		return b
 	}},
 	{"not a response", func(c *testClient) []byte {
-		b := buildResponse(c.query(), 9, 0)
+		b := buildResponse(c.sendQuery(), 9, 0)
 		b[2] &^= flagResponse >> 8
 		return b
 	}},
 	{"other question", func(c *testClient) []byte {
-		b := buildResponse(c.query(), 9, 0)
+		b := buildResponse(c.sendQuery(), 9, 0)
 		b[13] = 'x'
 		return b
 	}},
 	{"worker without an address", func(c *testClient) []byte {
-		b := buildResponse(c.query(), 9, 0)
-		at := bytes.LastIndex(b, []byte{0, typeA, 0, classIN})
-		b[at+1] = typeTXT + 1 // a type that isn't used
+		b := buildResponse(c.sendQuery(), 9, 0)
+		typeOffset := bytes.LastIndex(b, []byte{0, typeA, 0, classIN})
+		b[typeOffset+1] = typeTXT + 1 // a type that isn't used
 		return b
 	}},
 }
@@ -61,73 +61,73 @@
 	for _, test := range unusableAnswers {
 		t.Run(test.name, func(t *testing.T) {
 			c := newTestClient(t)
-			want := c.follow()
+			want := c.receiveTwoWorkers()
 			c.socket.OnData(test.message(c))
 			c.wantReported(want)
 		})
 	}
 	t.Run("cut short at any byte", func(t *testing.T) {
 		c := newTestClient(t)
-		want := c.follow()
-		complete := len(buildResponse(0, 9, 0))
-		for length := range complete {
-			c.socket.OnData(buildResponse(c.query(), 9, 0)[:length])
+		want := c.receiveTwoWorkers()
+		completeLength := len(buildResponse(0, 9, 0))
+		for length := range completeLength {
+			c.socket.OnData(buildResponse(c.sendQuery(), 9, 0)[:length])
 			if !reflect.DeepEqual(c.reported, want) {
-				t.Fatalf("cut at %d of %d: list became %v", length, complete, c.reported)
+				t.Fatalf("cut at %d of %d: list became %v", length, completeLength, c.reported)
 			}
 		}
 	})
 	t.Run("all in turn, then a usable one", func(t *testing.T) {
 		c := newTestClient(t)
-		want := c.follow()
+		want := c.receiveTwoWorkers()
 		for _, test := range unusableAnswers {
 			c.socket.OnData(test.message(c))
 			c.wantReported(want)
 		}
-		if c.socket.OnData(buildResponse(c.query(), 5, 0)); len(c.reported) != 1 {
+		if c.socket.OnData(buildResponse(c.sendQuery(), 5, 0)); len(c.reported) != 1 {
 			t.Errorf("list %v, want one worker", c.reported)
 		}
 	})
 }
 
 // A directory slower than the poll interval answers a query that is no longer the latest.
-func TestLateAnswerIsTaken(t *testing.T) {
+func TestAnswerToEarlierQueryIsAccepted(t *testing.T) {
 	c := newTestClient(t)
-	c.follow()
-	late := c.query()
+	c.receiveTwoWorkers()
+	earlierID := c.sendQuery()
 	for range 3 {
-		c.query()
+		c.sendQuery()
 	}
-	if c.socket.OnData(buildResponse(late, 5, 0)); len(c.reported) != 1 {
+	if c.socket.OnData(buildResponse(earlierID, 5, 0)); len(c.reported) != 1 {
 		t.Errorf("after a late answer the list is %v", c.reported)
 	}
 }
 
-func TestOnlyTheLatestQueriesMayBeAnswered(t *testing.T) {
+func TestPendingQueryLimitDiscardsOldest(t *testing.T) {
 	c := newTestClient(t)
-	tooOld := c.query()
-	oldest := c.query()
+	discardedID := c.sendQuery()
+	oldestPendingID := c.sendQuery()
 	for range maxPendingQueries - 1 {
-		c.query()
+		c.sendQuery()
 	}
-	if c.socket.OnData(buildResponse(tooOld, 4)); c.list.serial != 3 {
+	if c.socket.OnData(buildResponse(discardedID, 4)); c.list.serial != 3 {
 		t.Error("an answer to a query that is too old was taken")
 	}
-	if c.socket.OnData(buildResponse(oldest, 4)); c.list.serial != 4 {
+	if c.socket.OnData(buildResponse(oldestPendingID, 4)); c.list.serial != 4 {
 		t.Error("an answer to the oldest pending query wasn't taken")
 	}
 }
 
 func TestClosedSocketIsReplaced(t *testing.T) {
 	c := newTestClient(t)
-	c.follow()
+	c.receiveTwoWorkers()
 	c.socket.OnClose(errors.New("refused"))
 	if c.socket != nil || c.nextPoll > c.now+redialDelay {
 		t.Error("a closed socket isn't replaced after redialDelay")
 	}
 	c.Poll(c.nextPoll)
 	c.socket.OnOpen(nil)
-	if c.socket.OnData(buildResponse(c.query(), 6, 0, 0, 0)); len(c.reported) != 3 {
+	if c.socket.OnData(buildResponse(c.sendQuery(), 6, 0, 0, 0)); len(c.reported) != 3 {
 		t.Errorf("after a new socket the list is %v", c.reported)
 	}
 }
@@ -149,44 +149,44 @@
 func testMigrate(t *testing.T, open bool) {
 	t.Helper()
 	c := newTestClient(t)
-	pending := uint16(0)
+	pendingID := uint16(0)
 	if open {
-		pending = c.query()
+		pendingID = c.sendQuery()
 	} else {
 		c.socket.OnClose(errors.New("refused"))
 		c.Poll(c.nextPoll)
 	}
-	replaced := c.socket
+	replacedSocket := c.socket
 	replacedTransport := c.lastTransport()
 	c.Migrate(c.now+time.Millisecond, "new")
 	c.Poll(c.now + time.Millisecond)
-	if !replacedTransport.Closed || c.addresses[len(c.addresses)-1] != "new" || c.socket == replaced {
+	if !replacedTransport.Closed || c.addresses[len(c.addresses)-1] != "new" || c.socket == replacedSocket {
 		t.Fatalf("dialed %v, old socket closed: %v", c.addresses, replacedTransport.Closed)
 	}
 
-	current := c.socket
-	replaced.OnOpen(nil)
-	replaced.OnData(buildResponse(pending, 8, 0, 0))
-	replaced.OnClose(errors.New("late"))
-	if c.socket != current || len(c.reported) != 1 || c.list.serial != 3 {
+	currentSocket := c.socket
+	replacedSocket.OnOpen(nil)
+	replacedSocket.OnData(buildResponse(pendingID, 8, 0, 0))
+	replacedSocket.OnClose(errors.New("late"))
+	if c.socket != currentSocket || len(c.reported) != 1 || c.list.serial != 3 {
 		t.Fatalf("the old socket changed the list to %v", c.reported)
 	}
-	current.OnOpen(nil)
+	currentSocket.OnOpen(nil)
 	if c.nextPoll > c.now {
 		t.Error("the new directory isn't polled at once")
 	}
 
-	current.OnData(buildResponse(c.query(), 2, 0, 0)) // older than the list
+	currentSocket.OnData(buildResponse(c.sendQuery(), 2, 0, 0)) // older than the list
 	if c.list.serial != 3 {
 		t.Errorf("the serial fell to %d", c.list.serial)
 	}
-	if current.OnData(buildResponse(c.query(), 4, 0, 0)); len(c.reported) != 2 {
+	if currentSocket.OnData(buildResponse(c.sendQuery(), 4, 0, 0)); len(c.reported) != 2 {
 		t.Errorf("list %v, want two workers", c.reported)
 	}
 
-	dials := len(c.addresses)
+	dialCount := len(c.addresses)
 	c.Migrate(c.now, "new") // a repeated signal changes nothing
-	if c.Poll(c.now); c.socket != current || len(c.addresses) != dials {
+	if c.Poll(c.now); c.socket != currentSocket || len(c.addresses) != dialCount {
 		t.Error("the same address was dialed again")
 	}
 }
@@ -209,7 +209,7 @@
 	}
 	wantLines("directory unreachable", 1)
 	wantLines("directory answer not usable", 0)
-	c.follow()
+	c.receiveTwoWorkers()
 	c.socket.OnData(nil)
 	c.socket.OnData(nil)
 	wantLines("directory answer not usable", 1)
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -24,13 +24,13 @@
 	flagResponse         = 0x8000 // QR
 	flagTruncated        = 0x0200 // TC
 	flagRecursionDesired = 0x0100 // RD
-	maskResponseCode     = 0x000f // RCODE
+	responseCodeMask     = 0x000f // RCODE
 )
 
 // Lengths of the fixed parts of a message, in bytes.
 const (
 	headerLength       = 12
-	questionTailLength = 4 // type, class
+	questionFixedLength = 4 // type, class
 )
 
 // Offsets of the fields of a message's header, in bytes. Each field is two bytes long. The id has offset 0.
@@ -118,7 +118,7 @@
 	if h.flags&flagTruncated != 0 {
 		return errTruncated
 	}
-	if code := h.flags & maskResponseCode; code != 0 {
+	if code := h.flags & responseCodeMask; code != 0 {
 		return responseCodeError(code)
 	}
 	return nil
@@ -131,8 +131,8 @@
 	offset  int
 }
 
-// take returns the next length bytes, which point into the message. It fails with errMalformed if fewer are left.
-func (p *parser) take(length int) ([]byte, error) {
+// readBytes returns the next length bytes, which point into the message. It fails with errMalformed if fewer are left.
+func (p *parser) readBytes(length int) ([]byte, error) {
 	if len(p.message)-p.offset < length {
 		return nil, errMalformed
 	}
@@ -154,7 +154,7 @@
 // header reads the header, with which a message begins. It adds up the records of the three sections: all are read in the
 // same way, since a record's type tells what it is for.
 func (p *parser) header() (messageHeader, error) {
-	b, err := p.take(headerLength)
+	b, err := p.readBytes(headerLength)
 	if err != nil {
 		return messageHeader{}, err
 	}
@@ -176,11 +176,11 @@
 	if err != nil {
 		return err
 	}
-	tail, err := p.take(questionTailLength)
+	fixedFields, err := p.readBytes(questionFixedLength)
 	if err != nil {
 		return err
 	}
-	if name != serviceName || binary.BigEndian.Uint16(tail) != typeSRV {
+	if name != serviceName || binary.BigEndian.Uint16(fixedFields) != typeSRV {
 		return errQuestionMismatch
 	}
 	return nil
--- a/internal/discovery/dns_name.go
+++ b/internal/discovery/dns_name.go
@@ -16,9 +16,9 @@
 
 // Compressed names, RFC 1035 section 4.1.4.
 const (
-	labelTag      = 0xc0   // the two highest bits of a label's length, which tell its type
-	pointerTag    = 0xc0   // the value of labelTag's bits for a pointer; 0 is a label, others are reserved
-	pointerOffset = 0x3fff // the bits of a pointer that are the offset to which it leads
+	labelTypeMask      = 0xc0   // the two highest bits of a label's length, which tell its type
+	labelTypePointer    = 0xc0   // the value of labelTag's bits for a pointer; 0 is a label, others are reserved
+	pointerOffsetMask = 0x3fff // the bits of a pointer that are the offset to which it leads
 	pointerLength = 2      // bytes
 )
 
@@ -26,7 +26,7 @@
 // what follows the name in the message. It fails with errMalformed.
 func parseName(message []byte, offset int) (name string, next int, err error) {
 	var labels []byte
-	pointers := 0
+	pointersFollowed := 0
 	for {
 		if offset >= len(message) {
 			return "", 0, errMalformed
@@ -34,20 +34,20 @@
 		length := message[offset]
 		switch {
 		case length == 0: // the root ends the name
-			if pointers == 0 {
+			if pointersFollowed == 0 {
 				next = offset + 1
 			}
 			return strings.ToLower(string(labels)), next, nil
-		case length&labelTag == pointerTag:
-			if pointers == 0 {
+		case length&labelTypeMask == labelTypePointer:
+			if pointersFollowed == 0 {
 				next = offset + pointerLength
 			}
-			pointers++
+			pointersFollowed++
 			offset, err = followPointer(message, offset)
-			if err != nil || pointers > maxPointers {
+			if err != nil || pointersFollowed > maxPointers {
 				return "", 0, errMalformed
 			}
-		case length&labelTag != 0: // reserved
+		case length&labelTypeMask != 0: // reserved
 			return "", 0, errMalformed
 		default:
 			labels, offset, err = appendLabel(labels, message, offset)
@@ -80,7 +80,7 @@
 	if offset+pointerLength > len(message) {
 		return 0, errMalformed
 	}
-	target := int(binary.BigEndian.Uint16(message[offset:]) & pointerOffset)
+	target := int(binary.BigEndian.Uint16(message[offset:]) & pointerOffsetMask)
 	if target >= offset {
 		return 0, errMalformed
 	}
--- a/internal/discovery/dns_records.go
+++ b/internal/discovery/dns_records.go
@@ -11,7 +11,7 @@
 
 // Lengths of the fixed parts of resource records, in bytes.
 const (
-	recordTailLength = 10 // type, class, TTL, length of the data
+	recordFixedLength = 10 // type, class, TTL, length of the data
 	srvFixedLength   = 6  // priority, weight, port
 	soaFixedLength   = 20 // serial and four intervals
 	ipv4Length       = 4
@@ -65,12 +65,12 @@
 	owner      string // the name that it is about
 	recordType uint16 // typeSRV, for example
 	message    []byte // the complete message: names in the data may point back into it
-	start      int    // offset of the data in the message
-	end        int    // offset of what follows the data
+	dataStart      int    // offset of the data in the message
+	dataEnd        int    // offset of what follows the data
 }
 
 // data returns the part of a record that depends on its type.
-func (r record) data() []byte { return r.message[r.start:r.end] }
+func (r record) data() []byte { return r.message[r.dataStart:r.dataEnd] }
 
 // record reads the resource record that comes next, without its data, which may be of any type.
 func (p *parser) record() (record, error) {
@@ -78,21 +78,21 @@
 	if err != nil {
 		return record{}, err
 	}
-	tail, err := p.take(recordTailLength)
+	fixedFields, err := p.readBytes(recordFixedLength)
 	if err != nil {
 		return record{}, err
 	}
-	start := p.offset
-	dataLength := int(binary.BigEndian.Uint16(tail[dataLengthOffset:]))
-	if _, err := p.take(dataLength); err != nil {
+	dataStart := p.offset
+	dataLength := int(binary.BigEndian.Uint16(fixedFields[dataLengthOffset:]))
+	if _, err := p.readBytes(dataLength); err != nil {
 		return record{}, err
 	}
 	return record{
 		owner:      owner,
-		recordType: binary.BigEndian.Uint16(tail),
+		recordType: binary.BigEndian.Uint16(fixedFields),
 		message:    p.message,
-		start:      start,
-		end:        p.offset,
+		dataStart:      dataStart,
+		dataEnd:        p.offset,
 	}, nil
 }
 
@@ -100,15 +100,15 @@
 // other names, SRV records whose data is too short for a target, and A records whose data has another size than an address.
 // It fails with errMalformed if the data can't be read.
 func (r *response) add(rec record) error {
-	size := rec.end - rec.start
+	dataLength := rec.dataEnd - rec.dataStart
 	switch {
-	case rec.recordType == typeSRV && size > srvFixedLength && rec.owner == serviceName:
+	case rec.recordType == typeSRV && dataLength > srvFixedLength && rec.owner == serviceName:
 		service, err := parseSRV(rec)
 		if err != nil {
 			return err
 		}
 		r.services = append(r.services, service)
-	case rec.recordType == typeA && size == ipv4Length:
+	case rec.recordType == typeA && dataLength == ipv4Length:
 		r.addresses[rec.owner] = netip.AddrFrom4([ipv4Length]byte(rec.data()))
 	case rec.recordType == typeTXT:
 		texts, err := parseTXT(rec)
@@ -129,7 +129,7 @@
 // parseSRV reads the data of an SRV record, which must be longer than srvFixedLength: priority, weight and port, of two
 // bytes each, and the target's name. It does not check that the name ends with the data.
 func parseSRV(rec record) (serviceRecord, error) {
-	target, _, err := parseName(rec.message, rec.start+srvFixedLength)
+	target, _, err := parseName(rec.message, rec.dataStart+srvFixedLength)
 	if err != nil {
 		return serviceRecord{}, err
 	}
@@ -158,13 +158,13 @@
 
 // parseSOA returns the serial of an SOA record, which comes after two names: a name server and a mailbox.
 func parseSOA(rec record) (serial uint32, err error) {
-	offset := rec.start
+	offset := rec.dataStart
 	for range 2 {
 		if _, offset, err = parseName(rec.message, offset); err != nil {
 			return 0, err
 		}
 	}
-	if rec.end < offset+soaFixedLength {
+	if rec.dataEnd < offset+soaFixedLength {
 		return 0, errMalformed
 	}
 	return binary.BigEndian.Uint32(rec.message[offset:]), nil
--- a/internal/discovery/dns_test.go
+++ b/internal/discovery/dns_test.go
@@ -12,7 +12,7 @@
 func TestParseResponseErrors(t *testing.T) {
 	const id = 7
 	response := buildResponse(id, 9, 0)
-	changed := func(offset int, value byte) []byte {
+	withByte := func(offset int, value byte) []byte {
 		b := bytes.Clone(response)
 		b[offset] = value
 		return b
@@ -30,11 +30,11 @@
 		{"header cut short", response[:headerLength-1], errMalformed},
 		{"question cut short", response[:headerLength+3], errMalformed},
 		{"records cut short", response[:len(response)-1], errMalformed},
-		{"too many records", changed(answerCount, 0xff), errMalformed},
+		{"too many records", withByte(answerCountField, 0xff), errMalformed},
 		{"name that points to itself", pointerLoop, errMalformed},
-		{"query", changed(2, 0), errNotResponse},
-		{"truncated", changed(2, 0x82), errTruncated},
-		{"other question", changed(13, 'x'), errQuestionMismatch},
+		{"query", withByte(2, 0), errNotResponse},
+		{"truncated", withByte(2, 0x82), errTruncated},
+		{"other question", withByte(13, 'x'), errQuestionMismatch},
 		{"no serial", withoutSOA, errNoSerial},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 		})
 	}
 	t.Run("response code", func(t *testing.T) {
-		gotID, _, err := parseResponse(changed(3, 3))
+		gotID, _, err := parseResponse(withByte(3, 3))
 		var code responseCodeError
 		if !errors.As(err, &code) || code != 3 || gotID != id {
 			t.Errorf("got id %d, %v; want id %d, response code 3", gotID, err, id)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestParseResponseSurvivesAnyBytes(t *testing.T) {
+func TestParseResponseOfCorruptedMessage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := buildResponse(1, 9, 0, 1, 0)
 		for range rapid.IntRange(1, 5).Draw(t, "changes") {
--- a/internal/discovery/endpoint_test.go
+++ b/internal/discovery/endpoint_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestLoadInitialRejects(t *testing.T) {
+func TestLoadInitialRejectsInvalidWorkers(t *testing.T) {
 	load := func(member initialMember) error {
 		initial := InitialEndpoints{Batch: make([]initialEvent, 1)}
 		initial.Batch[0].Topology.Members = []initialMember{member}
--- a/internal/discovery/message_test.go
+++ b/internal/discovery/message_test.go
@@ -7,13 +7,13 @@
 
 // Offsets of the record counts in a message's header.
 const (
-	answerCount     = 6
-	authorityCount  = 8
-	additionalCount = 10
+	answerCountField     = 6
+	authorityCountField  = 8
+	additionalCountField = 10
 )
 
 // A pointer to the name in the question, for a compressed message.
-var questionName = []byte{0xc0, headerLength}
+var questionNamePointer = []byte{0xc0, headerLength}
 
 // buildResponse returns the directory's response to query id: a list with one worker for each SRV priority.
 // Names are compressed wherever RFC 1035 allows it.
@@ -25,38 +25,38 @@
 		data := binary.BigEndian.AppendUint16(nil, priority)
 		data = binary.BigEndian.AppendUint16(data, 40) // weight
 		data = binary.BigEndian.AppendUint16(data, 10080)
-		targetOffset := len(b) + len(questionName) + recordTailLength + len(data)
-		data = append(data, counted(fmt.Sprintf("s-%d", i))...)
-		data = append(data, counted("east")...)
-		data = append(data, counted("hosts")...)
+		targetOffset := len(b) + len(questionNamePointer) + recordFixedLength + len(data)
+		data = append(data, lengthPrefixed(fmt.Sprintf("s-%d", i))...)
+		data = append(data, lengthPrefixed("east")...)
+		data = append(data, lengthPrefixed("hosts")...)
 		data = append(data, 0)
-		b = appendRecord(b, answerCount, questionName, typeSRV, data)
-		targets = append(targets, binary.BigEndian.AppendUint16(nil, pointerTag<<8|uint16(targetOffset)))
+		b = appendRecord(b, answerCountField, questionNamePointer, typeSRV, data)
+		targets = append(targets, binary.BigEndian.AppendUint16(nil, labelTypePointer<<8|uint16(targetOffset)))
 	}
-	soa := append([]byte{}, questionName...)
-	soa = append(soa, questionName...)
+	soa := append([]byte{}, questionNamePointer...)
+	soa = append(soa, questionNamePointer...)
 	soa = binary.BigEndian.AppendUint32(soa, serial)
 	soa = append(soa, make([]byte, 16)...)
-	b = appendRecord(b, authorityCount, questionName, typeSOA, soa)
+	b = appendRecord(b, authorityCountField, questionNamePointer, typeSOA, soa)
 	for i, name := range targets {
-		b = appendRecord(b, additionalCount, name, typeA, []byte{10, 1, 0, byte(i)})
-		texts := append(counted("kind=std"), counted("cell=2")...)
-		texts = append(texts, counted("started=5")...)
-		b = appendRecord(b, additionalCount, name, typeTXT, texts)
+		b = appendRecord(b, additionalCountField, name, typeA, []byte{10, 1, 0, byte(i)})
+		texts := append(lengthPrefixed("kind=std"), lengthPrefixed("cell=2")...)
+		texts = append(texts, lengthPrefixed("started=5")...)
+		b = appendRecord(b, additionalCountField, name, typeTXT, texts)
 	}
 	return b
 }
 
 // appendRecord appends a resource record and counts it in the header.
-func appendRecord(b []byte, countOffset int, owner []byte, kind uint16, data []byte) []byte {
+func appendRecord(b []byte, countOffset int, owner []byte, recordType uint16, data []byte) []byte {
 	binary.BigEndian.PutUint16(b[countOffset:], binary.BigEndian.Uint16(b[countOffset:])+1)
 	b = append(b, owner...)
-	b = binary.BigEndian.AppendUint16(b, kind)
+	b = binary.BigEndian.AppendUint16(b, recordType)
 	b = binary.BigEndian.AppendUint16(b, classIN)
 	b = binary.BigEndian.AppendUint32(b, 0) // TTL
 	b = binary.BigEndian.AppendUint16(b, uint16(len(data)))
 	return append(b, data...)
 }
 
-// counted returns s with its length in front, as labels and TXT strings have it.
-func counted(s string) []byte { return append([]byte{byte(len(s))}, s...) }
+// lengthPrefixed returns s with its length in front, as labels and TXT strings have it.
+func lengthPrefixed(s string) []byte { return append([]byte{byte(len(s))}, s...) }
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -50,8 +50,8 @@
 	return c.transports[len(c.transports)-1]
 }
 
-// query polls the client when its next query is due, checks the query and returns its id.
-func (c *testClient) query() uint16 {
+// sendQuery polls the client when its next sendQuery is due, checks the sendQuery and returns its id.
+func (c *testClient) sendQuery() uint16 {
 	c.t.Helper()
 	transport := c.lastTransport()
 	transport.Written.Reset()
@@ -75,10 +75,10 @@
 	}
 }
 
-// follow has the client follow a list of two workers with serial 4, and returns that list.
-func (c *testClient) follow() []Endpoint {
+// receiveTwoWorkers has the client receiveTwoWorkers a list of two workers with serial 4, and returns that list.
+func (c *testClient) receiveTwoWorkers() []Endpoint {
 	c.t.Helper()
-	c.socket.OnData(buildResponse(c.query(), 4, 0, 1))
+	c.socket.OnData(buildResponse(c.sendQuery(), 4, 0, 1))
 	want := []Endpoint{
 		{Name: "s-0", Address: "10.1.0.0:10080", Zone: "east", State: policy.Ready, Weight: 4, Cell: 2, StartedUnixMs: 5},
 		{Name: "s-1", Address: "10.1.0.1:10080", Zone: "east", State: policy.Draining, Weight: 4, Cell: 2, StartedUnixMs: 5},
