--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -8,55 +8,59 @@
 )
 
 const (
-	// pollInterval is the time between two queries. From 1.5 s after an event of the directory the router has to route by
-	// it, whether or not an answer has reported it: several queries in that time make up for lost datagrams.
+	// pollInterval is the time between two queries. The router must route according to a directory event from 1.5 s
+	// after the event, whether or not an answer has reported it. The interval allows several queries in that time, so
+	// that the loss of single datagrams does no harm.
 	pollInterval = 200 * time.Millisecond
-	// redialDelay is the time from the last Poll before a socket is lost, or its dial fails, to the next dial. It is short,
-	// so that a lost socket adds little to the time for which the directory is unreachable.
+	// redialDelay is the delay before the next dial after a socket has closed or its dial has failed. It is counted
+	// from the last Poll before the failure. A short delay adds little to the time for which the directory is
+	// unreachable.
 	redialDelay = 200 * time.Millisecond
 )
 
-// Transport is a socket to the directory; an eventloop.UDPConn is one.
+// Transport is a socket to the directory, such as an eventloop.UDPConn.
 type Transport interface {
-	// Write sends each of bufs as one datagram and keeps none. What can't be sent is lost without an error.
+	// Write sends each of bufs as one datagram and retains none of them. A datagram that can't be sent is dropped
+	// without an error.
 	Write(bufs ...[]byte)
 	// Close closes the socket; the handler's OnClose may still be called afterwards.
 	Close()
 }
 
-// DialFunc opens a Transport to address, a "host:port", and returns it, never nil. handler gets the events of the socket:
-// OnOpen with the result of the dial, which may come before DialFunc returns, OnData with each datagram, and OnClose.
+// DialFunc opens a Transport to address, a "host:port", and never returns nil. It reports the events of the socket to
+// handler: OnOpen with the result of the dial, possibly before DialFunc returns, OnData with each datagram, and
+// OnClose.
 type DialFunc func(address string, handler eventloop.DialHandler) Transport
 
-// Client polls the directory for the endpoint list. The owner calls New, LoadInitial and then Poll, again and again.
+// Client polls the directory for the endpoint list. Its owner calls New, then LoadInitial, and then Poll repeatedly.
 type Client struct {
-	QueriesSent     uint64 // queries sent to any directory
-	AnswersReceived uint64 // usable answers, whether or not their list was newer
+	QueriesSent     uint64 // queries sent, to all directories together
+	AnswersReceived uint64 // usable answers, including those whose list was not newer
 
 	dial     DialFunc
 	onUpdate func([]Endpoint)
 	list     endpointList
 
-	address  string        // of the directory, "host:port"
-	socket   *socket       // the current socket, dialed or open; nil while there is none
+	address  string        // the directory's address, a "host:port"
+	socket   *socket       // the current socket, open or being dialed; nil if there is none
 	now      time.Duration // the time of the last Poll
 	nextPoll time.Duration // when the next query or dial is due
 
 	lastAnswerAt time.Duration // see LastAnswerAt
 
-	// failureLogged suppresses further log lines until the next usable answer or the next Migrate.
+	// failureLogged suppresses log lines for further failures until the next usable answer or the next Migrate.
 	failureLogged bool
 }
 
-// New returns a Client for the directory at address, a "host:port". onUpdate is called, during LoadInitial with the initial
-// list and during an event of a socket with every list that is newer than the one before. The list is sorted by name and
-// belongs to onUpdate, which may call EndpointCount and LastAnswerAt.
+// New returns a Client for the directory at address, a "host:port". The Client calls onUpdate with each new list: with
+// the initial list during LoadInitial, and with every newer list during an event of a socket. The list is sorted by
+// name, and onUpdate may keep and change it. onUpdate may call EndpointCount and LastAnswerAt.
 func New(address string, dial DialFunc, onUpdate func([]Endpoint)) *Client {
 	return &Client{address: address, dial: dial, onUpdate: onUpdate, list: newEndpointList()}
 }
 
-// LoadInitial takes the initial list and passes it to onUpdate. Call it once, before Poll. It fails if a worker's address
-// or phase can't be read; then onUpdate is not called, and the Client must not be used.
+// LoadInitial loads the initial list and passes it to onUpdate. Call it once, before Poll. It fails if the address or
+// the phase of a worker is invalid; onUpdate is not called then, and the Client must not be used.
 func (c *Client) LoadInitial(initial InitialEndpoints) error {
 	if err := c.list.loadInitial(initial); err != nil {
 		return err
@@ -65,16 +69,16 @@
 	return nil
 }
 
-// EndpointCount returns how many workers the newest list holds.
+// EndpointCount returns the number of workers in the newest list.
 func (c *Client) EndpointCount() int { return len(c.list.endpoints) }
 
-// LastAnswerAt returns the time of the last Poll before the last usable answer, 0 if none has come. During onUpdate the
-// answer with the new list does not count yet.
+// LastAnswerAt returns when the last usable answer arrived, as the time of the last Poll before it, or 0 if there has
+// been no usable answer. During a call of onUpdate the result does not include the answer with the new list yet.
 func (c *Client) LastAnswerAt() time.Duration { return c.lastAnswerAt }
 
-// Migrate moves to a directory at another address, a "host:port", which the next Poll from now on dials at once. The list
-// and its serial stay: the new directory continues the numbering of the old one. Nothing that arrives on the socket to the
-// old directory counts afterwards. If the address is the present one, Migrate does nothing.
+// Migrate changes the directory's address, a "host:port". The first Poll at or after now dials the new address. The
+// list and its serial are kept: the new directory continues the numbering of the old one. Later events of the socket to
+// the old directory are ignored. If the address is unchanged, Migrate does nothing.
 func (c *Client) Migrate(now time.Duration, address string) {
 	if address == c.address {
 		return
@@ -84,14 +88,14 @@
 	c.failureLogged = false
 	if c.socket != nil {
 		replaced := c.socket
-		c.socket = nil // before the close, so that the socket's OnClose is ignored
+		c.socket = nil // before Close, so that the socket's OnClose is ignored
 		replaced.transport.Close()
 	}
 }
 
-// Poll dials or sends a query if one of them is due at now, and returns the time at which it should be called next. An
-// event of a socket or Migrate may make that time earlier: call Poll after each turn of the event loop. While a dial has
-// not ended, no query is sent.
+// Poll dials the directory or sends a query, if one of them is due at now, and returns the time at which it should be
+// called next. An event of a socket or a call of Migrate may make that time earlier, so call Poll after each turn of
+// the event loop. Poll sends no query while a dial is in progress.
 func (c *Client) Poll(now time.Duration) (next time.Duration) {
 	c.now = now
 	if now < c.nextPoll {
@@ -110,22 +114,24 @@
 	return c.nextPoll
 }
 
-// openSocket dials the directory. The socket is the current one before the dial, which may call its handler.
+// openSocket dials the directory. It makes the socket the current one before the dial, because the dial may call the
+// socket's handler.
 func (c *Client) openSocket() {
 	s := &socket{client: c}
 	c.socket = s
 	s.transport = c.dial(c.address, s)
 }
 
-// socketClosed drops the current socket, which has closed or could not be dialed; Poll dials another after redialDelay.
+// socketClosed drops the current socket, which has closed or could not be dialed, and schedules the next dial.
 func (c *Client) socketClosed(err error) {
 	c.logFailure("directory unreachable", err)
 	c.socket = nil
 	c.nextPoll = c.now + redialDelay
 }
 
-// answerReceived takes the list of an answer if it is newer. err says why the answer can't be used; nil: it could be
-// parsed. An answer that can't be used, also because its list lacks a worker's address, changes nothing and is logged.
+// answerReceived applies the list of an answer if it is newer than the current list. err is the reason why the answer
+// is unusable, or nil if parsing it and matching it to a query succeeded. An unusable answer, such as one with a list
+// that lacks a worker's address, is logged and changes nothing.
 func (c *Client) answerReceived(r response, err error) {
 	changed := false
 	if err == nil {
@@ -139,15 +145,15 @@
 		c.onUpdate(c.list.sorted())
 	}
 	c.failureLogged = false
-	c.lastAnswerAt = c.now // after onUpdate, which needs the time of the answer before
+	c.lastAnswerAt = c.now // after onUpdate, which needs the time of the previous answer
 	c.AnswersReceived++
 }
 
-// logFailure logs only the first failure since the last usable answer or Migrate: an unreachable directory fails several
-// times a second.
-func (c *Client) logFailure(event string, err error) {
+// logFailure logs only the first failure since the last usable answer or Migrate, because an unreachable directory
+// causes several failures a second.
+func (c *Client) logFailure(message string, err error) {
 	if !c.failureLogged {
-		slog.Warn(event, "address", c.address, "error", err)
+		slog.Warn(message, "address", c.address, "error", err)
 	}
 	c.failureLogged = true
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -11,20 +11,20 @@
 	"functionrouter/internal/testsupport"
 )
 
-// An answer with a newer list is reported with all that it says of the workers.
+// The list of an answer with a higher serial is reported with all attributes of its workers.
 func TestNewerListIsReported(t *testing.T) {
 	c := newTestClient(t)
 	c.receiveTwoWorkers()
 }
 
-// unusableAnswers are answers to a client that holds a list with serial 4.
+// unusableAnswers are answers that must not change the list of a client whose list has serial 4.
 var unusableAnswers = []struct {
 	name    string
 	message func(c *testClient) []byte
 }{
 	{"older than the list", func(c *testClient) []byte { return buildResponse(c.sendQuery(), 3) }},
 	{"unexpected id", func(c *testClient) []byte { return buildResponse(c.sendQuery()+1, 9, 0) }},
-	{"query answered before", func(c *testClient) []byte {
+	{"query that was already answered", func(c *testClient) []byte {
 		id := c.sendQuery()
 		c.socket.OnData(buildResponse(id, 4, 0, 1))
 		return buildResponse(id, 9, 0)
@@ -44,7 +44,7 @@
 		b[2] &^= flagResponse >> 8
 		return b
 	}},
-	{"other question", func(c *testClient) []byte {
+	{"question for another name", func(c *testClient) []byte {
 		b := buildResponse(c.sendQuery(), 9, 0)
 		b[13] = 'x'
 		return b
@@ -52,7 +52,7 @@
 	{"worker without an address", func(c *testClient) []byte {
 		b := buildResponse(c.sendQuery(), 9, 0)
 		typeOffset := bytes.LastIndex(b, []byte{0, typeA, 0, classIN})
-		b[typeOffset+1] = typeTXT + 1 // a type that isn't used
+		b[typeOffset+1] = typeTXT + 1 // a type that the client ignores
 		return b
 	}},
 }
@@ -77,7 +77,7 @@
 			}
 		}
 	})
-	t.Run("all in turn, then a usable one", func(t *testing.T) {
+	t.Run("usable answer after all unusable ones", func(t *testing.T) {
 		c := newTestClient(t)
 		want := c.receiveTwoWorkers()
 		for _, test := range unusableAnswers {
@@ -90,7 +90,8 @@
 	})
 }
 
-// A directory slower than the poll interval answers a query that is no longer the latest.
+// An answer that takes longer than the poll interval belongs to a query that is no longer the latest. The client must
+// accept it.
 func TestAnswerToEarlierQueryIsAccepted(t *testing.T) {
 	c := newTestClient(t)
 	c.receiveTwoWorkers()
@@ -99,10 +100,11 @@
 		c.sendQuery()
 	}
 	if c.socket.OnData(buildResponse(earlierID, 5, 0)); len(c.reported) != 1 {
-		t.Errorf("after a late answer the list is %v", c.reported)
+		t.Errorf("after the answer to an earlier query the list is %v, want one worker", c.reported)
 	}
 }
 
+// When maxPendingQueries queries are pending, the next query discards the oldest one, whose answer is then rejected.
 func TestPendingQueryLimitDiscardsOldest(t *testing.T) {
 	c := newTestClient(t)
 	discardedID := c.sendQuery()
@@ -111,10 +113,10 @@
 		c.sendQuery()
 	}
 	if c.socket.OnData(buildResponse(discardedID, 4)); c.list.serial != 3 {
-		t.Error("an answer to a query that is too old was taken")
+		t.Error("the answer to a discarded query was accepted")
 	}
 	if c.socket.OnData(buildResponse(oldestPendingID, 4)); c.list.serial != 4 {
-		t.Error("an answer to the oldest pending query wasn't taken")
+		t.Error("the answer to the oldest pending query was not accepted")
 	}
 }
 
@@ -128,19 +130,19 @@
 	c.Poll(c.nextPoll)
 	c.socket.OnOpen(nil)
 	if c.socket.OnData(buildResponse(c.sendQuery(), 6, 0, 0, 0)); len(c.reported) != 3 {
-		t.Errorf("after a new socket the list is %v", c.reported)
+		t.Errorf("after an answer on the new socket the list is %v, want three workers", c.reported)
 	}
 }
 
-// Guards a reload: the new directory is polled at once, at its address, with the list and its serial kept;
-// nothing that arrives late on a socket to the old one counts, in whatever order dials and closes end.
+// After a reload with another directory address, the client polls the new directory at once and keeps the list and its
+// serial. Late events of the socket to the old directory are ignored, in whichever order dials and closes complete.
 func TestMigrate(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		open bool
 	}{
 		{"while the old socket is open", true},
-		{"while the old socket is dialed", false},
+		{"while the old socket is being dialed", false},
 	} {
 		t.Run(test.name, func(t *testing.T) { testMigrate(t, test.open) })
 	}
@@ -169,7 +171,7 @@
 	replacedSocket.OnData(buildResponse(pendingID, 8, 0, 0))
 	replacedSocket.OnClose(errors.New("late"))
 	if c.socket != currentSocket || len(c.reported) != 1 || c.list.serial != 3 {
-		t.Fatalf("the old socket changed the list to %v", c.reported)
+		t.Fatalf("events of the old socket had an effect: list %v", c.reported)
 	}
 	currentSocket.OnOpen(nil)
 	if c.nextPoll > c.now {
@@ -178,27 +180,28 @@
 
 	currentSocket.OnData(buildResponse(c.sendQuery(), 2, 0, 0)) // older than the list
 	if c.list.serial != 3 {
-		t.Errorf("the serial fell to %d", c.list.serial)
+		t.Errorf("an older answer changed the serial from 3 to %d", c.list.serial)
 	}
 	if currentSocket.OnData(buildResponse(c.sendQuery(), 4, 0, 0)); len(c.reported) != 2 {
 		t.Errorf("list %v, want two workers", c.reported)
 	}
 
 	dialCount := len(c.addresses)
-	c.Migrate(c.now, "new") // a repeated signal changes nothing
+	c.Migrate(c.now, "new") // a reload with the same address has no effect
 	if c.Poll(c.now); c.socket != currentSocket || len(c.addresses) != dialCount {
 		t.Error("the same address was dialed again")
 	}
 }
 
-// A directory that fails several times a second is logged once until it answers again.
+// A directory that is unreachable or sends unusable answers causes several failures a second. Only the first one is
+// logged until the next usable answer or change of the directory's address.
 func TestFailuresAreLoggedOnce(t *testing.T) {
 	logged := testsupport.CaptureLog(t)
 	c := newTestClient(t)
 	wantLines := func(event string, want int) {
 		t.Helper()
 		if got := strings.Count(logged.String(), event); got != want {
-			t.Errorf("%d lines %q, want %d, in:\n%s", got, event, want, logged.String())
+			t.Errorf("%d log lines %q, want %d, in:\n%s", got, event, want, logged.String())
 		}
 	}
 	for range 3 {
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// serviceName is the name whose SRV records are the list of workers, in lower case as parseName returns it.
+// serviceName is the name whose SRV records form the list of workers. It is in lower case, as parseName returns names.
 const serviceName = "_back._tcp.pool.lan"
 
-// Record types and the class of RFC 1035 section 3.2 and RFC 2782.
+// Record types and the record class, from RFC 1035 section 3.2 and RFC 2782.
 const (
 	typeA   = 1
 	typeSOA = 6
@@ -19,7 +19,7 @@
 	classIN = 1
 )
 
-// The flags of a message's header, RFC 1035 section 4.1.1.
+// Bits of the flags field in a message's header, RFC 1035 section 4.1.1.
 const (
 	flagResponse         = 0x8000 // QR
 	flagTruncated        = 0x0200 // TC
@@ -27,13 +27,13 @@
 	responseCodeMask     = 0x000f // RCODE
 )
 
-// Lengths of the fixed parts of a message, in bytes.
+// Lengths of the fixed-size parts of a message, in bytes.
 const (
-	headerLength       = 12
-	questionFixedLength = 4 // type, class
+	headerLength        = 12
+	questionFixedLength = 4 // type and class, which follow the name
 )
 
-// Offsets of the fields of a message's header, in bytes. Each field is two bytes long. The id has offset 0.
+// Offsets of the fields in a message's header, in bytes. Each field is two bytes long. The id is at offset 0.
 const (
 	flagsOffset           = 2
 	questionCountOffset   = 4
@@ -42,27 +42,27 @@
 	additionalCountOffset = 10
 )
 
-// Reasons why an answer can't be used. Two more are responseCodeError and, in endpoint.go, errNoAddress.
+// Reasons why an answer is unusable. Two more are responseCodeError and, in endpoint.go, errNoAddress.
 var (
-	// errMalformed says that a message ends early, has an invalid name, a record whose data can't be read, or too many
-	// records.
+	// errMalformed means that a message is cut short, has an invalid name, has a record with invalid data, or has more
+	// than maxRecords records.
 	errMalformed = errors.New("malformed DNS message")
-	// errNotResponse says that a message is a query.
+	// errNotResponse means that a message is a query.
 	errNotResponse = errors.New("not a response")
-	// errTruncated says that the list did not fit into one datagram.
+	// errTruncated means that the list did not fit into one datagram.
 	errTruncated = errors.New("response is truncated")
-	// errQuestionMismatch says that the question in a response is not the one of encodeQuery.
+	// errQuestionMismatch means that a response repeats a question other than that of encodeQuery.
 	errQuestionMismatch = errors.New("response to another question")
-	// errNoSerial says that a response has no SOA record, which holds the list's serial.
+	// errNoSerial means that a response has no SOA record, which holds the list's serial.
 	errNoSerial = errors.New("response has no SOA record")
-	// errUnexpectedID says that a response is to a query that was answered before, was given up or was never sent.
+	// errUnexpectedID means that the query of a response was already answered, was discarded or was never sent.
 	errUnexpectedID = errors.New("response matches no pending query")
 )
 
-// responseCodeError is a response code (RCODE) other than 0, which is "no error".
+// responseCodeError is a response code (RCODE) other than 0, the code for "no error".
 type responseCodeError uint8
 
-// Error returns the code as a number; RFC 1035 section 4.1.1 lists the codes.
+// Error returns a text with the code as a number. RFC 1035 section 4.1.1 lists the codes.
 func (e responseCodeError) Error() string { return fmt.Sprintf("response code %d", uint8(e)) }
 
 // encodeQuery returns the query with this id for the SRV records of serviceName.
@@ -76,14 +76,14 @@
 		b = append(b, byte(len(label)))
 		b = append(b, label...)
 	}
-	b = append(b, 0) // the root ends the name
+	b = append(b, 0) // the empty root label ends the name
 	b = binary.BigEndian.AppendUint16(b, typeSRV)
 	return binary.BigEndian.AppendUint16(b, classIN)
 }
 
-// parseResponse reads a response to a query of encodeQuery. It fails with a responseCodeError or one of the errors above,
-// errUnexpectedID excepted. It returns the id also on an error if the message has a header. A response without a question
-// is accepted.
+// parseResponse parses a response to a query of encodeQuery. It fails with a responseCodeError or one of the errors
+// above other than errUnexpectedID. If the message has a complete header, the id is returned even with an error. A
+// response without a question is accepted.
 func parseResponse(message []byte) (id uint16, r response, err error) {
 	p := parser{message: message}
 	header, err := p.header()
@@ -102,12 +102,12 @@
 	return header.id, r, err
 }
 
-// messageHeader is what is used of a message's header.
+// messageHeader holds the values that the client uses from a message's header.
 type messageHeader struct {
 	id        uint16
 	flags     uint16
 	questions int
-	records   int // of the answer, authority and additional sections together
+	records   int // in the answer, authority and additional sections together
 }
 
 // check returns an error unless the message is a complete, successful response.
@@ -124,14 +124,14 @@
 	return nil
 }
 
-// parser reads a message from front to back. Its methods fail with errMalformed where the message can't be read. Compressed
-// names point back to an earlier offset.
+// parser reads a message from start to end; only compressed names lead back to an earlier offset. Its methods fail with
+// errMalformed if the message is invalid.
 type parser struct {
 	message []byte
-	offset  int
+	offset  int // of the next byte to read
 }
 
-// readBytes returns the next length bytes, which point into the message. It fails with errMalformed if fewer are left.
+// readBytes returns the next length bytes as a slice of the message. It fails with errMalformed if fewer are left.
 func (p *parser) readBytes(length int) ([]byte, error) {
 	if len(p.message)-p.offset < length {
 		return nil, errMalformed
@@ -141,7 +141,7 @@
 	return b, nil
 }
 
-// name reads the name that comes next, in lower case.
+// name reads the next name and returns it in lower case.
 func (p *parser) name() (string, error) {
 	name, next, err := parseName(p.message, p.offset)
 	if err != nil {
@@ -151,8 +151,8 @@
 	return name, nil
 }
 
-// header reads the header, with which a message begins. It adds up the records of the three sections: all are read in the
-// same way, since a record's type tells what it is for.
+// header reads the header at the start of the message. It adds up the record counts of the three sections: all records
+// are read in the same way, because the type of a record, not its section, determines its use.
 func (p *parser) header() (messageHeader, error) {
 	b, err := p.readBytes(headerLength)
 	if err != nil {
@@ -169,8 +169,8 @@
 	return h, nil
 }
 
-// question reads one question. It fails with errQuestionMismatch if its name or type is not that of encodeQuery; the class
-// is not compared.
+// question reads one question. It fails with errQuestionMismatch if the name or the type differs from that of
+// encodeQuery. The class is not compared.
 func (p *parser) question() error {
 	name, err := p.name()
 	if err != nil {
--- a/internal/discovery/dns_name.go
+++ b/internal/discovery/dns_name.go
@@ -5,25 +5,27 @@
 	"strings"
 )
 
-// Limits on one name.
+// Limits for one name.
 const (
-	// maxNameLength bounds the decoded text, in bytes. RFC 1035 section 2.3.4 bounds the name in the message, which is two
-	// bytes longer, so that names slightly over the RFC's limit are accepted.
+	// maxNameLength bounds the length of the decoded text, in bytes. RFC 1035 section 2.3.4 applies the same limit to
+	// the encoded name, which is two bytes longer, so names that exceed the RFC's limit by one or two bytes are
+	// accepted.
 	maxNameLength = 255
-	// maxPointers bounds the pointers that are followed for one name. It is no limit of the RFC: it ends loops.
+	// maxPointers bounds the number of pointers that are followed for one name. The RFC has no such limit; this one
+	// ends pointer loops.
 	maxPointers = 16
 )
 
-// Compressed names, RFC 1035 section 4.1.4.
+// Encoding of compressed names, RFC 1035 section 4.1.4.
 const (
-	labelTypeMask      = 0xc0   // the two highest bits of a label's length, which tell its type
-	labelTypePointer    = 0xc0   // the value of labelTag's bits for a pointer; 0 is a label, others are reserved
-	pointerOffsetMask = 0x3fff // the bits of a pointer that are the offset to which it leads
-	pointerLength = 2      // bytes
+	labelTypeMask     = 0xc0   // the two highest bits of a label's first byte, which hold its type
+	labelTypePointer  = 0xc0   // the type of a pointer; type 0 is a plain label, other types are reserved
+	pointerOffsetMask = 0x3fff // the bits of a pointer that hold the offset of its target
+	pointerLength     = 2      // in bytes
 )
 
-// parseName returns the name at offset, compressed or not, in lower case and without the final dot; next is the offset of
-// what follows the name in the message. It fails with errMalformed.
+// parseName decodes the name at offset, which may be compressed. It returns the name in lower case and without the
+// final dot, and the offset after the name in the message. It fails with errMalformed.
 func parseName(message []byte, offset int) (name string, next int, err error) {
 	var labels []byte
 	pointersFollowed := 0
@@ -33,7 +35,7 @@
 		}
 		length := message[offset]
 		switch {
-		case length == 0: // the root ends the name
+		case length == 0: // the empty root label ends the name
 			if pointersFollowed == 0 {
 				next = offset + 1
 			}
@@ -47,7 +49,7 @@
 			if err != nil || pointersFollowed > maxPointers {
 				return "", 0, errMalformed
 			}
-		case length&labelTypeMask != 0: // reserved
+		case length&labelTypeMask != 0: // a reserved label type
 			return "", 0, errMalformed
 		default:
 			labels, offset, err = appendLabel(labels, message, offset)
@@ -58,8 +60,8 @@
 	}
 }
 
-// appendLabel appends the label at offset to name, with a dot in front unless it is the first. It returns the new name and
-// the offset of what follows the label, and fails with errMalformed.
+// appendLabel appends the label at offset to name, preceded by a dot unless name is empty. It returns the extended name
+// and the offset after the label. It fails with errMalformed.
 func appendLabel(name, message []byte, offset int) (extended []byte, next int, err error) {
 	length := int(message[offset])
 	start := offset + 1
@@ -73,9 +75,9 @@
 	return append(name, message[start:end]...), end, nil
 }
 
-// followPointer returns the offset to which the pointer at offset leads. It fails with errMalformed unless that is before
-// the pointer. That excludes a pointer to itself, but not a loop: labels that are read from there may lead to the same
-// pointer again. maxPointers and maxNameLength end such a loop.
+// followPointer returns the target of the pointer at offset. It fails with errMalformed unless the target is before the
+// pointer. This check excludes a pointer to itself, but not a loop: the labels from the target onwards may lead to the
+// same pointer again. maxPointers and maxNameLength end such a loop.
 func followPointer(message []byte, offset int) (int, error) {
 	if offset+pointerLength > len(message) {
 		return 0, errMalformed
--- a/internal/discovery/dns_records.go
+++ b/internal/discovery/dns_records.go
@@ -5,30 +5,30 @@
 	"net/netip"
 )
 
-// maxRecords bounds the records of one message, all sections together. A worker has three, SRV, A and TXT: a list of up to
-// 341 workers and its SOA record fit.
+// maxRecords bounds the number of records in one message, all sections together. Each worker has three records (SRV, A
+// and TXT), so a list of up to 341 workers fits, together with its SOA record.
 const maxRecords = 1024
 
-// Lengths of the fixed parts of resource records, in bytes.
+// Lengths of the fixed-size parts of resource records, in bytes.
 const (
-	recordFixedLength = 10 // type, class, TTL, length of the data
-	srvFixedLength   = 6  // priority, weight, port
-	soaFixedLength   = 20 // serial and four intervals
-	ipv4Length       = 4
+	recordFixedLength = 10 // type, class, TTL and data length, which follow the owner's name
+	srvFixedLength    = 6  // priority, weight and port
+	soaFixedLength    = 20 // serial and four intervals
+	ipv4Length        = 4
 )
 
-// dataLengthOffset is the offset in bytes of the length of the data in what follows a record's owner.
+// dataLengthOffset is the offset of the data length in the fixed part that follows the owner's name, in bytes.
 const dataLengthOffset = 8
 
-// response is what is used of the answer to a query. Names are in lower case, without the final dot.
+// response holds the records that the client uses from a response. Names are in lower case, without the final dot.
 type response struct {
 	serial    uint32                // of the SOA record
 	services  []serviceRecord       // one for each worker
-	addresses map[string]netip.Addr // of A records, by owner; the last counts
+	addresses map[string]netip.Addr // of A records, by owner; the last one of each owner
 	texts     map[string][]string   // of TXT records, by owner
 }
 
-// serviceRecord is an SRV record, RFC 2782. response.endpoint says what its fields mean here.
+// serviceRecord is an SRV record, RFC 2782. response.endpoint tells how its fields describe a worker.
 type serviceRecord struct {
 	priority uint16
 	weight   uint16
@@ -36,8 +36,8 @@
 	target   string
 }
 
-// records reads the resource records of all sections, count together. It fails with errMalformed, or with errNoSerial if
-// none is an SOA record.
+// records reads the resource records of all sections; count is their total number. It fails with errMalformed, or with
+// errNoSerial if none of them is an SOA record.
 func (p *parser) records(count int) (response, error) {
 	if count > maxRecords {
 		return response{}, errMalformed
@@ -62,17 +62,17 @@
 
 // record is one resource record, RFC 1035 section 4.1.3.
 type record struct {
-	owner      string // the name that it is about
-	recordType uint16 // typeSRV, for example
-	message    []byte // the complete message: names in the data may point back into it
-	dataStart      int    // offset of the data in the message
-	dataEnd        int    // offset of what follows the data
+	owner      string // the name to which the record belongs
+	recordType uint16 // such as typeSRV
+	message    []byte // the complete message, since compressed names in the data refer to it
+	dataStart  int    // offset of the data in the message
+	dataEnd    int    // offset after the data in the message
 }
 
-// data returns the part of a record that depends on its type.
+// data returns the record's data (RDATA), whose format depends on the record's type.
 func (r record) data() []byte { return r.message[r.dataStart:r.dataEnd] }
 
-// record reads the resource record that comes next, without its data, which may be of any type.
+// record reads the next resource record. It skips the data without parsing it, so the record may have any type.
 func (p *parser) record() (record, error) {
 	owner, err := p.name()
 	if err != nil {
@@ -91,14 +91,15 @@
 		owner:      owner,
 		recordType: binary.BigEndian.Uint16(fixedFields),
 		message:    p.message,
-		dataStart:      dataStart,
-		dataEnd:        p.offset,
+		dataStart:  dataStart,
+		dataEnd:    p.offset,
 	}, nil
 }
 
-// add takes a record into the response, whatever its class and section. It ignores types that aren't used, SRV records of
-// other names, SRV records whose data is too short for a target, and A records whose data has another size than an address.
-// It fails with errMalformed if the data can't be read.
+// add adds a record to the response, regardless of its class and section. It ignores unused types, SRV records that
+// belong to other names than serviceName, SRV records whose data is too short to hold a target, and A records whose
+// data does not have the size of an IPv4 address. It fails with errMalformed if the data of any other record is
+// invalid.
 func (r *response) add(rec record) error {
 	dataLength := rec.dataEnd - rec.dataStart
 	switch {
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// parseSRV reads the data of an SRV record, which must be longer than srvFixedLength: priority, weight and port, of two
-// bytes each, and the target's name. It does not check that the name ends with the data.
+// parseSRV parses the data of an SRV record: priority, weight and port, of two bytes each, and the target's name. The
+// data must be longer than srvFixedLength. parseSRV does not check that the name ends where the data ends.
 func parseSRV(rec record) (serviceRecord, error) {
 	target, _, err := parseName(rec.message, rec.dataStart+srvFixedLength)
 	if err != nil {
@@ -142,7 +143,7 @@
 	}, nil
 }
 
-// parseTXT returns the strings of a TXT record, each of which has its length in front, as one byte.
+// parseTXT returns the strings of a TXT record. Each string is preceded by its length, which is one byte.
 func parseTXT(rec record) ([]string, error) {
 	var texts []string
 	for data := rec.data(); len(data) > 0; {
@@ -156,7 +157,7 @@
 	return texts, nil
 }
 
-// parseSOA returns the serial of an SOA record, which comes after two names: a name server and a mailbox.
+// parseSOA returns the serial of an SOA record. It follows two names: a name server and a mailbox.
 func parseSOA(rec record) (serial uint32, err error) {
 	offset := rec.dataStart
 	for range 2 {
--- a/internal/discovery/dns_test.go
+++ b/internal/discovery/dns_test.go
@@ -32,10 +32,10 @@
 		{"records cut short", response[:len(response)-1], errMalformed},
 		{"too many records", withByte(answerCountField, 0xff), errMalformed},
 		{"name that points to itself", pointerLoop, errMalformed},
-		{"query", withByte(2, 0), errNotResponse},
+		{"query instead of a response", withByte(2, 0), errNotResponse},
 		{"truncated", withByte(2, 0x82), errTruncated},
-		{"other question", withByte(13, 'x'), errQuestionMismatch},
-		{"no serial", withoutSOA, errNoSerial},
+		{"question for another name", withByte(13, 'x'), errQuestionMismatch},
+		{"no SOA record", withoutSOA, errNoSerial},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, _, err := parseResponse(test.message); !errors.Is(err, test.want) {
@@ -55,19 +55,21 @@
 func TestParseNameRejectsLongNames(t *testing.T) {
 	label := "\x3f" + strings.Repeat("x", 63)
 	if _, _, err := parseName([]byte(strings.Repeat(label, 5)+"\x00"), 0); !errors.Is(err, errMalformed) {
-		t.Errorf("a name over %d bytes: %v", maxNameLength, err)
+		t.Errorf("a name over %d bytes: got error %v", maxNameLength, err)
 	}
 }
 
+// Changed bytes and a cut at any length must not make parseResponse panic or return more workers than the message
+// holds.
 func TestParseResponseOfCorruptedMessage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := buildResponse(1, 9, 0, 1, 0)
 		for range rapid.IntRange(1, 5).Draw(t, "changes") {
-			b[rapid.IntRange(2, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
+			b[rapid.IntRange(2, len(b)-1).Draw(t, "offset")] = rapid.Byte().Draw(t, "value")
 		}
-		_, r, err := parseResponse(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")])
+		_, r, err := parseResponse(b[:rapid.IntRange(0, len(b)).Draw(t, "length")])
 		if err == nil && len(r.services) > 3 {
-			t.Fatalf("read %d services", len(r.services))
+			t.Fatalf("parsed %d SRV records from a message with 3", len(r.services))
 		}
 	})
 }
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -11,40 +11,41 @@
 	"functionrouter/policy"
 )
 
-// srvWeightScale is the factor by which the weight of an SRV record, an integer, is larger than the worker's weight.
+// srvWeightScale is the factor by which the directory multiplies a worker's weight to get the weight of its SRV record,
+// which is an integer.
 const srvWeightScale = 10
 
-// Names in a worker's TXT record, whose strings are "name=value". Other names are ignored.
+// Names of attributes in a worker's TXT record, whose strings have the form "name=value". Other names are ignored.
 const (
 	attributeCell    = "cell"    // Endpoint.Cell
 	attributeStarted = "started" // Endpoint.StartedUnixMs
 )
 
-// errNoAddress says that a worker's SRV record has no address record to its target.
+// errNoAddress means that a response has no address record for the target of a worker's SRV record.
 var errNoAddress = errors.New("no address record")
 
 // Endpoint is one worker in the endpoint list.
 type Endpoint struct {
 	Name          string             // unique in the list
 	Address       string             // IP address and port, "10.1.0.9:10080"
-	Zone          string             // failure domain; "" if it is not known
-	State         policy.WorkerState // Ready or Draining; the list has no workers that are gone
+	Zone          string             // failure domain; "" if unknown
+	State         policy.WorkerState // Ready or Draining; workers that are gone are not in the list
 	Weight        float64            // size relative to other workers
-	Cell          int                // group of workers that share the memory of idempotency keys; 0 if none is given
-	StartedUnixMs int64              // Unix milliseconds at which its process started; 0: long ago, none is given
+	Cell          int                // group of workers that share their record of idempotency keys; 0 if not given
+	StartedUnixMs int64              // start of its process, in Unix milliseconds; 0 (not given) means long ago
 }
 
-// ID returns the worker's id: the 64-bit FNV-1a hash of its name, so that it is the same at every router and survives
-// restarts of the router and the worker.
+// ID returns the worker's id: the 64-bit FNV-1a hash of its name. Every router computes the same id, and restarts of
+// the router or the worker do not change it.
 func (e Endpoint) ID() policy.WorkerID {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(e.Name)) // a hash.Hash never fails
+	_, _ = hash.Write([]byte(e.Name)) // Write of a hash.Hash never returns an error
 	return policy.WorkerID(hash.Sum64())
 }
 
-// endpoint joins the records of one worker: its SRV record and those of the target. The first label of the target is the
-// worker's name, the second its zone; a priority above 0 means that the worker drains. endpoint fails with errNoAddress if
-// the target has no address record.
+// endpoint combines the records of one worker: its SRV record, and the address and TXT records of the SRV record's
+// target. The first label of the target is the worker's name, the second is its zone. A priority above 0 means that the
+// worker is draining. endpoint fails with errNoAddress if the target has no address record.
 func (r response) endpoint(service serviceRecord) (Endpoint, error) {
 	address, ok := r.addresses[service.target]
 	if !ok {
@@ -68,7 +69,7 @@
 	return e, nil
 }
 
-// setAttribute applies one string of a TXT record. A name that is not used and a value that is no integer are ignored.
+// setAttribute sets the field for one string of a TXT record. It ignores unknown names and non-integer values.
 func (e *Endpoint) setAttribute(text string) {
 	name, value, _ := strings.Cut(text, "=")
 	number, err := strconv.ParseInt(value, 10, 64)
--- a/internal/discovery/endpoint_test.go
+++ b/internal/discovery/endpoint_test.go
@@ -44,17 +44,17 @@
 	}
 	t.Run("unknown phase", func(t *testing.T) {
 		if err := load(initialMember{HostPort: "10.1.0.1:10080", Phase: "Asleep"}); !errors.Is(err, errUnknownPhase) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want an unknown phase", err)
 		}
 	})
 	t.Run("address without a port", func(t *testing.T) {
 		if err := load(initialMember{HostPort: "10.1.0.1", Phase: "Ready"}); err == nil {
-			t.Error("no error")
+			t.Error("the address was accepted")
 		}
 	})
 }
 
-// Guards the ids that routers of different versions share by gossip.
+// Routers of different versions exchange worker ids by gossip, so the hash function must not change.
 func TestEndpointIDIsTheHashOfTheName(t *testing.T) {
 	if got, want := (Endpoint{Name: "s-00c41f7a"}).ID(), policy.WorkerID(0x31dedea5b2c6c47d); got != want {
 		t.Errorf("got %#x, want %#x", uint64(got), uint64(want))
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// Whatever the directory sends, parseResponse reads or rejects it, and what it reads can be applied.
+// No message from the directory may cause a panic in parseResponse or, if it can be parsed, in the update of the list.
 func FuzzParseResponse(f *testing.F) {
 	f.Add(encodeQuery(7))
 	f.Fuzz(func(t *testing.T, message []byte) {
 		if _, r, err := parseResponse(message); err == nil {
 			list := newEndpointList()
-			_, _ = list.update(r) // an unusable list is an error, and never a panic
+			_, _ = list.update(r) // an unusable list is an error, not a panic
 		}
 	})
 }
--- a/internal/discovery/initial.go
+++ b/internal/discovery/initial.go
@@ -8,26 +8,26 @@
 	"functionrouter/policy"
 )
 
-// errUnknownPhase says that a worker of the initial list has a phase that parsePhase doesn't know.
+// errUnknownPhase means that a worker of the initial list has a phase that parsePhase doesn't know.
 var errUnknownPhase = errors.New("unknown phase")
 
-// InitialEndpoints is the initial list as the configuration holds it: the directory's events so far, in their order.
-// Usually the first holds the complete list, and later ones the workers that changed.
+// InitialEndpoints is the initial list in the form of the configuration: a sequence of directory events. Usually the
+// first event holds the complete list, and each later event holds the workers that changed.
 type InitialEndpoints struct {
-	Offset uint32         `json:"offset"` // number of the last event, which need not be in Batch
+	Offset uint32         `json:"offset"` // number of the last event, which may be missing from Batch
 	Batch  []initialEvent `json:"batch"`
 }
 
-// initialEvent is one event of the directory: a list of workers, or the workers that changed.
+// initialEvent is one event of the directory: the complete list of workers, or only the workers that changed.
 type initialEvent struct {
 	Offset   uint32 `json:"offset"` // number of the event
 	Topology struct {
-		Complete bool            `json:"complete"` // Members are the complete list
+		Complete bool            `json:"complete"` // Members is the complete list
 		Members  []initialMember `json:"members"`
 	} `json:"topology"`
 }
 
-// initialMember is one worker in an event; Endpoint explains the values.
+// initialMember is one worker in an event. The fields of Endpoint explain its values.
 type initialMember struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"` // IP address and port
@@ -35,11 +35,11 @@
 	Cell      int     `json:"cell"`
 	Phase     string  `json:"phase"` // see parsePhase
 	Size      float64 `json:"size"`
-	UpSinceMs int64   `json:"up_since_ms"` // Unix time
+	UpSinceMs int64   `json:"up_since_ms"` // Unix time in milliseconds
 }
 
-// endpoint converts a member of the configuration's list. It fails with errUnknownPhase, or with an error of netip if
-// HostPort is not an IP address and a port: host names are not resolved.
+// endpoint converts the member to an Endpoint. It fails with errUnknownPhase if the phase is unknown, or with an error
+// of netip if HostPort is not an IP address and a port. Host names are not resolved.
 func (m initialMember) endpoint() (Endpoint, error) {
 	if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
 		return Endpoint{}, err
@@ -59,7 +59,7 @@
 	}, nil
 }
 
-// parsePhase maps the configuration's word for a worker's state. It fails with errUnknownPhase.
+// parsePhase converts a phase, the configuration's name for a worker's state. It fails with errUnknownPhase.
 func parsePhase(phase string) (policy.WorkerState, error) {
 	switch phase {
 	case "Ready":
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,14 +10,14 @@
 
 // endpointList is the newest list of workers.
 type endpointList struct {
-	serial    uint32              // number of the last event that it holds
-	endpoints map[string]Endpoint // by name; none is gone
+	serial    uint32              // number of the last directory event that the list includes
+	endpoints map[string]Endpoint // by name; none has the state Gone
 }
 
-// newEndpointList returns an empty list with serial 0, which any list with a serial above 0 replaces.
+// newEndpointList returns an empty list with serial 0. Any list with a serial above 0 replaces it.
 func newEndpointList() endpointList { return endpointList{endpoints: map[string]Endpoint{}} }
 
-// loadInitial applies the events of the configuration in their order. On an error the list is incomplete.
+// loadInitial applies the events of the configuration in order. After an error the list is incomplete.
 func (l *endpointList) loadInitial(initial InitialEndpoints) error {
 	for _, event := range initial.Batch {
 		if event.Topology.Complete {
@@ -26,7 +26,7 @@
 		for _, member := range event.Topology.Members {
 			endpoint, err := member.endpoint()
 			if err != nil {
-				return fmt.Errorf("known: worker %q: %w", member.ID, err) // known is the setting's name
+				return fmt.Errorf("known: worker %q: %w", member.ID, err) // "known" is the setting's name
 			}
 			l.apply(endpoint)
 		}
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// apply takes one worker of an event into the list, or out of it if the worker is gone.
+// apply adds or replaces one worker of an event in the list, or removes the worker if its state is Gone.
 func (l *endpointList) apply(e Endpoint) {
 	if e.State == policy.Gone {
 		delete(l.endpoints, e.Name)
@@ -45,9 +45,9 @@
 	}
 }
 
-// update replaces the list by that of a response if that one has a higher serial, and reports whether it did. A list
-// without workers replaces it as well. If a worker of a newer list has no address, update fails with errNoAddress and
-// changes nothing. Of several workers with one name the last counts.
+// update replaces the list with the list of a response if the latter has a higher serial, and reports whether it did.
+// The new list may be empty. If a worker of a newer list has no address, update fails with errNoAddress and changes
+// nothing. If several workers have the same name, the last one is used.
 func (l *endpointList) update(r response) (changed bool, err error) {
 	if r.serial <= l.serial {
 		return false, nil
@@ -65,7 +65,7 @@
 	return true, nil
 }
 
-// sorted returns a new slice with the workers in the order of their names.
+// sorted returns a new slice with the workers, sorted by name.
 func (l *endpointList) sorted() []Endpoint {
 	list := make([]Endpoint, 0, len(l.endpoints))
 	for _, e := range l.endpoints {
--- a/internal/discovery/socket.go
+++ b/internal/discovery/socket.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// maxPendingQueries bounds the queries of one socket that are pending; the oldest is given up for a new one. At a query
-// each pollInterval, an answer is usable for some 6 s.
+// maxPendingQueries bounds the number of pending queries of one socket. At the limit, each new query discards the
+// oldest one. With one query per pollInterval, an answer is accepted up to about 6 s after its query.
 const maxPendingQueries = 32
 
-// socket is one socket to the directory and the eventloop.DialHandler of its events. It is current from its dial until it
-// closes or Client.Migrate replaces it; afterwards its events are ignored. Each socket has pending queries of its own, so
-// that no answer counts that a directory sends to another socket.
+// socket is one socket to the directory and the eventloop.DialHandler of its events. It is current from its dial until
+// it closes or Client.Migrate drops it; afterwards its events are ignored. Each socket has its own list of pending
+// queries, so that it accepts only answers to queries that were sent on it.
 type socket struct {
 	client    *Client
 	transport Transport
 	open      bool     // the dial has succeeded
-	pending   []uint16 // ids of the queries without an answer, the latest last
+	pending   []uint16 // ids of the unanswered queries, the latest last
 }
 
 // isCurrent reports whether the client still uses the socket.
 func (s *socket) isCurrent() bool { return s.client.socket == s }
 
-// sendQuery sends a query under an id that is hard to guess (RFC 5452) and that no other pending one has.
+// sendQuery sends a query. Its id is hard to guess (RFC 5452) and differs from the ids of all pending queries.
 func (s *socket) sendQuery() {
 	id := uint16(rand.Uint32())
 	for slices.Contains(s.pending, id) {
@@ -33,7 +33,8 @@
 	s.transport.Write(encodeQuery(id))
 }
 
-// OnOpen handles the end of the dial: the first query is due at once, or the dial has failed, which ends the socket.
+// OnOpen handles the result of the dial. After a successful dial the first query is due at once. A failed dial is
+// handled as a close of the socket.
 func (s *socket) OnOpen(err error) {
 	s.open = err == nil
 	if err != nil {
@@ -45,16 +46,16 @@
 	}
 }
 
-// OnClose makes the client open another socket, unless this one was replaced.
+// OnClose makes the client open another socket if this one is still current.
 func (s *socket) OnClose(err error) {
 	if s.isCurrent() {
 		s.client.socketClosed(err)
 	}
 }
 
-// OnData handles an answer, which may be to any pending query: a directory slower than pollInterval never answers the
-// latest one in time. Lists are complete, so that it does no harm if an answer is lost or overtaken by another. A query
-// stays pending if its answer can't be parsed.
+// OnData handles an answer. It accepts an answer to any pending query: if the directory takes longer than pollInterval,
+// its answers never belong to the latest query. Lost and reordered answers do no harm, because each list is complete. A
+// query stays pending if its answer can't be parsed.
 func (s *socket) OnData(message []byte) {
 	if !s.isCurrent() {
 		return
@@ -66,7 +67,8 @@
 	s.client.answerReceived(r, err)
 }
 
-// removePending removes the query with that id from the pending ones. It fails with errUnexpectedID if there is none.
+// removePending removes the query with this id from the pending queries. It fails with errUnexpectedID if there is
+// none.
 func (s *socket) removePending(id uint16) error {
 	i := slices.Index(s.pending, id)
 	if i < 0 {
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -12,16 +12,17 @@
 	"functionrouter/policy"
 )
 
-// testClient is a Client on fake transports. It keeps the list that was reported last.
+// testClient is a Client with fake transports. It records the transports, the dialed addresses and the last reported
+// list.
 type testClient struct {
 	*Client
 	t          *testing.T
 	transports []*testsupport.Transport
-	addresses  []string // that were dialed, in order
+	addresses  []string // the dialed addresses, in order
 	reported   []Endpoint
 }
 
-// newTestClient returns a client with an initial list of one worker and serial 3, and an open socket.
+// newTestClient returns a client that has an open socket and an initial list of one worker with serial 3.
 func newTestClient(t *testing.T) *testClient {
 	t.Helper()
 	c := &testClient{t: t}
@@ -45,12 +46,12 @@
 	return c
 }
 
-// lastTransport returns the transport that was dialed last.
+// lastTransport returns the transport of the last dial.
 func (c *testClient) lastTransport() *testsupport.Transport {
 	return c.transports[len(c.transports)-1]
 }
 
-// sendQuery polls the client when its next sendQuery is due, checks the sendQuery and returns its id.
+// sendQuery polls the client at the time of its next query, checks the query and returns its id.
 func (c *testClient) sendQuery() uint16 {
 	c.t.Helper()
 	transport := c.lastTransport()
@@ -67,7 +68,7 @@
 	return id
 }
 
-// wantReported checks the list that was reported last.
+// wantReported fails the test unless the last reported list is want.
 func (c *testClient) wantReported(want []Endpoint) {
 	c.t.Helper()
 	if !reflect.DeepEqual(c.reported, want) {
@@ -75,7 +76,8 @@
 	}
 }
 
-// receiveTwoWorkers has the client receiveTwoWorkers a list of two workers with serial 4, and returns that list.
+// receiveTwoWorkers answers the next query with a list of two workers and serial 4, checks that the list is reported
+// and returns it.
 func (c *testClient) receiveTwoWorkers() []Endpoint {
 	c.t.Helper()
 	c.socket.OnData(buildResponse(c.sendQuery(), 4, 0, 1))
