--- a/internal/frontend/fieldvalue/figures.go
+++ b/internal/frontend/fieldvalue/figures.go
@@ -1,11 +1,11 @@
-// Package fieldvalue checks the values of a request's fields: the ids and figures that every frontend reads, with one set of
-// bounds for all of them.
+// Package fieldvalue parses and checks the values of a request's fields. All frontends use it, so that the same formats
+// and bounds apply to every request.
 package fieldvalue
 
 import "time"
 
-// The largest figures that a request may give. No worker can hold a function beyond them, and they would distort the
-// policy's estimates.
+// The maximum values of a request's numeric fields. No worker can run a function with larger values, and larger values
+// would distort the policy's estimates.
 const (
 	MaxMemoryMB    = 1 << 20 // MiB
 	MaxConcurrency = 1024    // requests
@@ -13,10 +13,10 @@
 	MaxWaitMs      = 600_000 // milliseconds
 )
 
-// InRange reports whether v is a number from 0 to limit; NaN is not.
+// InRange reports whether v is between 0 and limit, both included. It returns false for NaN.
 func InRange(v, limit float64) bool { return v >= 0 && v <= limit }
 
-// Milliseconds returns the duration that a figure in milliseconds stands for. The figure must be within the bounds above.
-func Milliseconds(figure float64) time.Duration {
-	return time.Duration(figure * float64(time.Millisecond))
+// Milliseconds converts a number of milliseconds to a duration. ms must be within the bounds above.
+func Milliseconds(ms float64) time.Duration {
+	return time.Duration(ms * float64(time.Millisecond))
 }
--- a/internal/frontend/fieldvalue/hexid.go
+++ b/internal/frontend/fieldvalue/hexid.go
@@ -1,10 +1,10 @@
 package fieldvalue
 
-// hexIDLength is the number of digits of an id on the wire: a 64-bit number.
+// hexIDLength is the number of hexadecimal digits of an ID on the wire, which is a 64-bit number.
 const hexIDLength = 16
 
-// ParseHexID reads an id or a function key: 16 hexadecimal digits in lower case. It returns false for any other
-// spelling of the same number, because workers compare ids as text, and load commands name functions in this form.
+// ParseHexID parses a request ID or a function key: 16 lower-case hexadecimal digits. It returns false for any other
+// spelling of the same number, because workers compare IDs as text and load commands name functions in this form.
 func ParseHexID(s string) (id uint64, ok bool) {
 	if len(s) != hexIDLength {
 		return 0, false
@@ -19,7 +19,7 @@
 	return id, true
 }
 
-// hexDigit returns the value of a hexadecimal digit. It returns false for any other character, upper-case digits included.
+// hexDigit returns the value of a lower-case hexadecimal digit. It returns false for any other character.
 func hexDigit(c byte) (value byte, ok bool) {
 	switch {
 	case c >= '0' && c <= '9':
