--- a/internal/frontend/thrift/call.go
+++ b/internal/frontend/thrift/call.go
@@ -9,36 +9,37 @@
 	"functionrouter/policy"
 )
 
-// maxOpenCalls is how many calls one connection may have open. Clients keep to 32; a call ends here when its reply is
-// written, so that replies which the client has not read yet do not count. The requests of calls beyond it are refused, so
-// that a client that sends hundreds at once leaves capacity to the others.
+// maxOpenCalls is the maximum number of open calls on one connection. The router refuses the requests of further calls,
+// so that a client that sends hundreds of calls at once leaves capacity for other clients. Clients keep at most 32
+// calls open. A call stops counting when its reply is written, even if the client has not read the reply yet.
 const maxOpenCalls = 64
 
-// maxSequenceID is the highest sequence ID that a client may use: on the wire it is a signed number (i32).
+// maxSequenceID is the highest sequence ID that a client may use. On the wire, a sequence ID is a signed 32-bit number.
 const maxSequenceID = math.MaxInt32
 
-// call is an execute call. It is the Responder of its request.
+// call is the state of an execute call. It is the router.Responder of the call's request.
 type call struct {
 	connection *connection
 	sequenceID uint32           // the client's ID of the call
 	requestID  policy.RequestID // the router's ID of the call's request
-	finished   bool             // replied to or cancelled
+	finished   bool             // the server has replied to the call, or the call was cancelled
 }
 
-// handleExecute submits the request of an execute call. A request whose fields can't be used fails at once: the reply
-// is a Lost that names the field.
+// handleExecute submits the request of an execute call. If a field of the request is invalid, it replies at once with a
+// Lost that names the field. An error is a protocol violation.
 func (c *connection) handleExecute(d *decoder, sequenceID uint32) error {
 	fields, body, err := decodeExecuteArguments(d)
 	if err != nil {
 		return err
 	}
 	if len(body) > maxBodyBytes {
-		return errBodyTooLarge
+		return fmt.Errorf("%w: %d bytes, limit %d", errBodyTooLarge, len(body), maxBodyBytes)
 	}
-	// Sequence IDs go up. Under one that was used before, a reply could be taken for the other call's. This holds also for
-	// the calls below whose fields can't be used.
+	// Sequence IDs must increase. If one were used twice, the client could take the reply to one call for the reply to
+	// the other. The rule also covers calls with an invalid field, so their IDs are recorded too.
 	if sequenceID <= c.lastSequenceID || sequenceID > maxSequenceID {
-		return fmt.Errorf("%w: %d after %d", errSequenceID, sequenceID, c.lastSequenceID)
+		return fmt.Errorf("%w: %d after %d; IDs must increase up to %d",
+			errSequenceID, sequenceID, c.lastSequenceID, maxSequenceID)
 	}
 	c.lastSequenceID = sequenceID
 
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// submit hands the request of a call to the router. If the connection has too many open calls, it has the router refuse the
-// request at once, without a copy of its body. The bytes of body may change when submit has returned.
+// submit passes the request of a call to the router. If the connection already has maxOpenCalls open calls, the router
+// refuses the request at once, and the body is not copied. The bytes of body may change after submit returns.
 func (c *connection) submit(sequenceID uint32, request router.Request, body []byte) {
 	newCall := &call{connection: c, sequenceID: sequenceID}
 	request.Responder = newCall
@@ -62,16 +63,17 @@
 		server.router.RefuseAtOnce(server.clock(), request)
 		return
 	}
-	request.Body = bytes.Clone(body)  // so that a large read is not kept in memory for one small body in it
-	c.openCalls[sequenceID] = newCall // before Submit, which may call Respond, which removes it
+	request.Body = bytes.Clone(body)  // a slice of the frame would keep the whole read buffer in memory
+	c.openCalls[sequenceID] = newCall // set before Submit, because Submit may call Respond, which removes the call
 	requestID := server.router.Submit(server.clock(), request)
 	if !newCall.finished {
 		newCall.requestID = requestID
 	}
 }
 
-// handleInterrupt cancels the request of the call that the client no longer waits for. A call that is not open is
-// ignored: its reply may have crossed the message. The interrupt itself has no reply, even if it came as a call.
+// handleInterrupt cancels the request of the call that the client no longer waits for. It ignores an interrupt of a
+// call that is not open, because the reply may have been sent before the interrupt arrived. The interrupt itself gets
+// no reply, even if the client sent it as a call instead of a oneway message.
 func (c *connection) handleInterrupt(d *decoder) error {
 	var sequenceID uint32
 	err := d.structFields(func(fieldID uint16, t valueType) bool {
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// handleCheck replies whether the server is ready for requests. The method's argument has no meaning.
+// handleCheck replies whether the server is ready for requests. It ignores the method's argument.
 func (c *connection) handleCheck(d *decoder, sequenceID uint32) error {
 	if err := d.structFields(func(uint16, valueType) bool { return false }); err != nil {
 		return err
@@ -100,8 +102,8 @@
 	return nil
 }
 
-// Respond writes the reply with the final answer, and ends the call. It writes nothing if the call has been replied to or
-// cancelled. The response's body must not change afterwards.
+// Respond writes the reply with the router's final answer and marks the call as finished. It writes nothing if the call
+// is already finished. The bytes of the response's body must not change afterwards.
 func (c *call) Respond(response router.Response) {
 	if c.finished {
 		return
@@ -120,7 +122,7 @@
 	}
 }
 
-// cancel cancels the request of an open call, and ends the call. No reply is written.
+// cancel cancels the request of an open call and marks the call as finished. It writes no reply.
 func (c *call) cancel(cause router.CancelCause) {
 	delete(c.connection.openCalls, c.sequenceID)
 	if c.finished {
--- a/internal/frontend/thrift/connection.go
+++ b/internal/frontend/thrift/connection.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"cmp"
 	"encoding/binary"
+	"fmt"
 	"maps"
 	"net/netip"
 	"slices"
@@ -12,42 +13,42 @@
 )
 
 const (
-	// maxBodyBytes bounds the body of a request. A larger one violates the protocol.
+	// maxBodyBytes is the maximum size of a request's body. A larger body is a protocol violation.
 	maxBodyBytes = 16 << 10
 
-	// maxFrameBytes bounds a frame, and with it what a connection keeps of an incomplete one: a body and 4 KiB for the
-	// fields beside it.
+	// maxFrameBytes is the maximum size of a frame without its header: a body of maximum size and 4 KiB for the
+	// request's fields. It also limits how much of an incomplete frame a connection buffers.
 	maxFrameBytes = maxBodyBytes + 4<<10
 
-	// frameHeaderBytes is the size of a frame's header: the length of the frame, without the header.
+	// frameHeaderBytes is the size of a frame's header, which holds the length of the frame without the header.
 	frameHeaderBytes = 4
 )
 
-// connection is the connection of one client: it decodes frames and holds the calls that are owed a reply. It is the
-// event loop's handler of the connection.
+// connection is the connection of one client. It decodes the client's frames and tracks the open calls. It implements
+// eventloop.AcceptedHandler.
 type connection struct {
 	server     *Server
 	transport  Transport
 	clientAddr netip.AddrPort
 
-	partialFrame     []byte           // the received beginning of a frame, with its header
-	framesReceived   int              // complete ones
+	partialFrame     []byte           // the received beginning of an incomplete frame, with its header
+	framesReceived   int              // number of complete frames
 	openCalls        map[uint32]*call // by sequence ID
-	lastSequenceID   uint32           // the highest of the execute calls so far; those of other methods are not checked
-	stoppedReceiving bool             // what arrives now is ignored
+	lastSequenceID   uint32           // of the latest execute call; the IDs of calls of other methods are not checked
+	stoppedReceiving bool             // received bytes are ignored
 }
 
-// HasOpenRequests reports whether calls of the connection are owed a reply.
+// HasOpenRequests reports whether the connection has open calls.
 func (c *connection) HasOpenRequests() bool { return len(c.openCalls) > 0 }
 
-// MessageProgress returns how many complete messages have been received, including those that violate the protocol, and
-// whether the beginning of another has.
+// MessageProgress returns the number of complete messages received, including those that violate the protocol, and
+// whether the beginning of another message has been received.
 func (c *connection) MessageProgress() (complete int, partial bool) {
 	return c.framesReceived, len(c.partialFrame) > 0
 }
 
-// OnData decodes the frames in b, which may begin and end anywhere in a frame. The beginning of a frame is kept in a
-// buffer that grows with it, so that a frame that arrives a few bytes at a time is not copied for each of them.
+// OnData handles the frames in b, which may begin and end in the middle of a frame. It collects an incomplete frame in
+// a buffer that grows by appending, so that a frame that arrives a few bytes at a time is not copied at each read.
 func (c *connection) OnData(b []byte) {
 	if c.stoppedReceiving {
 		return
@@ -67,18 +68,18 @@
 		return
 	}
 	if buffered && c.framesReceived == framesBefore {
-		return // the buffer already holds all of the frame that has arrived
+		return // the buffer already holds all received bytes of the incomplete frame
 	}
-	c.partialFrame = bytes.Clone(rest) // so that a large read is not kept in memory for its tail
+	c.partialFrame = bytes.Clone(rest) // a slice of b would keep the whole read buffer in memory
 }
 
-// handleFrames handles the complete frames at the front of b and returns the bytes after them, which point into b. An
-// error is a violation of the protocol; the frames after it are not handled.
+// handleFrames handles the complete frames at the front of b and returns the bytes after them as a slice of b. It stops
+// at the first protocol violation and returns it as an error.
 func (c *connection) handleFrames(b []byte) (rest []byte, err error) {
 	for len(b) >= frameHeaderBytes && !c.stoppedReceiving {
 		size := binary.BigEndian.Uint32(b)
 		if size > maxFrameBytes {
-			return nil, errFrameTooLarge
+			return nil, fmt.Errorf("%w: %d bytes, limit %d", errFrameTooLarge, size, maxFrameBytes)
 		}
 		end := frameHeaderBytes + int(size)
 		if len(b) < end {
@@ -94,16 +95,16 @@
 	return b, nil
 }
 
-// closeForViolation closes the connection of a client that violated the protocol. The open calls are replied to first:
-// CloseAfterFlush drops later writes.
+// closeForViolation closes the connection of a client that violated the protocol. It replies to the open calls first,
+// because the Transport drops writes after CloseAfterFlush.
 func (c *connection) closeForViolation(err error) {
 	c.server.logViolation(err)
 	c.OnEndOfInput()
 	c.transport.CloseAfterFlush()
 }
 
-// OnEndOfInput ends the requests of all open calls, as refused or failed, and replies to the calls: a client that has
-// closed its side may still read.
+// OnEndOfInput has the router end the requests of all open calls as refused or failed, so that every open call gets a
+// reply: a client that has half-closed the connection may still read.
 func (c *connection) OnEndOfInput() {
 	c.stopReceiving()
 	server := c.server
@@ -112,7 +113,7 @@
 	}
 }
 
-// OnClose cancels the requests of all open calls: nobody waits for the replies.
+// OnClose cancels the requests of all open calls, because the client can no longer receive replies.
 func (c *connection) OnClose(error) {
 	c.stopReceiving()
 	for _, open := range c.openCallsBySequenceID() {
@@ -120,14 +121,14 @@
 	}
 }
 
-// stopReceiving makes the connection ignore what arrives from now on.
+// stopReceiving makes the connection ignore all bytes that arrive later, and drops the incomplete frame.
 func (c *connection) stopReceiving() {
 	c.stoppedReceiving = true
 	c.partialFrame = nil
 }
 
-// openCallsBySequenceID returns the open calls in the sequence in which the client sent them. It is a copy: to end a call
-// changes openCalls.
+// openCallsBySequenceID returns the open calls in the order in which the client sent them. The slice is a copy, so that
+// the caller can finish calls, which removes them from openCalls.
 func (c *connection) openCallsBySequenceID() []*call {
 	return slices.SortedFunc(maps.Values(c.openCalls), func(a, b *call) int {
 		return cmp.Compare(a.sequenceID, b.sequenceID)
--- a/internal/frontend/thrift/connection_test.go
+++ b/internal/frontend/thrift/connection_test.go
@@ -7,21 +7,21 @@
 	"functionrouter/internal/router"
 )
 
-// Guards against a sequence ID that is used again, whether its call is open or has been replied to: a reply could be
-// taken for the other call's.
-func TestSequenceIDsMustGoUp(t *testing.T) {
+// Guards against a client that uses a sequence ID twice, or a lower one than before, so that it could take the reply to
+// one call for the reply to another. The earlier call is either still open or has its reply.
+func TestSequenceIDsMustIncrease(t *testing.T) {
 	for _, answered := range []bool{true, false} {
-		for again := range uint32(3) {
-			t.Run(fmt.Sprintf("%d after 2, answered %v", again, answered), func(t *testing.T) {
+		for sequenceID := range uint32(3) {
+			t.Run(fmt.Sprintf("%d after 2, answered %v", sequenceID, answered), func(t *testing.T) {
 				c, requests, transport := newTestConnection()
 				c.OnData(executeFrame(2, "", validFields...))
 				if answered {
 					requests.submitted[0].Responder.Respond(router.Response{})
 				}
-				c.OnData(executeFrame(again, "", validFields...))
+				c.OnData(executeFrame(sequenceID, "", validFields...))
 				c.OnData(executeFrame(5, "", validFields...))
 				if len(requests.submitted) != 1 || !transport.Closed || c.HasOpenRequests() {
-					t.Errorf("%d submitted, closed %v, has open requests %v",
+					t.Errorf("%d requests submitted, want 1; closed: %v, want true; open requests: %v, want false",
 						len(requests.submitted), transport.Closed, c.HasOpenRequests())
 				}
 			})
@@ -29,8 +29,8 @@
 	}
 }
 
-// Guards the capacity that other clients need: calls beyond the limit on one connection are refused, each with a
-// reply, and those within it go on.
+// Guards against one client that takes the capacity of the others with too many calls on one connection. Each call
+// above the limit must be refused with a reply, and the calls within the limit must stay open.
 func TestCallsBeyondTheLimitAreRefused(t *testing.T) {
 	const calls = 200
 	c, requests, transport := newTestConnection()
@@ -39,25 +39,25 @@
 	}
 	if len(requests.submitted) != maxOpenCalls || requests.refused != calls-maxOpenCalls || transport.Closed ||
 		len(c.openCalls) != maxOpenCalls {
-		t.Fatalf("%d submitted, %d refused, %d open, closed %v",
+		t.Fatalf("%d requests submitted, %d refused, %d calls open, connection closed: %v",
 			len(requests.submitted), requests.refused, len(c.openCalls), transport.Closed)
 	}
 	for i := range uint32(calls - maxOpenCalls) {
 		if sequenceID, field := readReply(t, transport); sequenceID != maxOpenCalls+1+i || field != resultBackoffField {
-			t.Fatalf("the reply to %d has field %d", sequenceID, field)
+			t.Fatalf("the reply to sequence ID %d has result field %d", sequenceID, field)
 		}
 	}
 	requests.submitted[0].Responder.Respond(router.Response{})
 	c.OnData(executeFrame(calls+1, "", validFields...))
 	if len(requests.submitted) != maxOpenCalls+1 {
-		t.Error("a call after a reply was not submitted")
+		t.Error("after a reply to an open call, the next call was not submitted")
 	}
 }
 
-// Guards memory and time: the beginning of a frame is not copied for each byte that arrives, and one small body does
-// not keep the whole read that it arrived in.
-func TestReadsAreNeitherCopiedRepeatedlyNorKept(t *testing.T) {
-	const runs = 2 // AllocsPerRun has one before the run that it measures
+// Guards against wasted time and memory: an incomplete frame that is copied at each read when it arrives byte by
+// byte, and a small body that keeps the whole read buffer in memory.
+func TestReadsAreNotCopiedRepeatedlyOrRetained(t *testing.T) {
+	const runs = 2 // AllocsPerRun calls the function once before the call that it measures
 	c, requests, _ := newTestConnection()
 	var frames [runs][]byte
 	for i := range frames {
@@ -71,15 +71,16 @@
 			c.OnData(frame[i : i+1])
 		}
 		if complete, partial := c.MessageProgress(); complete != run || partial {
-			t.Errorf("%d complete messages, want %d; another partial: %v", complete, run, partial)
+			t.Errorf("%d complete messages, want %d; incomplete message: %v, want false", complete, run, partial)
 		}
 	})
 	if allocations > 80 || len(requests.submitted) != runs {
-		t.Errorf("%v allocations, %d submitted", allocations, len(requests.submitted))
+		t.Errorf("%v allocations, want at most 80; %d requests submitted, want %d",
+			allocations, len(requests.submitted), runs)
 	}
 	for _, r := range requests.submitted {
 		if len(r.Body) != maxBodyBytes {
-			t.Errorf("a body of %d bytes, want %d", len(r.Body), maxBodyBytes)
+			t.Errorf("the submitted body has %d bytes, want %d", len(r.Body), maxBodyBytes)
 		}
 	}
 
@@ -88,6 +89,6 @@
 	c.OnData(read)
 	clear(read)
 	if string(requests.submitted[0].Body) != "small" {
-		t.Error("the body points into the read")
+		t.Error("the submitted body points into the read buffer")
 	}
 }
--- a/internal/frontend/thrift/decoder.go
+++ b/internal/frontend/thrift/decoder.go
@@ -8,8 +8,8 @@
 // valueType is a type of value in the binary protocol.
 type valueType byte
 
-// The types of values, from the Apache Thrift specification, "Thrift Binary protocol encoding". Strings and binary
-// values share a type.
+// The value types of the Apache Thrift specification, "Thrift Binary protocol encoding". Strings and binary values have
+// the same type.
 const (
 	typeStop   valueType = 0 // ends a struct
 	typeBool   valueType = 2
@@ -25,19 +25,20 @@
 	typeList   valueType = 15
 )
 
-// The limits on what one message may make the decoder do and keep. The messages of the service stay below them.
+// The limits on the work and the memory that one message can cost the decoder. Valid messages of the service stay below
+// them.
 const (
-	maxMethodNameBytes = 64   // a name is copied into the reply to an unknown method
-	maxRequestFields   = 64   // in the map of a request, which is allocated before they are decoded
-	maxNesting         = 8    // structs and containers around a value; skip recurses for each
-	maxElements        = 1024 // in a map, set or list that is skipped: its count is not compared with the message's length
+	maxMethodNameBytes = 64   // the reply to a call of an unknown method repeats the name
+	maxRequestFields   = 64   // entries in the map of a request, which is allocated before the entries are decoded
+	maxNesting         = 8    // structs and containers around a value; skip recurses once for each
+	maxElements        = 1024 // in a skipped map, set or list, whose count is not compared with the message's length
 )
 
-// decoder decodes values from the front of a message, in place: the byte slices that it returns point into the message.
-// After the first failure it returns zero values, so that err need not be checked after each of them.
+// decoder decodes values from the front of a message in place: the byte slices that it returns point into the message.
+// After the first failure all its methods return zero values, so that callers need not check err after each value.
 type decoder struct {
 	remaining []byte // the part of the message that is not decoded yet
-	err       error  // the first failure, a violation of the protocol
+	err       error  // the first failure, a protocol violation
 }
 
 // fail records the first failure and discards the rest of the message.
@@ -48,7 +49,7 @@
 	d.remaining = nil
 }
 
-// next returns the next n bytes, or nil if there are fewer or n is negative: that is a failure.
+// next returns the next n bytes. If n is negative or fewer than n bytes remain, it records a failure and returns nil.
 func (d *decoder) next(n int) []byte {
 	if n < 0 || n > len(d.remaining) {
 		d.fail(errTruncated)
@@ -82,12 +83,14 @@
 
 func (d *decoder) valueType() valueType { return valueType(d.uint8()) }
 
-// byteString decodes a string or binary value. A length that is negative or beyond the message is a failure.
+// byteString decodes a string or binary value. It records a failure if the length is negative or exceeds the rest of
+// the message.
 func (d *decoder) byteString() []byte { return d.next(int(int32(d.uint32()))) }
 
-// structFields calls decode for each field of the struct that comes next, that of a message's arguments: nothing is around
-// it. decode either decodes the field's value and returns true, or it decodes nothing and returns false: then structFields
-// skips the value. A field that occurs twice is decoded twice. structFields returns the decoder's first failure.
+// structFields decodes the outermost struct of a message, such as the arguments of a method, and calls decode for each
+// field. decode either decodes the field's value and returns true, or decodes nothing and returns false; structFields
+// then skips the value. If a field occurs twice, decode is called for both. structFields returns the decoder's first
+// failure.
 func (d *decoder) structFields(decode func(fieldID uint16, t valueType) bool) error {
 	for d.err == nil {
 		t := d.valueType()
@@ -96,24 +99,24 @@
 		}
 		fieldID := d.uint16()
 		if d.err == nil && !decode(fieldID, t) {
-			d.skip(t, 1) // the struct is around the value
+			d.skip(t, 1) // only the outermost struct encloses the value
 		}
 	}
 	return d.err
 }
 
-// stringMap decodes a map of strings: the keys are copied, the values point into the message. If a key occurs twice,
-// its last value counts. The types of an empty map have no meaning.
+// stringMap decodes the map of a request's fields. It copies the keys, and the values point into the message. If a key
+// occurs twice, the last value is used. The key and value types of an empty map are not checked.
 func (d *decoder) stringMap() map[string][]byte {
 	keyType := d.valueType()
-	elementType := d.valueType()
+	mapValueType := d.valueType()
 	count := d.uint32()
 	if count > maxRequestFields {
-		d.fail(errTooManyElements)
+		d.fail(fmt.Errorf("%w: %d request fields, limit %d", errTooManyElements, count, maxRequestFields))
 		return nil
 	}
-	if count > 0 && (keyType != typeString || elementType != typeString) {
-		d.fail(errNotStringMap)
+	if count > 0 && (keyType != typeString || mapValueType != typeString) {
+		d.fail(fmt.Errorf("%w: key type %d, value type %d", errNotStringMap, keyType, mapValueType))
 		return nil
 	}
 	values := make(map[string][]byte, count)
@@ -128,7 +131,7 @@
 	return values
 }
 
-// skip passes over a value. nesting is the number of structs and containers around it.
+// skip advances past a value of type t. nesting is the number of structs and containers that enclose the value.
 func (d *decoder) skip(t valueType, nesting int) {
 	if nesting > maxNesting {
 		d.fail(errNestedTooDeep)
@@ -159,7 +162,7 @@
 	}
 }
 
-// skipStruct passes over a struct. nesting is the number of structs and containers around it.
+// skipStruct advances past a struct. nesting is the number of structs and containers that enclose the struct.
 func (d *decoder) skipStruct(nesting int) {
 	for d.err == nil {
 		t := d.valueType()
@@ -171,12 +174,13 @@
 	}
 }
 
-// skipElements passes over a container's count and its elements. An element holds one value of each of the types: one in
-// a set or list, a key and a value in a map.
+// skipElements advances past a container's count and its elements. nesting is the number of structs and containers that
+// enclose the container. An element holds one value of each of the types: one type for a set or a list, the key type
+// and the value type for a map.
 func (d *decoder) skipElements(nesting int, types ...valueType) {
 	count := d.uint32()
 	if count > maxElements {
-		d.fail(errTooManyElements)
+		d.fail(fmt.Errorf("%w: %d in a skipped container, limit %d", errTooManyElements, count, maxElements))
 		return
 	}
 	for range count {
--- a/internal/frontend/thrift/doc.go
+++ b/internal/frontend/thrift/doc.go
@@ -1,7 +1,7 @@
-// Package thrift is the platform's frontend: clients call functions over Thrift with the framed transport and the
+// Package thrift implements the frontend for Apache Thrift: clients call functions over the framed transport with the
 // strict binary protocol.
 //
-// The service that clients see, in Thrift's interface language:
+// The service that clients call, in Thrift's interface definition language (IDL):
 //
 //	struct Answer { 1: binary body, 2: map<string,string> fields, 3: bool good }
 //	exception Backoff { 1: map<string,string> fields }
@@ -14,49 +14,53 @@
 //
 // # Terms
 //
-// A call is the invocation of a method on the wire; its connection and its sequence ID identify it. A request is what an
-// execute call asks for; the router knows it by its policy.RequestID. An execute call is open until it is replied to or
-// cancelled. The router's final answer to a request (router.Response) becomes the one reply to the call.
+// A call is the invocation of a method on the wire. Its connection and its sequence ID identify it. A request is the
+// work that an execute call asks for. The router identifies a request by its policy.RequestID. An execute call is open
+// until the server replies to it or it is cancelled. The router's final answer to a request (router.Response) becomes
+// the only reply to the call.
 //
-// A message is a call, or another of the types of messages; it fills one frame. The fields of a request are the names and
-// values in the map of an execute call (request.go). The fields of a Thrift struct are known by their field IDs.
+// A message is a call or one of the other message types (message.go). Each frame holds one message. The fields of a
+// request are the names and values in the map of an execute call (request.go). The fields of a Thrift struct are
+// identified by their field IDs.
 //
-// # The way of a call
+// # Processing of a call
 //
-//   - connection.OnData receives bytes and cuts them into frames (connection.go).
+//   - connection.OnData receives bytes and splits them into frames (connection.go).
 //   - connection.handleMessage decodes the message's header and selects the method (message.go).
 //   - connection.handleExecute decodes the arguments and checks the body and the sequence ID (call.go, decoder.go).
 //   - Server.parseRequest turns the fields into a router.Request (request.go).
-//   - connection.submit copies the body, opens the call and hands the request to RequestRouter.Submit (call.go).
-//   - The router calls call.Respond with the final answer, before Submit returns or later:
-//     Served becomes Answer, Refused becomes Backoff, Failed becomes Lost (call.go).
+//   - connection.submit copies the body, registers the call as open and passes the request to RequestRouter.Submit
+//     (call.go).
+//   - The router calls call.Respond with the final answer, either before Submit returns or later. Served becomes an
+//     Answer, Refused becomes a Backoff, and Failed becomes a Lost (call.go).
 //   - encodeAnswer, encodeBackoff or encodeLost builds the frame, and the Transport sends it (reply.go, encoder.go).
 //
-// An interrupt of an open call, and the close of the connection, cancel the request; there is no reply. If the client
-// ends only its side of the connection, or violates the protocol, the router ends the requests as refused or failed, and
-// the calls are replied to.
+// An interrupt cancels the request of an open call, and the close of the connection cancels the requests of all its
+// open calls. A cancelled call gets no reply. If the client half-closes the connection or violates the protocol, the
+// router ends the requests of the open calls as refused or failed, and every open call gets a reply.
 //
 // # Errors
 //
-// A request whose fields can't be used fails without the router, which neither counts nor logs it: the reply is a Lost with
-// the field's name. A Lost from the router has no fields. A call of an unknown method is replied to with a
-// TApplicationException. A client that violates the protocol loses its connection: each such error wraps errProtocol
-// (errors.go).
+// A request with an invalid field is not passed to the router, so the router neither counts nor logs it. The reply is a
+// Lost with the name of the field. The Lost for a request that the router reports as failed has no fields. The reply to
+// a call of an unknown method is a TApplicationException. The server closes the connection of a client that violates
+// the protocol; every error of this kind wraps errProtocol (errors.go).
 //
-// # Units, ownership, goroutine
+// # Units, ownership, concurrency
 //
-// Times on the wire are milliseconds: the client's wait and load time, and Backoff's "after", which is rounded up. In the
-// code they are time.Durations, and points in time are durations on the event loop's clock. A request's deadline is earlier
-// than the end of the client's wait, so that the reply arrives in time; see router.AnswerBudget.
+// Times on the wire are in milliseconds: the client's wait and load time, and Backoff's "after", which is rounded up.
+// In the code they are time.Durations, and points in time are durations on the event loop's clock. A request's deadline
+// is earlier than the end of the client's wait, so that the reply arrives in time; see router.AnswerBudget.
 //
-// The bytes that OnData receives belong to the event loop: nothing keeps them, a request's body is copied. Neither this
-// package nor the Transport changes a buffer that has been written.
+// The bytes that OnData receives belong to the event loop. The connection keeps no reference to them: it copies a
+// request's body and the beginning of an incomplete frame. Neither this package nor the Transport changes a buffer
+// after it has been passed to Transport.Write.
 //
-// Nothing in this package is safe for concurrent use: everything runs on the event loop's goroutine.
+// Nothing in this package is safe for concurrent use: all code runs on the event loop's goroutine.
 //
 // # Encoding
 //
-// The encoding follows the Apache Thrift specification ("Thrift Remote Procedure Call" for messages and framing, "Thrift
-// Binary protocol encoding" for values). It is written by hand, so that a message of any form is decoded in place and
-// within fixed limits.
+// The encoding follows the Apache Thrift specification ("Thrift Remote Procedure Call" for messages and framing,
+// "Thrift Binary protocol encoding" for values). It is written by hand rather than generated from the IDL, so that the
+// decoder works in place and within fixed limits on any message.
 package thrift
--- a/internal/frontend/thrift/errors.go
+++ b/internal/frontend/thrift/errors.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// errProtocol is wrapped by every error that closes a client's connection.
+// errProtocol is wrapped by every error because of which the server closes a client's connection.
 var errProtocol = errors.New("protocol violation")
 
-// The violations of the protocol. They are compared with errors.Is; some are wrapped with what was received.
+// The protocol violations. Most are returned wrapped together with the received value, so compare them with errors.Is.
 var (
 	errFrameTooLarge     = violation("frame too large")
-	errTruncated         = violation("message truncated")
-	errBadVersion        = violation("not the strict binary protocol, version 1")
+	errTruncated         = violation("truncated message or negative value length")
+	errBadVersion        = violation("message is not in the strict binary protocol, version 1")
 	errMethodNameTooLong = violation("method name too long")
 	errUnexpectedMessage = violation("unexpected message")
 	errUnknownType       = violation("unknown value type")
-	errNestedTooDeep     = violation("value nested too deep")
+	errNestedTooDeep     = violation("value nested too deeply")
 	errTooManyElements   = violation("too many elements")
-	errNotStringMap      = violation("not a map of strings to strings")
-	errBodyTooLarge      = violation("body too large")
-	errSequenceID        = violation("sequence ID not above the last one")
+	errNotStringMap      = violation("request fields are not a map of strings to strings")
+	errBodyTooLarge      = violation("request body too large")
+	errSequenceID        = violation("invalid sequence ID")
 )
 
 // violation returns an error that wraps errProtocol.
--- a/internal/frontend/thrift/fuzz_test.go
+++ b/internal/frontend/thrift/fuzz_test.go
@@ -6,8 +6,9 @@
 	"functionrouter/internal/router"
 )
 
-// Whatever a client sends, in whatever pieces, the connection neither panics nor keeps more than a frame. Each call that
-// it submits is replied to at most once, whichever way the connection ends.
+// Guards against input that makes the connection panic or buffer more than one frame, and against a second reply to a
+// call or a reply after the close. The input is any bytes in pieces of one size, and the connection ends with or
+// without an end of input.
 func FuzzConnection(f *testing.F) {
 	f.Add(executeFrame(1, "body", validFields...), uint8(7), true)
 	f.Add(append(checkFrame(1), interruptFrame(2)...), uint8(1), false)
@@ -20,7 +21,7 @@
 			rest = rest[size:]
 		}
 		if len(c.partialFrame) > maxFrameBytes+frameHeaderBytes+int(pieceSize)+1 {
-			t.Errorf("%d bytes are kept", len(c.partialFrame))
+			t.Errorf("%d bytes of an incomplete frame are buffered", len(c.partialFrame))
 		}
 		if endsInput {
 			c.OnEndOfInput()
@@ -28,10 +29,11 @@
 		before := transport.Written.Len()
 		c.OnClose(nil)
 		for _, r := range requests.submitted {
-			r.Responder.Respond(router.Response{Status: router.Failed}) // late: nobody reads it
+			r.Responder.Respond(router.Response{Status: router.Failed}) // too late: the connection is closed
 		}
 		if c.HasOpenRequests() || transport.Written.Len() != before {
-			t.Errorf("open requests: %v, %d bytes after the close", c.HasOpenRequests(), transport.Written.Len()-before)
+			t.Errorf("open requests: %v, want false; %d bytes written after the close",
+				c.HasOpenRequests(), transport.Written.Len()-before)
 		}
 	})
 }
--- a/internal/frontend/thrift/harness_test.go
+++ b/internal/frontend/thrift/harness_test.go
@@ -13,14 +13,14 @@
 	"functionrouter/policy"
 )
 
-// testNow is what the tests' clock shows.
+// testNow is the time on the tests' clock.
 const testNow = time.Hour
 
-// fakeRouter records the requests that it gets. The ID of a submitted request is its position, counted from 1.
+// fakeRouter is a RequestRouter that records its calls. The ID of a submitted request is its index in submitted plus 1.
 type fakeRouter struct {
 	submitted []router.Request
-	cancelled []policy.RequestID
-	refused   int // at once
+	cancelled []policy.RequestID // by Cancel or Disconnect
+	refused   int                // number of requests that RefuseAtOnce refused
 }
 
 func (f *fakeRouter) Submit(_ time.Duration, r router.Request) policy.RequestID {
@@ -42,7 +42,7 @@
 	f.submitted[id-1].Responder.Respond(router.Response{Status: router.Refused})
 }
 
-// newTestConnection returns the connection of a client between a fake router and a fake transport.
+// newTestConnection returns a connection with a fake router and a fake transport.
 func newTestConnection() (*connection, *fakeRouter, *testsupport.Transport) {
 	requests := &fakeRouter{}
 	transport := &testsupport.Transport{}
@@ -58,7 +58,7 @@
 	return server.newConnection(transport, netip.AddrPort{}), requests, transport
 }
 
-// The positions of the values in validFields.
+// The indexes of the values in validFields.
 const (
 	classValue      = 1
 	idValue         = 3
@@ -67,60 +67,61 @@
 	propertiesValue = 9
 )
 
-// validFields are the fields of a request that can be used, as names and values in turn.
+// validFields are the fields of a valid request, as alternating names and values.
 var validFields = []string{
 	fieldClass, "repair-order", fieldRequestID, "9b1f03aa5c7e2d41", fieldWait, "1500", fieldFunctionKey, "7f3a9c21e0b4d655",
 	fieldProperties, "memory_mb:512;lanes:2;load_ms:640",
 }
 
-// fieldsWith returns validFields with another value at the position.
+// fieldsWith returns a copy of validFields with the value at the index position replaced.
 func fieldsWith(position int, value string) []string {
 	fields := slices.Clone(validFields)
 	fields[position] = value
 	return fields
 }
 
-// executeFrame returns the frame of an execute call with fields, given as names and values in turn.
+// executeFrame returns the frame of an execute call. Its fields are given as alternating names and values.
 func executeFrame(sequenceID uint32, body string, fields ...string) []byte {
-	b := appendFrame(nil, messageCall, methodExecute, sequenceID)
+	b := appendHeaders(nil, messageCall, methodExecute, sequenceID)
 	b = appendStringMap(appendFieldHeader(b, executeFieldsField, typeMap), fields...)
 	b = appendString(appendFieldHeader(b, executeBodyField, typeString), body)
 	return closeFrame(b)
 }
 
-// interruptFrame returns the frame that interrupts the call with the sequence ID.
+// interruptFrame returns the frame of a oneway message that interrupts the call with the sequence ID.
 func interruptFrame(sequenceID uint32) []byte {
-	b := appendFrame(nil, messageOneway, methodInterrupt, 0)
+	b := appendHeaders(nil, messageOneway, methodInterrupt, 0)
 	return closeFrame(appendUint32(appendFieldHeader(b, interruptSequenceIDField, typeI32), sequenceID))
 }
 
 // checkFrame returns the frame of a check call.
 func checkFrame(sequenceID uint32) []byte {
-	b := appendFrame(nil, messageCall, methodCheck, sequenceID)
+	b := appendHeaders(nil, messageCall, methodCheck, sequenceID)
 	return closeFrame(appendBool(appendFieldHeader(b, 1, typeBool), true))
 }
 
 // emptyFrame returns the frame of a message without arguments.
 func emptyFrame(t messageType, method string, sequenceID uint32) []byte {
-	return closeFrame(appendFrame(nil, t, method, sequenceID))
+	return closeFrame(appendHeaders(nil, t, method, sequenceID))
 }
 
-// closeFrame ends the struct of arguments and the frame.
+// closeFrame appends the end of the arguments' struct and sets the length in the frame's header.
 func closeFrame(b []byte) []byte {
 	b = append(b, byte(typeStop))
 	setFrameLength(b, 0)
 	return b
 }
 
-// noResultField is what readReply returns for a reply without a result.
+// noResultField is the result field that readReply returns for a reply without a result.
 const noResultField = 99
 
-// readReply takes the first frame off what was written: its sequence ID and the field that its result sets.
+// readReply removes the first frame from the written bytes. It returns the frame's sequence ID and the ID of the field
+// that its result sets.
 func readReply(t rapid.TB, transport *testsupport.Transport) (sequenceID uint32, resultField uint16) {
 	t.Helper()
 	b := transport.Written.Bytes()
 	if len(b) < frameHeaderBytes || len(b) < frameHeaderBytes+int(binary.BigEndian.Uint32(b)) {
-		t.Fatalf("wrote %x", b)
+		t.Fatalf("wrote %x, want a complete frame", b)
 	}
 	end := frameHeaderBytes + int(binary.BigEndian.Uint32(b))
 	d := decoder{remaining: b[frameHeaderBytes:end]}
@@ -130,7 +131,7 @@
 		err = d.structFields(func(id uint16, _ valueType) bool { resultField = id; return false })
 	}
 	if err != nil {
-		t.Fatalf("wrote %x: %v", b, err)
+		t.Fatalf("wrote %x, which does not decode: %v", b, err)
 	}
 	transport.Written.Next(end)
 	return header.sequenceID, resultField
--- a/internal/frontend/thrift/message.go
+++ b/internal/frontend/thrift/message.go
@@ -4,13 +4,13 @@
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -linecomment -output=enum_string.go -type=messageType
 
-// messageType is the kind of a message.
+// messageType is the type of a message.
 type messageType byte
 
-// The types of messages, from the Apache Thrift specification, "Thrift Remote Procedure Call". Their texts are the
+// The message types of the Apache Thrift specification, "Thrift Remote Procedure Call". String returns the
 // specification's names.
 const (
-	// A call asks for a reply.
+	// A call requires a reply.
 	messageCall messageType = 1 // call
 	// A reply holds the result of a call: its return value or an exception that the method declares.
 	messageReply messageType = 2 // reply
@@ -20,7 +20,8 @@
 	messageOneway messageType = 4 // oneway
 )
 
-// The first word of a strict message holds the version; its lowest byte is the message's type.
+// The first 32-bit word of a message in the strict binary protocol holds the version in its upper 24 bits and the
+// message type in its lowest byte.
 const (
 	strictVersion = 0x80010000
 	versionMask   = 0xffffff00
@@ -40,15 +41,15 @@
 	interruptSequenceIDField = 1
 )
 
-// messageHeader is the beginning of a message; the struct of its arguments follows.
+// messageHeader is the header of a message. The struct of the arguments or of the result follows it.
 type messageHeader struct {
 	messageType messageType
 	method      string
 	sequenceID  uint32
 }
 
-// decodeHeader decodes the header at the beginning of a message. An error is a violation of the protocol. The type of the
-// message may be any number.
+// decodeHeader decodes the header at the beginning of a message. It does not check the message type. An error is a
+// protocol violation.
 func (d *decoder) decodeHeader() (messageHeader, error) {
 	firstWord := d.uint32()
 	method := d.byteString()
@@ -57,15 +58,16 @@
 	case d.err != nil:
 		return messageHeader{}, d.err
 	case firstWord&versionMask != strictVersion:
-		return messageHeader{}, errBadVersion
+		return messageHeader{}, fmt.Errorf("%w: the message starts with %#010x", errBadVersion, firstWord)
 	case len(method) > maxMethodNameBytes:
-		return messageHeader{}, errMethodNameTooLong
+		return messageHeader{}, fmt.Errorf("%w: %d bytes, limit %d",
+			errMethodNameTooLong, len(method), maxMethodNameBytes)
 	}
 	return messageHeader{messageType: messageType(firstWord), method: string(method), sequenceID: sequenceID}, nil
 }
 
-// describe returns the type's name for errors, which stand in the log. It differs from String for numbers that are no type:
-// operators search the log for this text.
+// describe returns the text for the type in errors. Operators search the log for this text. Unlike String, it describes
+// a number N that is not a message type of the protocol as "message type N".
 func (t messageType) describe() string {
 	if t < messageCall || t > messageOneway {
 		return fmt.Sprintf("message type %d", byte(t))
@@ -73,8 +75,8 @@
 	return t.String()
 }
 
-// handleMessage handles the message in a frame. An error says how the message violates the protocol. An interrupt may
-// be a oneway message or a call; any other oneway message is ignored.
+// handleMessage handles the message in a frame. An error is a protocol violation. An interrupt may be a oneway message
+// or a call; any other oneway message is ignored.
 func (c *connection) handleMessage(frame []byte) error {
 	d := &decoder{remaining: frame}
 	header, err := d.decodeHeader()
@@ -94,7 +96,7 @@
 		c.transport.Write(encodeUnknownMethod(header.method, header.sequenceID))
 		return nil
 	case isOneway:
-		return nil // nothing to reply to, whatever its method: execute and check too
+		return nil // a oneway message gets no reply, even if its method is execute or check
 	}
 	return fmt.Errorf("%w: %v %q", errUnexpectedMessage, header.messageType.describe(), header.method)
 }
--- a/internal/frontend/thrift/model_test.go
+++ b/internal/frontend/thrift/model_test.go
@@ -11,16 +11,17 @@
 	"functionrouter/internal/testsupport"
 )
 
-// connectionModel plays random steps on a connection and knows the expected result of each.
+// connectionModel performs random actions on a connection and tracks the state that the connection must have.
 type connectionModel struct {
 	connection     *connection
 	router         *fakeRouter
 	transport      *testsupport.Transport
 	lastSequenceID uint32
-	open           map[uint32]int // the request of each open call, as its position in router.submitted
+	open           map[uint32]int // index of each open call's request in router.submitted, by sequence ID
 }
 
-// Complete calls reach the router however they are split. Each open call gets exactly one reply, an interrupted one none.
+// Guards against a call that is lost because its frame arrives in several reads, against an open call with no reply or
+// more than one, and against a reply to an interrupted call.
 func TestConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &connectionModel{open: map[uint32]int{}}
@@ -29,28 +30,28 @@
 			"call":      m.call,
 			"answer":    m.answer,
 			"interrupt": m.interrupt,
-			"bad":       m.callWithInvalidField,
+			"bad field": m.callWithInvalidField,
 			"check":     m.check,
 			"":          m.checkInvariants,
 		})
 	})
 }
 
-// feed passes the bytes to the connection in pieces of any size.
+// feed passes the bytes to the connection in pieces of random sizes.
 func (m *connectionModel) feed(t *rapid.T, b []byte) {
 	for len(b) > 0 {
-		n := rapid.IntRange(1, len(b)).Draw(t, "n")
+		n := rapid.IntRange(1, len(b)).Draw(t, "size")
 		m.connection.OnData(bytes.Clone(b[:n]))
 		b = b[n:]
 	}
 }
 
-// drawOpenCall returns the sequence ID of any open call.
+// drawOpenCall returns the sequence ID of a random open call. It returns false if no call is open.
 func (m *connectionModel) drawOpenCall(t *rapid.T) (sequenceID uint32, found bool) {
 	if len(m.open) == 0 {
 		return 0, false
 	}
-	sequenceID = rapid.Uint32Range(1, m.lastSequenceID).Draw(t, "seq")
+	sequenceID = rapid.Uint32Range(1, m.lastSequenceID).Draw(t, "sequence ID")
 	for {
 		if _, open := m.open[sequenceID]; open {
 			return sequenceID, true
@@ -80,14 +81,15 @@
 	if !found {
 		return
 	}
-	status := router.Status(rapid.IntRange(0, 2).Draw(t, "verdict"))
+	status := router.Status(rapid.IntRange(0, 2).Draw(t, "status"))
 	response := router.Response{Status: status, Body: []byte("x"), RetryAfter: 1}
 	responder := m.router.submitted[m.open[sequenceID]].Responder
 	responder.Respond(response)
-	responder.Respond(response) // a second one goes nowhere
+	responder.Respond(response) // the connection must not write a second reply
 	delete(m.open, sequenceID)
 	if got, field := readReply(t, m.transport); got != sequenceID || field != uint16(status) {
-		t.Fatalf("the reply to %d has field %d, want %d to %d", got, field, status, sequenceID)
+		t.Fatalf("the reply to sequence ID %d has result field %d, want field %d and sequence ID %d",
+			got, field, status, sequenceID)
 	}
 }
 
@@ -100,34 +102,36 @@
 	position := m.open[sequenceID]
 	cancelled := m.router.cancelled
 	if len(cancelled) == 0 || int(cancelled[len(cancelled)-1]) != position+1 {
-		t.Fatalf("cancelled %v, want %d last", cancelled, position+1)
+		t.Fatalf("cancelled requests %v, want %d as the last one", cancelled, position+1)
 	}
-	m.router.submitted[position].Responder.Respond(router.Response{})
+	m.router.submitted[position].Responder.Respond(router.Response{}) // the connection must not write a reply
 	delete(m.open, sequenceID)
 }
 
-// callWithInvalidField sends a call whose request fails at once.
+// callWithInvalidField sends an execute call with an invalid field, to which the connection must reply at once with a
+// Lost.
 func (m *connectionModel) callWithInvalidField(t *rapid.T) {
 	positions := []int{classValue, idValue, waitValue, keyValue, propertiesValue}
 	position := rapid.SampledFrom(positions).Draw(t, "field")
 	m.lastSequenceID++
 	m.feed(t, executeFrame(m.lastSequenceID, "", fieldsWith(position, "nonsense")...))
 	if got, field := readReply(t, m.transport); got != m.lastSequenceID || field != resultLostField {
-		t.Fatalf("the reply to %d has field %d", got, field)
+		t.Fatalf("the reply to sequence ID %d has result field %d", got, field)
 	}
 }
 
 func (m *connectionModel) check(t *rapid.T) {
 	m.feed(t, checkFrame(7))
 	if got, field := readReply(t, m.transport); got != 7 || field != resultSuccessField {
-		t.Fatalf("the reply to %d has field %d", got, field)
+		t.Fatalf("the reply to sequence ID %d has result field %d", got, field)
 	}
 }
 
-// checkInvariants finds replies that no call is owed, and a connection that loses track of its open calls.
+// checkInvariants fails the test if the connection has written an unexpected reply, is closed, or reports open calls
+// when the model has none, or the reverse.
 func (m *connectionModel) checkInvariants(t *rapid.T) {
 	if m.transport.Written.Len() > 0 || m.transport.Closed || m.connection.HasOpenRequests() != (len(m.open) > 0) {
-		t.Fatalf("wrote %x, closed %v, has open requests %v, want %d",
+		t.Fatalf("wrote %x, want nothing; connection closed: %v, want false; open requests: %v, %d calls are open",
 			m.transport.Written.Bytes(), m.transport.Closed, m.connection.HasOpenRequests(), len(m.open))
 	}
 }
--- a/internal/frontend/thrift/reply.go
+++ b/internal/frontend/thrift/reply.go
@@ -22,23 +22,23 @@
 
 // The names in the maps of Backoff and Lost.
 const (
-	backoffAfter = "after"  // Retry-After, in whole milliseconds; 0: no advice
-	lostReason   = "reason" // the field of the request that can't be used; absent from a Lost of the router
+	backoffAfter = "after"  // how long the client should wait before a retry, in whole milliseconds; 0: no advice
+	lostReason   = "reason" // the name of the request's invalid field; absent if the request failed in the router
 )
 
-// The field IDs of Thrift's TApplicationException, and the type that says that the service has no such method.
+// The field IDs of Thrift's TApplicationException, and the value of its type field for an unknown method.
 const (
 	applicationExceptionMessageField = 1
 	applicationExceptionTypeField    = 2
 	unknownMethodType                = 1
 )
 
-// replyCapacity is the initial size, in bytes, of the buffer of an exception or of an Answer's part before its body. Either
-// fits, so that the buffer need not grow.
+// replyCapacity is the initial capacity, in bytes, of the buffer for an exception or for the part of an Answer before
+// its body. Both fit, so that the buffer does not grow.
 const replyCapacity = 64
 
-// encodeAnswer returns the frame of an Answer as the bytes before its body and those after it, so that the body, of
-// bodyBytes bytes, need not be copied. good is true for execute, and whether the server is ready for check.
+// encodeAnswer returns the frame of an Answer as the bytes before and the bytes after its body, so that the body is not
+// copied. bodyBytes is the length of the body. good is true for execute; for check it is true if the server is ready.
 func encodeAnswer(method string, sequenceID uint32, bodyBytes int, good bool) (head, tail []byte) {
 	tail = appendFieldHeader(nil, answerFieldsField, typeMap)
 	tail = appendStringMap(tail)
@@ -47,7 +47,7 @@
 	tail = append(tail, byte(typeStop)) // of the Answer
 	tail = append(tail, byte(typeStop)) // of the result
 
-	head = appendFrame(make([]byte, 0, replyCapacity), messageReply, method, sequenceID)
+	head = appendHeaders(make([]byte, 0, replyCapacity), messageReply, method, sequenceID)
 	head = appendFieldHeader(head, resultSuccessField, typeStruct)
 	head = appendFieldHeader(head, answerBodyField, typeString)
 	head = appendUint32(head, uint32(bodyBytes))
@@ -55,22 +55,23 @@
 	return head, tail
 }
 
-// encodeBackoff returns the frame of a Backoff in reply to an execute call. Retry-After is rounded up to whole
-// milliseconds, so that a client that keeps to it never retries too early.
+// encodeBackoff returns the frame of a Backoff in reply to an execute call. retryAfter is rounded up to whole
+// milliseconds, so that a client that follows the advice never retries too early.
 func encodeBackoff(sequenceID uint32, retryAfter time.Duration) []byte {
 	roundedUp := (retryAfter + time.Millisecond - 1) / time.Millisecond
 	return encodeException(sequenceID, resultBackoffField, backoffAfter, strconv.FormatInt(int64(roundedUp), 10))
 }
 
-// encodeLost returns the frame of a Lost in reply to an execute call, with the fields given as names and values in turn.
+// encodeLost returns the frame of a Lost in reply to an execute call. Its fields are given as alternating names and
+// values.
 func encodeLost(sequenceID uint32, namesAndValues ...string) []byte {
 	return encodeException(sequenceID, resultLostField, namesAndValues...)
 }
 
-// encodeException returns the frame of an exception that execute declares, with the fields given as names and values in
-// turn. resultField is the field ID of the exception in the result.
+// encodeException returns the frame of an exception that execute declares. resultField is the field ID of the exception
+// in the result. The exception's fields are given as alternating names and values.
 func encodeException(sequenceID uint32, resultField uint16, namesAndValues ...string) []byte {
-	frame := appendFrame(make([]byte, 0, replyCapacity), messageReply, methodExecute, sequenceID)
+	frame := appendHeaders(make([]byte, 0, replyCapacity), messageReply, methodExecute, sequenceID)
 	frame = appendFieldHeader(frame, resultField, typeStruct)
 	frame = appendFieldHeader(frame, exceptionFieldsField, typeMap)
 	frame = appendStringMap(frame, namesAndValues...)
@@ -82,7 +83,7 @@
 
 // encodeUnknownMethod returns the frame of the TApplicationException for a method that the service does not have.
 func encodeUnknownMethod(method string, sequenceID uint32) []byte {
-	frame := appendFrame(nil, messageException, method, sequenceID)
+	frame := appendHeaders(nil, messageException, method, sequenceID)
 	frame = appendFieldHeader(frame, applicationExceptionMessageField, typeString)
 	frame = appendString(frame, "unknown method")
 	frame = appendFieldHeader(frame, applicationExceptionTypeField, typeI32)
--- a/internal/frontend/thrift/reply_test.go
+++ b/internal/frontend/thrift/reply_test.go
@@ -8,7 +8,7 @@
 	"functionrouter/internal/router"
 )
 
-// respond returns a play of one call whose request gets the answer.
+// respond returns a function that sends one execute call and gives its request the answer.
 func respond(answer router.Response) func(*connection, *fakeRouter) {
 	return func(c *connection, requests *fakeRouter) {
 		c.OnData(executeFrame(7, "request", validFields...))
@@ -16,10 +16,10 @@
 	}
 }
 
-// wireFrames are what a client's messages are replied to with, in hexadecimal digits.
+// wireFrames lists exchanges with a client and the bytes that the connection must write in each, as hexadecimal digits.
 var wireFrames = []struct {
 	name string
-	play func(*connection, *fakeRouter)
+	run  func(*connection, *fakeRouter)
 	want string
 }{
 	{
@@ -32,17 +32,19 @@
 		"0000002c800100020000000765786563757465000000070c00000b0001000000000d00020b0b00000000020003010000",
 	},
 	{
-		"refused with no time to stay away", respond(router.Response{Status: router.Refused}),
+		"refused without a retry delay", respond(router.Response{Status: router.Refused}),
 		"0000002f800100020000000765786563757465000000070c00010d00010b0b0000000100000005616674657200000001" +
 			"300000",
 	},
 	{
-		"refused for a fraction of a millisecond", respond(router.Response{Status: router.Refused, RetryAfter: 1}),
+		"refused with a retry delay below a millisecond",
+		respond(router.Response{Status: router.Refused, RetryAfter: 1}),
 		"0000002f800100020000000765786563757465000000070c00010d00010b0b0000000100000005616674657200000001" +
 			"310000",
 	},
 	{
-		"refused for a while", respond(router.Response{Status: router.Refused, RetryAfter: 1500 * time.Millisecond}),
+		"refused with a retry delay",
+		respond(router.Response{Status: router.Refused, RetryAfter: 1500 * time.Millisecond}),
 		"00000032800100020000000765786563757465000000070c00010d00010b0b0000000100000005616674657200000004" +
 			"313530300000",
 	},
@@ -51,7 +53,7 @@
 		"00000021800100020000000765786563757465000000070c00020d00010b0b000000000000",
 	},
 	{
-		"field out of range", func(c *connection, _ *fakeRouter) { c.OnData(executeFrame(7, "", "class", "no such")) },
+		"invalid field", func(c *connection, _ *fakeRouter) { c.OnData(executeFrame(7, "", "class", "no such")) },
 		"00000034800100020000000765786563757465000000070c00020d00010b0b0000000100000006726561736f6e000000" +
 			"05636c6173730000",
 	},
@@ -81,14 +83,15 @@
 	},
 }
 
-// Frames are compared byte for byte, because clients decode them with code that is not in this repository.
+// Guards against a change of the bytes on the wire. Clients decode the frames with code that is not in this repository,
+// so the test compares every byte.
 func TestFramesOnTheWire(t *testing.T) {
 	for _, test := range wireFrames {
 		t.Run(test.name, func(t *testing.T) {
 			c, requests, transport := newTestConnection()
-			test.play(c, requests)
+			test.run(c, requests)
 			if got := hex.EncodeToString(transport.Written.Bytes()); got != test.want || transport.Closed {
-				t.Errorf("wrote %s, want %s; closed %v", got, test.want, transport.Closed)
+				t.Errorf("wrote %s, want %s; connection closed: %v, want false", got, test.want, transport.Closed)
 			}
 		})
 	}
--- a/internal/frontend/thrift/request.go
+++ b/internal/frontend/thrift/request.go
@@ -12,42 +12,42 @@
 	"functionrouter/policy"
 )
 
-// The fields of a request, as they are named on the wire.
+// The names of a request's fields on the wire.
 const (
 	fieldClass       = "class"
 	fieldTenant      = "tenant"
-	fieldRequestID   = "id"    // 16 lower-case hex digits, new with every request
+	fieldRequestID   = "id"    // 16 lower-case hex digits, different for every request
 	fieldFunctionKey = "key"   // the function, 16 lower-case hex digits
 	fieldWait        = "wait"  // how long the client waits for the whole reply, in milliseconds
 	fieldProperties  = "props" // PROPERTY:NUMBER;PROPERTY:NUMBER...
 )
 
-// The properties in fieldProperties, as they are named on the wire.
+// The names of the properties in fieldProperties on the wire.
 const (
 	propertyMemory      = "memory_mb" // of one instance, in MiB
 	propertyConcurrency = "lanes"     // requests that one instance runs at a time
-	propertyLoadTime    = "load_ms"   // usual time to load an instance, in milliseconds
+	propertyLoadTime    = "load_ms"   // usual time for loading an instance, in milliseconds
 )
 
-// Why a field can't be used.
+// The reasons why a field is invalid.
 var (
 	errUnknownClass = errors.New("unknown class")
 	errHexID        = errors.New("not 16 lower-case hex digits")
 	errOutOfRange   = errors.New("out of range")
 )
 
-// invalidFieldError says which field of a request can't be used, and why.
+// invalidFieldError reports an invalid field of a request.
 type invalidFieldError struct {
-	field string // as on the wire; the client gets it as the reason
-	err   error  // neither sent nor logged
+	field string // the field's name on the wire, which the client gets as the reason
+	err   error  // why the field is invalid; neither sent to the client nor logged
 }
 
 func (e *invalidFieldError) Error() string { return fmt.Sprintf("field %q: %v", e.field, e.err) }
 
 func (e *invalidFieldError) Unwrap() error { return e.err }
 
-// decodeExecuteArguments decodes the arguments of execute: the fields by name, and the body. The values and the body point
-// into the frame. An error is a violation of the protocol.
+// decodeExecuteArguments decodes the arguments of execute: the request's fields, by name, and its body. The fields'
+// values and the body point into the frame. An error is a protocol violation.
 func decodeExecuteArguments(d *decoder) (fields map[string][]byte, body []byte, err error) {
 	err = d.structFields(func(fieldID uint16, t valueType) bool {
 		switch {
@@ -63,9 +63,10 @@
 	return fields, body, err
 }
 
-// parseRequest turns the fields of an execute call into a request, without its body, Responder and client address. It keeps
-// nothing of fields. A tenant that is missing or unknown is router.UnknownTenant. If several fields can't be used, the
-// error names the first in the sequence of the checks: clients see it.
+// parseRequest converts the fields of an execute call into a request without a body, a Responder and a client address.
+// The request keeps no reference to fields. A missing or unknown tenant becomes router.UnknownTenant. If several fields
+// are invalid, the error names the first one in the order of the checks below. The order matters because the client
+// gets this name.
 func (s *Server) parseRequest(fields map[string][]byte) (router.Request, *invalidFieldError) {
 	class, known := s.classes[string(fields[fieldClass])]
 	if !known {
@@ -104,7 +105,7 @@
 }
 
 // parseProperties sets the request's memory, concurrency and load time from the text of fieldProperties, which may be
-// empty. If a property occurs twice, the last one counts. After an error the request can't be used.
+// empty. If a property occurs twice, the last value is used. After an error the request must not be used.
 func parseProperties(text string, request *router.Request) error {
 	for text != "" {
 		var property string
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// parseProperty sets the field of the request that a property stands for. A property that is not known is not used, but it
-// too must be a number from 0 up.
+// parseProperty sets the field of the request that corresponds to a property. It ignores an unknown property, but the
+// value must also be a finite number that is not negative.
 func parseProperty(name, number string, request *router.Request) (err error) {
 	switch name {
 	case propertyMemory:
@@ -135,14 +136,14 @@
 	return err
 }
 
-// parseNumber parses a number from 0 to maximum, in any form that Go has for a floating-point literal: 1500, 1.5e3, 0x10p4.
+// parseNumber parses a number from 0 to maximum in any syntax that strconv.ParseFloat accepts: 1500, 1.5e3, 0x10p4.
 func parseNumber(text string, maximum float64) (float64, error) {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return 0, err
 	}
 	if !fieldvalue.InRange(value, maximum) {
-		return 0, fmt.Errorf("%w: %v, from 0 to %v", errOutOfRange, value, maximum)
+		return 0, fmt.Errorf("%w: %v is not between 0 and %v", errOutOfRange, value, maximum)
 	}
 	return value, nil
 }
--- a/internal/frontend/thrift/request_test.go
+++ b/internal/frontend/thrift/request_test.go
@@ -8,9 +8,9 @@
 	"functionrouter/internal/router"
 )
 
-// Guards tenants' quotas: a request counts against the tenant that it names, by the settings' names. One that names
-// none counts against no tenant, not against the first.
-func TestRequestsHaveTheirTenant(t *testing.T) {
+// Guards against a request that counts against the quota of a wrong tenant. A request that names no tenant, or an
+// unknown one, must not count against the first tenant in the settings.
+func TestRequestsAreAssignedToTheirTenant(t *testing.T) {
 	c, requests, _ := newTestConnection()
 	for _, test := range []struct {
 		name, tenant string
@@ -28,14 +28,14 @@
 			}
 			c.OnData(executeFrame(c.lastSequenceID+1, "body", fields...))
 			if got := requests.submitted[len(requests.submitted)-1].Tenant; got != test.want {
-				t.Errorf("got %d, want %d", got, test.want)
+				t.Errorf("got tenant %d, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// Guards the estimates: a request with a figure that no worker could use, or that is no number, fails and is not
-// submitted.
+// Guards the policy's estimates against a request with a field that is malformed or a value that no worker could use.
+// Such a request must get a Lost and must not be submitted.
 func TestInvalidFieldsAreAnsweredWithLost(t *testing.T) {
 	for _, test := range []struct {
 		position int
@@ -55,16 +55,17 @@
 				c, requests, transport := newTestConnection()
 				c.OnData(executeFrame(1, "", fieldsWith(test.position, value)...))
 				if _, field := readReply(t, transport); len(requests.submitted) != 0 || field != resultLostField {
-					t.Errorf("%d submitted, the reply has field %d", len(requests.submitted), field)
+					t.Errorf("%d requests submitted, want 0; result field %d", len(requests.submitted), field)
 				}
 			})
 		}
 	}
 }
 
-// Guards requests whose client waits hardly longer than their work takes: the margin for the way back leaves them most
-// of their time.
-func TestShortWaitsKeepMostOfTheirTime(t *testing.T) {
+// Guards against a margin that uses up most of a short wait, so that a request whose work takes nearly the whole wait
+// could not be served. The margin is the time that the deadline leaves for the reply to reach the client: 40 ms, but at
+// most a tenth of the wait.
+func TestAnswerMarginIsSmallForShortWaits(t *testing.T) {
 	for _, test := range []struct {
 		wait string
 		want time.Duration
@@ -79,7 +80,7 @@
 			c, requests, _ := newTestConnection()
 			c.OnData(executeFrame(1, "", fieldsWith(waitValue, test.wait)...))
 			if len(requests.submitted) != 1 || requests.submitted[0].Deadline-testNow != test.want {
-				t.Errorf("submitted %+v, want %v", requests.submitted, test.want)
+				t.Errorf("submitted %+v, want one request with its deadline %v from now", requests.submitted, test.want)
 			}
 		})
 	}
--- a/internal/frontend/thrift/server.go
+++ b/internal/frontend/thrift/server.go
@@ -11,62 +11,63 @@
 	"functionrouter/policy"
 )
 
-// violationLogInterval is the minimum time between two log lines about clients that violated the protocol. Otherwise
-// anyone who can connect could fill the log.
+// violationLogInterval is the minimum time between two log lines about clients that violated the protocol. Without this
+// limit, any client that can connect could fill the log.
 const violationLogInterval = time.Second
 
-// RequestRouter routes the requests that clients send. A *router.Router is one. now is the event loop's clock.
+// RequestRouter routes the requests that clients send. *router.Router implements it. now is the current time on the
+// event loop's clock.
 type RequestRouter interface {
-	// Submit routes a request and returns its ID. The request's Responder is called once at most: before Submit returns,
-	// and then the ID has no meaning, or later on the event loop's goroutine.
+	// Submit routes a request and returns its ID. The router calls the request's Responder at most once: either before
+	// Submit returns, in which case the ID must not be used, or later on the event loop's goroutine.
 	Submit(now time.Duration, r router.Request) policy.RequestID
-	// RefuseAtOnce refuses a request without routing it. Its Responder is called before RefuseAtOnce returns.
+	// RefuseAtOnce refuses a request without routing it. The request's Responder is called before RefuseAtOnce returns.
 	RefuseAtOnce(now time.Duration, r router.Request)
-	// Cancel cancels an open request whose client no longer waits for the response. Its Responder is not called.
+	// Cancel cancels an open request whose client no longer waits for the answer. Its Responder is not called.
 	Cancel(now time.Duration, id policy.RequestID, cause router.CancelCause)
-	// Disconnect ends an open request whose client sends nothing more, as refused or failed. Its Responder is called
-	// before Disconnect returns.
+	// Disconnect ends an open request as refused or failed, because its client will send nothing more. The request's
+	// Responder is called before Disconnect returns.
 	Disconnect(now time.Duration, id policy.RequestID)
 }
 
-// Transport is the connection to a client. A *eventloop.Conn is one. Neither method calls the connection's handler before
-// it returns.
+// Transport is the connection to a client. *eventloop.Conn implements it. Neither method calls the connection's handler
+// before it returns.
 type Transport interface {
-	// Write queues bufs for sending, one after the other. Neither the caller nor the Transport changes their bytes
-	// afterwards.
+	// Write queues bufs for sending, in this order. Neither the caller nor the Transport changes their bytes afterwards.
 	Write(bufs ...[]byte)
-	// CloseAfterFlush closes the connection when everything written has been sent. Nothing more is received, and later
-	// writes are dropped.
+	// CloseAfterFlush closes the connection when all written bytes have been sent. The Transport receives nothing more
+	// and drops later writes.
 	CloseAfterFlush()
 }
 
 // Server serves Thrift clients.
 type Server struct {
 	router       RequestRouter
-	classes      map[string]int       // index in the settings, by name
-	tenants      map[string]int       // index in the settings, by name
+	classes      map[string]int       // the class's index in the settings, by name
+	tenants      map[string]int       // the tenant's index in the settings, by name
 	clock        func() time.Duration // see Config
 	inputTime    func() time.Duration // see Config
 	ready        func() bool          // see Config
 	violationLog logging.Throttle
 }
 
-// Config is what a Server is built from. All of it is needed.
+// Config holds the dependencies and settings of a Server. All fields are required.
 type Config struct {
 	Router  RequestRouter
-	Classes []string // names, as the settings list them: a request carries the index of its own
-	Tenants []string // the same of the tenants
+	Classes []string // class names in the order of the settings; a request holds the index of its class
+	Tenants []string // tenant names in the order of the settings; a request holds the index of its tenant
 
-	// Clock is the event loop's clock. InputTime returns the earliest time on it at which the bytes that are being read
-	// may have arrived: deadlines count from it, since the client's wait began before.
+	// Clock is the event loop's clock. InputTime returns the earliest time on this clock at which the bytes that are
+	// being handled may have arrived. A request's deadline is counted from it, because the client starts to wait before
+	// its bytes arrive.
 	Clock     func() time.Duration
 	InputTime func() time.Duration
 
-	// Ready reports whether the client should send requests to this program. It is the reply to the method check.
+	// Ready reports whether clients should send requests to this router. The reply to a check call holds the result.
 	Ready func() bool
 }
 
-// New returns a Server that hands requests to the router.
+// New returns a Server that passes clients' requests to cfg.Router.
 func New(cfg Config) *Server {
 	return &Server{
 		router:       cfg.Router,
@@ -102,9 +103,9 @@
 	}
 }
 
-// logViolation counts a connection that is closed because its client violated the protocol. At most once in
-// violationLogInterval it logs the count since the last line, with the latest error. What it counts in between waits for
-// the next violation.
+// logViolation counts a connection that is closed because its client violated the protocol. At most once per
+// violationLogInterval it logs the count since the last line and the latest error. Violations that are counted within
+// the interval are logged together with the first violation after it.
 func (s *Server) logViolation(err error) {
 	s.violationLog.Add()
 	if count, due := s.violationLog.Ready(s.clock()); due {
--- a/internal/frontend/thrift/violation_test.go
+++ b/internal/frontend/thrift/violation_test.go
@@ -14,25 +14,27 @@
 	"functionrouter/internal/testsupport"
 )
 
-// Changed bytes close their connection at most.
-func TestAnyBytesCloseTheirConnectionAtMost(t *testing.T) {
+// Guards against corrupted input that does more than close its connection: a panic, a second request, or an incomplete
+// frame that stays buffered after the close. Input beyond a limit must close the connection.
+func TestCorruptInputOnlyClosesItsConnection(t *testing.T) {
 	t.Run("changed bytes", rapid.MakeCheck(func(t *rapid.T) {
 		c, requests, transport := newTestConnection()
 		b := executeFrame(1, "body", validFields...)
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
-			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
+			b[rapid.IntRange(0, len(b)-1).Draw(t, "position")] = rapid.Byte().Draw(t, "value")
 		}
 		c.OnData(b)
 		if len(requests.submitted) > 1 || transport.Closed && c.partialFrame != nil {
-			t.Fatalf("%d submitted, %d bytes kept", len(requests.submitted), len(c.partialFrame))
+			t.Fatalf("%d requests submitted, connection closed: %v, %d bytes buffered",
+				len(requests.submitted), transport.Closed, len(c.partialFrame))
 		}
 	}))
 	for _, test := range []struct {
 		name  string
 		frame []byte
 	}{
-		{"a frame over the limit", []byte{0, 0, 0x60, 0}},
-		{"nesting over the limit", nestedFrame(20)},
+		{"frame too large", []byte{0, 0, 0x60, 0}},
+		{"value nested too deeply", nestedFrame(20)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c, _, transport := newTestConnection()
@@ -44,18 +46,19 @@
 	}
 }
 
-// nestedFrame returns the frame of an execute call with structs nested to the depth.
+// nestedFrame returns the frame of an execute call whose argument is depth nested structs.
 func nestedFrame(depth int) []byte {
-	b := appendFrame(nil, messageCall, methodExecute, 1)
+	b := appendHeaders(nil, messageCall, methodExecute, 1)
 	b = append(b, bytes.Repeat([]byte{byte(typeStruct), 0, 9}, depth)...)
 	b = append(b, make([]byte, depth)...)
 	return closeFrame(b)
 }
 
-// Each violation of the protocol has an error of its own, and all of them wrap errProtocol.
-func TestViolationsHaveTheirErrors(t *testing.T) {
+// Guards against a protocol violation that is not detected, or that is reported as a different one. Each error must
+// also wrap errProtocol.
+func TestViolationsReturnTheMatchingError(t *testing.T) {
 	arguments := func(b ...byte) []byte { // of an execute call
-		return closeFrame(append(appendFrame(nil, messageCall, methodExecute, 1), b...))
+		return closeFrame(append(appendHeaders(nil, messageCall, methodExecute, 1), b...))
 	}
 	badVersion := executeFrame(1, "", validFields...)
 	badVersion[frameHeaderBytes] = 0
@@ -67,15 +70,15 @@
 		{"frame too large", []byte{0, 0, 0x60, 0}, errFrameTooLarge},
 		{"empty frame", []byte{0, 0, 0, 0}, errTruncated},
 		{"string beyond the frame", arguments(byte(typeString), 0, 2, 0, 0, 1, 0), errTruncated},
-		{"string of negative length", arguments(byte(typeString), 0, 2, 0xff, 0xff, 0xff, 0xff), errTruncated},
-		{"version", badVersion, errBadVersion},
-		{"long method name", emptyFrame(messageCall, strings.Repeat("x", 65), 1), errMethodNameTooLong},
-		{"reply", emptyFrame(messageReply, methodExecute, 1), errUnexpectedMessage},
-		{"message type", emptyFrame(9, methodExecute, 1), errUnexpectedMessage},
-		{"value type", arguments(99, 0, 3), errUnknownType},
-		{"nesting", nestedFrame(20), errNestedTooDeep},
-		{"long list", arguments(byte(typeList), 0, 3, byte(typeBool), 0, 0, 4, 1), errTooManyElements},
-		{"many fields", executeFrame(1, "", make([]string, 2*(maxRequestFields+1))...), errTooManyElements},
+		{"string with a negative length", arguments(byte(typeString), 0, 2, 0xff, 0xff, 0xff, 0xff), errTruncated},
+		{"bad version", badVersion, errBadVersion},
+		{"method name too long", emptyFrame(messageCall, strings.Repeat("x", 65), 1), errMethodNameTooLong},
+		{"reply message", emptyFrame(messageReply, methodExecute, 1), errUnexpectedMessage},
+		{"unknown message type", emptyFrame(9, methodExecute, 1), errUnexpectedMessage},
+		{"unknown value type", arguments(99, 0, 3), errUnknownType},
+		{"value nested too deeply", nestedFrame(20), errNestedTooDeep},
+		{"too many list elements", arguments(byte(typeList), 0, 3, byte(typeBool), 0, 0, 4, 1), errTooManyElements},
+		{"too many request fields", executeFrame(1, "", make([]string, 2*(maxRequestFields+1))...), errTooManyElements},
 		{"map of numbers", arguments(byte(typeMap), 0, 1, byte(typeString), byte(typeI16), 0, 0, 0, 1), errNotStringMap},
 		{"body too large", executeFrame(1, string(make([]byte, maxBodyBytes+1)), validFields...), errBodyTooLarge},
 		{"sequence ID 0", executeFrame(0, "", validFields...), errSequenceID},
@@ -85,13 +88,15 @@
 			c, requests, _ := newTestConnection()
 			_, err := c.handleFrames(test.frame)
 			if !errors.Is(err, test.want) || !errors.Is(err, errProtocol) || len(requests.submitted) != 0 {
-				t.Errorf("got %v, want %v; %d submitted", err, test.want, len(requests.submitted))
+				t.Errorf("got error %v, want %v; %d requests submitted, want 0",
+					err, test.want, len(requests.submitted))
 			}
 		})
 	}
 }
 
-// Guards the text that operators search the log for, also of a type that the protocol does not have.
+// Guards the texts for unexpected messages that operators search the log for, also for a message type that the protocol
+// does not define.
 func TestUnexpectedMessagesAreDescribed(t *testing.T) {
 	for messageType, want := range map[messageType]string{
 		messageReply: `reply "execute"`,
@@ -100,13 +105,13 @@
 		c, _, _ := newTestConnection()
 		_, err := c.handleFrames(emptyFrame(messageType, methodExecute, 1))
 		if err == nil || !strings.HasSuffix(err.Error(), want) {
-			t.Errorf("got %v, want it to end with %s", err, want)
+			t.Errorf("got error %v, want it to end with %s", err, want)
 		}
 	}
 }
 
-// Guards the log: otherwise anyone who can connect could fill it with violations.
-func TestViolationsAreLoggedOnceASecond(t *testing.T) {
+// Guards against a client that fills the log with a line for each protocol violation.
+func TestViolationsAreLoggedAtMostOncePerSecond(t *testing.T) {
 	lines := testsupport.CaptureLog(t)
 	now := testNow
 	server := New(Config{Router: &fakeRouter{}, Clock: func() time.Duration { return now }})
@@ -119,9 +124,9 @@
 		violations int
 		wantCount  string
 	}{
-		{"the first", testNow, 1, "count=1 "},
-		{"more within the second", testNow + time.Second, 3, ""},
-		{"after the second", testNow + time.Second + 1, 1, "count=4 "},
+		{"first violation", testNow, 1, "count=1 "},
+		{"violations one second later", testNow + time.Second, 3, ""},
+		{"violation more than one second later", testNow + time.Second + 1, 1, "count=4 "},
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			lines.Reset()
