--- a/internal/frontend/webhook/attempt.go
+++ b/internal/frontend/webhook/attempt.go
@@ -34,7 +34,7 @@
 // OnOpen sends the notice, signed with the time of this attempt, or ends the attempt if the dial has failed.
 func (a *attempt) OnOpen(err error) {
 	if err != nil {
-		a.end(0, err)
+		a.finish(0, err)
 		return
 	}
 	if a.ended {
@@ -65,7 +65,7 @@
 	line, _, complete := bytes.Cut(a.reply[:min(len(a.reply), maxReplyBytes)], []byte("\r\n"))
 	if !complete {
 		if len(a.reply) >= maxReplyBytes {
-			a.end(0, errMalformedReply)
+			a.finish(0, errMalformedReply)
 		}
 		return
 	}
@@ -74,7 +74,7 @@
 		a.skipInterimReply()
 		return
 	}
-	a.end(status, nil)
+	a.finish(status, nil)
 }
 
 // skipInterimReply discards the head of an interim reply once it is complete. The final reply follows it (RFC 9110,
@@ -106,12 +106,12 @@
 	if err == nil {
 		err = errNoReply
 	}
-	a.end(0, err)
+	a.finish(0, err)
 }
 
-// end closes the connection and reports the attempt's end to the Sender, once: with the reply's HTTP status and no error, or
+// finish closes the connection and reports the attempt's finish to the Sender, once: with the reply's HTTP status and no error, or
 // with status 0. err then says why there is no reply; it is nil if the reply's status line is malformed.
-func (a *attempt) end(status int, err error) {
+func (a *attempt) finish(status int, err error) {
 	if a.ended {
 		return
 	}
--- a/internal/frontend/webhook/config.go
+++ b/internal/frontend/webhook/config.go
@@ -82,8 +82,8 @@
 // Why a webhook file can't be used.
 var (
 	errUnknownSetting = errors.New("unknown setting")
-	errMissing        = errors.New("is missing")
-	errNotAPath       = errors.New("is no path")
+	errMissingSetting        = errors.New("is missing")
+	errInvalidPath       = errors.New("is no path")
 	errNotPlainHTTP   = errors.New("must be http://HOST/PATH; TLS is a local proxy's work")
 	errOutOfRange     = errors.New("out of range")
 )
@@ -157,9 +157,9 @@
 	}
 	switch {
 	case r.Path == "" || r.Path[0] != '/' || !isRequestTarget([]byte(r.Path)):
-		return &settingError{"receiver.path", errNotAPath}
+		return &settingError{"receiver.path", errInvalidPath}
 	case len(r.Keys) == 0:
-		return &settingError{"receiver.keys", errMissing}
+		return &settingError{"receiver.keys", errMissingSetting}
 	case r.Tolerance < minTolerance:
 		return &settingError{"receiver.tolerance", fmt.Errorf("%w: at least %v", errOutOfRange, minTolerance)}
 	case r.DedupeFor < minDedupeInTolerances*r.Tolerance:
@@ -194,7 +194,7 @@
 	case target.Scheme != "http" || target.Host == "" || target.User != nil:
 		return &settingError{"sender.url", errNotPlainHTTP}
 	case s.Key == "":
-		return &settingError{"sender.key", errMissing}
+		return &settingError{"sender.key", errMissingSetting}
 	case s.Queue < 1 || s.Queue > maxSenderQueue:
 		return &settingError{"sender.queue", errOutOfRange}
 	case s.Attempts < 1 || s.Attempts > maxSenderAttempts:
--- a/internal/frontend/webhook/config_test.go
+++ b/internal/frontend/webhook/config_test.go
@@ -39,15 +39,15 @@
 			if err == nil || !strings.HasPrefix(err.Error(), "webhook file f: ") {
 				t.Fatalf("%q: %v", test.text, err)
 			}
-			var wrong *settingError
-			if errors.As(err, &wrong) != (test.setting != "") || wrong != nil && wrong.setting != test.setting {
+			var settingErr *settingError
+			if errors.As(err, &settingErr) != (test.setting != "") || settingErr != nil && settingErr.setting != test.setting {
 				t.Errorf("%v, want the setting %q named", err, test.setting)
 			}
 		})
 	}
 }
 
-func TestConfigChecksOnlyWhatIsEnabled(t *testing.T) {
+func TestConfigChecksOnlyEnabledSections(t *testing.T) {
 	if _, err := parseConfig("f", "[receiver]\nlisten = \"nowhere\"\n[sender]\nurl = \":\""); err != nil {
 		t.Error(err)
 	}
--- a/internal/frontend/webhook/connection.go
+++ b/internal/frontend/webhook/connection.go
@@ -18,7 +18,7 @@
 	httpRequestsReceived int          // complete ones
 
 	awaitingResponse bool // a complete HTTP request is owed a response
-	closesNext       bool // the next response is the last one
+	closeAfterResponse       bool // the next response is the last one
 	finished         bool // what arrives is discarded, and nothing is written any more
 	discardedBytes   int  // received after finished was set
 }
@@ -55,7 +55,7 @@
 
 // OnEndOfInput makes the next response the last one. A response that is owed is still written: a client that has closed
 // its side may still read. Pipelined HTTP requests behind it are dropped without a response.
-func (c *connection) OnEndOfInput() { c.closesNext = true }
+func (c *connection) OnEndOfInput() { c.closeAfterResponse = true }
 
 // OnClose ends the connection. A pending request goes on: the client gets its outcome with a redelivery.
 func (c *connection) OnClose(error) { c.finish() }
@@ -87,7 +87,7 @@
 	head, size, err := parseRequestHead(c.buffered)
 	if err != nil {
 		c.receiver.Counters.Malformed++
-		c.closesNext = true
+		c.closeAfterResponse = true
 		c.refuse(err)
 		return false
 	}
@@ -109,7 +109,7 @@
 	body = c.buffered[:head.contentLength:head.contentLength]
 	c.buffered = append([]byte(nil), c.buffered[head.contentLength:]...)
 	c.head = nil
-	c.closesNext = head.closeRequested
+	c.closeAfterResponse = head.closeRequested
 	c.awaitingResponse = true
 	c.httpRequestsReceived++
 	return head, body
@@ -128,9 +128,9 @@
 	if c.finished {
 		return
 	}
-	head := responseHead{status: r.status, contentLength: len(r.body), closes: c.closesNext, retryAfter: r.retryAfter}
+	head := responseHead{status: r.status, contentLength: len(r.body), closeConnection: c.closeAfterResponse, retryAfter: r.retryAfter}
 	c.transport.Write(head.encode(), r.body)
-	if !c.closesNext {
+	if !c.closeAfterResponse {
 		return
 	}
 	c.finish()
--- a/internal/frontend/webhook/connection_test.go
+++ b/internal/frontend/webhook/connection_test.go
@@ -14,12 +14,12 @@
 )
 
 // expectedStatus returns the status that a first delivery gets, and whether its outcome is kept for redeliveries.
-func expectedStatus(a router.Response) (status int, kept bool) {
-	kept = a.Status != router.Refused || a.MayHaveRun
+func expectedStatus(answer router.Response) (status int, kept bool) {
+	kept = answer.Status != router.Refused || answer.MayHaveRun
 	switch {
-	case a.Status == router.Served:
+	case answer.Status == router.Served:
 		status = http.StatusOK
-	case a.DeadlineExceeded:
+	case answer.DeadlineExceeded:
 		status = http.StatusGatewayTimeout
 	case !kept:
 		status = http.StatusServiceUnavailable
@@ -37,7 +37,7 @@
 		requests := &fakeRouter{}
 		transport := &testsupport.Transport{}
 		receiver, _ := newTestReceiver(t, requests, "")
-		c := receiver.serve(transport, netip.AddrPort{})
+		c := receiver.newConnection(transport, netip.AddrPort{})
 		var want []int
 		replayed := map[string]int{} // status by webhook-id
 		t.Repeat(map[string]func(*rapid.T){
@@ -81,11 +81,11 @@
 
 // The connection of a client that sends on after an HTTP request that can't be parsed is closed in the end, and so is
 // that of a client that sends on without waiting for a response.
-func TestConnectionBoundsWhatItReads(t *testing.T) {
+func TestConnectionClosesAfterTooMuchInput(t *testing.T) {
 	t.Run("after a malformed request", func(t *testing.T) {
 		receiver, _ := newTestReceiver(t, &fakeRouter{}, "")
 		transport := &testsupport.Transport{}
-		c := receiver.serve(transport, netip.AddrPort{})
+		c := receiver.newConnection(transport, netip.AddrPort{})
 		c.OnData([]byte("\n"))
 		c.OnData(make([]byte, maxDiscardedBytes))
 		if transport.Closed {
@@ -99,7 +99,7 @@
 	t.Run("while a response is owed", func(t *testing.T) {
 		receiver, _ := newTestReceiver(t, &fakeRouter{}, "")
 		transport := &testsupport.Transport{}
-		c := receiver.serve(transport, netip.AddrPort{})
+		c := receiver.newConnection(transport, netip.AddrPort{})
 		c.OnData(signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", "x", noon)))
 		c.OnData(make([]byte, maxHeadBytes+maxHTTPBodyBytes))
 		if transport.Closed {
--- a/internal/frontend/webhook/deduplication.go
+++ b/internal/frontend/webhook/deduplication.go
@@ -94,10 +94,10 @@
 }
 
 // complete keeps the outcome of a delivery that was added. It is called once at most for each.
-func (d *deduplicator) complete(completed *delivery, now time.Duration, outcome response) {
-	completed.completed = true
-	completed.completedAt = now
-	completed.outcome = outcome
+func (d *deduplicator) complete(pending *delivery, now time.Duration, outcome response) {
+	pending.completed = true
+	pending.completedAt = now
+	pending.outcome = outcome
 	d.bodyBytes += len(outcome.body)
 }
 
@@ -116,13 +116,13 @@
 // sweep forgets the orders whose event was before oldestEvent, and the other deliveries that were completed before
 // oldestCompletion. Pending ones stay.
 func (d *deduplicator) sweep(oldestCompletion time.Duration, oldestEvent time.Time) {
-	for _, known := range d.deliveries {
-		expired := known.completedAt < oldestCompletion
-		if known.isOrder {
-			expired = known.eventTime.Before(oldestEvent)
+	for _, remembered := range d.deliveries {
+		expired := remembered.completedAt < oldestCompletion
+		if remembered.isOrder {
+			expired = remembered.eventTime.Before(oldestEvent)
 		}
-		if known.completed && expired {
-			d.remove(known)
+		if remembered.completed && expired {
+			d.remove(remembered)
 		}
 	}
 }
--- a/internal/frontend/webhook/endtoend_test.go
+++ b/internal/frontend/webhook/endtoend_test.go
@@ -18,20 +18,20 @@
 // sentDelivery is a delivery with the status that it must get.
 type sentDelivery struct {
 	request []byte
-	order   string // the body of its request
-	want    int
+	requestBody   string // the body of its request
+	wantStatus    int
 }
 
-// hostileDeliveries returns deliveries of a number of orders: sent again as they were, signed anew for a later attempt,
+// drawDeliveries returns deliveries of a number of orders: sent again as they were, signed anew for a later attempt,
 // tampered with, and signed with a retired key.
-func hostileDeliveries(rng *rand.Rand, orders int) (all []sentDelivery) {
+func drawDeliveries(rng *rand.Rand, orders int) (all []sentDelivery) {
 	for i := range orders {
 		order := fmt.Sprintf("order-%d", i)
 		id := fmt.Sprintf("msg_%d", i)
 		body := requestPayload("repair-order", order, noon)
 		first := signedDelivery(activeSecret, id, noon, body)
 		want := http.StatusOK
-		if isLostOrder(order) {
+		if losesConnection(order) {
 			want = http.StatusBadGateway
 		}
 		all = append(all, sentDelivery{first, order, want})
@@ -57,8 +57,8 @@
 			for i := first; i < len(all); i += concurrency {
 				sent := all[i]
 				status, body, err := s.deliver(sent.request)
-				if err != nil || status != sent.want || status == http.StatusOK && body != "done "+sent.order {
-					t.Errorf("%s: %d %q, want %d; error %v", sent.order, status, body, sent.want, err)
+				if err != nil || status != sent.wantStatus || status == http.StatusOK && body != "done "+sent.requestBody {
+					t.Errorf("%s: %d %q, want %d; error %v", sent.requestBody, status, body, sent.wantStatus, err)
 				}
 			}
 		})
@@ -68,15 +68,15 @@
 
 // The operators' test: a server at hooks.example.org replays, reorders and tampers with signed orders, and with the
 // notices that it gets of them, also over a restart; no order runs twice, and each has one notice.
-func TestOrdersRunOnceWhateverTheSenderDoes(t *testing.T) {
+func TestOrderRunsOnceDespiteReplaysAndRestart(t *testing.T) {
 	const orders = 30
 	ledgerPath := filepath.Join(t.TempDir(), "ledger")
 	runs := map[string]int{}
 	rng := rand.New(rand.NewPCG(1, 2))
-	all := hostileDeliveries(rng, orders)
+	all := drawDeliveries(rng, orders)
 	notices := startNoticeReceiver(t)
 
-	play := func(t *testing.T, whileRunning func()) {
+	runServer := func(t *testing.T, whileRunning func()) {
 		t.Helper()
 		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		server := startServer(t, ledgerPath, notices.address, runs)
@@ -90,9 +90,9 @@
 		}
 	}
 	t.Run("first start", func(t *testing.T) {
-		play(t, func() {
+		runServer(t, func() {
 			for range orders {
-				<-notices.taken
+				<-notices.accepted
 			}
 			notices.mu.Lock()
 			defer notices.mu.Unlock()
@@ -101,7 +101,7 @@
 			}
 		})
 	})
-	t.Run("restart", func(t *testing.T) { play(t, func() {}) })
+	t.Run("restart", func(t *testing.T) { runServer(t, func() {}) })
 	notices.checkNotices(t, orders)
 }
 
--- a/internal/frontend/webhook/harness_test.go
+++ b/internal/frontend/webhook/harness_test.go
@@ -112,7 +112,7 @@
 // deliver sends bytes on a connection of their own.
 func deliver(r *Receiver, b []byte) *testsupport.Transport {
 	transport := &testsupport.Transport{}
-	r.serve(transport, netip.AddrPort{}).OnData(b)
+	r.newConnection(transport, netip.AddrPort{}).OnData(b)
 	return transport
 }
 
--- a/internal/frontend/webhook/http_request.go
+++ b/internal/frontend/webhook/http_request.go
@@ -71,11 +71,11 @@
 // parseRequestHead parses the head at the front of b, in place: the parts of head point into b. It returns the head's size
 // in bytes, 0 while the head is incomplete.
 func parseRequestHead(b []byte) (head requestHead, size int, err error) {
-	end := bytes.Index(b[:min(len(b), maxHeadBytes)], []byte("\r\n\r\n"))
-	if end < 0 {
+	headEnd := bytes.Index(b[:min(len(b), maxHeadBytes)], []byte("\r\n\r\n"))
+	if headEnd < 0 {
 		return head, 0, checkIncompleteHead(b)
 	}
-	line, fields, _ := bytes.Cut(b[:end+len("\r\n")], []byte("\r\n"))
+	line, fields, _ := bytes.Cut(b[:headEnd+len("\r\n")], []byte("\r\n"))
 	if err := head.parseRequestLine(line); err != nil {
 		return head, 0, err
 	}
@@ -92,7 +92,7 @@
 	head.closeRequested = bytes.EqualFold(connection, []byte("close"))
 	expect, _ := head.field("Expect")
 	head.expectsContinue = bytes.EqualFold(expect, []byte("100-continue"))
-	return head, end + len("\r\n\r\n"), nil
+	return head, headEnd + len("\r\n\r\n"), nil
 }
 
 // checkIncompleteHead returns an error if b is too long for a head, or if its first line ends with a bare line feed. A bare
--- a/internal/frontend/webhook/http_response.go
+++ b/internal/frontend/webhook/http_response.go
@@ -53,7 +53,7 @@
 type responseHead struct {
 	status        int           // HTTP status code
 	contentLength int           // bytes
-	closes        bool          // the connection is closed after the response
+	closeConnection        bool          // the connection is closed after the response
 	retryAfter    time.Duration // of 503; sent in whole seconds, rounded up, at least one
 }
 
@@ -64,7 +64,7 @@
 	if h.contentLength > 0 {
 		b = append(b, "Content-Type: application/octet-stream\r\n"...)
 	}
-	if h.closes {
+	if h.closeConnection {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	switch h.status {
--- a/internal/frontend/webhook/ledger.go
+++ b/internal/frontend/webhook/ledger.go
@@ -140,11 +140,11 @@
 func (l *ledger) appendQueued(batch []pendingWrite) []pendingWrite {
 	for {
 		select {
-		case w, open := <-l.queue:
+		case write, open := <-l.queue:
 			if !open {
 				return batch
 			}
-			batch = append(batch, w)
+			batch = append(batch, write)
 		default:
 			return batch
 		}
--- a/internal/frontend/webhook/ledger_file.go
+++ b/internal/frontend/webhook/ledger_file.go
@@ -48,11 +48,11 @@
 	}
 	defer func() { _ = file.Close() }() // it was only read
 	var entries []ledgerEntry
-	indexes := map[string]int{} // in entries, by webhook-id
+	indexByID := map[string]int{} // in entries, by webhook-id
 	err = readEntries(file, func(e ledgerEntry) {
-		i, known := indexes[e.ID]
+		i, known := indexByID[e.ID]
 		if !known {
-			indexes[e.ID] = len(entries)
+			indexByID[e.ID] = len(entries)
 			entries = append(entries, e)
 			return
 		}
--- a/internal/frontend/webhook/ledger_format_test.go
+++ b/internal/frontend/webhook/ledger_format_test.go
@@ -17,23 +17,23 @@
 var (
 	storedDigest = "356101d9d2084545607e4c6b981c39c1" // of requestPayload("repair-order", "x", noon)
 
-	storedAt = time.Date(2026, 12, 1, 11, 59, 58, 123456789, time.FixedZone("", 2*60*60))
+	storedEventTime = time.Date(2026, 12, 1, 11, 59, 58, 123456789, time.FixedZone("", 2*60*60))
 
-	storedLines = []ledgerEntry{
-		{ID: "msg_served", EventTime: storedAt, Digest: storedDigest, State: orderBegun},
+	appendedEntries = []ledgerEntry{
+		{ID: "msg_served", EventTime: storedEventTime, Digest: storedDigest, State: orderBegun},
 		{ID: "msg_in_flight", EventTime: noon.Add(-time.Hour), Digest: storedDigest, State: orderBegun},
 		{ID: "msg_expired", EventTime: noon.Add(-73 * time.Hour), Digest: "202122232425262728292a2b2c2d2e2f", State: orderBegun},
 		{ID: "msg_released", EventTime: noon.Add(-time.Minute), Digest: "303132333435363738393a3b3c3d3e3f", State: orderBegun},
 		{ID: "msg_<&>é\"\\", EventTime: noon, Digest: "404142434445464748494a4b4c4d4e4f", State: orderBegun},
-		{ID: "msg_served", EventTime: storedAt, Digest: storedDigest, State: orderEnded, Status: http.StatusOK, Body: []byte("done\n\x00\xff")},
+		{ID: "msg_served", EventTime: storedEventTime, Digest: storedDigest, State: orderEnded, Status: http.StatusOK, Body: []byte("done\n\x00\xff")},
 		{ID: "msg_released", EventTime: noon.Add(-time.Minute), Digest: "303132333435363738393a3b3c3d3e3f", State: orderReleased},
 		{ID: "msg_expired", EventTime: noon.Add(-73 * time.Hour), Digest: "202122232425262728292a2b2c2d2e2f", State: orderEnded, Status: http.StatusOK},
 		{ID: "msg_<&>é\"\\", EventTime: noon, Digest: "404142434445464748494a4b4c4d4e4f", State: orderEnded, Status: http.StatusGatewayTimeout},
 	}
-	storedEntries = []ledgerEntry{storedLines[5], storedLines[1], storedLines[8]}
+	compactedEntries = []ledgerEntry{appendedEntries[5], appendedEntries[1], appendedEntries[8]}
 )
 
-func readStored(t *testing.T, path string) []byte {
+func readFile(t *testing.T, path string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -42,11 +42,11 @@
 	return text
 }
 
-// copyStored returns the path of a copy of a file under testdata: opening a ledger writes it anew.
-func copyStored(t *testing.T, name string) string {
+// copyTestdata returns the path of a copy of a file under testdata: opening a ledger writes it anew.
+func copyTestdata(t *testing.T, name string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "ledger")
-	if err := os.WriteFile(path, readStored(t, filepath.Join("testdata", name)), 0o600); err != nil {
+	if err := os.WriteFile(path, readFile(t, filepath.Join("testdata", name)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
@@ -55,7 +55,7 @@
 func TestStoredLedgerIsReadAndRewrittenByteForByte(t *testing.T) {
 	for _, name := range []string{"appended.ledger", "compacted.ledger"} {
 		t.Run(name, func(t *testing.T) {
-			path := copyStored(t, name)
+			path := copyTestdata(t, name)
 			l, entries, err := openLedger(path, testLedgerBytes, 72*time.Hour, noonClock)
 			if err != nil {
 				t.Fatal(err)
@@ -63,10 +63,10 @@
 			if err := l.close(); err != nil {
 				t.Fatal(err)
 			}
-			if len(entries) != len(storedEntries) {
-				t.Fatalf("%d entries, want %d", len(entries), len(storedEntries))
+			if len(entries) != len(compactedEntries) {
+				t.Fatalf("%d entries, want %d", len(entries), len(compactedEntries))
 			}
-			for i, want := range storedEntries {
+			for i, want := range compactedEntries {
 				got := entries[i]
 				if !got.EventTime.Equal(want.EventTime) {
 					t.Errorf("%s is of %v, want %v", want.ID, got.EventTime, want.EventTime)
@@ -76,7 +76,7 @@
 					t.Errorf("entry %d is %+v, want %+v", i, got, want)
 				}
 			}
-			if got, want := readStored(t, path), readStored(t, "testdata/compacted.ledger"); !bytes.Equal(got, want) {
+			if got, want := readFile(t, path), readFile(t, "testdata/compacted.ledger"); !bytes.Equal(got, want) {
 				t.Errorf("after the rewrite:\n%s\nwant:\n%s", got, want)
 			}
 		})
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range storedLines {
+	for _, e := range appendedEntries {
 		if e.State != orderBegun {
 			l.recordEnd(e)
 			continue
@@ -103,7 +103,7 @@
 	if err := l.close(); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := readStored(t, path), readStored(t, "testdata/appended.ledger"); !bytes.Equal(got, want) {
+	if got, want := readFile(t, path), readFile(t, "testdata/appended.ledger"); !bytes.Equal(got, want) {
 		t.Errorf("the file holds:\n%s\nwant:\n%s", got, want)
 	}
 }
@@ -112,21 +112,21 @@
 // have run; one that never ran is handed to the router.
 func TestOutcomesAreReplayedFromTheStoredLedger(t *testing.T) {
 	requests := &fakeRouter{}
-	receiver, loopCalls := newTestReceiver(t, requests, copyStored(t, "appended.ledger"))
+	receiver, loopCalls := newTestReceiver(t, requests, copyTestdata(t, "appended.ledger"))
 	defer closeReceiver(t, receiver)
 	for _, test := range []struct {
 		id       string
 		want     []int
 		wantBody string
-		recorded bool
+		isFirstDelivery bool
 	}{
 		{id: "msg_served", want: []int{http.StatusOK}, wantBody: "done\n\x00\xff"},
 		{id: "msg_in_flight", want: []int{http.StatusBadGateway}},
-		{id: "msg_released", recorded: true},
+		{id: "msg_released", isFirstDelivery: true},
 	} {
 		t.Run(test.id, func(t *testing.T) {
 			transport := deliver(receiver, orderDelivery(test.id))
-			if test.recorded {
+			if test.isFirstDelivery {
 				(<-loopCalls)()
 			}
 			if got := statuses(t, transport); !slices.Equal(got, test.want) {
--- a/internal/frontend/webhook/ledger_test.go
+++ b/internal/frontend/webhook/ledger_test.go
@@ -76,7 +76,7 @@
 
 // The model of the ledger: an entry whose write was acknowledged is there after a crash, and an incomplete line does no
 // harm.
-func TestLedgerKeepsWhatItAcknowledged(t *testing.T) {
+func TestLedgerKeepsAcknowledgedEntries(t *testing.T) {
 	dir := t.TempDir()
 	run := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -100,7 +100,7 @@
 }
 
 // An order that the ledger can't record is refused with 503 and not handed to the router, and so is the next one.
-func TestLedgerThatCannotWriteRefusesOrders(t *testing.T) {
+func TestOrdersAreRefusedIfTheLedgerCannotWrite(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger") // one failure leaves nothing behind for the next
 	for _, test := range []struct {
 		name          string
@@ -215,14 +215,14 @@
 
 // With damage it is unknown which orders ran: such a ledger must not be used.
 func TestDamagedLedgerIsNotOpened(t *testing.T) {
-	sound := string(encodeEntry(ledgerEntry{ID: "m", EventTime: noon, State: orderBegun}))
+	validLine := string(encodeEntry(ledgerEntry{ID: "m", EventTime: noon, State: orderBegun}))
 	for name, text := range map[string]string{
 		"wrong checksum":       "00000000 {}\n",
-		"checksum is no hex":   "x" + sound[1:],
-		"empty line":           "\n" + sound,
-		"short line":           sound[:9] + "\n",
-		"changed text":         sound[:12] + "x" + sound[13:],
-		"damage in the middle": sound + sound[:20] + "\n" + sound,
+		"checksum is no hex":   "x" + validLine[1:],
+		"empty line":           "\n" + validLine,
+		"short line":           validLine[:9] + "\n",
+		"changed text":         validLine[:12] + "x" + validLine[13:],
+		"damage in the middle": validLine + validLine[:20] + "\n" + validLine,
 		"valid, but no JSON":   "00000000 \n",
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/frontend/webhook/noticereceiver_test.go
+++ b/internal/frontend/webhook/noticereceiver_test.go
@@ -14,11 +14,11 @@
 // keeps what it was sent.
 type noticeReceiver struct {
 	address string
-	taken   chan struct{} // one for each notice taken
+	accepted   chan struct{} // one for each notice taken
 
 	mu         sync.Mutex
-	attempts   map[string]int    // by the notice's webhook-id
-	orders     map[string]string // an order's webhook-id, by that of its notice
+	attemptsByNoticeID   map[string]int    // by the notice's webhook-id
+	orderIDByNoticeID     map[string]string // an order's webhook-id, by that of its notice
 	deliveries [][]byte          // the notices taken, as deliveries to the receiver under test
 }
 
@@ -30,9 +30,9 @@
 	}
 	n := &noticeReceiver{
 		address:  listener.Addr().String(),
-		taken:    make(chan struct{}, 1000),
-		attempts: map[string]int{},
-		orders:   map[string]string{},
+		accepted:    make(chan struct{}, 1000),
+		attemptsByNoticeID: map[string]int{},
+		orderIDByNoticeID:   map[string]string{},
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { n.serve(t, w, r) })}
 	served := make(chan error, 1)
@@ -59,14 +59,14 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.attempts[id]++
-	if n.attempts[id] == 1 {
+	n.attemptsByNoticeID[id]++
+	if n.attemptsByNoticeID[id] == 1 {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	n.orders[id] = p.Data.WebhookID
+	n.orderIDByNoticeID[id] = p.Data.WebhookID
 	n.deliveries = append(n.deliveries, signedDelivery(activeSecret, id, noon, body))
-	n.taken <- struct{}{}
+	n.accepted <- struct{}{}
 }
 
 // checkNotices checks that a number of orders each had one notice, taken at its second attempt.
@@ -75,10 +75,10 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	notices := map[string]int{} // by the order's webhook-id
-	for id, order := range n.orders {
+	for id, order := range n.orderIDByNoticeID {
 		notices[order]++
-		if n.attempts[id] != 2 || notices[order] != 1 {
-			t.Errorf("notice %s of %s: %d attempts, %d notices", id, order, n.attempts[id], notices[order])
+		if n.attemptsByNoticeID[id] != 2 || notices[order] != 1 {
+			t.Errorf("notice %s of %s: %d attempts, %d notices", id, order, n.attemptsByNoticeID[id], notices[order])
 		}
 	}
 	if len(notices) != orders {
--- a/internal/frontend/webhook/payload.go
+++ b/internal/frontend/webhook/payload.go
@@ -27,7 +27,7 @@
 	errUnknownClass        = errors.New("unknown class")
 	errRequestBodyTooLarge = errors.New("body is too long")
 	errMalformedKey        = errors.New("key is not 16 hex digits in lower case")
-	errFigureOutOfRange    = errors.New("a figure is out of range")
+	errValueOutOfRange    = errors.New("a figure is out of range")
 	errOutsideRetention    = errors.New("the order's timestamp is outside the ledger's retention")
 )
 
@@ -79,7 +79,7 @@
 		return deliveredRequest{}, errMalformedKey
 	}
 	if !p.Data.isInRange() {
-		return deliveredRequest{}, errFigureOutOfRange
+		return deliveredRequest{}, errValueOutOfRange
 	}
 	isOrder := r.classes[class].CarriesOrders
 	if isOrder && !r.isWithinRetention(p.Timestamp) {
@@ -96,7 +96,7 @@
 		Concurrency: p.Data.Concurrency,
 		LoadTime:    fieldvalue.Milliseconds(p.Data.LoadMs),
 		Body:        p.Data.Body,
-		Deadline:    r.now() + router.AnswerBudget(r.wait(class, p.Data.WaitMs)),
+		Deadline:    r.now() + router.AnswerBudget(r.clientWait(class, p.Data.WaitMs)),
 	}
 	return deliveredRequest{request: request, eventTime: p.Timestamp, isOrder: isOrder}, nil
 }
@@ -119,8 +119,8 @@
 	return age <= maxAge && age >= -r.settings.Tolerance
 }
 
-// wait returns how long a request may wait for its final answer. class is the index of its class, waitMs the payload's.
-func (r *Receiver) wait(class int, waitMs float64) time.Duration {
+// clientWait returns how long a request may clientWait for its final answer. class is the index of its class, waitMs the payload's.
+func (r *Receiver) clientWait(class int, waitMs float64) time.Duration {
 	maxWait := r.classes[class].MaxWait
 	wait := fieldvalue.Milliseconds(waitMs)
 	if wait == 0 || wait > maxWait {
--- a/internal/frontend/webhook/receiver.go
+++ b/internal/frontend/webhook/receiver.go
@@ -113,11 +113,11 @@
 
 // Accept returns the handler of a connection that a client has opened. The event loop owns both.
 func (r *Receiver) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
-	return r.serve(c, c.RemoteAddr())
+	return r.newConnection(c, c.RemoteAddr())
 }
 
-// serve returns the handler of a connection.
-func (r *Receiver) serve(transport Transport, clientAddr netip.AddrPort) *connection {
+// newConnection returns the handler of a connection.
+func (r *Receiver) newConnection(transport Transport, clientAddr netip.AddrPort) *connection {
 	return &connection{receiver: r, transport: transport, clientAddr: clientAddr}
 }
 
@@ -154,7 +154,7 @@
 
 // handleFirstDelivery parses the payload of a first delivery and admits its request, or refuses it.
 func (r *Receiver) handleFirstDelivery(c *connection, id, digest string, body []byte) {
-	parsed, err := r.parsePayload(body)
+	delivered, err := r.parsePayload(body)
 	if err != nil {
 		r.Counters.Malformed++
 		r.logRefusal("webhook delivery malformed", err)
@@ -165,10 +165,10 @@
 		c.refuse(errOverloaded)
 		return
 	}
-	parsed.request.ClientAddr = c.clientAddr
-	parsed.request.ClientReference = id
-	first := &delivery{id: id, digest: digest, eventTime: parsed.eventTime, isOrder: parsed.isOrder}
-	r.admit(c, first, parsed.request)
+	delivered.request.ClientAddr = c.clientAddr
+	delivered.request.ClientReference = id
+	first := &delivery{id: id, digest: digest, eventTime: delivered.eventTime, isOrder: delivered.isOrder}
+	r.admit(c, first, delivered.request)
 }
 
 // checkTarget returns an error unless the HTTP request has the path and the method of deliveries.
--- a/internal/frontend/webhook/receiver_test.go
+++ b/internal/frontend/webhook/receiver_test.go
@@ -109,7 +109,7 @@
 	request := orderDelivery("m")
 
 	firstTransport := &testsupport.Transport{}
-	first := receiver.serve(firstTransport, netip.AddrPort{})
+	first := receiver.newConnection(firstTransport, netip.AddrPort{})
 	first.OnData(request)
 	whileRecorded := deliver(receiver, request)
 	(<-loopCalls)()
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -121,8 +121,8 @@
 
 // startAttempts starts an attempt for each notice that is due, up to maxConcurrentAttempts in flight. It returns when the
 // next notice is due. Notices that wait for the end of another's attempt are not included: their time is not known.
-func (s *Sender) startAttempts(now time.Duration) (next time.Duration) {
-	next = now + idleInterval
+func (s *Sender) startAttempts(now time.Duration) (nextStart time.Duration) {
+	nextStart = now + idleInterval
 	waiting := s.queue[:0]
 	for _, n := range s.queue {
 		if n.notBefore <= now && s.inFlight < maxConcurrentAttempts {
@@ -130,13 +130,13 @@
 			continue
 		}
 		if s.inFlight < maxConcurrentAttempts {
-			next = min(next, n.notBefore)
+			nextStart = min(nextStart, n.notBefore)
 		}
 		waiting = append(waiting, n)
 	}
 	clear(s.queue[len(waiting):])
 	s.queue = waiting
-	return next
+	return nextStart
 }
 
 // startAttempt opens the connection of a notice's next attempt. The attempt must not end before dial returns: attemptEnded
@@ -150,21 +150,21 @@
 
 // expireAttempts ends the attempts that are past their deadline, and forgets those that have ended. It returns the next
 // deadline.
-func (s *Sender) expireAttempts(now time.Duration) (next time.Duration) {
-	next = now + idleInterval
-	running := s.attempts[:0]
+func (s *Sender) expireAttempts(now time.Duration) (nextTimeout time.Duration) {
+	nextTimeout = now + idleInterval
+	inFlight := s.attempts[:0]
 	for _, a := range s.attempts {
 		if !a.ended && a.deadline <= now {
-			a.end(0, errReplyTimeout)
+			a.finish(0, errReplyTimeout)
 		}
 		if !a.ended {
-			next = min(next, a.deadline)
-			running = append(running, a)
+			nextTimeout = min(nextTimeout, a.deadline)
+			inFlight = append(inFlight, a)
 		}
 	}
-	clear(s.attempts[len(running):])
-	s.attempts = running
-	return next
+	clear(s.attempts[len(inFlight):])
+	s.attempts = inFlight
+	return nextTimeout
 }
 
 // attemptEnded handles the end of a notice's attempt; status and err are those of attempt.end. A notice that was not
@@ -190,8 +190,8 @@
 // retryDelay returns the backoff after a number of failed attempts, 1 or more: initial after the first, four times as long
 // after each further one, up to maxBackoff. Up to half of it is taken off at random, so that notices that failed together
 // are not retried together.
-func retryDelay(initial time.Duration, failed int) time.Duration {
-	doublings := min(backoffDoublingsPerAttempt*(failed-1), maxBackoffDoublings)
+func retryDelay(initial time.Duration, failedAttempts int) time.Duration {
+	doublings := min(backoffDoublingsPerAttempt*(failedAttempts-1), maxBackoffDoublings)
 	delay := min(initial<<doublings, maxBackoff)
 	return delay/2 + rand.N(delay/2+1)
 }
--- a/internal/frontend/webhook/sender_test.go
+++ b/internal/frontend/webhook/sender_test.go
@@ -47,8 +47,8 @@
 	return c
 }
 
-// take returns the connections opened since the last call.
-func (d *fakeDialer) take() []*fakeConnection {
+// takeConnections returns the connections opened since the last call.
+func (d *fakeDialer) takeConnections() []*fakeConnection {
 	taken := d.connections
 	d.connections = nil
 	return taken
@@ -118,7 +118,7 @@
 	now := time.Hour
 	for attempt := 0; s.OpenNotices() > 0; attempt++ {
 		next := s.Process(now)
-		for i, c := range dialer.take() {
+		for i, c := range dialer.takeConnections() {
 			attempts[c.receiveNotice(t, s.secret)]++
 			if attempt == 2 && i == 0 {
 				c.reply(t, "HTTP/1.1 204 No Content\r\n\r\n")
@@ -154,7 +154,7 @@
 		}
 	}
 	for name, test := range map[string]struct {
-		end  func(*testing.T, *Sender, *fakeConnection)
+		endAttempt  func(*testing.T, *Sender, *fakeConnection)
 		want SenderCounters
 	}{
 		"taken":            {replyWith("HTTP/1.1 200 OK\r\n"), delivered},
@@ -185,11 +185,11 @@
 			if next, want := s.Process(time.Hour), time.Hour+s.settings.Timeout; next != want {
 				t.Errorf("next call at %v, want the attempt's deadline %v", next, want)
 			}
-			connections := dialer.take()
+			connections := dialer.takeConnections()
 			if len(connections) != 1 {
 				t.Fatalf("%d connections", len(connections))
 			}
-			test.end(t, s, connections[0])
+			test.endAttempt(t, s, connections[0])
 			if s.Counters != test.want || !connections[0].Closed {
 				t.Errorf("counters %+v, want %+v; closed %v", s.Counters, test.want, connections[0].Closed)
 			}
--- a/internal/frontend/webhook/signature.go
+++ b/internal/frontend/webhook/signature.go
@@ -106,8 +106,8 @@
 func parseSignedHeaders(head *requestHead) (*signedHeaders, error) {
 	id, idCount := head.field(idField)
 	timestamp, timestampCount := head.field(timestampField)
-	list, listCount := head.field(signatureField)
-	if idCount != 1 || timestampCount != 1 || listCount != 1 {
+	signatureList, signatureListCount := head.field(signatureField)
+	if idCount != 1 || timestampCount != 1 || signatureListCount != 1 {
 		return nil, errMalformedSignature
 	}
 	// If an ID could have dots, one signed text could stand for two different deliveries; see authenticationCode.
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	signatures := bytes.Fields(list)
+	signatures := bytes.Fields(signatureList)
 	if len(signatures) > maxSignatures {
 		return nil, errMalformedSignature
 	}
@@ -142,14 +142,14 @@
 		if !keys[i].isActive(now) {
 			continue
 		}
-		want := authenticationCode(keys[i].secret, s.id, s.timestamp, body)
+		expected := authenticationCode(keys[i].secret, s.id, s.timestamp, body)
 		for _, signature := range s.signatures {
 			encoded, found := bytes.CutPrefix(signature, []byte(signatureVersion))
 			if !found {
 				continue // of another version
 			}
-			got, err := base64.StdEncoding.DecodeString(string(encoded))
-			if err == nil && hmac.Equal(got, want) {
+			received, err := base64.StdEncoding.DecodeString(string(encoded))
+			if err == nil && hmac.Equal(received, expected) {
 				matches = true
 			}
 		}
--- a/internal/frontend/webhook/testserver_test.go
+++ b/internal/frontend/webhook/testserver_test.go
@@ -39,7 +39,7 @@
 	w.runs[body]++
 	w.mu.Unlock()
 	outcome := policy.Served
-	if isLostOrder(body) {
+	if losesConnection(body) {
 		outcome = policy.ConnectionReset // it may have run
 	}
 	w.router.AttemptEnded(a, router.AttemptResult{Outcome: outcome, InstanceStatus: policy.InstanceWarm, Body: []byte("done " + body)})
@@ -63,8 +63,8 @@
 
 func (w *fakeWorkers) CloseIdleConnections(policy.WorkerID) {}
 
-// isLostOrder reports whether the fake workers lose the connection over this order.
-func isLostOrder(body string) bool { return strings.HasSuffix(body, "7") }
+// losesConnection reports whether the fake workers lose the connection over this order.
+func losesConnection(body string) bool { return strings.HasSuffix(body, "7") }
 
 // requestEndHandler is what a router.Config's OnRequestEnd is.
 type requestEndHandler = func(now time.Duration, req *router.Request, outcome router.RequestOutcome)
