--- a/internal/frontend/webhook/attempt.go
+++ b/internal/frontend/webhook/attempt.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// maxReplyBytes is how much of a reply is searched for its status line. It does not bound the header fields of an interim
-// reply, which are kept until they are complete or the attempt times out.
+// maxReplyBytes is the number of bytes at the start of a reply that must contain the complete status line. It does not
+// bound the header fields of an interim reply, which are buffered until they are complete or the attempt times out.
 const maxReplyBytes = 8 << 10
 
-// Why an attempt ended without a status.
+// Errors of an attempt that ends without an HTTP status.
 var (
-	errReplyTimeout   = errors.New("no answer in time")
-	errMalformedReply = errors.New("malformed answer")
-	errNoReply        = errors.New("closed without an answer")
+	errReplyTimeout   = errors.New("no reply before the attempt's deadline")
+	errMalformedReply = fmt.Errorf("no complete status line in the first %d bytes of the reply", maxReplyBytes)
+	errNoReply        = errors.New("connection closed without a reply")
 )
 
-// attempt is one attempt to deliver a notice, on a connection of its own. It is the event loop's handler of the
-// connection.
+// attempt is one attempt to deliver a notice. Each attempt has its own connection and is the connection's handler in
+// the event loop.
 type attempt struct {
 	sender    *Sender
 	notice    *notice
 	transport Transport
 	deadline  time.Duration // on the event loop's clock
-	reply     []byte        // received so far, without complete interim replies
-	ended     bool          // reported to the Sender; nothing more is done
+	reply     []byte        // bytes received so far, without complete interim replies
+	ended     bool          // the result has been reported to the Sender; later events are ignored
 }
 
-// OnOpen sends the notice, signed with the time of this attempt, or ends the attempt if the dial has failed.
+// OnOpen sends the notice, signed with the time of this attempt. If the dial has failed, it ends the attempt.
 func (a *attempt) OnOpen(err error) {
 	if err != nil {
 		a.finish(0, err)
@@ -56,7 +56,7 @@
 		idField, id, timestampField, timestamp, signatureField, signature)
 }
 
-// OnData parses the reply's status line and ends the attempt with it. The rest of the reply has no meaning.
+// OnData parses the status line of the reply and ends the attempt with its status. The rest of the reply is ignored.
 func (a *attempt) OnData(b []byte) {
 	if a.ended {
 		return
@@ -88,7 +88,7 @@
 	a.OnData(rest)
 }
 
-// parseStatusLine returns the status code, or 0 if the line is malformed.
+// parseStatusLine returns the status code of an HTTP/1.x status line, or 0 if the line is malformed.
 func parseStatusLine(line []byte) int {
 	words := bytes.SplitN(line, []byte{' '}, 3)
 	if len(words) < 2 || !bytes.HasPrefix(words[0], []byte("HTTP/1.")) || len(words[1]) != 3 {
@@ -101,7 +101,7 @@
 	return status
 }
 
-// OnClose ends an attempt that had no reply.
+// OnClose fails the attempt if the connection closes before the status of the final reply has arrived.
 func (a *attempt) OnClose(err error) {
 	if err == nil {
 		err = errNoReply
@@ -109,8 +109,9 @@
 	a.finish(0, err)
 }
 
-// finish closes the connection and reports the attempt's finish to the Sender, once: with the reply's HTTP status and no error, or
-// with status 0. err then says why there is no reply; it is nil if the reply's status line is malformed.
+// finish closes the connection and reports the result of the attempt to the Sender. Only the first call has an effect.
+// If the reply has a valid status line, status is its HTTP status and err is nil. Otherwise status is 0, and err is the
+// reason why there is no reply, or nil if the reply has a malformed status line.
 func (a *attempt) finish(status int, err error) {
 	if a.ended {
 		return
--- a/internal/frontend/webhook/config.go
+++ b/internal/frontend/webhook/config.go
@@ -11,86 +11,88 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Config is what the webhook file sets (deploy/webhook.toml). A Receiver and a Sender
-// read it as long as they are used: it must not change.
+// Config holds the settings of the webhook file (deploy/webhook.toml). A Receiver and a Sender keep a pointer to it, so
+// it must not be changed after one of them has been created.
 type Config struct {
 	Receiver ReceiverConfig `toml:"receiver"`
 	Sender   SenderConfig   `toml:"sender"`
 }
 
-// ReceiverConfig turns the Receiver on. Its fields are checked only where it is enabled.
+// ReceiverConfig holds the settings of the Receiver. They are checked only if Enabled is true.
 type ReceiverConfig struct {
 	Enabled bool        `toml:"enabled"`
 	Listen  string      `toml:"listen"` // IP:PORT
-	Path    string      `toml:"path"`   // of deliveries' HTTP requests
-	Keys    []KeyConfig `toml:"keys"`   // that verify deliveries
-	// Tolerance is how far a delivery's timestamp may be from now, in either direction.
+	Path    string      `toml:"path"`   // request target of deliveries
+	Keys    []KeyConfig `toml:"keys"`   // keys that verify the signatures of deliveries
+	// Tolerance is the maximum difference between a delivery's timestamp and the current time, in either direction.
 	Tolerance time.Duration `toml:"tolerance"`
-	// DedupeFor is how long the outcome of a request that is not an order is remembered, counted from its end.
+	// DedupeFor is how long the outcome of a request that is not an order is remembered after the request has ended.
 	DedupeFor time.Duration `toml:"dedupe_for"`
 	Ledger    LedgerConfig  `toml:"ledger"`
 }
 
-// LedgerConfig sets the ledger of orders. Without a path orders are refused, and the rest is not checked.
+// LedgerConfig holds the settings of the ledger of orders. If Path is empty, the Receiver refuses orders, and the other
+// fields are not checked.
 type LedgerConfig struct {
 	Path     string `toml:"path"`
-	MaxBytes int64  `toml:"max_bytes"` // of the file; what is retained at the start may exceed it
-	// Retention is how long an order is kept, counted from its event.
+	MaxBytes int64  `toml:"max_bytes"` // size limit of the file; the entries retained at the start may exceed it
+	// Retention is how long an order is kept after its event.
 	Retention time.Duration `toml:"retention"`
 }
 
-// SenderConfig turns the Sender on. Its fields are checked only where it is enabled.
+// SenderConfig holds the settings of the Sender. They are checked only if Enabled is true.
 type SenderConfig struct {
 	Enabled bool   `toml:"enabled"`
 	URL     string `toml:"url"` // http://HOST/PATH
-	// Connect is the HOST:PORT to connect to, if it is not the URL's. It is not checked.
+	// Connect is the HOST:PORT to connect to in place of the URL's. It may be empty and is not checked.
 	Connect  string        `toml:"connect"`
 	Key      string        `toml:"key"`      // path of the key file
-	Queue    int           `toml:"queue"`    // the most notices that are open at once, including those with an attempt in flight
-	Attempts int           `toml:"attempts"` // the most for one notice
-	Backoff  time.Duration `toml:"backoff"`  // the longest random delay before the second attempt; see retryDelay
+	Queue    int           `toml:"queue"`    // maximum number of open notices, in-flight attempts included
+	Attempts int           `toml:"attempts"` // maximum number of attempts per notice
+	Backoff  time.Duration `toml:"backoff"`  // upper bound of the delay before the second attempt; see retryDelay
 	Timeout  time.Duration `toml:"timeout"`  // of an attempt, including its dial
 }
 
-// KeyConfig names a key file, and the time at which the key is retired.
+// KeyConfig names a key file and the time at which its key is retired.
 type KeyConfig struct {
 	File  string    `toml:"file"`
 	Until time.Time `toml:"until"` // zero: never retired
 }
 
-// signatureValidityInTolerances is how long a signature is valid: from one tolerance before its timestamp until one after
-// it. As long as that, a delivery may be sent again, and must be remembered.
+// signatureValidityInTolerances is the period, in tolerances, during which a signature is valid: from one tolerance
+// before its timestamp to one tolerance after it. The Receiver must remember a delivery for the whole period, because
+// the delivery can be sent again until the end of it.
 const signatureValidityInTolerances = 2
 
-// The bounds of the settings.
+// Bounds of the settings.
 const (
-	minTolerance   = time.Second       // timestamps are in whole seconds
+	minTolerance   = time.Second       // timestamps have a resolution of one second
 	minLedgerBytes = 2 * maxLedgerLine // 128 KiB
 
-	// With a shorter dedupe_for, an outcome would be forgotten while a redelivery may still be valid, and the request
-	// would run again.
+	// With a shorter dedupe_for, an outcome could be forgotten while the signature of a redelivery is still valid, and
+	// the request would run again.
 	minDedupeInTolerances = signatureValidityInTolerances
 
-	// Orders are refused in the last signatureValidityInTolerances of the retention; see isWithinRetention. This minimum
-	// leaves a client two tolerances between an order's event and its last delivery.
+	// A first delivery of an order is refused if less than signatureValidityInTolerances of the retention are left; see
+	// isWithinRetention. With this minimum, a client has two tolerances after the event to make the first delivery.
 	minRetentionInTolerances = 4
 
 	maxSenderQueue    = 1 << 16 // notices
-	maxSenderAttempts = 20      // for one notice
+	maxSenderAttempts = 20      // per notice
 )
 
-// Why a webhook file can't be used.
+// Reasons why a setting of the webhook file is rejected.
 var (
 	errUnknownSetting = errors.New("unknown setting")
-	errMissingSetting        = errors.New("is missing")
-	errInvalidPath       = errors.New("is no path")
-	errNotPlainHTTP   = errors.New("must be http://HOST/PATH; TLS is a local proxy's work")
+	errMissingSetting = errors.New("must be set if the section is enabled")
+	errInvalidPath    = errors.New("must begin with / and have no spaces, control characters or non-ASCII characters")
+	errNotPlainHTTP   = errors.New("must be http://HOST/PATH without a user; for TLS, set sender.connect to a local TLS proxy")
 	errOutOfRange     = errors.New("out of range")
 )
 
-// settingError says which setting can't be used, and why.
+// settingError reports which setting is rejected, and why.
 type settingError struct {
-	setting string // as in the file
+	setting string // full name, such as "receiver.listen"
 	reason  error
 }
 
@@ -98,8 +100,9 @@
 
 func (e *settingError) Unwrap() error { return e.reason }
 
-// ReadConfig reads and checks the webhook file at path. Its errors name the file, and if a setting can't be used, the
-// setting. That of a file that can't be read wraps the error of package fs. Neither the key files nor the ledger are read.
+// ReadConfig reads and checks the webhook file at path. It does not read the key files and the ledger. Its errors name
+// the file. If a setting is rejected, the error wraps a *settingError; if the file can't be read, it wraps an
+// *fs.PathError.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -108,7 +111,7 @@
 	return parseConfig(path, string(text))
 }
 
-// defaultConfig returns the settings of an empty file. deploy/webhook.toml shows the same, with what they do.
+// defaultConfig returns the settings of an empty file. deploy/webhook.toml lists the same values with descriptions.
 func defaultConfig() *Config {
 	return &Config{
 		Receiver: ReceiverConfig{
@@ -121,7 +124,7 @@
 	}
 }
 
-// parseConfig parses and checks the text of a webhook file. path is for its errors.
+// parseConfig parses and checks the text of a webhook file. Only the error messages use path.
 func parseConfig(path, text string) (*Config, error) {
 	c := defaultConfig()
 	metadata, err := toml.Decode(text, c)
@@ -137,7 +140,7 @@
 	return c, nil
 }
 
-// check checks the parts that are enabled. Its errors are *settingErrors, as those of the checks below.
+// check checks the sections that are enabled. Its errors, like those of the check methods below, are *settingErrors.
 func (c *Config) check() error {
 	if c.Receiver.Enabled {
 		if err := c.Receiver.check(); err != nil {
@@ -150,20 +153,20 @@
 	return nil
 }
 
-// check checks the receiver's settings. Keys and ledger are read by NewReceiver.
+// check checks the receiver's settings. It does not read the key files and the ledger; NewReceiver reads them.
 func (r *ReceiverConfig) check() error {
 	if _, err := netip.ParseAddrPort(r.Listen); err != nil {
 		return &settingError{"receiver.listen", err}
 	}
 	switch {
 	case r.Path == "" || r.Path[0] != '/' || !isRequestTarget([]byte(r.Path)):
-		return &settingError{"receiver.path", errInvalidPath}
+		return &settingError{"receiver.path", fmt.Errorf("%q is invalid: %w", r.Path, errInvalidPath)}
 	case len(r.Keys) == 0:
 		return &settingError{"receiver.keys", errMissingSetting}
 	case r.Tolerance < minTolerance:
-		return &settingError{"receiver.tolerance", fmt.Errorf("%w: at least %v", errOutOfRange, minTolerance)}
+		return &settingError{"receiver.tolerance", fmt.Errorf("%v is %w: minimum %v", r.Tolerance, errOutOfRange, minTolerance)}
 	case r.DedupeFor < minDedupeInTolerances*r.Tolerance:
-		reason := fmt.Errorf("%w: at least %d tolerances", errOutOfRange, minDedupeInTolerances)
+		reason := fmt.Errorf("%v is %w: minimum %d tolerances of %v", r.DedupeFor, errOutOfRange, minDedupeInTolerances, r.Tolerance)
 		return &settingError{"receiver.dedupe_for", reason}
 	}
 	if r.Ledger.Path == "" {
@@ -172,19 +175,20 @@
 	return r.Ledger.check(r.Tolerance)
 }
 
-// check checks the settings of a ledger that is used.
+// check checks the settings of a ledger whose path is set.
 func (l *LedgerConfig) check(tolerance time.Duration) error {
 	switch {
 	case l.Retention < minRetentionInTolerances*tolerance:
-		reason := fmt.Errorf("%w: at least %d tolerances", errOutOfRange, minRetentionInTolerances)
+		reason := fmt.Errorf("%v is %w: minimum %d tolerances of %v", l.Retention, errOutOfRange, minRetentionInTolerances, tolerance)
 		return &settingError{"receiver.ledger.retention", reason}
 	case l.MaxBytes < minLedgerBytes:
-		return &settingError{"receiver.ledger.max_bytes", fmt.Errorf("%w: at least %d", errOutOfRange, minLedgerBytes)}
+		reason := fmt.Errorf("%d is %w: minimum %d", l.MaxBytes, errOutOfRange, minLedgerBytes)
+		return &settingError{"receiver.ledger.max_bytes", reason}
 	}
 	return nil
 }
 
-// check checks the sender's settings. The key is read by NewSender.
+// check checks the sender's settings. It does not read the key file; NewSender reads it.
 func (s *SenderConfig) check() error {
 	target, err := url.Parse(s.URL)
 	if err != nil {
@@ -196,13 +200,13 @@
 	case s.Key == "":
 		return &settingError{"sender.key", errMissingSetting}
 	case s.Queue < 1 || s.Queue > maxSenderQueue:
-		return &settingError{"sender.queue", errOutOfRange}
+		return &settingError{"sender.queue", fmt.Errorf("%d is %w: 1 to %d", s.Queue, errOutOfRange, maxSenderQueue)}
 	case s.Attempts < 1 || s.Attempts > maxSenderAttempts:
-		return &settingError{"sender.attempts", errOutOfRange}
+		return &settingError{"sender.attempts", fmt.Errorf("%d is %w: 1 to %d", s.Attempts, errOutOfRange, maxSenderAttempts)}
 	case s.Backoff <= 0:
-		return &settingError{"sender.backoff", errOutOfRange}
+		return &settingError{"sender.backoff", fmt.Errorf("%v is %w: must be positive", s.Backoff, errOutOfRange)}
 	case s.Timeout <= 0:
-		return &settingError{"sender.timeout", errOutOfRange}
+		return &settingError{"sender.timeout", fmt.Errorf("%v is %w: must be positive", s.Timeout, errOutOfRange)}
 	}
 	return nil
 }
--- a/internal/frontend/webhook/connection.go
+++ b/internal/frontend/webhook/connection.go
@@ -2,38 +2,38 @@
 
 import "net/netip"
 
-// maxDiscardedBytes is how much is received and discarded after an HTTP request that could not be parsed, before the
-// connection is closed.
+// maxDiscardedBytes is the number of bytes that a connection receives and discards after an HTTP request that could not
+// be parsed. A client that sends more has its connection closed.
 const maxDiscardedBytes = 256 << 10
 
-// connection is a client's connection. It handles one HTTP request at a time; pipelined ones wait in buffered. It is the
-// event loop's handler of the connection, and stays in delivery.waiting after its end until the outcome is known.
+// connection is a client's connection and the event loop's handler of it. It handles one HTTP request at a time;
+// pipelined requests wait in buffered. A closed connection stays in delivery.waiting until the outcome is known.
 type connection struct {
 	receiver   *Receiver
 	transport  Transport
 	clientAddr netip.AddrPort
 
-	buffered             []byte       // received and not yet handled
+	buffered             []byte       // bytes received and not yet handled
 	head                 *requestHead // of the HTTP request whose body is still incomplete
-	httpRequestsReceived int          // complete ones
+	httpRequestsReceived int          // number of complete HTTP requests
 
-	awaitingResponse bool // a complete HTTP request is owed a response
-	closeAfterResponse       bool // the next response is the last one
-	finished         bool // what arrives is discarded, and nothing is written any more
-	discardedBytes   int  // received after finished was set
+	awaitingResponse   bool // a complete HTTP request has not been responded to yet
+	closeAfterResponse bool // the next response is the last one
+	finished           bool // further input is discarded, and nothing more is written
+	discardedBytes     int  // received after finished was set
 }
 
-// HasOpenRequests reports whether a response is owed.
+// HasOpenRequests reports whether a complete HTTP request has not been responded to yet.
 func (c *connection) HasOpenRequests() bool { return c.awaitingResponse }
 
-// MessageProgress returns how many complete HTTP requests have been received and whether the beginning of another has.
-// After finish it reports a beginning that never ends, so that the event loop closes the connection after its timeout for
-// one message, which is shorter than that for an idle connection.
+// MessageProgress returns how many complete HTTP requests have been received and whether a part of another one has.
+// After finish it always reports a partial HTTP request, so that the event loop closes the connection after its message
+// timeout, which is shorter than its timeout for idle connections.
 func (c *connection) MessageProgress() (complete int, partial bool) {
 	return c.httpRequestsReceived, c.finished || c.head != nil || len(c.buffered) > 0
 }
 
-// OnData decodes the HTTP requests in b, which may begin and end anywhere in one, and handles them.
+// OnData decodes and handles the HTTP requests in b, which may start and end in the middle of an HTTP request.
 func (c *connection) OnData(b []byte) {
 	if c.finished {
 		c.discardedBytes += len(b)
@@ -44,8 +44,8 @@
 	}
 	c.buffered = append(c.buffered, b...)
 	if c.awaitingResponse && len(c.buffered) > maxHeadBytes+maxHTTPBodyBytes {
-		// The client sends on without waiting for the response: the buffer must not grow without a bound. While no response
-		// is owed, the limits on an HTTP request bound it.
+		// The client keeps sending without waiting for the response. Closing the connection keeps the buffer bounded.
+		// While no response is pending, the limits on an HTTP request bound the buffer.
 		c.finish()
 		c.transport.Close()
 		return
@@ -53,21 +53,22 @@
 	c.handleBuffered()
 }
 
-// OnEndOfInput makes the next response the last one. A response that is owed is still written: a client that has closed
-// its side may still read. Pipelined HTTP requests behind it are dropped without a response.
+// OnEndOfInput makes the next response the last one. A pending response is still written, because a client that has
+// closed its side of the connection may still read. Pipelined HTTP requests after it are dropped without a response.
 func (c *connection) OnEndOfInput() { c.closeAfterResponse = true }
 
-// OnClose ends the connection. A pending request goes on: the client gets its outcome with a redelivery.
+// OnClose ends the connection. A pending request continues, and the client can get its outcome with a redelivery.
 func (c *connection) OnClose(error) { c.finish() }
 
-// finish makes the connection discard what it receives from now on.
+// finish makes the connection discard all further input.
 func (c *connection) finish() {
 	c.finished = true
 	c.buffered = nil
 	c.head = nil
 }
 
-// handleBuffered handles the complete HTTP requests, up to the first whose response is not written at once.
+// handleBuffered handles the complete HTTP requests in buffered. It stops after the first whose response is still
+// pending.
 func (c *connection) handleBuffered() {
 	for !c.awaitingResponse && !c.finished && len(c.buffered) > 0 {
 		if c.head == nil && !c.readHead() {
@@ -81,8 +82,8 @@
 	}
 }
 
-// readHead parses the head of the next HTTP request, and writes 100 Continue if the client waits for it before it sends
-// the body. It returns false if the head is incomplete, or was refused.
+// readHead parses the head of the next HTTP request. If the client waits for 100 Continue before it sends the body,
+// readHead writes it. It returns false if the head is incomplete or was refused.
 func (c *connection) readHead() bool {
 	head, size, err := parseRequestHead(c.buffered)
 	if err != nil {
@@ -102,8 +103,8 @@
 	return true
 }
 
-// takeHTTPRequest removes the body of the first HTTP request, which is complete, from buffered. From now on the request is
-// owed a response. What it returns points into the old buffer, which does not change any more.
+// takeHTTPRequest removes the first HTTP request, which must be complete, from the connection and marks it as awaiting
+// its response. The returned head and body point into the old buffer, which is not modified any more.
 func (c *connection) takeHTTPRequest() (head *requestHead, body []byte) {
 	head = c.head
 	body = c.buffered[:head.contentLength:head.contentLength]
@@ -115,13 +116,13 @@
 	return head, body
 }
 
-// refuse answers the current HTTP request, which may be incomplete, with the status that err maps to.
+// refuse answers the current HTTP request, which may be incomplete, with the status that statusOf returns for err.
 func (c *connection) refuse(err error) {
 	c.respond(response{status: statusOf(err), retryAfter: defaultRetryAfter})
 }
 
-// respond writes the response to the current HTTP request, and finishes the connection after the last one. It does not
-// handle what is buffered: the caller does. It writes nothing if the connection is finished.
+// respond writes the response to the current HTTP request, and finishes the connection after the last response. It
+// writes nothing if the connection is finished. The caller must handle the buffered HTTP requests afterwards.
 func (c *connection) respond(r response) {
 	requestComplete := c.awaitingResponse
 	c.awaitingResponse = false
@@ -137,7 +138,7 @@
 	if requestComplete {
 		c.transport.CloseAfterFlush()
 	}
-	// Otherwise the client may still be sending: closing now would reset the connection before the client has read the
-	// response (RFC 9112, section 9.6). The client closes it, or else maxDiscardedBytes or a timeout does; see
-	// MessageProgress.
+	// Otherwise the client may still be sending, and closing now would reset the connection before the client has read
+	// the response (RFC 9112, section 9.6). The connection is closed by the client, by OnData after maxDiscardedBytes
+	// or by the event loop's message timeout; see MessageProgress.
 }
--- a/internal/frontend/webhook/deduplication.go
+++ b/internal/frontend/webhook/deduplication.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// maxDeliveries is how many webhook-ids are remembered before first deliveries are refused, which bounds the memory.
-	// Orders stay until they expire, so that no more than this may come in one retention of the ledger. The ledger may
-	// restore more.
+	// maxDeliveries bounds the memory: while this many webhook-ids are remembered, first deliveries are refused. Orders
+	// are remembered until they expire, so this is also the maximum number of new orders in one retention of the
+	// ledger. A restart may restore more than this from the ledger.
 	maxDeliveries = 20000
 
-	// maxWaitingConnections bounds the connections that wait for the outcome of one delivery, including those that the
-	// client has closed since. Redeliveries beyond it are refused.
+	// maxWaitingConnections bounds the connections that wait for the outcome of one delivery, including connections
+	// that the client has closed in the meantime. Redeliveries beyond this limit are refused.
 	maxWaitingConnections = 16
 
 	// digestBytes is how many bytes of a payload's SHA-256 are compared and stored.
 	digestBytes = 16
 )
 
-// delivery is what is known of a webhook-id: its request is pending, or its outcome is kept for redeliveries.
+// delivery is the state of a webhook-id. Either its request is pending, or its outcome is kept for redeliveries.
 type delivery struct {
 	id        string    // the webhook-id
 	digest    string    // of the payload, see payloadDigest
-	isOrder   bool      // its request must never run twice: the ledger records it
-	eventTime time.Time // of orders: their retention counts from it
+	isOrder   bool      // the request must never run twice, and the ledger records it
+	eventTime time.Time // start of an order's retention
 
-	waiting []*connection // for the outcome, while the request is pending
+	waiting []*connection // connections that wait for the outcome while the request is pending
 
-	completed   bool          // the request has ended; the rest is set
+	completed   bool          // the request has ended, and the fields below are set
 	completedAt time.Duration // on the event loop's clock; 0 if the ledger had the outcome
 	outcome     response
 }
 
-// payloadDigest returns a digest that tells a redelivery from another payload under the same webhook-id. The ledger
-// stores it, so its form must not change.
+// payloadDigest returns a digest of the payload, which distinguishes a redelivery from another payload with the same
+// webhook-id. The ledger stores the digest, so its form must not change.
 func payloadDigest(payload []byte) string {
 	digest := sha256.Sum256(payload)
 	return hex.EncodeToString(digest[:digestBytes])
@@ -52,9 +52,9 @@
 	return e
 }
 
-// respondToWaiting answers all connections that wait for the delivery, in the sequence in which they arrived,
-// and handles what each has received meanwhile. The outcome must have been kept, or the delivery removed, before: the next
-// HTTP request on such a connection may carry the same webhook-id.
+// respondToWaiting answers all connections that wait for the delivery, in the sequence of their arrival, and handles
+// the HTTP requests that each has received in the meantime. The caller must have kept the outcome or removed the
+// delivery before, because the next HTTP request on such a connection may have the same webhook-id.
 func (d *delivery) respondToWaiting(r response) {
 	waiting := d.waiting
 	d.waiting = nil
@@ -64,36 +64,37 @@
 	}
 }
 
-// deduplicator remembers deliveries by webhook-id, within bounds. It belongs to the event loop's goroutine.
+// deduplicator remembers a bounded number of deliveries by webhook-id. Only the event loop's goroutine may use it.
 type deduplicator struct {
 	deliveries   map[string]*delivery
-	bodyBytes    int // of the outcomes that are kept
-	maxBodyBytes int // isFull reports true while bodyBytes is above it
+	bodyBytes    int // total size of the bodies of the outcomes that are kept
+	maxBodyBytes int // isFull returns true while bodyBytes is above this limit
 }
 
-// newDeduplicator returns a deduplicator that remembers nothing yet.
+// newDeduplicator returns an empty deduplicator.
 func newDeduplicator(maxBodyBytes int) *deduplicator {
 	return &deduplicator{deliveries: map[string]*delivery{}, maxBodyBytes: maxBodyBytes}
 }
 
-// find returns what is known of a webhook-id, or nil.
+// find returns the delivery with a webhook-id, or nil if it is not remembered.
 func (d *deduplicator) find(id string) *delivery { return d.deliveries[id] }
 
-// isFull reports whether no further first delivery may be added. The caller checks it; add itself has no limit.
+// isFull reports whether first deliveries must be refused. The caller must check it, because add has no limit.
 func (d *deduplicator) isFull() bool {
 	return len(d.deliveries) >= maxDeliveries || d.bodyBytes > d.maxBodyBytes
 }
 
-// add remembers a delivery. No other with its webhook-id may be remembered: its body would stay in bodyBytes.
+// add remembers a delivery. No delivery with the same webhook-id may be remembered already, because the body of the
+// replaced one would stay counted in bodyBytes.
 func (d *deduplicator) add(added *delivery) { d.deliveries[added.id] = added }
 
-// remove forgets a delivery. The next one with its webhook-id is a first one.
+// remove forgets a delivery. The next delivery with its webhook-id is a first delivery.
 func (d *deduplicator) remove(removed *delivery) {
 	delete(d.deliveries, removed.id)
 	d.bodyBytes -= len(removed.outcome.body)
 }
 
-// complete keeps the outcome of a delivery that was added. It is called once at most for each.
+// complete keeps the outcome of a delivery that was added. It must not be called twice for the same delivery.
 func (d *deduplicator) complete(pending *delivery, now time.Duration, outcome response) {
 	pending.completed = true
 	pending.completedAt = now
@@ -101,8 +102,8 @@
 	d.bodyBytes += len(outcome.body)
 }
 
-// restore adds an order from the ledger. One that had begun but not ended when the process ended may have run:
-// redeliveries are answered with 502, and it never runs again.
+// restore adds an order from the ledger. An order that had begun but not ended when the previous process ended may have
+// run. It never runs again, and its redeliveries are answered with 502.
 func (d *deduplicator) restore(e ledgerEntry) {
 	outcome := response{status: e.Status, body: e.Body}
 	if e.State == orderBegun {
@@ -113,8 +114,8 @@
 	d.complete(restored, 0, outcome)
 }
 
-// sweep forgets the orders whose event was before oldestEvent, and the other deliveries that were completed before
-// oldestCompletion. Pending ones stay.
+// sweep forgets the completed orders whose event was before oldestEvent, and the other deliveries that were completed
+// before oldestCompletion. Pending deliveries are kept.
 func (d *deduplicator) sweep(oldestCompletion time.Duration, oldestEvent time.Time) {
 	for _, remembered := range d.deliveries {
 		expired := remembered.completedAt < oldestCompletion
--- a/internal/frontend/webhook/http_request.go
+++ b/internal/frontend/webhook/http_request.go
@@ -8,56 +8,56 @@
 	"strconv"
 )
 
-// protocolVersion is the only version that is accepted, and that of responses and notices.
+// protocolVersion is the only HTTP version that is accepted in requests. Responses and notices have it too.
 const protocolVersion = "HTTP/1.1"
 
-// The limits on an HTTP request. They bound what a connection keeps of it.
+// Limits on an HTTP request. They bound the memory that a connection uses for it.
 const (
-	maxHeadBytes    = 8 << 10 // the request line and the header lines, with the empty line that ends them
+	maxHeadBytes    = 8 << 10 // request line, header lines and the empty line after them
 	maxHeaderFields = 64      // header lines
 
-	// maxHTTPBodyBytes bounds the body of an HTTP request, which is a payload. One with a request body of
-	// maxRequestBodyBytes fits: base64 makes a third more of it, and 2 KiB are left for the other fields.
+	// maxHTTPBodyBytes bounds the body of an HTTP request, which is the payload of a delivery. A payload with a request
+	// body of maxRequestBodyBytes fits: base64 increases its size by a third, which leaves 2 KiB for the other fields.
 	maxHTTPBodyBytes = 24 << 10
 )
 
-// Why an HTTP request can't be parsed. The end of its body is then unknown, so that no further one can be read from the
-// connection.
+// Errors of an HTTP request that can't be parsed. The end of its body is unknown, so no further HTTP request can be
+// read from the connection.
 var (
 	errMalformedRequestLine = errors.New("malformed request line")
 	errMalformedField       = errors.New("malformed header field")
-	errBareLineFeed         = errors.New("line end is not CRLF")
-	errMissingHost          = errors.New("not exactly one Host")
-	errTransferEncoding     = errors.New("transfer codings are not supported")
+	errBareLineFeed         = errors.New("line does not end with CRLF")
+	errMissingHost          = errors.New("request does not have exactly one Host header field")
+	errTransferEncoding     = errors.New("Transfer-Encoding is not supported")
 	errContentLength        = errors.New("missing, repeated or malformed Content-Length")
 	errHeadTooLarge         = errors.New("request head is too large")
 	errHTTPBodyTooLarge     = errors.New("request body is too large")
 )
 
-// Why an HTTP request that could be parsed is no delivery.
+// Errors of an HTTP request that could be parsed but is not a delivery.
 var (
 	errUnknownPath      = errors.New("unknown path")
 	errMethodNotAllowed = errors.New("method is not POST")
 )
 
-// requestHead is the parsed head of an HTTP/1.1 request (RFC 9112). Its parts point into the received bytes.
+// requestHead is the parsed head of an HTTP/1.1 request (RFC 9112). Its slices point into the received bytes.
 type requestHead struct {
 	method          []byte
 	target          []byte
 	fields          []headerField
-	contentLength   int  // bytes of the body, which follows the head
-	closeRequested  bool // the last Connection field is "close" alone; a list is not understood
+	contentLength   int  // size in bytes of the body, which follows the head
+	closeRequested  bool // the value of the last Connection field is "close"; lists are not supported
 	expectsContinue bool // the client waits for 100 Continue before it sends the body
 }
 
-// headerField is a header line, without the space around the value.
+// headerField is a header line. Spaces and tabs around the value are removed.
 type headerField struct {
 	name  []byte
 	value []byte
 }
 
-// field returns the value of the last header field with the name, and the count of such fields. Upper and lower case in
-// names are the same.
+// field returns the value of the last header field with the name, and the number of such fields. The name is not
+// case-sensitive.
 func (h *requestHead) field(name string) (value []byte, count int) {
 	for _, f := range h.fields {
 		if len(f.name) == len(name) && bytes.EqualFold(f.name, []byte(name)) {
@@ -68,8 +68,8 @@
 	return value, count
 }
 
-// parseRequestHead parses the head at the front of b, in place: the parts of head point into b. It returns the head's size
-// in bytes, 0 while the head is incomplete.
+// parseRequestHead parses the head at the start of b, in place: the slices of head point into b. It returns the head's
+// size in bytes, or 0 if the head is incomplete.
 func parseRequestHead(b []byte) (head requestHead, size int, err error) {
 	headEnd := bytes.Index(b[:min(len(b), maxHeadBytes)], []byte("\r\n\r\n"))
 	if headEnd < 0 {
@@ -95,14 +95,14 @@
 	return head, headEnd + len("\r\n\r\n"), nil
 }
 
-// checkIncompleteHead returns an error if b is too long for a head, or if its first line ends with a bare line feed. A bare
-// line feed in a later line is found by parseFields, once the head is complete.
+// checkIncompleteHead returns an error if b is too long for a head, or if its first line ends with a bare line feed.
+// Once the head is complete, parseFields detects bare line feeds in later lines.
 func checkIncompleteHead(b []byte) error {
 	if len(b) >= maxHeadBytes {
 		return errHeadTooLarge
 	}
-	// An intermediary may have taken a bare line feed for a line end (RFC 9112, section 2.2, allows it). Waiting for CRLF
-	// would then read beyond the request that it saw.
+	// An intermediary may have accepted a bare line feed as a line end (RFC 9112, section 2.2, allows it). Waiting for
+	// CRLF would then read beyond the end of the request that the intermediary forwarded.
 	if i := bytes.IndexByte(b, '\n'); i == 0 || i > 0 && b[i-1] != '\r' {
 		return errBareLineFeed
 	}
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// parseFields parses the header lines, each with its line end (RFC 9112, section 5). Folded lines and space before the
-// colon are errors, since servers are known to read them in different ways.
+// parseFields parses the header lines, each of which includes its line end (RFC 9112, section 5). Folded lines and
+// spaces before the colon are errors, because servers interpret them in different ways.
 func (h *requestHead) parseFields(lines []byte) error {
 	var line []byte
 	for len(lines) > 0 {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// parseFraming finds the body's length. Two lengths and any transfer coding are errors: a choice between them would allow
-// request smuggling (RFC 9112, sections 6.3 and 11.2).
+// parseFraming determines the length of the body. More than one Content-Length field and any Transfer-Encoding field
+// are errors, because choosing between them would allow request smuggling (RFC 9112, sections 6.3 and 11.2).
 func (h *requestHead) parseFraming() error {
 	if _, count := h.field("Transfer-Encoding"); count > 0 {
 		return errTransferEncoding
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// parseContentLength parses the value of Content-Length: digits only, no sign and no list.
+// parseContentLength parses the value of Content-Length. It must consist of digits only, without a sign or a list.
 func parseContentLength(text []byte) (int, error) {
 	if len(text) == 0 {
 		return 0, errContentLength
@@ -177,7 +177,7 @@
 		}
 	}
 	length, err := strconv.Atoi(string(text))
-	if err != nil || length > maxHTTPBodyBytes { // digits alone fail only where the number is too large for an int
+	if err != nil || length > maxHTTPBodyBytes { // Atoi fails on digits only if the number overflows int
 		return 0, errHTTPBodyTooLarge
 	}
 	return length, nil
@@ -196,7 +196,7 @@
 	return len(b) > 0
 }
 
-// isRequestTarget reports whether b may be the target of an HTTP request: visible ASCII, and not empty.
+// isRequestTarget reports whether b may be the target of an HTTP request: visible ASCII characters, at least one.
 func isRequestTarget(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
@@ -206,8 +206,8 @@
 	return len(b) > 0
 }
 
-// isFieldValue reports whether b may be the value of a header field (RFC 9110, section 5.5): no control characters
-// except tabs.
+// isFieldValue reports whether b may be the value of a header field (RFC 9110, section 5.5). Tabs are the only control
+// characters that it may contain.
 func isFieldValue(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/frontend/webhook/http_response.go
+++ b/internal/frontend/webhook/http_response.go
@@ -11,7 +11,7 @@
 type response struct {
 	status     int // HTTP status code
 	body       []byte
-	retryAfter time.Duration // of 503; see responseHead
+	retryAfter time.Duration // only sent with status 503; see responseHead
 }
 
 // statusOf returns the status code (RFC 9110, section 15) of the response to an HTTP request that is refused with err.
@@ -34,7 +34,7 @@
 	}
 }
 
-// reasonPhrase returns the status's name as RFC 9110 has it; net/http still has an older one for 413.
+// reasonPhrase returns the reason phrase that RFC 9110 defines for a status; net/http has an outdated one for 413.
 func reasonPhrase(status int) string {
 	if status == http.StatusRequestEntityTooLarge {
 		return "Content Too Large"
@@ -42,22 +42,22 @@
 	return http.StatusText(status)
 }
 
-// continueResponse makes a client that expects it send the body of its HTTP request (RFC 9110, section 15.2.1).
+// continueResponse tells a client that expects it to send the body of its HTTP request (RFC 9110, section 15.2.1).
 const continueResponse = protocolVersion + " 100 Continue\r\n\r\n"
 
-// responseHeadCapacity is the initial size of a response head's buffer, in bytes. Each response head fits, so that the
-// buffer need not grow.
+// responseHeadCapacity is the initial capacity of a response head's buffer, in bytes. Every response head fits into it,
+// so the buffer is not reallocated.
 const responseHeadCapacity = 192
 
 // responseHead is the head of a response.
 type responseHead struct {
-	status        int           // HTTP status code
-	contentLength int           // bytes
-	closeConnection        bool          // the connection is closed after the response
-	retryAfter    time.Duration // of 503; sent in whole seconds, rounded up, at least one
+	status          int           // HTTP status code
+	contentLength   int           // size of the body in bytes
+	closeConnection bool          // adds "Connection: close"; the router closes the connection after the response
+	retryAfter      time.Duration // only sent with status 503, in whole seconds: rounded up, at least 1
 }
 
-// encode returns the head's bytes.
+// encode returns the head in its wire format.
 func (h responseHead) encode() []byte {
 	b := make([]byte, 0, responseHeadCapacity)
 	b = fmt.Appendf(b, "%s %d %s\r\nContent-Length: %d\r\n", protocolVersion, h.status, reasonPhrase(h.status), h.contentLength)
--- a/internal/frontend/webhook/ledger.go
+++ b/internal/frontend/webhook/ledger.go
@@ -9,61 +9,61 @@
 	"time"
 )
 
-// Why the ledger can't be opened, or can't take an order.
+// Errors of the ledger when it is opened or when it records an order.
 var (
 	errLedgerInUse   = errors.New("ledger is in use")
-	errLedgerFull    = errors.New("ledger is full") // the file, or the writer's queue
-	errLedgerFailed  = errors.New("ledger is out of use after a failed write")
+	errLedgerFull    = errors.New("ledger is full") // the file or the writer's queue
+	errLedgerFailed  = errors.New("ledger does not record any more entries after a failed write, sync or compaction")
 	errLedgerDamaged = errors.New("damaged")
 )
 
 const (
-	// ledgerQueueLength is how many entries may wait for the writer. While the queue is full, orders are refused, and
-	// entries of ended and released orders are dropped.
+	// ledgerQueueLength is the maximum number of entries that wait for the writer. While the queue is full, orders are
+	// refused, and the entries of ended and released orders are dropped.
 	ledgerQueueLength = 256
 
-	// compactionInterval is the minimum time from a compaction, including the one at the start, to the next one of a full
-	// ledger: each rewrites the file.
+	// compactionInterval is the minimum time between a compaction, including the one at the start, and the compaction
+	// of a full ledger. It limits how often the file is rewritten.
 	compactionInterval = time.Minute
 
-	// ledgerFileMode keeps the outcomes of orders from other users.
+	// ledgerFileMode prevents other users from reading the outcomes of orders.
 	ledgerFileMode = 0o600
 )
 
-// ledger is the write-ahead log of orders, which must never run twice. It survives a restart: an order's "begun"
-// entry is on the disk before the order is first sent to a worker. So an order without an entry has never been
-// sent, and one whose last entry is "begun" may have run.
+// ledger is the write-ahead log of orders, which must never run twice, not even after a restart. An order's "begun"
+// entry is on the disk before the order is sent to a worker. Therefore an order without an entry has never been sent,
+// and an order whose last entry is "begun" may have run.
 //
 // One goroutine, the writer, owns the file from the end of openLedger until it closes writerDone. The event loop's
-// goroutine only puts entries into the queue, so that a slow disk delays no other request. One queue for all entries keeps
-// those of an order in sequence.
+// goroutine only adds entries to the queue, so a slow disk does not delay other requests. A single queue for all
+// entries keeps the entries of an order in sequence.
 type ledger struct {
 	queue      chan pendingWrite
 	writerDone chan struct{} // closed when the writer has written the last entry
 
-	// The rest belongs to the writer, which calls wallClock too.
+	// Only the writer uses the fields below after openLedger has returned. It also calls wallClock.
 	path           string
-	maxBytes       int64 // of the file
+	maxBytes       int64 // size limit of the file
 	retention      time.Duration
 	wallClock      func() time.Time
 	file           *os.File
 	lockFile       *os.File
-	size           int64 // of file, in bytes
+	size           int64 // size of file in bytes
 	lastCompaction time.Time
-	failed         bool // a write, sync or compaction failed: what is on the disk is unknown, nothing more is written
+	failed         bool // a write, sync or compaction failed: the file's content is unknown, no more is written
 }
 
-// pendingWrite is an entry that waits for the writer.
+// pendingWrite is an entry in the writer's queue.
 type pendingWrite struct {
 	entry ledgerEntry
-	// onDurable is called on the writer's goroutine when the entry has been synced (nil) or has failed. It must not block.
-	// An entry whose onDurable is nil needs no sync.
+	// onDurable is called on the writer's goroutine, with nil when the entry has been synced, or with the error. It
+	// must not block. An entry whose onDurable is nil is written without a sync.
 	onDurable func(error)
 }
 
-// openLedger locks the ledger at path, reads and compacts it, and starts its writer. A file that does not exist is an empty
-// ledger. It returns the entries that the compaction has kept, one for each order. The caller owns the ledger and ends its
-// writer with close. wallClock is called on the writer's goroutine too.
+// openLedger locks the ledger at path, reads and compacts it, and starts its writer. A file that does not exist is an
+// empty ledger. openLedger returns the entries that the compaction has kept, one for each order. The caller owns the
+// ledger and ends its writer with close. wallClock is also called on the writer's goroutine.
 func openLedger(path string, maxBytes int64, retention time.Duration, wallClock func() time.Time) (*ledger, []ledgerEntry, error) {
 	l := &ledger{
 		path:       path,
@@ -80,16 +80,17 @@
 	l.lockFile = lockFile
 	entries, err := l.compact()
 	if err != nil {
-		_ = lockFile.Close() // the error that matters is the one returned
-		return nil, nil, fmt.Errorf("ledger: %w", err)
+		_ = lockFile.Close() // the error of compact is returned instead
+		return nil, nil, fmt.Errorf("ledger %s: %w", path, err)
 	}
 	go l.writeEntries()
 	return l, entries, nil
 }
 
-// lockLedger locks the ledger at path until the returned file is closed, or returns an error, which wraps errLedgerInUse if
-// the lock was refused: two processes would not see each other's orders. The lock has a file of its own, since a compaction
-// replaces the ledger's. The lock's file stays when the ledger is closed.
+// lockLedger locks the ledger at path until the returned file is closed. The lock prevents two processes from using the
+// ledger, because neither would see the orders of the other. If the lock is refused, the error wraps errLedgerInUse.
+// The lock is on a separate file, because a compaction replaces the ledger's file. The lock file is not deleted when
+// the ledger is closed.
 func lockLedger(path string) (*os.File, error) {
 	lockFile, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, ledgerFileMode)
 	if err != nil {
@@ -102,9 +103,9 @@
 	return lockFile, nil
 }
 
-// recordStart records that an order is about to run; the entry's state becomes orderBegun. onDurable is called once, with
-// nil when the entry is on the disk, or with the error: on the writer's goroutine, or if the queue is full, with
-// errLedgerFull on the caller's before recordStart returns. That error alone is not logged.
+// recordStart records that an order is about to run; it sets the entry's state to orderBegun. onDurable is called once:
+// on the writer's goroutine, with nil when the entry is on the disk or with the error, which has been logged. If the
+// queue is full, recordStart itself calls onDurable with errLedgerFull before it returns; this error is not logged.
 func (l *ledger) recordStart(e ledgerEntry, onDurable func(error)) {
 	e.State = orderBegun
 	select {
@@ -114,8 +115,9 @@
 	}
 }
 
-// recordEnd records that an order was ended or released, without a sync. If the queue is full, the entry is dropped, which
-// is logged. If the entry is lost, the order counts after a restart as one that may have run, and never runs again.
+// recordEnd records without a sync that an order has ended or was released. If the queue is full, the entry is dropped
+// and this is logged. If the entry is lost, the order counts after a restart as one that may have run, and never runs
+// again.
 func (l *ledger) recordEnd(e ledgerEntry) {
 	select {
 	case l.queue <- pendingWrite{entry: e}:
@@ -124,8 +126,8 @@
 	}
 }
 
-// writeEntries is the writer's goroutine. It writes the queued entries, with one sync for all that wait at the same time
-// (group commit), and returns when close has closed the queue and it is empty.
+// writeEntries runs on the writer's goroutine. It writes the queued entries, with one sync for all that are in the
+// queue at the same time (group commit). It returns when close has closed the queue and the queue is empty.
 func (l *ledger) writeEntries() {
 	defer close(l.writerDone)
 	var batch []pendingWrite
@@ -136,7 +138,7 @@
 	}
 }
 
-// appendQueued adds the entries that are in the queue now to batch, without waiting for more.
+// appendQueued moves the entries that are in the queue to batch, without waiting for more.
 func (l *ledger) appendQueued(batch []pendingWrite) []pendingWrite {
 	for {
 		select {
@@ -151,9 +153,9 @@
 	}
 }
 
-// writeBatch appends the entries, syncs the file if one of them must be durable, and then calls each onDurable, in this
-// sequence: no order may run before its entry is on the disk. Errors are logged. A failed sync fails all entries of the
-// batch and all later ones.
+// writeBatch appends the entries to the file, syncs the file if one of them must be durable, and then calls each
+// onDurable. This sequence ensures that no order runs before its entry is on the disk. Errors are logged. A failed sync
+// fails all entries of the batch and all later entries.
 func (l *ledger) writeBatch(batch []pendingWrite) {
 	errs := make([]error, len(batch))
 	mustSync := false
@@ -198,8 +200,9 @@
 	return nil
 }
 
-// ensureSpace makes sure that the file may grow by the needed bytes, by a compaction if need be. It returns errLedgerFull if
-// the file is full and a compaction does not help or is not due (see compactionInterval).
+// ensureSpace makes sure that the file may grow by the needed bytes, and compacts a full file for this purpose. It
+// returns errLedgerFull if the compacted file is still too large, or if compactionInterval has not passed since the
+// last compaction.
 func (l *ledger) ensureSpace(needed int64) error {
 	if l.size+needed <= l.maxBytes {
 		return nil
@@ -218,7 +221,7 @@
 }
 
 // close waits until the writer has written all recorded entries and has ended, syncs the file and releases the ledger's
-// lock. It may be called once. Recording anything afterwards panics, since the queue is closed.
+// lock. It must not be called twice. recordStart and recordEnd panic after close, because the queue is closed.
 func (l *ledger) close() error {
 	close(l.queue)
 	<-l.writerDone
--- a/internal/frontend/webhook/ledger_entry.go
+++ b/internal/frontend/webhook/ledger_entry.go
@@ -12,49 +12,50 @@
 	"time"
 )
 
-// orderState is the state of an order in the ledger. Its text is stored: it must not change.
+// orderState is the state of an order in the ledger. Its values are stored, so they must not change.
 type orderState string
 
-// The states of an order that are recorded; see the package comment.
+// The recorded states of an order; see the package comment.
 const (
-	orderBegun    orderState = "begun" // it may run from now on
-	orderEnded    orderState = "ended" // with the entry's status and body
-	orderReleased orderState = "freed" // released: it is proven that it never ran, and the next delivery is a first one
+	orderBegun    orderState = "begun" // the order may run from now on
+	orderEnded    orderState = "ended" // the entry has the status and body of the outcome
+	orderReleased orderState = "freed" // released: the order provably never ran, and its next delivery is a first delivery
 )
 
-// ledgerEntry is what the ledger records of an order. The fields' JSON names are stored: they must not change.
+// ledgerEntry is the ledger's record of an order in one state. The JSON names of the fields are stored, so they must
+// not change.
 type ledgerEntry struct {
 	ID        string     `json:"id"`  // the delivery's webhook-id
-	EventTime time.Time  `json:"at"`  // when the order's event happened, by its sender's clock
-	Digest    string     `json:"sum"` // of the payload
+	EventTime time.Time  `json:"at"`  // time of the order's event on the clock of its sender
+	Digest    string     `json:"sum"` // of the payload, see payloadDigest
 	State     orderState `json:"state"`
 	Status    int        `json:"status,omitempty"` // HTTP status of the response, once the order has ended
-	Body      []byte     `json:"body,omitempty"`   // of the response
+	Body      []byte     `json:"body,omitempty"`   // body of the response
 }
 
-// The form of a line: the CRC-32 (IEEE) of the JSON text in 8 hex digits, a space, the JSON text and a line feed.
+// The format of a line: the CRC-32 (IEEE) of the JSON text in 8 hex digits, a space, the JSON text and a line feed.
 const (
 	checksumDigits = 8
-	entryOffset    = checksumDigits + 1 // of the JSON text
+	entryOffset    = checksumDigits + 1 // offset of the JSON text in the line
 
-	// maxLedgerLine bounds a line, in bytes; a longer one can't be read. Nothing checks it on writing: the longest line is
-	// that of an ended order with a worker's result of 16 KiB, which base64 makes about 22 KiB.
+	// maxLedgerLine bounds the size of a line in bytes when the ledger is read. Writing does not check it, because all
+	// lines are shorter: the longest has a worker's result of 16 KiB as its body, which is about 22 KiB in base64.
 	maxLedgerLine = 64 << 10
 )
 
-// encodeEntry returns the entry's line, with its line feed.
+// encodeEntry returns the line of an entry, including its line feed.
 func encodeEntry(e ledgerEntry) []byte {
 	text, err := json.Marshal(e)
 	if err != nil {
-		panic(err) // of strings, numbers and bytes: it can't fail
+		panic(err) // json.Marshal can't fail for strings, numbers, bytes and a time that was parsed from JSON
 	}
 	return fmt.Appendf(nil, "%08x %s\n", crc32.ChecksumIEEE(text), text)
 }
 
-// decodeEntry decodes a line with its line feed. Its errors wrap errLedgerDamaged.
+// decodeEntry decodes a line, including its line feed. Its errors wrap errLedgerDamaged.
 func decodeEntry(line []byte) (e ledgerEntry, err error) {
 	if len(line) <= entryOffset {
-		return e, errLedgerDamaged
+		return e, fmt.Errorf("%w: %d bytes are too few for an entry", errLedgerDamaged, len(line))
 	}
 	var checksum [checksumDigits / 2]byte
 	if _, err := hex.Decode(checksum[:], line[:checksumDigits]); err != nil {
@@ -62,7 +63,7 @@
 	}
 	text := line[entryOffset : len(line)-1]
 	if binary.BigEndian.Uint32(checksum[:]) != crc32.ChecksumIEEE(text) {
-		return e, errLedgerDamaged
+		return e, fmt.Errorf("%w: checksum %x, but the text has %08x", errLedgerDamaged, checksum, crc32.ChecksumIEEE(text))
 	}
 	if err := json.Unmarshal(text, &e); err != nil {
 		return e, fmt.Errorf("%w: %w", errLedgerDamaged, err)
@@ -70,9 +71,9 @@
 	return e, nil
 }
 
-// readEntries calls visit for the entry of each line. An incomplete last line is ignored: it was never synced, so a begun
-// order was not sent, and an ended or released one still counts as begun. Damage anywhere else is an error, since it is
-// unknown then which orders ran. Errors name the line, not the file.
+// readEntries calls visit for the entry of each line. It ignores an incomplete last line, which was never synced: if
+// its order was begun, it was not sent to a worker; if its order had ended or was released, it still counts as begun.
+// Any other damage is an error, because it is unknown which orders ran. Errors name the line but not the file.
 func readEntries(r io.Reader, visit func(ledgerEntry)) error {
 	lines := bufio.NewReaderSize(r, maxLedgerLine)
 	for number := 1; ; number++ {
--- a/internal/frontend/webhook/notice.go
+++ b/internal/frontend/webhook/notice.go
@@ -8,30 +8,30 @@
 	"functionrouter/internal/router"
 )
 
-// notice is a notice that is open: neither delivered nor failed.
+// notice is an open notice, which has neither been delivered nor failed.
 type notice struct {
 	id        string        // its webhook-id, the same in each attempt
-	body      []byte        // the JSON of its noticePayload; each attempt writes it, so it is never changed
-	attempts  int           // that have ended
+	body      []byte        // JSON of its noticePayload; must not be modified, because each attempt writes it
+	attempts  int           // number of attempts that have ended
 	notBefore time.Duration // the earliest start of the next attempt, on the event loop's clock
 }
 
-// noticePayload is the JSON of a notice. Its names are part of the wire.
+// noticePayload is the JSON payload of a notice. Receivers of notices depend on its JSON names.
 type noticePayload struct {
 	Type      string     `json:"type"`
-	Timestamp time.Time  `json:"timestamp"` // of the order's end, RFC 3339 in UTC
+	Timestamp time.Time  `json:"timestamp"` // time of the order's end, RFC 3339 in UTC
 	Data      noticeData `json:"data"`
 }
 
-// noticeData says which order a notice is about.
+// noticeData identifies the order that a notice reports.
 type noticeData struct {
 	RequestID   string `json:"id"`                   // router.Request.ID
-	WebhookID   string `json:"webhook_id,omitempty"` // of the order's deliveries; empty if it did not come by webhook
+	WebhookID   string `json:"webhook_id,omitempty"` // of the order's deliveries; empty if the order did not arrive by webhook
 	FunctionKey string `json:"key"`
 }
 
-// noticeType returns the type of a notice of an outcome. The types are part of the wire: receivers of notices compare
-// them.
+// noticeType returns the type of a notice that reports outcome. The types must not change, because receivers of notices
+// compare them.
 func noticeType(outcome router.RequestOutcome) string {
 	const prefix = "repair-order."
 	if outcome == router.RequestCancelled {
@@ -43,6 +43,6 @@
 // newMessageID returns a random webhook-id for a notice.
 func newMessageID() string {
 	var b [16]byte
-	rand.Read(b[:]) // it never fails: see crypto/rand
+	rand.Read(b[:]) // crypto/rand documents that it never fails
 	return "msg_" + base64.RawURLEncoding.EncodeToString(b[:])
 }
--- a/internal/frontend/webhook/payload.go
+++ b/internal/frontend/webhook/payload.go
@@ -13,53 +13,53 @@
 	"functionrouter/policy"
 )
 
-// payloadType is the type of the only event that the Receiver accepts.
+// payloadType is the type of the events that the Receiver accepts.
 const payloadType = "call.requested"
 
-// maxRequestBodyBytes bounds the body of a delivery's request, once it is decoded from base64. It is the limit of the
-// Thrift frontend too.
+// maxRequestBodyBytes bounds the body of a delivery's request after it has been decoded from base64. The Thrift
+// frontend has the same limit.
 const maxRequestBodyBytes = 16 << 10
 
-// Why a payload is refused.
+// Reasons to refuse a payload.
 var (
 	errNotJSON             = errors.New("payload can't be decoded")
 	errUnknownType         = errors.New("type is not " + payloadType)
 	errUnknownClass        = errors.New("unknown class")
 	errRequestBodyTooLarge = errors.New("body is too long")
 	errMalformedKey        = errors.New("key is not 16 hex digits in lower case")
-	errValueOutOfRange    = errors.New("a figure is out of range")
+	errValueOutOfRange     = errors.New("wait_ms, memory_mb, lanes or load_ms is out of range")
 	errOutsideRetention    = errors.New("the order's timestamp is outside the ledger's retention")
 )
 
-// payload is the JSON of a delivery. Everything that affects the request is in it, since nothing else is signed but the
-// webhook-id and the time.
+// payload is the JSON payload of a delivery. It contains everything that affects the request, because the signature
+// covers nothing else but the webhook-id and the timestamp header.
 type payload struct {
 	Type      string    `json:"type"`
-	Timestamp time.Time `json:"timestamp"` // of the event, RFC 3339; the same in each redelivery
+	Timestamp time.Time `json:"timestamp"` // time of the event, RFC 3339; the same in each redelivery
 	Data      callData  `json:"data"`
 }
 
-// callData is the request that a payload of payloadType carries. Its JSON names are part of the wire. The names of the two
-// Go types stand in the log: encoding/json gives them in its errors.
+// callData is the request in a payload of payloadType. Clients depend on its JSON names. The Go type names payload and
+// callData must not change either, because they appear in the log: encoding/json includes them in its errors.
 type callData struct {
 	Class       string  `json:"class"`
 	FunctionKey string  `json:"key"`
-	WaitMs      float64 `json:"wait_ms"`   // how long the client waits, in milliseconds; 0: the class's MaxWait
+	WaitMs      float64 `json:"wait_ms"`   // how long the client waits, in milliseconds; 0 means the class's MaxWait
 	MemoryMB    float64 `json:"memory_mb"` // of one instance, in MiB
-	Concurrency float64 `json:"lanes"`     // requests that one instance runs at a time
-	LoadMs      float64 `json:"load_ms"`   // usual time to load an instance, in milliseconds; 0: not given
+	Concurrency float64 `json:"lanes"`     // number of requests that one instance runs concurrently
+	LoadMs      float64 `json:"load_ms"`   // usual time to load an instance, in milliseconds; 0 means unknown
 	Body        []byte  `json:"body"`      // base64 in the JSON
 }
 
-// deliveredRequest is the request of a delivery, without its Responder, client address and ClientReference.
+// deliveredRequest is the request of a delivery. Its Responder, ClientAddr and ClientReference are not set.
 type deliveredRequest struct {
 	request   router.Request
 	eventTime time.Time
-	isOrder   bool // it must never run twice
+	isOrder   bool // the request must never run twice
 }
 
-// parsePayload turns a payload whose signature was verified into a request. It does not keep body. Its errors are those
-// above; errNotJSON is wrapped with the decoder's.
+// parsePayload converts a payload whose signature has been verified into a request. It does not retain body. Its errors
+// wrap one of the errors above; an error that wraps errNotJSON also wraps the error of the JSON decoder.
 func (r *Receiver) parsePayload(body []byte) (deliveredRequest, error) {
 	var p payload
 	if err := json.Unmarshal(body, &p); err != nil {
@@ -70,20 +70,21 @@
 	case p.Type != payloadType:
 		return deliveredRequest{}, errUnknownType
 	case !known:
-		return deliveredRequest{}, errUnknownClass
+		return deliveredRequest{}, fmt.Errorf("%w %.64q", errUnknownClass, p.Data.Class)
 	case len(p.Data.Body) > maxRequestBodyBytes:
-		return deliveredRequest{}, errRequestBodyTooLarge
+		return deliveredRequest{}, fmt.Errorf("%w: %d bytes, maximum %d", errRequestBodyTooLarge, len(p.Data.Body), maxRequestBodyBytes)
 	}
 	function, valid := fieldvalue.ParseHexID(p.Data.FunctionKey)
 	if !valid {
-		return deliveredRequest{}, errMalformedKey
+		return deliveredRequest{}, fmt.Errorf("%w: %.64q", errMalformedKey, p.Data.FunctionKey)
 	}
 	if !p.Data.isInRange() {
-		return deliveredRequest{}, errValueOutOfRange
+		return deliveredRequest{}, fmt.Errorf("%w: %v, %v, %v, %v", errValueOutOfRange,
+			p.Data.WaitMs, p.Data.MemoryMB, p.Data.Concurrency, p.Data.LoadMs)
 	}
 	isOrder := r.classes[class].CarriesOrders
 	if isOrder && !r.isWithinRetention(p.Timestamp) {
-		return deliveredRequest{}, errOutsideRetention
+		return deliveredRequest{}, fmt.Errorf("%w: %v", errOutsideRetention, p.Timestamp)
 	}
 	request := router.Request{
 		Frontend:    router.Webhook,
@@ -101,7 +102,7 @@
 	return deliveredRequest{request: request, eventTime: p.Timestamp, isOrder: isOrder}, nil
 }
 
-// isInRange reports whether every figure is a number within the bounds of package fieldvalue.
+// isInRange reports whether every numeric field is within the bounds of package fieldvalue.
 func (d *callData) isInRange() bool {
 	waitInRange := fieldvalue.InRange(d.WaitMs, fieldvalue.MaxWaitMs)
 	memoryInRange := fieldvalue.InRange(d.MemoryMB, fieldvalue.MaxMemoryMB)
@@ -110,16 +111,18 @@
 	return waitInRange && memoryInRange && concurrencyInRange && loadTimeInRange
 }
 
-// isWithinRetention reports whether an order of this event may be a first delivery. It may not if the event is so old that
-// the ledger could have forgotten the order, or could forget it while this delivery's signature is still valid: the order
-// may have run, or the delivery may be sent again. Nor may it if the event is more than a tolerance in the future.
+// isWithinRetention reports whether a first delivery of an order with this event time is accepted. It is refused if the
+// ledger may already have forgotten the order, because the order may have run. It is also refused if the ledger may
+// forget the order while this delivery's signature is still valid, because the delivery could then be sent again and
+// the order would run a second time. Orders whose event is more than one tolerance in the future are refused too.
 func (r *Receiver) isWithinRetention(eventTime time.Time) bool {
 	age := r.wallClock().Sub(eventTime)
 	maxAge := r.settings.Ledger.Retention - signatureValidityInTolerances*r.settings.Tolerance
 	return age <= maxAge && age >= -r.settings.Tolerance
 }
 
-// clientWait returns how long a request may clientWait for its final answer. class is the index of its class, waitMs the payload's.
+// clientWait returns how long a request may wait for its final answer: waitMs of the payload, but not longer than
+// MaxWait of the class with the index class. If waitMs is 0, it returns MaxWait.
 func (r *Receiver) clientWait(class int, waitMs float64) time.Duration {
 	maxWait := r.classes[class].MaxWait
 	wait := fieldvalue.Milliseconds(waitMs)
@@ -129,9 +132,9 @@
 	return wait
 }
 
-// newRequestID returns a random ID for the workers, which do not know webhook-ids.
+// newRequestID returns a random request ID. Workers receive it in place of the webhook-id.
 func newRequestID() string {
 	var b [8]byte
-	rand.Read(b[:]) // it never fails: see crypto/rand
+	rand.Read(b[:]) // crypto/rand documents that it never fails
 	return fmt.Sprintf("%016x", binary.BigEndian.Uint64(b[:]))
 }
--- a/internal/frontend/webhook/receiver.go
+++ b/internal/frontend/webhook/receiver.go
@@ -11,42 +11,43 @@
 	"functionrouter/internal/router"
 )
 
-// defaultRetryAfter is the Retry-After of what this package refuses with 503 by itself: the policy has given no advice.
+// defaultRetryAfter is the Retry-After of the HTTP requests that this package refuses with 503 itself. The policy gives
+// the value for requests that the router refuses.
 const defaultRetryAfter = time.Second
 
-// refusalLogInterval is the minimum time between two log lines about deliveries without a valid signature or with a payload
-// that can't be used. Otherwise anyone who can connect could fill the log. Other refusals are not logged.
+// refusalLogInterval is the minimum time between two log lines about deliveries without a valid signature or with an
+// invalid payload. It prevents anyone who can connect from filling the log. Other refusals are not logged.
 const refusalLogInterval = time.Second
 
-// Why a delivery is refused although its signature is valid, besides the errors of its payload.
+// Reasons to refuse a delivery with a valid signature, apart from the errors of its payload.
 var (
 	errPayloadMismatch = errors.New("webhook-id was used for another payload")
-	errOverloaded      = errors.New("too many deliveries are remembered or waiting")
-	errNoLedger        = errors.New("orders are not taken without a ledger")
+	errOverloaded      = errors.New("too many deliveries are remembered or wait for an outcome")
+	errNoLedger        = errors.New("orders are refused because no ledger is set")
 )
 
-// Counters counts HTTP requests by what was done with them. First deliveries whose request was submitted, and deliveries
-// that were refused with errOverloaded, are in Deliveries alone.
+// Counters counts HTTP requests by how the Receiver handled them. First deliveries whose request was submitted and
+// deliveries that were refused with errOverloaded are only counted in Deliveries.
 type Counters struct {
-	Deliveries    uint64 // with the right path and method
-	Unauthorized  uint64 // of Deliveries: without a valid signature
-	Malformed     uint64 // that can't be parsed, have another path or method, or a payload that can't be used
-	Replayed      uint64 // of Deliveries: redeliveries answered with the outcome of the first delivery
-	Joined        uint64 // of Deliveries: redeliveries that waited for the outcome of the first delivery
-	LedgerRefused uint64 // of Deliveries: orders that could not be recorded, or found no ledger
+	Deliveries    uint64 // HTTP requests with the path and method of deliveries
+	Unauthorized  uint64 // part of Deliveries: without a valid signature
+	Malformed     uint64 // can't be parsed, or have another path, another method or an invalid payload
+	Replayed      uint64 // part of Deliveries: redeliveries answered with the kept outcome
+	Joined        uint64 // part of Deliveries: redeliveries that waited for the outcome of a pending request
+	LedgerRefused uint64 // part of Deliveries: orders refused because the ledger is missing or could not record them
 }
 
-// Receiver serves signed webhooks. It belongs to the event loop's goroutine.
+// Receiver serves signed webhook deliveries. Its methods must be called on the event loop's goroutine.
 type Receiver struct {
 	settings       *ReceiverConfig
 	router         RequestRouter
 	classes        []Class
-	classIndexes   map[string]int       // in classes, by name
+	classIndexes   map[string]int       // indexes into classes, by name
 	now            func() time.Duration // the event loop's clock
 	wallClock      func() time.Time
 	runOnLoop      func(func()) // runs a function on the event loop's goroutine
 	keys           []signingKey
-	ledger         *ledger // nil: orders are refused
+	ledger         *ledger // nil if the settings name none: orders are refused
 	deliveries     *deduplicator
 	nextRefusalLog time.Duration // the earliest time of the next log line about a refused delivery
 
@@ -54,10 +55,10 @@
 	Counters Counters
 }
 
-// NewReceiver returns a Receiver that hands requests to the router.
+// NewReceiver returns a Receiver that submits requests to the router.
 //
-// It reads the keys, and reads and compacts the ledger. It starts the ledger's writer, which Close ends. An error of a key
-// names the key's file; that of a damaged ledger names the line, not the file.
+// It reads the keys, reads and compacts the ledger, and starts the ledger's writer, which Close ends. The error for an
+// invalid key names the key file; the error for a damaged ledger names the ledger's path and the line.
 func NewReceiver(options ReceiverOptions) (*Receiver, error) {
 	r := &Receiver{
 		settings:     &options.File.Receiver,
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// Close waits until the ledger's entries are written and synced, and ends its writer. It is called once, when the event
-// loop no longer runs: neither a delivery nor the final answer to an order may arrive afterwards.
+// Close waits until the ledger's entries are written and synced, and ends the ledger's writer. It must be called once,
+// after the event loop has stopped: no delivery and no final answer to an order may arrive afterwards.
 func (r *Receiver) Close() error {
 	if r.ledger == nil {
 		return nil
@@ -111,7 +112,8 @@
 	return r.ledger.close()
 }
 
-// Accept returns the handler of a connection that a client has opened. The event loop owns both.
+// Accept returns the handler of a connection that a client has opened. The event loop owns the connection and the
+// handler.
 func (r *Receiver) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
 	return r.newConnection(c, c.RemoteAddr())
 }
@@ -121,13 +123,15 @@
 	return &connection{receiver: r, transport: transport, clientAddr: clientAddr}
 }
 
-// Sweep forgets the outcomes that have expired: those of orders by the wall clock, the others by now, the event loop's
-// clock. It must be called regularly: until then, expired outcomes count towards the limits.
+// Sweep removes the outcomes that have expired. Outcomes of orders expire by the wall clock, the others by now, which
+// is the time on the event loop's clock. Sweep must be called regularly, because expired outcomes count towards the
+// limits until they are removed.
 func (r *Receiver) Sweep(now time.Duration) {
 	r.deliveries.sweep(now-r.settings.DedupeFor, r.wallClock().Add(-r.settings.Ledger.Retention))
 }
 
-// handle handles an HTTP request. Nothing before the check of its signature has any effect, but for counters and log.
+// handle handles an HTTP request. Until the signature has been checked, it changes nothing but the counters and the
+// log.
 func (r *Receiver) handle(c *connection, head *requestHead, body []byte) {
 	if err := r.checkTarget(head); err != nil {
 		r.Counters.Malformed++
@@ -142,8 +146,8 @@
 		c.refuse(err)
 		return
 	}
-	// A redelivery is answered before its payload is parsed: the checks of the payload, such as that of the retention, and
-	// the limit on deliveries must not keep a client from an outcome that is known.
+	// A redelivery is answered before its payload is parsed. Otherwise the checks of the payload, such as that of the
+	// retention, and the limit on deliveries could refuse a client that asks for a known outcome.
 	digest := payloadDigest(body)
 	if known := r.deliveries.find(id); known != nil {
 		r.handleRedelivery(c, known, digest)
@@ -171,7 +175,7 @@
 	r.admit(c, first, delivered.request)
 }
 
-// checkTarget returns an error unless the HTTP request has the path and the method of deliveries.
+// checkTarget returns an error if the HTTP request does not have the path and the method of deliveries.
 func (r *Receiver) checkTarget(head *requestHead) error {
 	if string(head.target) != r.settings.Path {
 		return errUnknownPath
@@ -182,11 +186,11 @@
 	return nil
 }
 
-// handleRedelivery answers a redelivery with the outcome of the first delivery, as soon as it is known, or refuses it.
-// digest is that of the redelivery's payload.
+// handleRedelivery answers a redelivery with the outcome of the first delivery as soon as the outcome is known, or
+// refuses the redelivery. digest is the digest of its payload.
 func (r *Receiver) handleRedelivery(c *connection, d *delivery, digest string) {
 	switch {
-	case d.digest != digest: // a client may not use a webhook-id for another payload
+	case d.digest != digest: // a webhook-id must not be reused for another payload
 		r.Counters.Malformed++
 		c.refuse(errPayloadMismatch)
 	case d.completed:
@@ -200,16 +204,16 @@
 	}
 }
 
-// admit hands the request of a first delivery to the router, an order's after the ledger has recorded it. Orders are
-// refused without a ledger.
+// admit submits the request of a first delivery to the router. An order is submitted after the ledger has recorded it,
+// and refused if there is no ledger.
 func (r *Receiver) admit(c *connection, d *delivery, request router.Request) {
 	if d.isOrder && r.ledger == nil {
 		r.Counters.LedgerRefused++
 		c.refuse(errNoLedger)
 		return
 	}
-	// The delivery is added first: the answer may come before submit returns, and a redelivery while the order is being
-	// recorded must find it.
+	// The delivery must be added first, because the answer may arrive before submit returns, and a redelivery must find
+	// the delivery while the order is being recorded.
 	d.waiting = []*connection{c}
 	r.deliveries.add(d)
 	if !d.isOrder {
@@ -221,10 +225,10 @@
 	})
 }
 
-// handleRecorded handles the end of an order's recording. It submits an order that has been recorded. If err says that the
-// ledger has failed to record it, the order is refused, and its next delivery is a first one.
+// handleRecorded submits an order that the ledger has recorded. If err says that the ledger could not record the order,
+// handleRecorded refuses it, and its next delivery is a first delivery.
 func (r *Receiver) handleRecorded(d *delivery, request router.Request, err error) {
-	if err != nil { // the ledger has logged it, unless its queue was full
+	if err != nil { // the ledger has logged err, except errLedgerFull of a full queue
 		r.Counters.LedgerRefused++
 		r.deliveries.remove(d)
 		d.respondToWaiting(response{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter})
@@ -233,14 +237,14 @@
 	r.submit(d, request)
 }
 
-// submit hands a delivery's request to the router.
+// submit passes a delivery's request to the router.
 func (r *Receiver) submit(d *delivery, request router.Request) {
 	request.Responder = &responder{receiver: r, delivery: d}
 	r.router.Submit(r.now(), request)
 }
 
-// logRefusal logs why a delivery was refused, at most once in refusalLogInterval whatever the message. The counters
-// Unauthorized and Malformed count all of them.
+// logRefusal logs why a delivery was refused. It logs at most one line per refusalLogInterval, independent of the
+// message. The counters Unauthorized and Malformed include the refusals that are not logged.
 func (r *Receiver) logRefusal(message string, err error) {
 	now := r.now()
 	if now < r.nextRefusalLog {
--- a/internal/frontend/webhook/receiver_options.go
+++ b/internal/frontend/webhook/receiver_options.go
@@ -7,23 +7,23 @@
 	"functionrouter/policy"
 )
 
-// ReceiverOptions is what a Receiver is built from.
+// ReceiverOptions holds the settings and dependencies of a Receiver.
 type ReceiverOptions struct {
-	File    *Config // from ReadConfig; the Receiver keeps it and does not change it
+	File    *Config // from ReadConfig; the Receiver keeps the pointer and does not modify the Config
 	Router  RequestRouter
-	Classes []Class // as the settings list them: a request carries the index of its own
+	Classes []Class // in the sequence of the router's settings, because a request carries the index of its class
 
-	// MaxReplayBytes bounds the bodies that are kept for redeliveries, together: above it, first deliveries are refused.
-	// Requests that are already pending may exceed it by their outcomes.
+	// MaxReplayBytes bounds the total size of the bodies that are kept for redeliveries. While the total is above it,
+	// first deliveries are refused. The outcomes of requests that are already pending may exceed it.
 	MaxReplayBytes int
 
 	// Now is the event loop's clock.
 	Now func() time.Duration
-	// WallClock gives the time for signatures, which carry it, and for the ledger. It may be called on any goroutine, also
-	// on two at the same time.
+	// WallClock returns the time for the check of signatures and for the ledger. It may be called on any goroutine and
+	// must be safe for concurrent use.
 	WallClock func() time.Time
 
-	// RunOnLoop queues a function to be run later on the event loop's goroutine. It may be called on any goroutine, and
+	// RunOnLoop queues a function that the event loop's goroutine runs later. It may be called on any goroutine and
 	// must not block.
 	RunOnLoop func(func())
 }
@@ -31,14 +31,14 @@
 // Class is a class of requests.
 type Class struct {
 	Name          string
-	CarriesOrders bool          // its requests must never run twice: they go through the ledger
-	MaxWait       time.Duration // bounds the wait for the final answer; it is the wait if the payload gives none
+	CarriesOrders bool          // its requests must never run twice, so the ledger records them
+	MaxWait       time.Duration // upper bound of the wait for the final answer, and its default
 }
 
-// RequestRouter routes the requests that deliveries carry. A *router.Router is one.
+// RequestRouter routes the requests of deliveries. *router.Router implements it.
 type RequestRouter interface {
-	// Submit routes a request and returns its ID, which the Receiver ignores: it never cancels a request. now is the event
-	// loop's clock. The request's Responder gets the final answer once, before Submit returns or later on the event loop's
-	// goroutine. It may call Submit again before it returns.
+	// Submit routes a request and returns its ID. The Receiver ignores the ID, because it never cancels a request. now
+	// is the time on the event loop's clock. The request's Responder receives the final answer once, before Submit
+	// returns or later on the event loop's goroutine. The Responder may call Submit again before it returns.
 	Submit(now time.Duration, r router.Request) policy.RequestID
 }
--- a/internal/frontend/webhook/responder.go
+++ b/internal/frontend/webhook/responder.go
@@ -6,14 +6,15 @@
 	"functionrouter/internal/router"
 )
 
-// responder gets the router's final answer to a delivery's request.
+// responder receives the router's final answer to a delivery's request.
 type responder struct {
 	receiver *Receiver
 	delivery *delivery
 }
 
-// Respond answers all connections that wait for the delivery. The answer is kept for redeliveries, except a refusal with
-// the proof that the request never ran: the next delivery of the webhook-id is then a first one.
+// Respond answers all connections that wait for the delivery, and keeps the answer for redeliveries. The exception is a
+// refusal of a request that provably never ran: it is not kept, and the next delivery of the webhook-id is a first
+// delivery.
 func (r *responder) Respond(answer router.Response) {
 	if answer.Status == router.Refused && !answer.MayHaveRun {
 		r.release(answer)
@@ -22,7 +23,7 @@
 	r.complete(answer)
 }
 
-// release forgets a delivery whose request was refused and never ran, and answers the connections that wait for it.
+// release removes a delivery whose request was refused and never ran, and answers the connections that wait for it.
 func (r *responder) release(answer router.Response) {
 	r.receiver.deliveries.remove(r.delivery)
 	if r.delivery.isOrder {
@@ -35,7 +36,7 @@
 	r.delivery.respondToWaiting(response{status: http.StatusServiceUnavailable, retryAfter: answer.RetryAfter})
 }
 
-// complete keeps the outcome of a delivery and answers the connections that wait for it.
+// complete keeps the outcome of a delivery and answers the connections that wait for the outcome.
 func (r *responder) complete(answer router.Response) {
 	r.receiver.deliveries.complete(r.delivery, r.receiver.now(), outcomeOf(answer))
 	if r.delivery.isOrder {
@@ -52,7 +53,7 @@
 	case answer.DeadlineExceeded:
 		return response{status: http.StatusGatewayTimeout}
 	default:
-		// The request has failed, or was refused and may have run: a redelivery must not run it again.
+		// The request has failed, or it was refused but may have run. A redelivery must not run it again.
 		return response{status: http.StatusBadGateway}
 	}
 }
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// maxConcurrentAttempts bounds the connections to the notices' receiver.
+	// maxConcurrentAttempts bounds the number of connections to the receiver of notices.
 	maxConcurrentAttempts = 4
 
-	// idleInterval is the longest time until the next call of Process, if no notice waits for anything.
+	// idleInterval is the maximum time until the next call of Process.
 	idleInterval = time.Hour
 
-	// defaultPort is that of http URLs.
+	// defaultPort is the port of an http URL that names none.
 	defaultPort = ":80"
 )
 
@@ -30,37 +30,38 @@
 	maxBackoffDoublings        = 20 // a time.Duration overflows only if the initial backoff is above 2.4 hours
 )
 
-// Sender sends signed notices of how orders ended. It never delays a request: while Queue notices of the settings are open,
-// further ones are dropped and counted. It belongs to the event loop's goroutine.
+// Sender sends signed notices of how orders ended. It never delays a request: while SenderConfig.Queue notices are
+// open, further notices are dropped and counted. Its methods must be called on the event loop's goroutine.
 type Sender struct {
 	settings  *SenderConfig
 	url       *url.URL
-	address   string // to connect to
+	address   string // HOST:PORT to connect to
 	secret    []byte // signs the notices
 	dial      func(address string, timeout time.Duration, h eventloop.DialHandler) Transport
 	wallClock func() time.Time
-	now       time.Duration // the latest time on the event loop's clock that a caller passed
-	queue     []*notice     // waiting for their first or next attempt
-	attempts  []*attempt    // in flight, and those that ended since the last Process
-	inFlight  int           // attempts that have not ended
+	now       time.Duration // latest time on the event loop's clock that a caller has passed
+	queue     []*notice     // notices that wait for their first or next attempt
+	attempts  []*attempt    // attempts in flight, and those that have ended since the last call of Process
+	inFlight  int           // number of attempts that have not ended
 
 	// Counters may be read on the event loop's goroutine.
 	Counters SenderCounters
 }
 
-// SenderCounters counts notices by what was done with them. Each notice that was queued is Delivered, Failed or open.
+// SenderCounters counts notices by what happened to them. Each notice that was queued is delivered, failed or open.
 type SenderCounters struct {
 	Queued    uint64
-	Dropped   uint64 // not queued: too many were open
-	Delivered uint64 // accepted by their receiver
-	Retried   uint64 // failed attempts that another one follows
-	Failed    uint64 // notices that failed: no attempt follows the last one
+	Dropped   uint64 // not queued, because too many notices were open
+	Delivered uint64 // accepted by the receiver of notices
+	Retried   uint64 // failed attempts that are followed by another attempt
+	Failed    uint64 // notices whose last attempt failed
 }
 
-// NewSender returns a Sender to the URL of the settings, and reads its key. An error of the key names its file.
+// NewSender returns a Sender that sends notices to the URL of the settings. It reads the key file; the error for an
+// invalid key names the file.
 //
-// dial opens a connection to address, a HOST:PORT. It reports to h on the event loop's goroutine, and only after it has
-// returned: the Sender is not ready for the end of an attempt before that.
+// dial opens a connection to address, a HOST:PORT, and calls h on the event loop's goroutine. It must not call h before
+// it returns, because an attempt must not end before then; see startAttempt.
 func NewSender(cfg *Config, wallClock func() time.Time,
 	dial func(address string, timeout time.Duration, h eventloop.DialHandler) Transport,
 ) (*Sender, error) {
@@ -83,8 +84,9 @@
 	return &Sender{settings: settings, url: target, address: address, secret: secret, dial: dial, wallClock: wallClock}, nil
 }
 
-// Notify queues a notice of an order's outcome, or drops and counts it. The caller decides which requests are orders; r may
-// be of any frontend, and is not kept. now is the event loop's clock. The attempt starts with the next call of Process.
+// Notify queues a notice of an order's outcome. If too many notices are open, it drops and counts the notice. The
+// caller decides which requests are orders; r may come from any frontend and is not retained. now is the time on the
+// event loop's clock. The next call of Process starts the first attempt.
 func (s *Sender) Notify(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	s.now = max(s.now, now)
 	if s.OpenNotices() >= s.settings.Queue {
@@ -104,14 +106,16 @@
 	s.queue = append(s.queue, &notice{id: newMessageID(), body: body, notBefore: s.now})
 }
 
-// OpenNotices returns how many notices have been neither delivered nor failed.
+// OpenNotices returns the number of notices that have neither been delivered nor failed.
 func (s *Sender) OpenNotices() int { return len(s.queue) + s.inFlight }
 
-// Process starts the attempts that are due and ends those that take too long. now is the event loop's clock.
+// Process starts the attempts that are due and ends those that have exceeded their timeout. now is the time on the
+// event loop's clock.
 //
-// It returns the time of the next start or timeout that it knows of, at which it must be called again at the latest. It must
-// also be called after Notify and after the end of an attempt, including one that it has ended itself: the retry is not in
-// the returned time. The program calls it in each turn of the event loop.
+// It returns the time at which it must be called again at the latest: that of the next known start or timeout. It must
+// also be called after Notify and after the end of an attempt, including an attempt that Process itself has ended,
+// because the returned time does not take the retry into account. The program calls it in each iteration of the event
+// loop.
 func (s *Sender) Process(now time.Duration) time.Duration {
 	s.now = max(s.now, now)
 	nextStart := s.startAttempts(now)
@@ -119,8 +123,9 @@
 	return min(now+idleInterval, nextStart, nextTimeout)
 }
 
-// startAttempts starts an attempt for each notice that is due, up to maxConcurrentAttempts in flight. It returns when the
-// next notice is due. Notices that wait for the end of another's attempt are not included: their time is not known.
+// startAttempts starts an attempt for each notice that is due, up to maxConcurrentAttempts in flight. It returns the
+// time at which the next notice is due. Notices that wait for the end of another attempt are not considered, because
+// the time of that end is unknown.
 func (s *Sender) startAttempts(now time.Duration) (nextStart time.Duration) {
 	nextStart = now + idleInterval
 	waiting := s.queue[:0]
@@ -139,8 +144,8 @@
 	return nextStart
 }
 
-// startAttempt opens the connection of a notice's next attempt. The attempt must not end before dial returns: attemptEnded
-// appends to the queue, which startAttempts is filtering in place.
+// startAttempt opens the connection of a notice's next attempt. The attempt must not end before dial returns:
+// attemptEnded appends to the queue, which startAttempts is filtering in place.
 func (s *Sender) startAttempt(now time.Duration, n *notice) {
 	s.inFlight++
 	a := &attempt{sender: s, notice: n, deadline: now + s.settings.Timeout}
@@ -148,28 +153,28 @@
 	s.attempts = append(s.attempts, a)
 }
 
-// expireAttempts ends the attempts that are past their deadline, and forgets those that have ended. It returns the next
-// deadline.
+// expireAttempts ends the attempts whose deadline has passed, and removes the ended attempts from s.attempts. It
+// returns the earliest deadline of the remaining attempts.
 func (s *Sender) expireAttempts(now time.Duration) (nextTimeout time.Duration) {
 	nextTimeout = now + idleInterval
-	inFlight := s.attempts[:0]
+	remaining := s.attempts[:0]
 	for _, a := range s.attempts {
 		if !a.ended && a.deadline <= now {
 			a.finish(0, errReplyTimeout)
 		}
 		if !a.ended {
 			nextTimeout = min(nextTimeout, a.deadline)
-			inFlight = append(inFlight, a)
+			remaining = append(remaining, a)
 		}
 	}
-	clear(s.attempts[len(inFlight):])
-	s.attempts = inFlight
+	clear(s.attempts[len(remaining):])
+	s.attempts = remaining
 	return nextTimeout
 }
 
-// attemptEnded handles the end of a notice's attempt; status and err are those of attempt.end. A notice that was not
-// accepted with a 2xx status is queued for a retry with exponential backoff, until its attempts are used up or its receiver
-// answers 410 (Gone): then it has failed.
+// attemptEnded handles the end of a notice's attempt; status and err are those of attempt.finish. A notice that was not
+// accepted with a 2xx status is queued for a retry with exponential backoff. It has failed if it has no attempts left
+// or if its receiver has answered 410 (Gone).
 func (s *Sender) attemptEnded(n *notice, status int, err error) {
 	s.inFlight--
 	n.attempts++
@@ -187,9 +192,9 @@
 	s.queue = append(s.queue, n)
 }
 
-// retryDelay returns the backoff after a number of failed attempts, 1 or more: initial after the first, four times as long
-// after each further one, up to maxBackoff. Up to half of it is taken off at random, so that notices that failed together
-// are not retried together.
+// retryDelay returns the delay after failedAttempts failed attempts, 1 or more. The backoff is initial after the first
+// attempt and grows fourfold with each further one, up to maxBackoff. The delay is a random value between half the
+// backoff and the backoff, so that notices that failed at the same time are not retried at the same time.
 func retryDelay(initial time.Duration, failedAttempts int) time.Duration {
 	doublings := min(backoffDoublingsPerAttempt*(failedAttempts-1), maxBackoffDoublings)
 	delay := min(initial<<doublings, maxBackoff)
--- a/internal/frontend/webhook/signature.go
+++ b/internal/frontend/webhook/signature.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// The forms and limits of the Standard Webhooks specification (https://www.standardwebhooks.com).
+// Formats and limits of the Standard Webhooks specification (https://www.standardwebhooks.com).
 const (
 	secretPrefix     = "whsec_"
 	minSecretBytes   = 24
@@ -21,38 +21,38 @@
 	signatureVersion = "v1," // HMAC-SHA256 with a shared secret
 )
 
-// The limits of this program on a delivery's signature headers.
+// Limits of this program on the signature headers of a delivery.
 const (
-	maxSignatures  = 16      // in one header field: each is compared with each active key's
-	maxIDBytes     = 128     // of a webhook-id, which is kept in memory and in the ledger
-	maxUnixSeconds = 1 << 40 // of a timestamp, far beyond any tolerance
+	maxSignatures  = 16      // per delivery; each is compared with the signature of each active key
+	maxIDBytes     = 128     // size of a webhook-id, which is kept in memory and in the ledger
+	maxUnixSeconds = 1 << 40 // of a timestamp; no valid timestamp comes near it
 )
 
-// The header fields that the specification names.
+// Names of the header fields that the specification defines.
 const (
 	idField        = "webhook-id"
 	timestampField = "webhook-timestamp"
 	signatureField = "webhook-signature"
 )
 
-// Why a delivery is not authentic.
+// Reasons why a delivery is not authentic.
 var (
-	errMalformedSignature = errors.New("unsigned or malformed signature headers")
+	errMalformedSignature = errors.New("missing or malformed signature headers")
 	errStaleTimestamp     = errors.New("timestamp is out of tolerance")
-	errNoMatchingKey      = errors.New("no active key made this signature")
+	errNoMatchingKey      = errors.New("no signature was made with an active key")
 )
 
-// Why a key file can't be used.
+// Reasons why a key file can't be used.
 var (
 	errKeyPrefix = errors.New("does not begin with " + secretPrefix)
-	errKeyBase64 = errors.New("not base64")
-	errKeyLength = fmt.Errorf("not %d to %d bytes", minSecretBytes, maxSecretBytes)
+	errKeyBase64 = errors.New("secret is not valid base64")
+	errKeyLength = fmt.Errorf("secret does not have %d to %d bytes", minSecretBytes, maxSecretBytes)
 )
 
 // signingKey is a key that verifies deliveries until it is retired.
 type signingKey struct {
 	secret    []byte
-	retiredAt time.Time // zero: never
+	retiredAt time.Time // zero if the key is never retired
 }
 
 // isActive reports whether the key verifies deliveries at now.
@@ -60,8 +60,8 @@
 	return k.retiredAt.IsZero() || now.Before(k.retiredAt)
 }
 
-// readSecret reads a key file: secretPrefix and the secret in base64, perhaps with space around it. Its errors name the
-// file and never show parts of the secret.
+// readSecret reads a key file, which holds secretPrefix and the secret in base64. White space around them is ignored.
+// The errors name the file and never contain parts of the secret.
 func readSecret(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	secret, err := base64.StdEncoding.DecodeString(encoded)
 	if err != nil {
-		return nil, fmt.Errorf("key %s: %w", path, errKeyBase64) // err would show parts of the secret
+		return nil, fmt.Errorf("key %s: %w", path, errKeyBase64) // err could contain parts of the secret
 	}
 	if len(secret) < minSecretBytes || len(secret) > maxSecretBytes {
 		return nil, fmt.Errorf("key %s: %d bytes: %w", path, len(secret), errKeyLength)
@@ -81,7 +81,7 @@
 	return secret, nil
 }
 
-// authenticationCode returns the HMAC-SHA256 of the text that is signed by the specification: ID.TIMESTAMP.BODY.
+// authenticationCode returns the HMAC-SHA256 of the text that the specification defines as signed: ID.TIMESTAMP.BODY.
 func authenticationCode(secret []byte, id, timestamp string, body []byte) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte(id + "." + timestamp + "."))
@@ -89,17 +89,17 @@
 	return h.Sum(nil)
 }
 
-// sign returns the value of webhook-signature. timestamp is in seconds since 1970, as webhook-timestamp gives it.
+// sign returns the value of webhook-signature. timestamp is the value of webhook-timestamp, in seconds since 1970.
 func sign(secret []byte, id, timestamp string, body []byte) string {
 	return signatureVersion + base64.StdEncoding.EncodeToString(authenticationCode(secret, id, timestamp, body))
 }
 
-// signedHeaders are a delivery's signature headers.
+// signedHeaders holds the signature headers of a delivery.
 type signedHeaders struct {
 	id         string
-	timestamp  string    // as received: it is part of what is signed
-	sentAt     time.Time // the timestamp's time
-	signatures [][]byte  // with their versions; they point into the HTTP request
+	timestamp  string    // as received, because it is part of the signed text
+	sentAt     time.Time // the time that timestamp denotes
+	signatures [][]byte  // with their version prefixes; they point into the HTTP request
 }
 
 // parseSignedHeaders parses the three header fields, each of which must occur once.
@@ -110,7 +110,7 @@
 	if idCount != 1 || timestampCount != 1 || signatureListCount != 1 {
 		return nil, errMalformedSignature
 	}
-	// If an ID could have dots, one signed text could stand for two different deliveries; see authenticationCode.
+	// If IDs could contain dots, two different deliveries could have the same signed text; see authenticationCode.
 	if len(id) == 0 || len(id) > maxIDBytes || bytes.IndexByte(id, '.') >= 0 {
 		return nil, errMalformedSignature
 	}
@@ -125,7 +125,7 @@
 	return &signedHeaders{id: string(id), timestamp: string(timestamp), sentAt: sentAt, signatures: signatures}, nil
 }
 
-// parseTimestamp parses whole seconds since 1970, without a sign and leading zeros.
+// parseTimestamp parses whole seconds since 1970. A sign and leading zeros are errors.
 func parseTimestamp(text string) (time.Time, error) {
 	seconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || seconds < 0 || seconds > maxUnixSeconds || strconv.FormatInt(seconds, 10) != text {
@@ -134,8 +134,8 @@
 	return time.Unix(seconds, 0), nil
 }
 
-// isSignedWith reports whether one of the signatures was made with an active key. It compares each signature
-// with each key's, even after a match, so that the time taken reveals nothing about them.
+// isSignedWith reports whether one of the signatures was made with an active key. It compares every signature with that
+// of every active key, even after a match, so that its duration reveals nothing about the keys and signatures.
 func (s *signedHeaders) isSignedWith(keys []signingKey, now time.Time, body []byte) bool {
 	matches := false
 	for i := range keys {
@@ -146,7 +146,7 @@
 		for _, signature := range s.signatures {
 			encoded, found := bytes.CutPrefix(signature, []byte(signatureVersion))
 			if !found {
-				continue // of another version
+				continue // the signature has another version
 			}
 			received, err := base64.StdEncoding.DecodeString(string(encoded))
 			if err == nil && hmac.Equal(received, expected) {
@@ -157,8 +157,9 @@
 	return matches
 }
 
-// verifySignature returns a delivery's webhook-id if an active key signed it and its timestamp is within tolerance of now.
-// Else its error is the first that applies of errMalformedSignature, errNoMatchingKey and errStaleTimestamp.
+// verifySignature returns the webhook-id of a delivery that was signed with an active key and whose timestamp differs
+// from now by tolerance at most. For any other delivery its error is the first that applies of errMalformedSignature,
+// errNoMatchingKey and errStaleTimestamp.
 func verifySignature(head *requestHead, body []byte, keys []signingKey, now time.Time, tolerance time.Duration) (id string, err error) {
 	headers, err := parseSignedHeaders(head)
 	if err != nil {
--- a/internal/frontend/webhook/transport.go
+++ b/internal/frontend/webhook/transport.go
@@ -1,14 +1,14 @@
 package webhook
 
-// Transport is a connection to a peer. An *eventloop.Conn is one. None of its methods calls the connection's handler
-// before it returns, other than HasOpenRequests.
+// Transport is a connection to a peer. *eventloop.Conn implements it. The only method of the connection's handler that
+// its methods may call before they return is HasOpenRequests.
 type Transport interface {
-	// Write queues bufs for sending, one after the other. Neither the caller nor the Transport changes their bytes
-	// afterwards; the caller may write them again, also to another Transport.
+	// Write queues bufs for sending, one after the other. Neither the caller nor the Transport may modify their bytes
+	// afterwards. The caller may write the same buffers again, also to another Transport.
 	Write(bufs ...[]byte)
-	// Close closes the connection at once and drops what has not been sent. A second call does nothing.
+	// Close closes the connection immediately and drops the bytes that have not been sent. A second call has no effect.
 	Close()
-	// CloseAfterFlush closes the connection when everything written has been sent. Nothing more is received, and later
-	// writes are dropped.
+	// CloseAfterFlush closes the connection when all written bytes have been sent. No more bytes are received, and
+	// later writes are dropped.
 	CloseAfterFlush()
 }
