--- a/internal/frontend/webhook/config_test.go
+++ b/internal/frontend/webhook/config_test.go
@@ -14,34 +14,34 @@
 	)
 	for name, test := range map[string]struct {
 		text    string
-		setting string // of the settingError; empty: the file is no such TOML
+		setting string // that the settingError names; empty if the error is one of the TOML decoder
 	}{
-		"wrong type":          {"receiver.enabled = 3", ""},
-		"unknown setting":     {"[receiver]\nfoo = 1", "receiver.foo"},
-		"bad address":         {"[receiver]\nenabled = true\nlisten = \"nowhere\"", "receiver.listen"},
-		"no keys":             {receiver, "receiver.keys"},
-		"TLS":                 {"[sender]\nenabled = true\nurl = \"https://hooks.example.org\"\nkey = \"k\"", "sender.url"},
-		"bad path":            {receiver + keys + "path = \"hooks\"", "receiver.path"},
-		"short tolerance":     {receiver + keys + "tolerance = \"999ms\"", "receiver.tolerance"},
-		"short memory":        {receiver + keys + "dedupe_for = \"599s\"", "receiver.dedupe_for"},
-		"short retention":     {receiver + keys + "[receiver.ledger]\npath = \"l\"\nretention = \"1199s\"", "receiver.ledger.retention"},
-		"small ledger":        {receiver + keys + "[receiver.ledger]\npath = \"l\"\nmax_bytes = 131071", "receiver.ledger.max_bytes"},
-		"bad URL":             {"[sender]\nenabled = true\nurl = \":\"", "sender.url"},
-		"user in the URL":     {"[sender]\nenabled = true\nurl = \"http://a@hooks.example.org\"", "sender.url"},
-		"no key":              {"[sender]\nenabled = true\nurl = \"http://hooks.example.org\"", "sender.key"},
-		"empty queue":         {sender + "queue = 0", "sender.queue"},
-		"too many attempts":   {sender + "attempts = 21", "sender.attempts"},
-		"no backoff":          {sender + "backoff = \"0s\"", "sender.backoff"},
-		"timeout in the past": {sender + "timeout = \"-1s\"", "sender.timeout"},
+		"wrong type":        {"receiver.enabled = 3", ""},
+		"unknown setting":   {"[receiver]\nfoo = 1", "receiver.foo"},
+		"invalid address":   {"[receiver]\nenabled = true\nlisten = \"nowhere\"", "receiver.listen"},
+		"no keys":           {receiver, "receiver.keys"},
+		"https URL":         {"[sender]\nenabled = true\nurl = \"https://hooks.example.org\"\nkey = \"k\"", "sender.url"},
+		"relative path":     {receiver + keys + "path = \"hooks\"", "receiver.path"},
+		"short tolerance":   {receiver + keys + "tolerance = \"999ms\"", "receiver.tolerance"},
+		"short dedupe_for":  {receiver + keys + "dedupe_for = \"599s\"", "receiver.dedupe_for"},
+		"short retention":   {receiver + keys + "[receiver.ledger]\npath = \"l\"\nretention = \"1199s\"", "receiver.ledger.retention"},
+		"small ledger":      {receiver + keys + "[receiver.ledger]\npath = \"l\"\nmax_bytes = 131071", "receiver.ledger.max_bytes"},
+		"invalid URL":       {"[sender]\nenabled = true\nurl = \":\"", "sender.url"},
+		"user in the URL":   {"[sender]\nenabled = true\nurl = \"http://a@hooks.example.org\"", "sender.url"},
+		"no key":            {"[sender]\nenabled = true\nurl = \"http://hooks.example.org\"", "sender.key"},
+		"zero queue":        {sender + "queue = 0", "sender.queue"},
+		"too many attempts": {sender + "attempts = 21", "sender.attempts"},
+		"zero backoff":      {sender + "backoff = \"0s\"", "sender.backoff"},
+		"negative timeout":  {sender + "timeout = \"-1s\"", "sender.timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := parseConfig("f", test.text)
 			if err == nil || !strings.HasPrefix(err.Error(), "webhook file f: ") {
-				t.Fatalf("%q: %v", test.text, err)
+				t.Fatalf("error %v for %q, want one that names the file", err, test.text)
 			}
 			var settingErr *settingError
 			if errors.As(err, &settingErr) != (test.setting != "") || settingErr != nil && settingErr.setting != test.setting {
-				t.Errorf("%v, want the setting %q named", err, test.setting)
+				t.Errorf("error %v, want one that names the setting %q", err, test.setting)
 			}
 		})
 	}
--- a/internal/frontend/webhook/connection_test.go
+++ b/internal/frontend/webhook/connection_test.go
@@ -13,7 +13,8 @@
 	"functionrouter/internal/testsupport"
 )
 
-// expectedStatus returns the status that a first delivery gets, and whether its outcome is kept for redeliveries.
+// expectedStatus returns the status of the response to a first delivery, and whether the outcome is kept for
+// redeliveries.
 func expectedStatus(answer router.Response) (status int, kept bool) {
 	kept = answer.Status != router.Refused || answer.MayHaveRun
 	switch {
@@ -29,9 +30,9 @@
 	return status, kept
 }
 
-// The model of a connection: deliveries reach the router however they are split, and each is answered once and in
-// sequence, with the status that the outcome maps to. The request of a webhook-id runs once, unless it was refused and
-// never ran.
+// Checks a connection against a model: the deliveries reach the router regardless of how their bytes are split. Each is
+// answered once and in sequence, with the status that its outcome maps to. The request of a webhook-id is submitted
+// once; after a refusal of a request that never ran, the next delivery submits it again.
 func TestConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		requests := &fakeRouter{}
@@ -39,7 +40,7 @@
 		receiver, _ := newTestReceiver(t, requests, "")
 		c := receiver.newConnection(transport, netip.AddrPort{})
 		var want []int
-		replayed := map[string]int{} // status by webhook-id
+		replayed := map[string]int{} // status of the kept outcome, by webhook-id
 		t.Repeat(map[string]func(*rapid.T){
 			"deliver": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
@@ -51,7 +52,7 @@
 				if status, ok := replayed[id]; ok {
 					want = append(want, status)
 					if c.HasOpenRequests() {
-						t.Fatal("a redelivery ran again")
+						t.Fatal("the request of a redelivery was submitted to the router")
 					}
 					return
 				}
@@ -79,8 +80,8 @@
 	})
 }
 
-// The connection of a client that sends on after an HTTP request that can't be parsed is closed in the end, and so is
-// that of a client that sends on without waiting for a response.
+// Guards against unbounded input: the connection is closed if the client keeps sending after an HTTP request that can't
+// be parsed, or keeps sending without waiting for a response.
 func TestConnectionClosesAfterTooMuchInput(t *testing.T) {
 	t.Run("after a malformed request", func(t *testing.T) {
 		receiver, _ := newTestReceiver(t, &fakeRouter{}, "")
@@ -89,25 +90,25 @@
 		c.OnData([]byte("\n"))
 		c.OnData(make([]byte, maxDiscardedBytes))
 		if transport.Closed {
-			t.Error("closed within the bound")
+			t.Error("connection closed before the limit was exceeded")
 		}
 		c.OnData([]byte("x"))
 		if got := statuses(t, transport); !transport.Closed || !slices.Equal(got, []int{http.StatusBadRequest}) {
-			t.Errorf("closed %v, statuses %v", transport.Closed, got)
+			t.Errorf("closed %v, want true; statuses %v, want one 400", transport.Closed, got)
 		}
 	})
-	t.Run("while a response is owed", func(t *testing.T) {
+	t.Run("while a response is pending", func(t *testing.T) {
 		receiver, _ := newTestReceiver(t, &fakeRouter{}, "")
 		transport := &testsupport.Transport{}
 		c := receiver.newConnection(transport, netip.AddrPort{})
 		c.OnData(signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", "x", noon)))
 		c.OnData(make([]byte, maxHeadBytes+maxHTTPBodyBytes))
 		if transport.Closed {
-			t.Error("closed within the bound")
+			t.Error("connection closed before the limit was exceeded")
 		}
 		c.OnData([]byte("x"))
 		if got := statuses(t, transport); !transport.Closed || len(got) > 0 {
-			t.Errorf("closed %v, statuses %v", transport.Closed, got)
+			t.Errorf("closed %v, want true; statuses %v, want none", transport.Closed, got)
 		}
 	})
 }
--- a/internal/frontend/webhook/endtoend_test.go
+++ b/internal/frontend/webhook/endtoend_test.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// sentDelivery is a delivery with the status that it must get.
+// sentDelivery is a delivery and the status that the response to it must have.
 type sentDelivery struct {
-	request []byte
-	requestBody   string // the body of its request
-	wantStatus    int
+	request     []byte
+	requestBody string // body of the request in its payload
+	wantStatus  int
 }
 
-// drawDeliveries returns deliveries of a number of orders: sent again as they were, signed anew for a later attempt,
-// tampered with, and signed with a retired key.
+// drawDeliveries returns deliveries of a number of orders. Each order has a delivery that is signed at noon, one to
+// three that are signed later, one whose webhook-id was tampered with and one that is signed with a retired key.
 func drawDeliveries(rng *rand.Rand, orders int) (all []sentDelivery) {
 	for i := range orders {
 		order := fmt.Sprintf("order-%d", i)
@@ -47,7 +47,7 @@
 	return all
 }
 
-// deliverAll sends the deliveries on four connections at once and checks their answers.
+// deliverAll sends the deliveries, up to four of them concurrently, and checks the responses.
 func (s *testServer) deliverAll(t *testing.T, all []sentDelivery) {
 	t.Helper()
 	const concurrency = 4
@@ -58,7 +58,7 @@
 				sent := all[i]
 				status, body, err := s.deliver(sent.request)
 				if err != nil || status != sent.wantStatus || status == http.StatusOK && body != "done "+sent.requestBody {
-					t.Errorf("%s: %d %q, want %d; error %v", sent.requestBody, status, body, sent.wantStatus, err)
+					t.Errorf("delivery of %s: status %d, body %q, want status %d; error %v", sent.requestBody, status, body, sent.wantStatus, err)
 				}
 			}
 		})
@@ -66,8 +66,9 @@
 	group.Wait()
 }
 
-// The operators' test: a server at hooks.example.org replays, reorders and tampers with signed orders, and with the
-// notices that it gets of them, also over a restart; no order runs twice, and each has one notice.
+// Guards against an order that runs twice: a server at hooks.example.org replays, reorders and tampers with signed
+// orders, before and after a restart of the program. It also sends the notices that it receives back as deliveries.
+// Each order must run once and must have one notice.
 func TestOrderRunsOnceDespiteReplaysAndRestart(t *testing.T) {
 	const orders = 30
 	ledgerPath := filepath.Join(t.TempDir(), "ledger")
@@ -85,7 +86,7 @@
 		server.stop(t)
 		for i := range orders {
 			if n := runs[fmt.Sprintf("order-%d", i)]; n != 1 {
-				t.Errorf("order %d ran %d times", i, n)
+				t.Errorf("order %d ran %d times, want once", i, n)
 			}
 		}
 	}
@@ -96,7 +97,7 @@
 			}
 			notices.mu.Lock()
 			defer notices.mu.Unlock()
-			for _, notice := range notices.deliveries { // properly signed, but not of payloadType
+			for _, notice := range notices.deliveries { // the signature is valid, but the type is not payloadType
 				all = append(all, sentDelivery{notice, "notice", http.StatusBadRequest})
 			}
 		})
@@ -105,7 +106,7 @@
 	notices.checkNotices(t, orders)
 }
 
-// A payload signed with a retired key gets one final answer, a refusal, and nothing after it.
+// A delivery that is signed with a retired key is answered with one refusal and with nothing after it.
 func TestRetiredKeyGetsOneFinalAnswer(t *testing.T) {
 	runs := map[string]int{}
 	server := startServer(t, filepath.Join(t.TempDir(), "ledger"), "", runs)
@@ -113,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }() // the server has closed it, as the test has read
+	defer func() { _ = c.Close() }() // the test reads until the server has closed the connection
 	request := signedDelivery(retiredSecret, "m", noon, requestPayload("repair-order", "x", noon))
 	if _, err := c.Write(bytes.Replace(request, []byte("Host:"), []byte("Connection: close\r\nHost:"), 1)); err != nil {
 		t.Fatal(err)
@@ -124,6 +125,6 @@
 	}
 	server.stop(t)
 	if n := strings.Count(string(text), "HTTP/1.1 "); n != 1 || !strings.HasPrefix(string(text), "HTTP/1.1 401 ") || runs["x"] != 0 {
-		t.Errorf("%d answers, %d runs: %q", n, runs["x"], text)
+		t.Errorf("%d responses, want one 401; %d runs, want 0; received %q", n, runs["x"], text)
 	}
 }
--- a/internal/frontend/webhook/harness_test.go
+++ b/internal/frontend/webhook/harness_test.go
@@ -41,7 +41,7 @@
 	testSocketTimeout = 20 * time.Second
 )
 
-// noonClock is the wall clock of all tests.
+// noonClock is the wall clock of all tests; it always returns noon.
 func noonClock() time.Time { return noon }
 
 // statuses returns the status codes of the responses written so far.
@@ -62,7 +62,7 @@
 	}
 }
 
-// fakeRouter records the requests that it gets.
+// fakeRouter records the requests that are submitted to it.
 type fakeRouter struct{ requests []router.Request }
 
 func (f *fakeRouter) Submit(_ time.Duration, r router.Request) policy.RequestID {
@@ -70,7 +70,7 @@
 	return policy.RequestID(len(f.requests))
 }
 
-// testConfig returns the defaults with a ledger at this path; an empty one means none.
+// testConfig returns the default settings with a ledger at ledgerPath, or without a ledger if ledgerPath is empty.
 func testConfig(tb rapid.TB, ledgerPath string) *Config {
 	tb.Helper()
 	c, err := parseConfig("test", `receiver.path = "/hooks"`)
@@ -81,7 +81,7 @@
 	return c
 }
 
-// newTestReceiver returns a receiver. The functions that it posts to the event loop arrive on the channel.
+// newTestReceiver returns a receiver and a channel with the functions that it passes to RunOnLoop.
 func newTestReceiver(tb rapid.TB, requests RequestRouter, ledgerPath string) (*Receiver, chan func()) {
 	tb.Helper()
 	loopCalls := make(chan func(), 100)
@@ -101,32 +101,32 @@
 	return r, loopCalls
 }
 
-// closeReceiver closes a receiver whose ledger is sound.
+// closeReceiver closes a receiver and reports an error of its ledger as a test failure.
 func closeReceiver(tb rapid.TB, r *Receiver) {
 	tb.Helper()
 	if err := r.Close(); err != nil {
-		tb.Errorf("close: %v", err)
+		tb.Errorf("Receiver.Close failed: %v", err)
 	}
 }
 
-// deliver sends bytes on a connection of their own.
+// deliver passes b to a new connection of the receiver and returns its transport.
 func deliver(r *Receiver, b []byte) *testsupport.Transport {
 	transport := &testsupport.Transport{}
 	r.newConnection(transport, netip.AddrPort{}).OnData(b)
 	return transport
 }
 
-// requestPayload returns the JSON of a delivery with a request.
+// requestPayload returns a payload with a request of this class, body and event time.
 func requestPayload(class, body string, eventTime time.Time) []byte {
 	p := payload{Type: payloadType, Timestamp: eventTime, Data: callData{Class: class, FunctionKey: testFunctionKey, Body: []byte(body)}}
 	text, err := json.Marshal(p)
 	if err != nil {
-		panic(err) // of strings, numbers and bytes: it can't fail
+		panic(err) // json.Marshal can't fail for strings, numbers, bytes and the times of the tests
 	}
 	return text
 }
 
-// signedDelivery returns an HTTP request that delivers a payload, signed at this time.
+// signedDelivery returns an HTTP request that delivers the payload body, signed with secret at signedAt.
 func signedDelivery(secret []byte, id string, signedAt time.Time, body []byte) []byte {
 	timestamp := strconv.FormatInt(signedAt.Unix(), 10)
 	head := fmt.Sprintf("POST /hooks HTTP/1.1\r\nHost: hooks.example.org\r\nContent-Length: %d\r\nwebhook-id: %s\r\n"+
@@ -134,18 +134,18 @@
 	return append([]byte(head), body...)
 }
 
-// orderDelivery returns a delivery of an order whose event was at noon.
+// orderDelivery returns a delivery with webhook-id id of an order whose event was at noon.
 func orderDelivery(id string) []byte {
 	return signedDelivery(activeSecret, id, noon, requestPayload("repair-order", "x", noon))
 }
 
-// writeKeyFile returns the path of a key file.
+// writeKeyFile writes a key file with this secret and returns its path.
 func writeKeyFile(t *testing.T, secret []byte) string {
 	t.Helper()
 	return writeFile(t, secretPrefix+base64.StdEncoding.EncodeToString(secret))
 }
 
-// writeFile returns the path of a file with this text.
+// writeFile writes a file with this text and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
--- a/internal/frontend/webhook/ledger_format_test.go
+++ b/internal/frontend/webhook/ledger_format_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// The stored form of the ledger is fixed: the files under testdata were written by an earlier release and are
-// never written anew. appended.ledger has the lines as a running program appends them; compacted.ledger is what
-// opening that file at noon leaves of it.
+// The stored format of the ledger must not change. The files under testdata were written by an earlier release and must
+// not be regenerated. appended.ledger has the lines that a running program appends; compacted.ledger is the result of
+// opening appended.ledger at noon.
 var (
 	storedDigest = "356101d9d2084545607e4c6b981c39c1" // of requestPayload("repair-order", "x", noon)
 
@@ -42,7 +42,8 @@
 	return text
 }
 
-// copyTestdata returns the path of a copy of a file under testdata: opening a ledger writes it anew.
+// copyTestdata returns the path of a copy of a file under testdata. Tests open a copy, because opening a ledger
+// rewrites it.
 func copyTestdata(t *testing.T, name string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "ledger")
@@ -69,7 +70,7 @@
 			for i, want := range compactedEntries {
 				got := entries[i]
 				if !got.EventTime.Equal(want.EventTime) {
-					t.Errorf("%s is of %v, want %v", want.ID, got.EventTime, want.EventTime)
+					t.Errorf("event time of %s is %v, want %v", want.ID, got.EventTime, want.EventTime)
 				}
 				got.EventTime = want.EventTime // compared above
 				if !reflect.DeepEqual(got, want) {
@@ -108,16 +109,16 @@
 	}
 }
 
-// An order that has ended is answered with the stored outcome, one that was in flight with 502, since it may
-// have run; one that never ran is handed to the router.
+// A redelivery of an order that has ended is answered with the stored outcome. An order that was in flight may have
+// run, so its redelivery is answered with 502. An order that never ran is submitted to the router.
 func TestOutcomesAreReplayedFromTheStoredLedger(t *testing.T) {
 	requests := &fakeRouter{}
 	receiver, loopCalls := newTestReceiver(t, requests, copyTestdata(t, "appended.ledger"))
 	defer closeReceiver(t, receiver)
 	for _, test := range []struct {
-		id       string
-		want     []int
-		wantBody string
+		id              string
+		want            []int
+		wantBody        string
 		isFirstDelivery bool
 	}{
 		{id: "msg_served", want: []int{http.StatusOK}, wantBody: "done\n\x00\xff"},
@@ -138,6 +139,6 @@
 		})
 	}
 	if len(requests.requests) != 1 || requests.requests[0].ClientReference != "msg_released" {
-		t.Errorf("the router has %+v", requests.requests)
+		t.Errorf("the router received %+v, want only the request of msg_released", requests.requests)
 	}
 }
--- a/internal/frontend/webhook/ledger_test.go
+++ b/internal/frontend/webhook/ledger_test.go
@@ -12,14 +12,14 @@
 	"pgregory.net/rapid"
 )
 
-// ledgerModel is a ledger with what must be found in it after a crash.
+// ledgerModel is a ledger and the entries that must be found in it after a crash.
 type ledgerModel struct {
 	path   string
 	ledger *ledger
-	want   map[string]ledgerEntry
+	want   map[string]ledgerEntry // by webhook-id
 }
 
-// open opens the ledger and returns what is found in it.
+// open opens the ledger and returns its entries by webhook-id.
 func (m *ledgerModel) open(t *rapid.T) map[string]ledgerEntry {
 	l, entries, err := openLedger(m.path, testLedgerBytes, time.Hour, noonClock)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return found
 }
 
-// write writes an entry in any state, and waits until it is on the disk.
+// write writes an entry in any state and waits until it is on the disk.
 func (m *ledgerModel) write(t *rapid.T, e ledgerEntry) {
 	written := make(chan error, 1)
 	m.ledger.queue <- pendingWrite{entry: e, onDurable: func(err error) { written <- err }}
@@ -47,14 +47,14 @@
 	m.want[e.ID] = e
 }
 
-// crash leaves the beginning of a line behind, as a crash in a write does, and opens the ledger again.
+// crash appends an incomplete line, as a crash during a write does, and opens the ledger again.
 func (m *ledgerModel) crash(t *rapid.T) {
 	torn := encodeEntry(ledgerEntry{ID: "torn", EventTime: noon, State: orderBegun})
 	if _, err := m.ledger.file.Write(torn[:rapid.IntRange(0, len(torn)-1).Draw(t, "cut")]); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := openLedger(m.path, testLedgerBytes, time.Hour, noonClock); !errors.Is(err, errLedgerInUse) {
-		t.Fatalf("a ledger in use was opened again: %v", err)
+		t.Fatalf("opening a ledger that is in use: error %v, want %v", err, errLedgerInUse)
 	}
 	m.close(t)
 	found := m.open(t)
@@ -63,7 +63,7 @@
 	}
 	for id, e := range m.want {
 		if found[id].State != e.State {
-			t.Fatalf("%s is %q, want %q", id, found[id].State, e.State)
+			t.Fatalf("state of %s is %q, want %q", id, found[id].State, e.State)
 		}
 	}
 }
@@ -74,8 +74,8 @@
 	}
 }
 
-// The model of the ledger: an entry whose write was acknowledged is there after a crash, and an incomplete line does no
-// harm.
+// Checks the ledger against a model: an entry whose write was acknowledged is found after a crash, and an incomplete
+// last line is ignored.
 func TestLedgerKeepsAcknowledgedEntries(t *testing.T) {
 	dir := t.TempDir()
 	run := 0
@@ -99,9 +99,9 @@
 	})
 }
 
-// An order that the ledger can't record is refused with 503 and not handed to the router, and so is the next one.
+// An order that the ledger can't record is refused with 503 and not submitted to the router, and so is the next order.
 func TestOrdersAreRefusedIfTheLedgerCannotWrite(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "ledger") // one failure leaves nothing behind for the next
+	path := filepath.Join(t.TempDir(), "ledger") // shared by all cases: a failure must not affect the next start
 	for _, test := range []struct {
 		name          string
 		fault         func(*testing.T, *ledger)
@@ -114,24 +114,24 @@
 				t.Fatal(err)
 			}
 		}, false},
-		{"full again", func(_ *testing.T, l *ledger) { l.maxBytes = 10 }, true},
+		{"full after a failed write", func(_ *testing.T, l *ledger) { l.maxBytes = 10 }, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			requests := &fakeRouter{}
 			receiver, loopCalls := newTestReceiver(t, requests, path)
 			test.fault(t, receiver.ledger)
-			for i := range 2 { // also the one after it
+			for i := range 2 {
 				transport := deliver(receiver, orderDelivery(strconv.Itoa(i)))
 				(<-loopCalls)()
 				if got := statuses(t, transport); !slices.Equal(got, []int{http.StatusServiceUnavailable}) || len(requests.requests) > 0 {
-					t.Errorf("order %d: statuses %v, %d requests", i, got, len(requests.requests))
+					t.Errorf("order %d: statuses %v, want one 503; %d requests, want 0", i, got, len(requests.requests))
 				}
 			}
 			if got := receiver.Counters.LedgerRefused; got != 2 {
-				t.Errorf("%d orders counted as refused", got)
+				t.Errorf("%d orders counted as refused, want 2", got)
 			}
 			if err := receiver.Close(); (err == nil) != test.closeSucceeds {
-				t.Errorf("close: %v", err)
+				t.Errorf("error of Receiver.Close is %v, want success %v", err, test.closeSucceeds)
 			}
 		})
 	}
@@ -168,19 +168,19 @@
 			t.Fatal(err)
 		}
 		if err := write(t, l); err == nil || errors.Is(err, errLedgerFailed) {
-			t.Errorf("the write that failed: %v", err)
+			t.Errorf("error of the failed write is %v, want that of the file", err)
 		}
 		if err := write(t, l); !errors.Is(err, errLedgerFailed) {
-			t.Errorf("the one after it: %v", err)
+			t.Errorf("error of the next write is %v, want %v", err, errLedgerFailed)
 		}
 		if err := l.close(); err == nil {
-			t.Error("close hides that the file can't be synced")
+			t.Error("close returned no error for a file that can't be synced")
 		}
 	})
 }
 
-// If the disk is too slow, the event loop's goroutine never waits for it: orders are refused, and the ends of orders are
-// dropped.
+// Guards against an event loop that waits for a slow disk: with a full queue, recordStart fails and recordEnd drops the
+// entry, without waiting for the writer.
 func TestLedgerQueueIsBounded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	l, _, err := openLedger(path, testLedgerBytes, time.Hour, noonClock)
@@ -201,7 +201,7 @@
 	var refusal error
 	l.recordStart(ledgerEntry{ID: "refused", EventTime: noon}, func(err error) { refusal = err })
 	if !errors.Is(refusal, errLedgerFull) {
-		t.Errorf("with a full queue: %v", refusal)
+		t.Errorf("error of recordStart with a full queue is %v, want %v", refusal, errLedgerFull)
 	}
 	close(writerMayContinue)
 	if err := l.close(); err != nil {
@@ -209,26 +209,26 @@
 	}
 	entries, err := readLastEntries(path)
 	if err != nil || len(entries) != 1+ledgerQueueLength {
-		t.Errorf("%d entries, error %v", len(entries), err)
+		t.Errorf("%d entries, want %d; error %v", len(entries), 1+ledgerQueueLength, err)
 	}
 }
 
-// With damage it is unknown which orders ran: such a ledger must not be used.
+// A damaged ledger must not be opened, because it is unknown which orders ran.
 func TestDamagedLedgerIsNotOpened(t *testing.T) {
 	validLine := string(encodeEntry(ledgerEntry{ID: "m", EventTime: noon, State: orderBegun}))
 	for name, text := range map[string]string{
 		"wrong checksum":       "00000000 {}\n",
-		"checksum is no hex":   "x" + validLine[1:],
+		"checksum is not hex":  "x" + validLine[1:],
 		"empty line":           "\n" + validLine,
 		"short line":           validLine[:9] + "\n",
 		"changed text":         validLine[:12] + "x" + validLine[13:],
 		"damage in the middle": validLine + validLine[:20] + "\n" + validLine,
-		"valid, but no JSON":   "00000000 \n",
+		"empty JSON text":      "00000000 \n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, _, err := openLedger(writeFile(t, text), testLedgerBytes, time.Hour, noonClock)
 			if !errors.Is(err, errLedgerDamaged) {
-				t.Errorf("opened with error %v", err)
+				t.Errorf("error %v, want %v", err, errLedgerDamaged)
 			}
 		})
 	}
--- a/internal/frontend/webhook/noticereceiver_test.go
+++ b/internal/frontend/webhook/noticereceiver_test.go
@@ -10,16 +10,16 @@
 	"testing"
 )
 
-// noticeReceiver is the server at hooks.example.org: it takes signed notices, each at the second attempt only, and
-// keeps what it was sent.
+// noticeReceiver is the server at hooks.example.org. It rejects the first attempt of each notice and accepts the second
+// one, and it keeps the notices.
 type noticeReceiver struct {
-	address string
-	accepted   chan struct{} // one for each notice taken
+	address  string
+	accepted chan struct{} // receives one value for each notice that was accepted
 
-	mu         sync.Mutex
-	attemptsByNoticeID   map[string]int    // by the notice's webhook-id
-	orderIDByNoticeID     map[string]string // an order's webhook-id, by that of its notice
-	deliveries [][]byte          // the notices taken, as deliveries to the receiver under test
+	mu                 sync.Mutex
+	attemptsByNoticeID map[string]int    // number of attempts by the notice's webhook-id
+	orderIDByNoticeID  map[string]string // the order's webhook-id by the notice's webhook-id
+	deliveries         [][]byte          // the accepted notices, as deliveries to the receiver under test
 }
 
 func startNoticeReceiver(t *testing.T) *noticeReceiver {
@@ -29,10 +29,10 @@
 		t.Fatal(err)
 	}
 	n := &noticeReceiver{
-		address:  listener.Addr().String(),
-		accepted:    make(chan struct{}, 1000),
+		address:            listener.Addr().String(),
+		accepted:           make(chan struct{}, 1000),
 		attemptsByNoticeID: map[string]int{},
-		orderIDByNoticeID:   map[string]string{},
+		orderIDByNoticeID:  map[string]string{},
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { n.serve(t, w, r) })}
 	served := make(chan error, 1)
@@ -55,7 +55,7 @@
 	var p noticePayload
 	if err != nil || json.Unmarshal(body, &p) != nil || r.Host != "hooks.example.org" ||
 		r.Header.Get(signatureField) != sign(activeSecret, id, r.Header.Get(timestampField), body) {
-		t.Errorf("a notice that is not as it should be: %v %s", r.Header, body)
+		t.Errorf("invalid notice: header %v, body %s, error %v", r.Header, body, err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -69,7 +69,7 @@
 	n.accepted <- struct{}{}
 }
 
-// checkNotices checks that a number of orders each had one notice, taken at its second attempt.
+// checkNotices checks that notices of this number of orders arrived: one per order, accepted at its second attempt.
 func (n *noticeReceiver) checkNotices(t *testing.T, orders int) {
 	t.Helper()
 	n.mu.Lock()
@@ -78,10 +78,10 @@
 	for id, order := range n.orderIDByNoticeID {
 		notices[order]++
 		if n.attemptsByNoticeID[id] != 2 || notices[order] != 1 {
-			t.Errorf("notice %s of %s: %d attempts, %d notices", id, order, n.attemptsByNoticeID[id], notices[order])
+			t.Errorf("notice %s of %s: %d attempts, want 2; %d notices of the order, want 1", id, order, n.attemptsByNoticeID[id], notices[order])
 		}
 	}
 	if len(notices) != orders {
-		t.Errorf("notices of %d orders", len(notices))
+		t.Errorf("notices of %d orders, want %d", len(notices), orders)
 	}
 }
--- a/internal/frontend/webhook/receiver_test.go
+++ b/internal/frontend/webhook/receiver_test.go
@@ -21,47 +21,48 @@
 		status  int
 		request []byte
 	}{
-		"retired key":              {401, signedDelivery(retiredSecret, "m", noon, body)},
-		"unknown key":              {401, signedDelivery([]byte("somebody else's secret..."), "m", noon, body)},
-		"stale":                    {401, signedDelivery(activeSecret, "m", noon.Add(-6*time.Minute), body)},
-		"from the future":          {401, signedDelivery(activeSecret, "m", noon.Add(6*time.Minute), body)},
-		"other id":                 {401, replace("webhook-id: m", "webhook-id: n")},
-		"other time":               {401, replace("webhook-timestamp: 1", "webhook-timestamp: 01")},
-		"other body":               {401, replace(`"dim-level"`, `"dim-levex"`)},
-		"dotted id":                {401, signedDelivery(activeSecret, "m.1", noon, body)},
-		"no signature":             {401, replace("webhook-signature", "x-signature")},
-		"two ids":                  {401, replace("webhook-id: m", "webhook-id: m\r\nwebhook-id: m")},
-		"unknown class":            {400, signedDelivery(activeSecret, "m", noon, requestPayload("lift", "x", noon))},
-		"no JSON":                  {400, signedDelivery(activeSecret, "m", noon, []byte("{"))},
-		"long body of the request": {400, signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", strings.Repeat("x", maxRequestBodyBytes+1), noon))},
-		"two lengths":              {400, replace("Content-Length", "Content-Length: 3\r\nContent-Length")},
-		"length and chunks":        {400, replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length")},
-		"signed length":            {400, replace("Content-Length: ", "Content-Length: +")},
-		"no length":                {400, replace("Content-Length", "X-Length")},
-		"no host":                  {400, replace("Host", "X-Host")},
-		"bare line feed":           {400, replace("\r\n", "\n")},
-		"folded line":              {400, replace("webhook-id: m", "webhook-id: m\r\n x")},
-		"space before colon":       {400, replace("Host:", "Host :")},
-		"old version":              {400, replace("HTTP/1.1", "HTTP/1.0")},
-		"other path":               {404, replace("/hooks", "/hook")},
-		"other method":             {405, replace("POST", "PUT")},
-		"long body":                {413, replace("Content-Length: ", "Content-Length: 99")},
-		"long head":                {431, replace("Host: ", "Host: "+strings.Repeat("x", maxHeadBytes))},
-		"many headers":             {431, replace("Host: ", strings.Repeat("A: b\r\n", maxHeaderFields)+"Host: ")},
-		"order, no ledger":         {503, signedDelivery(activeSecret, "m", noon, requestPayload("repair-order", "x", noon))},
+		"retired key":                {401, signedDelivery(retiredSecret, "m", noon, body)},
+		"unknown key":                {401, signedDelivery([]byte("somebody else's secret..."), "m", noon, body)},
+		"stale timestamp":            {401, signedDelivery(activeSecret, "m", noon.Add(-6*time.Minute), body)},
+		"future timestamp":           {401, signedDelivery(activeSecret, "m", noon.Add(6*time.Minute), body)},
+		"other id":                   {401, replace("webhook-id: m", "webhook-id: n")},
+		"other time":                 {401, replace("webhook-timestamp: 1", "webhook-timestamp: 01")},
+		"other body":                 {401, replace(`"dim-level"`, `"dim-levex"`)},
+		"dotted id":                  {401, signedDelivery(activeSecret, "m.1", noon, body)},
+		"no signature":               {401, replace("webhook-signature", "x-signature")},
+		"two ids":                    {401, replace("webhook-id: m", "webhook-id: m\r\nwebhook-id: m")},
+		"unknown class":              {400, signedDelivery(activeSecret, "m", noon, requestPayload("lift", "x", noon))},
+		"invalid JSON":               {400, signedDelivery(activeSecret, "m", noon, []byte("{"))},
+		"request body too large":     {400, signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", strings.Repeat("x", maxRequestBodyBytes+1), noon))},
+		"two lengths":                {400, replace("Content-Length", "Content-Length: 3\r\nContent-Length")},
+		"length and transfer coding": {400, replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length")},
+		"length with a plus sign":    {400, replace("Content-Length: ", "Content-Length: +")},
+		"no length":                  {400, replace("Content-Length", "X-Length")},
+		"no host":                    {400, replace("Host", "X-Host")},
+		"bare line feed":             {400, replace("\r\n", "\n")},
+		"folded line":                {400, replace("webhook-id: m", "webhook-id: m\r\n x")},
+		"space before colon":         {400, replace("Host:", "Host :")},
+		"old version":                {400, replace("HTTP/1.1", "HTTP/1.0")},
+		"other path":                 {404, replace("/hooks", "/hook")},
+		"other method":               {405, replace("POST", "PUT")},
+		"HTTP body too large":        {413, replace("Content-Length: ", "Content-Length: 99")},
+		"head too large":             {431, replace("Host: ", "Host: "+strings.Repeat("x", maxHeadBytes))},
+		"too many header fields":     {431, replace("Host: ", strings.Repeat("A: b\r\n", maxHeaderFields)+"Host: ")},
+		"order, no ledger":           {503, signedDelivery(activeSecret, "m", noon, requestPayload("repair-order", "x", noon))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requests := &fakeRouter{}
 			receiver, _ := newTestReceiver(t, requests, "")
 			transport := deliver(receiver, test.request)
 			if got := statuses(t, transport); !slices.Equal(got, []int{test.status}) || len(requests.requests) > 0 {
-				t.Errorf("statuses %v, want one %d; %d requests", got, test.status, len(requests.requests))
+				t.Errorf("statuses %v, want one %d; %d requests, want 0", got, test.status, len(requests.requests))
 			}
 		})
 	}
 }
 
-// The ledger may have forgotten an order that is older than its retention.
+// An order that is older than the ledger's retention must be refused, because the ledger may have forgotten that it
+// ran.
 func TestOrderOlderThanTheRetentionIsRefused(t *testing.T) {
 	requests := &fakeRouter{}
 	receiver, _ := newTestReceiver(t, requests, filepath.Join(t.TempDir(), "ledger"))
@@ -69,39 +70,39 @@
 	payload := requestPayload("repair-order", "x", noon.Add(-72*time.Hour))
 	transport := deliver(receiver, signedDelivery(activeSecret, "old", noon, payload))
 	if got := statuses(t, transport); !slices.Equal(got, []int{http.StatusBadRequest}) || len(requests.requests) > 0 {
-		t.Errorf("statuses %v, %d requests", got, len(requests.requests))
+		t.Errorf("statuses %v, want one 400; %d requests, want 0", got, len(requests.requests))
 	}
 }
 
-// Guards against a second run of an order after a crash: one that was in flight then may have run, so it fails and is not
-// handed to the router again.
+// Guards against a second run of an order after a crash: an order that was in flight may have run, so its redelivery is
+// answered with 502 and is not submitted to the router.
 func TestOrderInFlightAtACrashIsNotRunAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	request := orderDelivery("m")
 
-	t.Run("before", func(t *testing.T) {
+	t.Run("before the crash", func(t *testing.T) {
 		requests := &fakeRouter{}
 		receiver, loopCalls := newTestReceiver(t, requests, path)
 		defer closeReceiver(t, receiver)
 		transport := deliver(receiver, request)
-		(<-loopCalls)() // it is on the disk, and is handed to the router
+		(<-loopCalls)() // handleRecorded: the entry is on the disk, and the order is submitted to the router
 		if got := statuses(t, transport); len(requests.requests) != 1 || len(got) > 0 {
-			t.Errorf("%d requests, statuses %v", len(requests.requests), got)
+			t.Errorf("%d requests, want 1; statuses %v, want none", len(requests.requests), got)
 		}
 	})
-	t.Run("after", func(t *testing.T) {
+	t.Run("after the crash", func(t *testing.T) {
 		requests := &fakeRouter{}
 		receiver, _ := newTestReceiver(t, requests, path)
 		defer closeReceiver(t, receiver)
 		transport := deliver(receiver, request)
 		if got := statuses(t, transport); len(requests.requests) != 0 || !slices.Equal(got, []int{http.StatusBadGateway}) {
-			t.Errorf("%d requests, statuses %v", len(requests.requests), got)
+			t.Errorf("%d requests, want 0; statuses %v, want one 502", len(requests.requests), got)
 		}
 	})
 }
 
-// Guards against a redelivery that arrives while the first delivery is still being recorded or run: it waits for the same
-// outcome, also when the client of the first one has disconnected meanwhile.
+// Guards against a second run when a redelivery arrives while the order is being recorded or run. The redelivery must
+// wait for the outcome of the first delivery, even if the client of the first delivery has disconnected.
 func TestRedeliveryWaitsForThePendingRequest(t *testing.T) {
 	requests := &fakeRouter{}
 	receiver, loopCalls := newTestReceiver(t, requests, filepath.Join(t.TempDir(), "ledger"))
@@ -116,7 +117,7 @@
 	whileRunning := deliver(receiver, request)
 	first.OnClose(nil)
 	if len(requests.requests) != 1 || requests.requests[0].ClientReference != "m" {
-		t.Fatalf("the router has %+v", requests.requests)
+		t.Fatalf("the router received %+v, want only the request of m", requests.requests)
 	}
 	requests.requests[0].Responder.Respond(router.Response{Status: router.Served, Body: []byte("done")})
 
@@ -124,9 +125,9 @@
 		transport *testsupport.Transport
 		want      []int
 	}{
-		"first, gone":    {firstTransport, nil},
-		"while recorded": {whileRecorded, []int{http.StatusOK}},
-		"while running":  {whileRunning, []int{http.StatusOK}},
+		"first, disconnected": {firstTransport, nil},
+		"while recorded":      {whileRecorded, []int{http.StatusOK}},
+		"while running":       {whileRunning, []int{http.StatusOK}},
 	} {
 		if got := statuses(t, test.transport); !slices.Equal(got, test.want) {
 			t.Errorf("%s: statuses %v, want %v", name, got, test.want)
@@ -134,7 +135,7 @@
 	}
 }
 
-// The Receiver remembers a delivery's outcome as long as the settings say, and a pending delivery until it completes.
+// Sweep must keep an outcome until dedupe_for has passed, and a pending delivery until it completes.
 func TestSweepForgetsOnlyExpiredOutcomes(t *testing.T) {
 	requests := &fakeRouter{}
 	receiver, _ := newTestReceiver(t, requests, "")
@@ -146,11 +147,11 @@
 
 	receiver.Sweep(expiry)
 	if receiver.deliveries.find("completed") == nil || receiver.deliveries.bodyBytes != len("done") {
-		t.Errorf("at its expiry: %+v", receiver.deliveries)
+		t.Errorf("the outcome was forgotten at its expiry, want after it: %+v", receiver.deliveries)
 	}
 	receiver.Sweep(expiry + 1)
 	if receiver.deliveries.find("completed") != nil || receiver.deliveries.bodyBytes != 0 {
-		t.Errorf("after its expiry: %+v", receiver.deliveries)
+		t.Errorf("the outcome is still remembered after its expiry: %+v", receiver.deliveries)
 	}
 	if receiver.deliveries.find("pending") == nil {
 		t.Error("a pending delivery was forgotten")
--- a/internal/frontend/webhook/response_test.go
+++ b/internal/frontend/webhook/response_test.go
@@ -11,7 +11,7 @@
 	"functionrouter/internal/testsupport"
 )
 
-// What clients read is fixed byte for byte.
+// Guards the wire format of the responses, which must not change in any byte.
 func TestResponsesOnTheWire(t *testing.T) {
 	valid := string(signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", "x", noon)))
 	served := &router.Response{Status: router.Served, Body: []byte("done")}
@@ -32,15 +32,15 @@
 			valid, &router.Response{Status: router.Refused},
 			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n",
 		},
-		"overdue": {valid, &router.Response{Status: router.Refused, DeadlineExceeded: true}, "HTTP/1.1 504 Gateway Timeout\r\nContent-Length: 0\r\n\r\n"},
+		"deadline exceeded": {valid, &router.Response{Status: router.Refused, DeadlineExceeded: true}, "HTTP/1.1 504 Gateway Timeout\r\nContent-Length: 0\r\n\r\n"},
 		"order without a ledger": {
 			string(orderDelivery("m")), nil,
 			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n",
 		},
-		"malformed":   {"\n", nil, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
-		"bad payload": {string(signedDelivery(activeSecret, "m", noon, []byte("{"))), nil, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"},
-		"retired key": {string(signedDelivery(retiredSecret, "m", noon, nil)), nil, "HTTP/1.1 401 Unauthorized\r\nContent-Length: 0\r\n\r\n"},
-		"other path":  {strings.Replace(valid, "/hooks", "/hook", 1), nil, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"},
+		"malformed":       {"\n", nil, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
+		"invalid payload": {string(signedDelivery(activeSecret, "m", noon, []byte("{"))), nil, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"},
+		"retired key":     {string(signedDelivery(retiredSecret, "m", noon, nil)), nil, "HTTP/1.1 401 Unauthorized\r\nContent-Length: 0\r\n\r\n"},
+		"other path":      {strings.Replace(valid, "/hooks", "/hook", 1), nil, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"},
 		"other method": {
 			strings.Replace(valid, "POST", "PUT", 1), nil,
 			"HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 0\r\nAllow: POST\r\n\r\n",
@@ -72,7 +72,8 @@
 	}
 }
 
-// sendTestRequest sends a test's HTTP request, or what the test of that name makes of a good one.
+// sendTestRequest sends the HTTP request of a test case. For the cases "close" and "expects continue" it sends valid
+// with an additional header field instead.
 func sendTestRequest(name string, c eventloop.AcceptedHandler, valid, request string) {
 	switch name {
 	case "close":
--- a/internal/frontend/webhook/sender_test.go
+++ b/internal/frontend/webhook/sender_test.go
@@ -14,7 +14,7 @@
 	"functionrouter/internal/testsupport"
 )
 
-// Guards the receivers of notices: the types are part of the wire, whatever the code calls an outcome.
+// Guards the types of notices against renames of the outcomes in the code, because receivers of notices compare them.
 func TestNoticeTypes(t *testing.T) {
 	for outcome, want := range map[router.RequestOutcome]string{
 		router.RequestServed:    "repair-order.served",
@@ -23,18 +23,18 @@
 		router.RequestCancelled: "repair-order.abandoned",
 	} {
 		if got := noticeType(outcome); got != want {
-			t.Errorf("notice of %v: %q, want %q", outcome, got, want)
+			t.Errorf("type of a notice of %v is %q, want %q", outcome, got, want)
 		}
 	}
 }
 
-// fakeDialer keeps the connections that a sender opens.
+// fakeDialer records the connections that a sender opens.
 type fakeDialer struct {
 	connections []*fakeConnection
 	addresses   []string
 }
 
-// fakeConnection is a connection of a sender, of which the test is the other end.
+// fakeConnection is a connection of a sender. The test acts as the receiver of notices at the other end.
 type fakeConnection struct {
 	testsupport.Transport
 	handler eventloop.DialHandler
@@ -75,13 +75,13 @@
 	s.Notify(now, &router.Request{ID: "9b1f03aa5c7e2d41", FunctionKey: testFunctionKey}, router.RequestServed)
 }
 
-// receiveNotice reads the request that a sender has written, checks it and returns its webhook-id.
+// receiveNotice opens the connection, checks the HTTP request that the sender writes and returns its webhook-id.
 func (c *fakeConnection) receiveNotice(t *testing.T, secret []byte) string {
 	t.Helper()
 	c.handler.OnOpen(nil)
 	r, err := http.ReadRequest(bufio.NewReader(&c.Written))
 	if err != nil || r.Host != "hooks.example.org" || r.URL.Path != "/n" {
-		t.Fatalf("request %v: %v", r, err)
+		t.Fatalf("HTTP request %v, want one to hooks.example.org/n; error %v", r, err)
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -90,12 +90,12 @@
 	id := r.Header.Get(idField)
 	signature := r.Header.Get(signatureField)
 	if signature != sign(secret, id, r.Header.Get(timestampField), body) || !bytes.Contains(body, []byte(`"repair-order.served"`)) {
-		t.Fatalf("signature %q, body %s", signature, body)
+		t.Fatalf("notice with signature %q and body %s, want a valid signature and type repair-order.served", signature, body)
 	}
 	return id
 }
 
-// reply answers byte by byte, closes the connection and checks that the sender has closed its end.
+// reply sends text byte by byte, closes the connection and checks that the sender has closed its side.
 func (c *fakeConnection) reply(t *testing.T, text string) {
 	t.Helper()
 	for _, b := range []byte(text) {
@@ -103,12 +103,12 @@
 	}
 	c.handler.OnClose(nil)
 	if !c.Closed {
-		t.Error("the connection was left open")
+		t.Error("the sender did not close the connection")
 	}
 }
 
-// The sender's notices are signed, keep their id over attempts, are attempted a bounded number of times, and are
-// dropped and counted where the queue is full.
+// Notices are signed and keep their webhook-id in all attempts. The number of attempts is bounded. If the queue is
+// full, notices are dropped and counted.
 func TestNotices(t *testing.T) {
 	s, dialer := newTestSender(t)
 	for range 3 {
@@ -133,15 +133,15 @@
 	}
 	for id, n := range attempts {
 		if n != 3 {
-			t.Errorf("notice %s was sent %d times", id, n)
+			t.Errorf("notice %s was sent %d times, want 3", id, n)
 		}
 	}
 	if got := dialer.addresses[0]; got != "hooks.example.org:80" {
-		t.Errorf("connected to %s", got)
+		t.Errorf("connected to %s, want hooks.example.org:80", got)
 	}
 }
 
-// What a reply, or its absence, makes of a notice.
+// Checks for each kind of reply, and for a missing reply, whether the notice is delivered, retried or failed.
 func TestAttemptOutcomes(t *testing.T) {
 	delivered := SenderCounters{Queued: 1, Delivered: 1}
 	retried := SenderCounters{Queued: 1, Retried: 1}
@@ -154,18 +154,18 @@
 		}
 	}
 	for name, test := range map[string]struct {
-		endAttempt  func(*testing.T, *Sender, *fakeConnection)
-		want SenderCounters
+		endAttempt func(*testing.T, *Sender, *fakeConnection)
+		want       SenderCounters
 	}{
-		"taken":            {replyWith("HTTP/1.1 200 OK\r\n"), delivered},
-		"taken, HTTP/1.0":  {replyWith("HTTP/1.0 299\r\n"), delivered},
-		"interim first":    {replyWith("HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\n"), delivered},
-		"redirected":       {replyWith("HTTP/1.1 301 Moved\r\n"), retried},
-		"failed":           {replyWith("HTTP/1.1 500 Sorry\r\n"), retried},
-		"gone":             {replyWith("HTTP/1.1 410 Gone\r\n"), failed},
-		"no HTTP":          {replyWith("SSH-2.0-x\r\n"), retried},
-		"long status line": {replyWith(string(bytes.Repeat([]byte("x"), maxReplyBytes))), retried},
-		"no reply":         {replyWith(""), retried},
+		"accepted":            {replyWith("HTTP/1.1 200 OK\r\n"), delivered},
+		"accepted, HTTP/1.0":  {replyWith("HTTP/1.0 299\r\n"), delivered},
+		"interim reply first": {replyWith("HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\n"), delivered},
+		"redirected":          {replyWith("HTTP/1.1 301 Moved\r\n"), retried},
+		"server error":        {replyWith("HTTP/1.1 500 Sorry\r\n"), retried},
+		"gone":                {replyWith("HTTP/1.1 410 Gone\r\n"), failed},
+		"not HTTP":            {replyWith("SSH-2.0-x\r\n"), retried},
+		"long status line":    {replyWith(string(bytes.Repeat([]byte("x"), maxReplyBytes))), retried},
+		"no reply":            {replyWith(""), retried},
 		"dial failed": {func(_ *testing.T, _ *Sender, c *fakeConnection) {
 			c.handler.OnOpen(errors.New("connection refused"))
 		}, retried},
@@ -183,29 +183,30 @@
 			s, dialer := newTestSender(t)
 			notify(s, time.Hour)
 			if next, want := s.Process(time.Hour), time.Hour+s.settings.Timeout; next != want {
-				t.Errorf("next call at %v, want the attempt's deadline %v", next, want)
+				t.Errorf("Process returned %v, want the attempt's deadline %v", next, want)
 			}
 			connections := dialer.takeConnections()
 			if len(connections) != 1 {
-				t.Fatalf("%d connections", len(connections))
+				t.Fatalf("%d connections, want 1", len(connections))
 			}
 			test.endAttempt(t, s, connections[0])
 			if s.Counters != test.want || !connections[0].Closed {
-				t.Errorf("counters %+v, want %+v; closed %v", s.Counters, test.want, connections[0].Closed)
+				t.Errorf("counters %+v, want %+v; closed %v, want true", s.Counters, test.want, connections[0].Closed)
 			}
 			if open := s.OpenNotices(); open != int(test.want.Retried) {
-				t.Errorf("%d open notices", open)
+				t.Errorf("%d open notices, want %d", open, test.want.Retried)
 			}
 		})
 	}
 }
 
-// The backoff grows fourfold from attempt to attempt, up to its bound, and half of it is random.
+// The backoff grows fourfold with each attempt, up to maxBackoff. The delay is between half the backoff and the
+// backoff.
 func TestRetryDelay(t *testing.T) {
 	for failed, want := range map[int]time.Duration{1: time.Second, 2: 4 * time.Second, 3: 16 * time.Second, 5: 256 * time.Second, 6: maxBackoff, 20: maxBackoff} {
 		for range 100 {
 			if got := retryDelay(time.Second, failed); got < want/2 || got > want {
-				t.Errorf("after %d attempts: %v, want %v to %v", failed, got, want/2, want)
+				t.Errorf("delay after %d attempts is %v, want %v to %v", failed, got, want/2, want)
 			}
 		}
 	}
--- a/internal/frontend/webhook/signature_test.go
+++ b/internal/frontend/webhook/signature_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// exampleKeyFile and the signature below are the example of the Standard Webhooks specification's libraries.
+// exampleKeyFile and the signature below are the example in the libraries of the Standard Webhooks specification.
 const exampleKeyFile = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"
 
 func TestSignMatchesSpecificationExample(t *testing.T) {
@@ -33,25 +33,25 @@
 		request []byte
 		want    error
 	}{
-		"valid":               {[]byte(valid), nil},
-		"at the tolerance":    {signedDelivery(activeSecret, "m", noon.Add(-tolerance), body), nil},
-		"beyond it":           {signedDelivery(activeSecret, "m", noon.Add(-tolerance-time.Second), body), errStaleTimestamp},
-		"from the future":     {signedDelivery(activeSecret, "m", noon.Add(tolerance+time.Second), body), errStaleTimestamp},
-		"retired key":         {signedDelivery(retiredSecret, "m", noon, body), errNoMatchingKey},
-		"stale, retired key":  {signedDelivery(retiredSecret, "m", noon.Add(-time.Hour), body), errNoMatchingKey},
-		"other version":       {replace(" v1,", " v2,"), errNoMatchingKey},
-		"other id":            {replace("webhook-id: m", "webhook-id: n"), errNoMatchingKey},
-		"no id":               {replace("webhook-id", "x-id"), errMalformedSignature},
-		"empty id":            {replace("webhook-id: m", "webhook-id:"), errMalformedSignature},
-		"long id":             {signedDelivery(activeSecret, strings.Repeat("m", maxIDBytes+1), noon, body), errMalformedSignature},
-		"dotted id":           {signedDelivery(activeSecret, "m.1", noon, body), errMalformedSignature},
-		"no timestamp":        {replace("webhook-timestamp", "x-timestamp"), errMalformedSignature},
-		"signed timestamp":    {replace("webhook-timestamp: ", "webhook-timestamp: +"), errMalformedSignature},
-		"negative timestamp":  {replace("webhook-timestamp: ", "webhook-timestamp: -"), errMalformedSignature},
-		"huge timestamp":      {replace("webhook-timestamp: ", "webhook-timestamp: 99999"), errMalformedSignature},
-		"no signature":        {replace("webhook-signature", "x-signature"), errMalformedSignature},
-		"two signature lists": {replace("webhook-signature", "webhook-signature: v1,\r\nwebhook-signature"), errMalformedSignature},
-		"many signatures":     {replace("v1a,other", strings.Repeat("v1a,other ", maxSignatures)), errMalformedSignature},
+		"valid":                      {[]byte(valid), nil},
+		"at the tolerance":           {signedDelivery(activeSecret, "m", noon.Add(-tolerance), body), nil},
+		"beyond the tolerance":       {signedDelivery(activeSecret, "m", noon.Add(-tolerance-time.Second), body), errStaleTimestamp},
+		"future timestamp":           {signedDelivery(activeSecret, "m", noon.Add(tolerance+time.Second), body), errStaleTimestamp},
+		"retired key":                {signedDelivery(retiredSecret, "m", noon, body), errNoMatchingKey},
+		"stale, retired key":         {signedDelivery(retiredSecret, "m", noon.Add(-time.Hour), body), errNoMatchingKey},
+		"other version":              {replace(" v1,", " v2,"), errNoMatchingKey},
+		"other id":                   {replace("webhook-id: m", "webhook-id: n"), errNoMatchingKey},
+		"no id":                      {replace("webhook-id", "x-id"), errMalformedSignature},
+		"empty id":                   {replace("webhook-id: m", "webhook-id:"), errMalformedSignature},
+		"id too long":                {signedDelivery(activeSecret, strings.Repeat("m", maxIDBytes+1), noon, body), errMalformedSignature},
+		"dotted id":                  {signedDelivery(activeSecret, "m.1", noon, body), errMalformedSignature},
+		"no timestamp":               {replace("webhook-timestamp", "x-timestamp"), errMalformedSignature},
+		"timestamp with a plus sign": {replace("webhook-timestamp: ", "webhook-timestamp: +"), errMalformedSignature},
+		"negative timestamp":         {replace("webhook-timestamp: ", "webhook-timestamp: -"), errMalformedSignature},
+		"timestamp too large":        {replace("webhook-timestamp: ", "webhook-timestamp: 99999"), errMalformedSignature},
+		"no signature":               {replace("webhook-signature", "x-signature"), errMalformedSignature},
+		"two signature lists":        {replace("webhook-signature", "webhook-signature: v1,\r\nwebhook-signature"), errMalformedSignature},
+		"too many signatures":        {replace("v1a,other", strings.Repeat("v1a,other ", maxSignatures)), errMalformedSignature},
 	} {
 		t.Run(name, func(t *testing.T) {
 			head, _, err := parseRequestHead(test.request)
@@ -63,7 +63,7 @@
 				t.Errorf("error %v, want %v", err, test.want)
 			}
 			if (err == nil) != (id == "m") {
-				t.Errorf("id %q with error %v", id, err)
+				t.Errorf("id %q with error %v, want id m only without an error", id, err)
 			}
 		})
 	}
--- a/internal/frontend/webhook/testserver_test.go
+++ b/internal/frontend/webhook/testserver_test.go
@@ -15,7 +15,7 @@
 	"functionrouter/policy"
 )
 
-// testServer is the whole path but for the workers: sockets, receiver, sender, router and policy.
+// testServer is a complete program except for the workers: sockets, receiver, sender, router and policy.
 type testServer struct {
 	*fakeWorkers
 	loop     *eventloop.Loop
@@ -26,7 +26,8 @@
 	stopOnce sync.Once
 }
 
-// fakeWorkers end each attempt at once and count them by body. The loop's goroutine calls them.
+// fakeWorkers is a worker pool that ends each attempt immediately and counts the attempts by request body. The event
+// loop's goroutine calls its methods.
 type fakeWorkers struct {
 	router *router.Router
 	mu     sync.Mutex
@@ -40,7 +41,7 @@
 	w.mu.Unlock()
 	outcome := policy.Served
 	if losesConnection(body) {
-		outcome = policy.ConnectionReset // it may have run
+		outcome = policy.ConnectionReset // the order may have run
 	}
 	w.router.AttemptEnded(a, router.AttemptResult{Outcome: outcome, InstanceStatus: policy.InstanceWarm, Body: []byte("done " + body)})
 }
@@ -63,13 +64,13 @@
 
 func (w *fakeWorkers) CloseIdleConnections(policy.WorkerID) {}
 
-// losesConnection reports whether the fake workers lose the connection over this order.
+// losesConnection reports whether the fake workers end the attempt of the order with this body with a connection reset.
 func losesConnection(body string) bool { return strings.HasSuffix(body, "7") }
 
-// requestEndHandler is what a router.Config's OnRequestEnd is.
+// requestEndHandler is the type of router.Config.OnRequestEnd.
 type requestEndHandler = func(now time.Duration, req *router.Request, outcome router.RequestOutcome)
 
-// newTestRouter returns a router over two fake workers.
+// newTestRouter returns a fake worker pool and its router, which has two workers.
 func newTestRouter(t *testing.T, runs map[string]int, onRequestEnd requestEndHandler) *fakeWorkers {
 	t.Helper()
 	decisions, err := policy.New(policy.Config{
@@ -104,8 +105,8 @@
 	return workers
 }
 
-// startServer starts a server whose notices go to noticeAddress, nowhere where that is empty. runs counts the
-// workers' runs by body; it may be read when the server has stopped.
+// startServer starts a server that sends notices to noticeAddress, or no notices if it is empty. The workers count the
+// runs of each request body in runs, which may be read after the server has stopped.
 func startServer(t *testing.T, ledgerPath, noticeAddress string, runs map[string]int) *testServer {
 	t.Helper()
 	s := &testServer{
@@ -152,13 +153,14 @@
 	return s
 }
 
-// run is the loop's goroutine, which stop ends.
+// run runs the event loop until stop ends it.
 func (s *testServer) run() {
 	defer close(s.loopDone)
 	s.loop.Run(s.router.SetNow, func(now time.Duration) time.Duration { return min(s.router.Process(now), s.sender.Process(now)) })
 }
 
-// stop ends the loop's goroutine and the ledger's. It is called at the end of the test at the latest.
+// stop ends the goroutines of the event loop and of the ledger. Only the first call has an effect. startServer
+// registers it as a cleanup.
 func (s *testServer) stop(t *testing.T) {
 	t.Helper()
 	s.stopOnce.Do(func() {
@@ -177,13 +179,13 @@
 	return c, c.SetDeadline(time.Now().Add(testSocketTimeout))
 }
 
-// deliver sends one delivery on a connection of its own and returns the one answer.
+// deliver sends one delivery on a new connection and returns the response.
 func (s *testServer) deliver(b []byte) (status int, body string, err error) {
 	c, err := s.dialServer()
 	if err != nil {
 		return 0, "", err
 	}
-	defer func() { _ = c.Close() }() // the answer has been read, or the error is another
+	defer func() { _ = c.Close() }() // the response has been read, or another error is returned
 	if _, err := c.Write(b); err != nil {
 		return 0, "", err
 	}
