--- a/policy/config.go
+++ b/policy/config.go
@@ -97,7 +97,7 @@
 // ConfigError reports a setting that a Policy cannot work with. If several settings are invalid, it reports
 // the first one.
 type ConfigError struct {
-	Field  string // path of the field in Config, such as "Classes[1]"
+	Field  string // path of the field in Config, such as "Classes[1].Deadline"
 	Reason string // what is wrong with its value
 }
 
--- a/policy/config_check.go
+++ b/policy/config_check.go
@@ -1,63 +1,77 @@
 package policy
 
 import (
+	"cmp"
 	"fmt"
 	"math"
+	"time"
 )
 
+// noUpperBound is the upper bound of a setting that need only be finite.
+const noUpperBound = math.MaxFloat64
+
 // validate returns a [*ConfigError] for the first setting that a Policy cannot work with.
 func validate(cfg *Config) error {
 	if len(cfg.Classes) == 0 {
 		return &ConfigError{"Classes", "the list is empty"}
 	}
 	for i := range cfg.Classes {
-		if !cfg.Classes[i].isValid() {
-			return &ConfigError{
-				fmt.Sprintf("Classes[%d]", i),
-				fmt.Sprintf(
-					"LatencyObjective or Deadline <= 0, DedupWindow < 0, or unknown enum value: %+v",
-					cfg.Classes[i],
-				),
-			}
+		if field, reason := cfg.Classes[i].firstFault(); field != "" {
+			return &ConfigError{fmt.Sprintf("Classes[%d].%s", i, field), reason}
 		}
 	}
 	return validateNumbers(cfg)
 }
 
-// isValid reports whether a class's times are in range and its enumerations have known values.
-func (c *Class) isValid() bool {
-	timesValid := c.LatencyObjective > 0 && c.Deadline > 0 && c.DedupWindow >= 0
-	enumsKnown := c.Idempotency <= NotIdempotent && c.DedupScope <= DedupCell
-	return timesValid && enumsKnown
+// firstFault returns the first field of c with an invalid value, and what is wrong with the value. It returns
+// empty strings if all times are in range and all enumerations have known values.
+func (c *Class) firstFault() (field, reason string) {
+	switch {
+	case c.LatencyObjective <= 0:
+		return "LatencyObjective", fmt.Sprintf("%v is not positive", c.LatencyObjective)
+	case c.Deadline <= 0:
+		return "Deadline", fmt.Sprintf("%v is not positive", c.Deadline)
+	case c.DedupWindow < 0:
+		return "DedupWindow", fmt.Sprintf("%v is negative", c.DedupWindow)
+	case c.Idempotency > NotIdempotent:
+		return "Idempotency", fmt.Sprintf("%d is not a known value", c.Idempotency)
+	case c.DedupScope > DedupCell:
+		return "DedupScope", fmt.Sprintf("%d is not a known value", c.DedupScope)
+	default:
+		return "", ""
+	}
 }
 
 // validateNumbers checks the settings that must be finite and not negative, and the shares, which must be at
 // most 1.
 func validateNumbers(cfg *Config) error {
-	noLimit := math.MaxFloat64
-	for _, setting := range []struct {
-		field      string
-		value      float64
-		upperBound float64
-	}{
-		{"MaxAttempts", float64(cfg.MaxAttempts), noLimit},
-		{"Tick", float64(cfg.Tick), noLimit},
-		{"SlowStartCapacity", cfg.SlowStartCapacity, 1},
-		{"SlowStartDuration", float64(cfg.SlowStartDuration), noLimit},
-		{"OverloadMultiple", cfg.OverloadMultiple, noLimit},
-		{"OverloadWindow", float64(cfg.OverloadWindow), noLimit},
-		{"InstanceKeepAlive", float64(cfg.InstanceKeepAlive), noLimit},
-		{"LoadCommandWindow", float64(cfg.LoadCommandWindow), noLimit},
-		{"LoadCommandAllowance", cfg.LoadCommandAllowance, noLimit},
-		{"LoadCommandsPerRequest", cfg.LoadCommandsPerRequest, noLimit},
-	} {
-		inRange := setting.value >= 0 && setting.value <= setting.upperBound // false for NaN
-		if !inRange {
-			return &ConfigError{
-				setting.field,
-				fmt.Sprintf("%v is not between 0 and %.4g", setting.value, setting.upperBound),
-			}
-		}
+	return cmp.Or(
+		validateNumber("MaxAttempts", cfg.MaxAttempts, noUpperBound),
+		validateNumber("Tick", cfg.Tick, noUpperBound),
+		validateNumber("SlowStartCapacity", cfg.SlowStartCapacity, 1),
+		validateNumber("SlowStartDuration", cfg.SlowStartDuration, noUpperBound),
+		validateNumber("OverloadMultiple", cfg.OverloadMultiple, noUpperBound),
+		validateNumber("OverloadWindow", cfg.OverloadWindow, noUpperBound),
+		validateNumber("InstanceKeepAlive", cfg.InstanceKeepAlive, noUpperBound),
+		validateNumber("LoadCommandWindow", cfg.LoadCommandWindow, noUpperBound),
+		validateNumber("LoadCommandAllowance", cfg.LoadCommandAllowance, noUpperBound),
+		validateNumber("LoadCommandsPerRequest", cfg.LoadCommandsPerRequest, noUpperBound),
+	)
+}
+
+// validateNumber returns a [*ConfigError] unless the value of a field is between 0 and upperBound.
+func validateNumber[T int | float64 | time.Duration](field string, value T, upperBound float64) error {
+	number := float64(value)
+	switch {
+	case number >= 0 && number <= upperBound: // false for NaN
+		return nil
+	case math.IsNaN(number):
+		return &ConfigError{field, "NaN is not a number"}
+	case upperBound < noUpperBound:
+		return &ConfigError{field, fmt.Sprintf("%v is not between 0 and %v", value, upperBound)}
+	case number < 0:
+		return &ConfigError{field, fmt.Sprintf("%v is negative", value)}
+	default:
+		return &ConfigError{field, fmt.Sprintf("%v is not finite", value)}
 	}
-	return nil
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -13,7 +13,7 @@
 		spoil       func(*Config)
 	}{
 		{"no classes", "Classes", func(c *Config) { c.Classes = nil }},
-		{"no deadline", "Classes[0]", func(c *Config) { c.Classes[0].Deadline = 0 }},
+		{"no deadline", "Classes[0].Deadline", func(c *Config) { c.Classes[0].Deadline = 0 }},
 		{"capacity above 1", "SlowStartCapacity", func(c *Config) { c.SlowStartCapacity = 1.5 }},
 		{"not a number", "OverloadMultiple", func(c *Config) { c.OverloadMultiple = math.NaN() }},
 		{"negative tick", "Tick", func(c *Config) { c.Tick = -1 }},
