--- a/policy/admission.go
+++ b/policy/admission.go
@@ -22,9 +22,9 @@
 	// value share the shedding; with a lower factor, the noise of an estimate decides which class is shed.
 	minValueDensityRatio = 1.5
 
-	// explorationInterval is the shortest time between two requests that are admitted although the estimates
-	// speak against them. With a longer interval, a wrong estimate lasts longer; with a shorter interval,
-	// more requests are late.
+	// explorationInterval is the shortest time between two requests that are admitted although they are
+	// predicted to miss their deadlines, or would be shed. With a longer interval, a wrong estimate lasts
+	// longer; with a shorter interval, more requests are late.
 	explorationInterval = time.Second
 )
 
@@ -37,8 +37,9 @@
 //   - r is beyond its tenant's quota, and even the lowest score misses r's latency objective.
 //   - Load is shed. A retry is not shed, because work has already been done for its request.
 //
-// At most once per explorationInterval, a request is admitted against the estimates, so that a wrong estimate
-// is corrected. shouldShed draws its random number whether or not the result is used.
+// At most once per explorationInterval, a request is admitted although it is predicted to miss its deadline
+// or would be shed, so that its answer can correct a wrong estimate. shouldShed draws its random number
+// whether or not the result is used.
 func (p *Policy) admit(r *request, chosen target) bool {
 	latency := chosen.latency
 	if chosen.likelyWarm {
@@ -63,8 +64,8 @@
 	return false
 }
 
-// explore reports whether r is sent although the estimates speak against it. At most one request in
-// explorationInterval is, and none that is beyond its tenant's quota.
+// explore reports whether r is sent although it is predicted to miss its deadline or would be shed. At most
+// one request per explorationInterval is sent for this reason, and none that is beyond its tenant's quota.
 func (p *Policy) explore(r *request) bool {
 	if r.overQuota || p.now-p.lastExploration < explorationInterval {
 		return false
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -49,9 +49,8 @@
 //
 // # Constants
 //
-// The comment of a constant says what it bounds and, where that is not plain, what a higher or lower value
-// does. A constant that names no source (the settings, a page, a paper) is a default of this project, not an
-// optimum; the simulator's score shows the effect of another value.
+// The comment of a constant says what the constant bounds or determines and, where that is not plain, what a
+// higher or lower value does.
 package policy
 
 //go:generate go tool -modfile=../tools/go.mod stringer -linecomment -output=enum_string.go -type=Idempotency,DedupScope,WorkerState,EndpointUpdateKind,UnservedReason,Outcome,InstanceStatus,timerKind
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -39,7 +39,7 @@
 	now             time.Duration // time of the event that is being handled
 	actions         []Action      // actions emitted for that event so far
 	lastSweep       time.Duration
-	lastExploration time.Duration // when a request was last admitted against the estimates; see admit
+	lastExploration time.Duration // when explore last let a request be sent
 
 	workers      map[WorkerID]*worker
 	fleet        []*worker // the same workers, in the order in which they were first listed
