--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// What others queue at the one worker that has the function makes requests of less value give way there, and
-// only there.
-func TestShedsOnlyWhereOthersQueue(t *testing.T) {
+// Guards against load shedding at the wrong workers: a queue of other routers' requests at a worker must cause requests
+// of lower value to be shed at this worker only, and only while the queue lasts.
+func TestShedsOnlyAtWorkerWithQueueOfOtherRouters(t *testing.T) {
 	cfg := testConfig()
 	cfg.RouterCount = 50
 	h := newHarness(t, cfg, 2)
@@ -28,15 +28,17 @@
 		busy.queue.excessDelay.observe(h.now, float64(250*ms))
 	}
 	if atBusy, atIdle := sentOf100(busy, 7), sentOf100(idle, 8); atBusy > 60 || atIdle < 95 {
-		t.Errorf("%d of 100 sent where others queue, %d where none do", atBusy, atIdle)
+		t.Errorf("sent %d of 100 requests to the busy worker, want at most 60, and %d to the idle worker, want at least 95",
+			atBusy, atIdle)
 	}
 	h.now += 30 * time.Second
 	if atBusy := sentOf100(busy, 7); atBusy < 95 {
-		t.Errorf("%d of 100 sent after the queue is gone", atBusy)
+		t.Errorf("%d of 100 requests sent after the queue has drained, want at least 95", atBusy)
 	}
 }
 
-// A refusal tells when to come back where the settings allow it, within their limit and not all at once.
+// A refusal carries a Retry-After if the settings allow it. It is at most MaxRetryAfter and partly random, so that
+// refused clients do not all retry at the same time.
 func TestRefusalsCarryRetryAfter(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -54,32 +56,34 @@
 			h := newHarness(t, cfg, 3)
 			h.policy.estimates.standingDelay = nanoseconds(tc.delay)
 			h.policy.lastExploration = h.now
-			waits := map[time.Duration]bool{}
+			retryAfters := map[time.Duration]bool{}
 			for range 100 {
 				_, actions := h.arrive(classIdempotent, 7)
 				refusal, ok := firstAction[RefuseRequest](actions)
 				if !ok {
 					continue
 				}
-				waits[refusal.RetryAfter] = true
+				retryAfters[refusal.RetryAfter] = true
 				if tc.allowed != (refusal.RetryAfter > 0) || refusal.RetryAfter > cfg.MaxRetryAfter {
-					t.Fatalf("retry after %v", refusal.RetryAfter)
+					t.Fatalf("Retry-After is %v, allowed: %v, limit: %v",
+						refusal.RetryAfter, tc.allowed, cfg.MaxRetryAfter)
 				}
 			}
-			if tc.allowed && len(waits) < 5 {
-				t.Errorf("all come back at once: %v", waits)
+			if tc.allowed && len(retryAfters) < 5 {
+				t.Errorf("fewer than 5 different values of Retry-After: %v", retryAfters)
 			}
 		})
 	}
 }
 
-// A tenant within its quota must not look beyond it by chance, however few requests of it a router gets.
-func TestTenantWithinItsQuotaIsNotOverIt(t *testing.T) {
+// Guards against refusals of a tenant that keeps to its quota: if each of many routers gets only a few of the tenant's
+// requests, random variation of their arrivals must not make them count as beyond the quota.
+func TestTenantWithinQuotaIsNotOverQuota(t *testing.T) {
 	cfg := testConfig()
 	cfg.RouterCount, cfg.Tenants = 100, []Tenant{{QuotaPerSecond: 200}}
 	h := newHarness(t, cfg, 5)
 	rng := rand.New(rand.NewPCG(5, 5))
-	overOf300 := func(perSecond float64) (n int) {
+	overQuotaOf300 := func(perSecond float64) (n int) {
 		for range 300 {
 			h.now += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
 			h.lastRequest++
@@ -94,15 +98,16 @@
 		}
 		return n
 	}
-	if n := overOf300(1.6); n > 15 {
-		t.Errorf("%d of 300 requests within the quota looked beyond it", n)
+	if n := overQuotaOf300(1.6); n > 15 {
+		t.Errorf("at a rate within the quota, %d of 300 requests were refused or counted as beyond it", n)
 	}
-	if n := overOf300(6); n < 120 {
-		t.Errorf("only %d of 300 requests at three times the quota looked beyond it", n)
+	if n := overQuotaOf300(6); n < 120 {
+		t.Errorf("at three times the quota, only %d of 300 requests were refused or counted as beyond it", n)
 	}
 }
 
-// In overload a request that must wait for a load is late at best and gives way before one that is warm.
+// In overload, requests that must wait for a load are shed before requests for a warm function: they are predicted to
+// miss their latency objective.
 func TestShedsLateRequestsFirst(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	h.serve(7, 1100*ms, LoadStarted)
@@ -120,11 +125,13 @@
 		}
 	}
 	if sentWarm < sentCold+15 {
-		t.Errorf("sent %d warm and %d cold requests", sentWarm, sentCold)
+		t.Errorf("sent %d requests for a warm function and %d that need a load, want at least 15 more of the former",
+			sentWarm, sentCold)
 	}
 }
 
-// In overload the least value gives way first, and all is admitted again once the delay is gone.
+// In overload, requests of low value are shed before requests of high value. After the delay is over, all are admitted
+// again.
 func TestShedsLeastValueFirstAndRecovers(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	sentOf100 := func(class int) (sent int) {
@@ -140,7 +147,7 @@
 	h.policy.estimates.standingDelay = nanoseconds(220 * ms)
 	low, high := sentOf100(classIdempotent), sentOf100(classNotIdempotent)
 	if low >= high || low == 0 {
-		t.Errorf("sent %d of low value and %d of high", low, high)
+		t.Errorf("sent %d requests of low value and %d of high value", low, high)
 	}
 	for range 200 {
 		id, actions := h.arrive(classNotIdempotent, 7)
@@ -149,6 +156,6 @@
 		}
 	}
 	if got := sentOf100(classIdempotent); got < 95 {
-		t.Errorf("only %d of 100 admitted after the overload", got)
+		t.Errorf("only %d of 100 requests sent after the overload", got)
 	}
 }
--- a/policy/api_test.go
+++ b/policy/api_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Log fields carry the enums' names, which operators search for.
+// Log fields carry the names of the enumeration values, and operators search for them.
 func TestEnumNames(t *testing.T) {
 	for want, value := range map[string]fmt.Stringer{
 		"idempotent":          Idempotent,
@@ -37,7 +37,7 @@
 		"UnservedReason(4)":   UnservedReason(UnservedReasonCount),
 	} {
 		if got := value.String(); got != want {
-			t.Errorf("%T(%d) is named %q, want %q", value, value, got, want)
+			t.Errorf("the name of %T(%d) is %q, want %q", value, value, got, want)
 		}
 	}
 }
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -8,15 +8,16 @@
 	"functionrouter/policy"
 )
 
-// BenchmarkRequest measures a request from its arrival to its answer, housekeeping included, in a fleet whose workers
-// serve a request for one of 64 functions after 100 ms, with 8 requests in flight.
+// BenchmarkRequest measures the policy's work for one request, from its arrival to its answer, including its part of
+// the housekeeping. The requests are for 64 functions; workers serve a request after 100 ms, and 8 requests are in
+// flight.
 func BenchmarkRequest(b *testing.B) {
 	for _, workers := range []int{12, 36, 144, 576} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) { benchmarkRequests(b, workers) })
 	}
 }
 
-// The steady traffic of the benchmark.
+// The traffic of the benchmark, which has a constant rate.
 const (
 	benchmarkFunctions      = 64
 	benchmarkInFlight       = 8
@@ -41,7 +42,7 @@
 	}
 }
 
-// benchmarkTraffic plays steady traffic to a policy.
+// benchmarkTraffic passes requests at a constant rate, and their answers, to a policy.
 type benchmarkTraffic struct {
 	policy      *policy.Policy
 	now         time.Duration
@@ -72,7 +73,8 @@
 	return t
 }
 
-// step brings a request, ends the oldest attempt where enough are in flight, and does housekeeping now and then.
+// step passes a new request to the policy, answers the oldest attempt if more than benchmarkInFlight are in flight, and
+// fires the housekeeping timer once per arrivalsPerHousekeeping requests.
 func (t *benchmarkTraffic) step() {
 	t.lastRequest++
 	t.now += benchmarkInterval
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// fuzzEvent makes an event of four bytes: its kind, and three that its fields are drawn from. The bytes that follow
-// in rest are the data of gossip.
-func fuzzEvent(kind, a, b, c byte, rest []byte) Event {
+// fuzzEvent returns the event that four bytes encode: kind selects its type, and its fields are derived from a, b and
+// c. The data of a GossipReceived event is gossip.
+func fuzzEvent(kind, a, b, c byte, gossip []byte) Event {
 	w, id, fn := WorkerID(a%5), RequestID(b%16), FunctionID(c%4)
 	switch kind % 9 {
 	case 0:
@@ -40,13 +40,13 @@
 	case 6:
 		return TimerFired{Token: housekeepingToken}
 	case 7:
-		return GossipReceived{From: int(a), Data: rest}
+		return GossipReceived{From: int(a), Data: gossip}
 	default:
 		return ClientCancelled{Request: id}
 	}
 }
 
-// targets returns the request and the worker that an action names; 0: none.
+// targets returns the request and the worker that an action names, 0 if it names none.
 func targets(action Action) (RequestID, WorkerID) {
 	switch a := action.(type) {
 	case SendAttempt:
@@ -63,13 +63,14 @@
 	return 0, 0
 }
 
-// checkTargets reports actions that name a request that is over or was never known, or an unknown worker.
+// checkTargets fails the test if an action names a request that is finished or unknown, or an unknown worker. It marks
+// the requests that get their final answer as finished in open.
 func checkTargets(t *testing.T, actions []Action, open map[RequestID]bool, known map[WorkerID]bool) {
 	t.Helper()
 	for _, action := range actions {
 		id, w := targets(action)
 		if id != 0 && !open[id] {
-			t.Fatalf("%T for request %d, which is over", action, id)
+			t.Fatalf("%T for request %d, which is finished or unknown", action, id)
 		}
 		if w != 0 && !known[w] {
 			t.Fatalf("%T names unknown worker %d", action, w)
@@ -81,8 +82,8 @@
 	}
 }
 
-// FuzzHandle feeds arbitrary events: there must be no panic, no action for a finished or unknown request,
-// and none that names an unknown worker.
+// FuzzHandle passes arbitrary events to a policy. The policy must not panic, and no action may name a finished or
+// unknown request, or an unknown worker.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 1, 1, 1, 1, 2, 0, 0, 0, 3, 9, 9, 9})
 	f.Add([]byte{0, 255, 0, 0, 1, 0, 2, 1, 2, 0, 8, 0, 4, 1, 1, 0, 5, 3, 0, 0, 7, 1, 0, 0, 6, 0, 0, 0})
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// gossipCost plays requests spread over 20 s to one of a number of routers, and returns the health checks and the
-// delivered gossip messages that each cost.
+// gossipCost passes requests, spread evenly over 20 s, to the policy of one of several routers. It returns the number
+// of health checks and of delivered gossip messages per request.
 func gossipCost(t *testing.T, routers, requests int) (healthChecks, deliveries float64) {
 	t.Helper()
 	cfg := testConfig()
@@ -31,20 +31,23 @@
 	return healthChecks / float64(requests), deliveries / float64(requests)
 }
 
-// Gossip must cost the same per request whether few or many routers carry the traffic, and no health is checked
-// without cause.
+// Guards against a cost of gossip per request that grows with the number of routers, and against health checks of
+// workers that answer.
 func TestGossipAndHealthChecksPerRequestDoNotGrowWithRouters(t *testing.T) {
-	healthChecksOfFew, deliveriesOfFew := gossipCost(t, 3, 1000)
-	healthChecksOfMany, deliveriesOfMany := gossipCost(t, 100, 250)
-	if healthChecksOfFew > 0 || healthChecksOfMany > 0 {
-		t.Errorf("health checks per request: %.2f with 3 routers, %.2f with 100", healthChecksOfFew, healthChecksOfMany)
+	healthChecksWith3, deliveriesWith3 := gossipCost(t, 3, 1000)
+	healthChecksWith100, deliveriesWith100 := gossipCost(t, 100, 250)
+	if healthChecksWith3 > 0 || healthChecksWith100 > 0 {
+		t.Errorf("health checks per request: %.2f with 3 routers, %.2f with 100, want none",
+			healthChecksWith3, healthChecksWith100)
 	}
-	if deliveriesOfFew == 0 || deliveriesOfFew > 2 || deliveriesOfMany == 0 || deliveriesOfMany > 2 {
-		t.Errorf("messages delivered per request: %.2f with 3 routers, %.2f with 100", deliveriesOfFew, deliveriesOfMany)
+	if deliveriesWith3 == 0 || deliveriesWith3 > 2 || deliveriesWith100 == 0 || deliveriesWith100 > 2 {
+		t.Errorf("gossip messages delivered per request: %.2f with 3 routers, %.2f with 100, want at most 2",
+			deliveriesWith3, deliveriesWith100)
 	}
 }
 
-// A router that restarts knows only the endpoint list: the others tell it where instances are loaded.
+// Guards against needless loads after a router's restart: the router then knows only the endpoint list, and must use
+// the instances that other routers announce.
 func TestInstancesLearnedByGossipAreUsed(t *testing.T) {
 	cfg := testConfig()
 	cfg.AllowGossip, cfg.RouterCount = true, 2
@@ -54,17 +57,18 @@
 		sender.now += housekeepingInterval
 		message, ok := firstAction[SendGossip](sender.housekeep())
 		if !ok || len(message.Data) > 256 {
-			t.Fatalf("gossip sent: %v, of %d bytes", ok, len(message.Data))
+			t.Fatalf("gossip sent: %v, with %d bytes, want at most 256", ok, len(message.Data))
 		}
 		if message.Data[7] != byte(w) || message.Data[15] != byte(f) {
-			t.Fatalf("gossip is %x, of function %d at worker %d", message.Data, f, w)
+			t.Fatalf("gossip is %x, want function %d at worker %d", message.Data, f, w)
 		}
-		w = w%8 + 1 // not where the receiver would look by itself
+		w = w%8 + 1 // not the worker that the receiver would choose without gossip
 		message.Data[7] = byte(w)
 		receiver.handle(GossipReceived{Data: message.Data})
 		if got := receiver.serve(f, 80*ms, InstanceWarm); got != w {
-			t.Errorf("function %d is loaded at %d, sent to %d", f, w, got)
+			t.Errorf("function %d is loaded at worker %d, but the request was sent to worker %d", f, w, got)
 		}
 	}
+	// An incomplete last entry is ignored.
 	receiver.handle(GossipReceived{Data: []byte("short and odd, not a whole number of entries")})
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// harness drives a Policy by hand, in the place of a router.
+// harness passes events to a Policy in place of a router, at clock readings that the test sets.
 type harness struct {
 	t           *testing.T
 	policy      *Policy
@@ -45,7 +45,7 @@
 	lastRequest RequestID
 }
 
-// newHarness returns a harness whose endpoint list holds ready workers, numbered from 1.
+// newHarness returns a harness whose endpoint list holds the given number of ready workers, with ids from 1.
 func newHarness(t *testing.T, cfg Config, workers int) *harness {
 	t.Helper()
 	p, err := New(cfg, 1)
@@ -63,10 +63,10 @@
 
 func (h *harness) handle(event Event) []Action { return h.policy.Handle(h.now, event, nil) }
 
-// housekeep fires the housekeeping timer now.
+// housekeep fires the housekeeping timer.
 func (h *harness) housekeep() []Action { return h.handle(TimerFired{Token: housekeepingToken}) }
 
-// arrive brings a new request of a class for a function.
+// arrive passes the policy a new request of a class for a function. It returns the request's id and the actions.
 func (h *harness) arrive(class int, f FunctionID) (RequestID, []Action) {
 	h.lastRequest++
 	return h.lastRequest, h.handle(RequestArrived{
@@ -75,14 +75,15 @@
 	})
 }
 
-// arriveAndSend brings a new request, which must be sent, and returns where to.
+// arriveAndSend passes the policy a new request, which it must send at once. It returns the request's id and the
+// worker.
 func (h *harness) arriveAndSend(class int, f FunctionID) (RequestID, WorkerID) {
 	h.t.Helper()
 	id, actions := h.arrive(class, f)
 	return id, h.sentTo(actions)
 }
 
-// sentTo returns the worker of the first attempt among the actions, of which there must be one.
+// sentTo returns the worker of the first attempt among the actions. It fails the test if there is no attempt.
 func (h *harness) sentTo(actions []Action) WorkerID {
 	h.t.Helper()
 	send, ok := firstAction[SendAttempt](actions)
@@ -92,29 +93,30 @@
 	return send.Worker
 }
 
-// answer ends a request's first attempt as served, after took.
-func (h *harness) answer(id RequestID, w WorkerID, status InstanceStatus, took time.Duration) {
+// answer ends a request's first attempt as served, after the given duration.
+func (h *harness) answer(id RequestID, w WorkerID, status InstanceStatus, duration time.Duration) {
 	h.handle(AttemptEnded{
 		Request: id, Worker: w, Outcome: Served, InstanceStatus: status, RequestClosed: true,
-		Duration: took,
+		Duration: duration,
 	})
 }
 
-// fail ends an attempt that did not serve its request.
-func (h *harness) fail(id RequestID, attempt int, w WorkerID, o Outcome) []Action {
-	return h.handle(AttemptEnded{Request: id, Attempt: attempt, Worker: w, Outcome: o})
+// fail ends an attempt with an outcome other than Served, and returns the policy's actions.
+func (h *harness) fail(id RequestID, attempt int, w WorkerID, outcome Outcome) []Action {
+	return h.handle(AttemptEnded{Request: id, Attempt: attempt, Worker: w, Outcome: outcome})
 }
 
-// serve plays one idempotent request of a function from its arrival to its answer after took.
-func (h *harness) serve(f FunctionID, took time.Duration, status InstanceStatus) WorkerID {
+// serve passes the policy a request of classIdempotent and, after the given duration, its answer. It returns the
+// worker.
+func (h *harness) serve(f FunctionID, duration time.Duration, status InstanceStatus) WorkerID {
 	h.t.Helper()
 	id, w := h.arriveAndSend(classIdempotent, f)
-	h.now += took
-	h.answer(id, w, status, took)
+	h.now += duration
+	h.answer(id, w, status, duration)
 	return w
 }
 
-// firstAction returns the first action of a type.
+// firstAction returns the first action of type A.
 func firstAction[A Action](actions []Action) (A, bool) {
 	for _, a := range actions {
 		if a, ok := a.(A); ok {
@@ -125,18 +127,18 @@
 	return zero, false
 }
 
-// hasAction reports whether there is an action of a type.
+// hasAction reports whether there is an action of type A.
 func hasAction[A Action](actions []Action) bool {
 	_, ok := firstAction[A](actions)
 	return ok
 }
 
-// list replaces the endpoint list.
-func (h *harness) list(endpoints ...Endpoint) {
+// setEndpoints replaces the endpoint list.
+func (h *harness) setEndpoints(endpoints ...Endpoint) {
 	h.handle(EndpointUpdate{Kind: FullUpdate, Endpoints: endpoints})
 }
 
-// isFinal reports whether the actions hold a final answer.
-func isFinal(actions []Action) bool {
+// hasFinalAnswer reports whether one of the actions is a final answer.
+func hasFinalAnswer(actions []Action) bool {
 	return hasAction[RefuseRequest](actions) || hasAction[FailRequest](actions)
 }
--- a/policy/load_commands_test.go
+++ b/policy/load_commands_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// loadCommandConfig has workers that answer a miss and load on command.
+// loadCommandConfig returns settings of workers that answer FunctionNotLoaded and load functions on command.
 func loadCommandConfig() Config {
 	cfg := testConfig()
 	cfg.MissWhenNotLoaded, cfg.AllowLoadCommands, cfg.InstanceStatusInAnswers = true, true, false
 	return cfg
 }
 
-func TestRestartForgetsInstances(t *testing.T) {
+func TestRestartedWorkerHasNoWarmInstance(t *testing.T) {
 	h := newHarness(t, testConfig(), 3)
 	w := h.serve(7, 1100*ms, LoadStarted)
 	h.handle(EndpointUpdate{Endpoints: []Endpoint{{Worker: w, State: Ready, StartedAt: h.now}}})
 	if h.policy.workers[w].instances[7].warmUntil > h.now {
-		t.Error("a restarted worker is still thought warm")
+		t.Error("the function still counts as warm at a restarted worker")
 	}
 }
 
-func TestMissCommandsOneLoadAndRequestFollows(t *testing.T) {
+func TestMissCausesOneLoadCommandThenRetry(t *testing.T) {
 	h := newHarness(t, loadCommandConfig(), 4)
 	id, w := h.arriveAndSend(classIdempotent, 7)
 	actions := h.fail(id, 0, w, FunctionNotLoaded)
 	command, ok := firstAction[LoadInstance](actions)
 	if !ok || command.Worker != w || command.Instances != 1 || hasAction[SendAttempt](actions) {
-		t.Fatalf("after a miss: %v", actions)
+		t.Fatalf("want one load command and no attempt after a miss: %v", actions)
 	}
 	h.now += time.Second
 	actions = h.handle(LoadCommandEnded{Worker: w, Function: 7, Outcome: Served, Duration: time.Second, Instances: 1})
 	if retry, ok := firstAction[SendAttempt](actions); !ok || retry.Worker != w {
-		t.Errorf("after the load: %v", actions)
+		t.Errorf("not sent to worker %d after the load: %v", w, actions)
 	}
 }
 
@@ -44,8 +44,8 @@
 	for f := FunctionID(1); f <= 9; f++ {
 		id, actions := h.arrive(classIdempotent, f)
 		send, ok := firstAction[SendAttempt](actions)
-		for n := 0; ok; n++ {
-			actions = h.fail(id, n, send.Worker, FunctionNotLoaded)
+		for attempt := 0; ok; attempt++ {
+			actions = h.fail(id, attempt, send.Worker, FunctionNotLoaded)
 			if hasAction[LoadInstance](actions) {
 				commands++
 				break
@@ -54,11 +54,12 @@
 		}
 	}
 	if commands != 2 {
-		t.Errorf("%d commands, the budget is 2", commands)
+		t.Errorf("%d load commands sent, want the budget of 2", commands)
 	}
 }
 
-// While loads fail, a request goes on to a worker that is likely warm; only a retry may begin no load.
+// While loads fail, a first attempt may still go to a worker at which the function is likely warm, but a retry must not
+// begin a load.
 func TestLoadBackoffAdmitsLikelyWarmWorkers(t *testing.T) {
 	cfg := testConfig()
 	cfg.RouterCount = 40
@@ -72,11 +73,12 @@
 	}
 }
 
-// A store that has stopped must not be stormed: each failed load would begin another, here and everywhere.
+// Guards against overload of a failing store that functions are loaded from: without a backoff, each failed load would
+// cause another one, at every router.
 func TestFailingLoadsBeginOneAtATime(t *testing.T) {
 	h := newHarness(t, testConfig(), 6)
-	begun := 0
-	for f := FunctionID(1); f <= 100; f++ { // one new function each 20 ms, 2 s in all
+	loadsBegun := 0
+	for f := FunctionID(1); f <= 100; f++ { // one new function every 20 ms, for 2 s
 		h.now += 20 * ms
 		_, actions := h.arrive(classIdempotent, f)
 		if f%3 == 0 {
@@ -84,23 +86,23 @@
 		}
 		for _, a := range actions {
 			if s, ok := a.(SendAttempt); ok {
-				begun++
-				last := len(h.policy.requests[s.Request].attempts) - 1
+				loadsBegun++
+				lastAttempt := len(h.policy.requests[s.Request].attempts) - 1
 				h.handle(AttemptEnded{
-					Request: s.Request, Attempt: last, Worker: s.Worker, Outcome: Errored,
+					Request: s.Request, Attempt: lastAttempt, Worker: s.Worker, Outcome: Errored,
 					InstanceStatus: LoadFailed,
 				})
 			}
 		}
 	}
-	if begun < 2 || begun > 12 {
-		t.Errorf("%d loads begun in 2 s at a stopped store", begun)
+	if loadsBegun < 2 || loadsBegun > 12 {
+		t.Errorf("%d loads begun in 2 s while all loads fail, want 2 to 12", loadsBegun)
 	}
 	h.now += 2 * time.Second
 	h.housekeep()
 	h.policy.waiting = nil
 	h.now += 2 * time.Second
 	h.serve(500, time.Second, LoadStarted)
-	h.serve(501, time.Second, LoadStarted) // one success ends the backoff
+	h.serve(501, time.Second, LoadStarted) // one successful load has ended the backoff
 	h.serve(502, time.Second, LoadStarted)
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -5,57 +5,58 @@
 	"time"
 )
 
-// sentToWarm brings a new request of a class for function 7, which must go to the worker that is warm.
-func (h *harness) sentToWarm(class int, warm WorkerID) RequestID {
+// sendToWarmWorker passes the policy a new request for function 7, which it must send to the worker that is warm, and
+// returns the request's id.
+func (h *harness) sendToWarmWorker(class int, warm WorkerID) RequestID {
 	h.t.Helper()
 	id, w := h.arriveAndSend(class, 7)
 	if w != warm {
-		h.t.Fatalf("warm at %d, sent to %d", warm, w)
+		h.t.Fatalf("the function is warm at worker %d, but the request was sent to worker %d", warm, w)
 	}
 	return id
 }
 
-// reset ends a request's first attempt by a connection reset after 10 ms.
-func (h *harness) reset(id RequestID, w WorkerID) []Action {
+// resetConnection ends a request's first attempt with a ConnectionReset after 10 ms.
+func (h *harness) resetConnection(id RequestID, w WorkerID) []Action {
 	return h.handle(AttemptEnded{Request: id, Worker: w, Outcome: ConnectionReset, Duration: 10 * ms})
 }
 
-// Guards against a load for each request whose connection broke: the worker that has the instance is tried once
-// more, over another connection. Where that ends badly too the request goes elsewhere.
+// Guards against a load for each request whose connection broke: the policy retries the request once at the worker that
+// has the instance, over another connection. If the retry fails too, the request goes to another worker.
 func TestConnectionResetIsRetriedAtWarmWorker(t *testing.T) {
-	for _, second := range []Outcome{ConnectionReset, Unreachable} {
-		t.Run(second.String(), func(t *testing.T) {
+	for _, secondOutcome := range []Outcome{ConnectionReset, Unreachable} {
+		t.Run(secondOutcome.String(), func(t *testing.T) {
 			h := newHarness(t, testConfig(), 3)
 			w := h.serve(7, 1100*ms, LoadStarted)
 			for range 20 {
 				h.serve(7, 80*ms, InstanceWarm)
 			}
-			sharer, _ := h.arrive(classIdempotent, 7) // on the same connection
-			id := h.sentToWarm(classIdempotent, w)
+			firstID, _ := h.arrive(classIdempotent, 7) // its attempt uses the same connection as the next one
+			id := h.sendToWarmWorker(classIdempotent, w)
 			h.now += 10 * ms
-			sharerActions := h.reset(sharer, w)
+			firstActions := h.resetConnection(firstID, w)
 			unserved := &h.policy.workers[w].health.unserved[classIdempotent]
-			before := unserved.count
-			actions := h.reset(id, w)
+			countBefore := unserved.count
+			actions := h.resetConnection(id, w)
 			if retry, ok := firstAction[SendAttempt](actions); !ok || retry.Worker != w {
-				t.Fatalf("after a reset: %v", actions)
+				t.Fatalf("not retried at the same worker after a reset: %v", actions)
 			}
-			if !hasAction[CheckHealth](sharerActions) || hasAction[CheckHealth](actions) {
-				t.Fatalf("not one health check after resets: %v, %v", sharerActions, actions)
+			if !hasAction[CheckHealth](firstActions) || hasAction[CheckHealth](actions) {
+				t.Fatalf("want a health check after the first reset only: %v, then %v", firstActions, actions)
 			}
-			if unserved.count != before {
+			if unserved.count != countBefore {
 				t.Error("one broken connection counts as two failures")
 			}
-			actions = h.fail(id, 1, w, second)
+			actions = h.fail(id, 1, w, secondOutcome)
 			if retry, ok := firstAction[SendAttempt](actions); !ok || retry.Worker == w {
-				t.Errorf("after the second attempt: %v", actions)
+				t.Errorf("not retried at another worker after the second attempt: %v", actions)
 			}
 		})
 	}
 }
 
-// Guards a worker that is well where no health check may tell so: a connection that breaks under many attempts counts
-// once and ejects nobody. A dial that is refused does.
+// Guards against the ejection of a healthy worker where health checks are not allowed: a connection that breaks while
+// it carries several attempts counts as one failure and ejects no worker. A refused dial ejects the worker.
 func TestConnectionResetCountsOnceWithoutHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.AllowHealthChecks = false
@@ -63,34 +64,35 @@
 	warm := h.serve(7, 80*ms, InstanceWarm)
 	var ids []RequestID
 	for range 4 {
-		ids = append(ids, h.sentToWarm(classNotIdempotent, warm))
+		ids = append(ids, h.sendToWarmWorker(classNotIdempotent, warm))
 	}
 	h.now += 10 * ms
 	w := h.policy.workers[warm]
-	before := w.health.unserved[classNotIdempotent].count
+	countBefore := w.health.unserved[classNotIdempotent].count
 	for _, id := range ids[1:] {
-		h.reset(id, warm)
+		h.resetConnection(id, warm)
 	}
-	if n := w.health.unserved[classNotIdempotent].count; n > before+1 {
-		t.Errorf("one broken connection counts as %.1f failures", n-before)
+	if n := w.health.unserved[classNotIdempotent].count; n > countBefore+1 {
+		t.Errorf("one broken connection counts as %.1f failures", n-countBefore)
 	}
 	if h.policy.isEjected(w) {
-		t.Error("a worker is ejected for a connection that broke")
+		t.Error("the worker is ejected after a broken connection")
 	}
 	if h.fail(ids[0], 0, warm, Unreachable); !h.policy.isEjected(w) {
-		t.Error("a worker that refuses connections is still used")
+		t.Error("the worker is not ejected although it refuses connections")
 	}
 }
 
-// Guards a worker that is well against a load command whose connection broke: a health check tells, and until then
-// neither is the worker ejected nor do the requests that wait for the load go elsewhere.
+// Guards against the ejection of a healthy worker after a load command whose connection broke: a health check shows
+// whether the worker has failed. Until then the worker is not ejected, and the request that waited for the load may go
+// to it. A worker that is unreachable is ejected, and the request goes to another worker.
 func TestConnectionResetOfLoadCommandEjectsNoWorker(t *testing.T) {
 	for _, tc := range []struct {
-		outcome              Outcome
-		ejects, healthChecks bool
+		outcome                      Outcome
+		wantEjected, wantHealthCheck bool
 	}{
-		{outcome: ConnectionReset, healthChecks: true},
-		{outcome: Unreachable, ejects: true},
+		{outcome: ConnectionReset, wantHealthCheck: true},
+		{outcome: Unreachable, wantEjected: true},
 	} {
 		t.Run(tc.outcome.String(), func(t *testing.T) {
 			cfg := testConfig()
@@ -98,32 +100,33 @@
 			h := newHarness(t, cfg, 3)
 			id, w := h.arriveAndSend(classIdempotent, 7)
 			if actions := h.fail(id, 0, w, FunctionNotLoaded); !hasAction[LoadInstance](actions) {
-				t.Fatalf("after a miss: %v", actions)
+				t.Fatalf("no load command after a miss: %v", actions)
 			}
 			actions := h.handle(LoadCommandEnded{Worker: w, Function: 7, Outcome: tc.outcome})
-			if ejected := h.policy.isEjected(h.policy.workers[w]); ejected != tc.ejects {
-				t.Errorf("ejected: %v", ejected)
+			if ejected := h.policy.isEjected(h.policy.workers[w]); ejected != tc.wantEjected {
+				t.Errorf("ejected: %v, want %v", ejected, tc.wantEjected)
 			}
-			if hasAction[CheckHealth](actions) != tc.healthChecks {
-				t.Errorf("checked: %v", !tc.healthChecks)
+			if hasAction[CheckHealth](actions) != tc.wantHealthCheck {
+				t.Errorf("health check sent: %v, want %v", !tc.wantHealthCheck, tc.wantHealthCheck)
 			}
-			if next := h.sentTo(actions); tc.ejects && next == w {
-				t.Error("sent to the ejected worker")
+			if next := h.sentTo(actions); tc.wantEjected && next == w {
+				t.Error("the request was sent to the ejected worker")
 			}
 		})
 	}
 }
 
-// A router that stood still finds late timers and all answers at once: no worker is ejected for it, answers that
-// are due go out in that turn, and requests flow as before.
+// Guards against the ejection of workers after the router's process was paused: timers then fire late, and all answers
+// arrive at once. A request whose final answer is due must be answered when its timer fires, and later requests must
+// still go to the warm worker.
 func TestStalledRouterEjectsNoWorker(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	for range 8 {
 		h.serve(7, 100*ms, InstanceWarm)
 	}
 	id, warm := h.arriveAndSend(classIdempotent, 7)
-	due, _ := h.arrive(classNotIdempotent, 7)
-	h.now += 3999 * ms // beyond the time to answer the second, whose worker has not
+	dueID, _ := h.arrive(classNotIdempotent, 7)
+	h.now += 3999 * ms // the final answer of dueID is due, and its worker has not answered
 	healthChecks := 0
 	for _, a := range h.housekeep() {
 		if _, ok := a.(CheckHealth); ok {
@@ -131,10 +134,10 @@
 		}
 	}
 	if healthChecks > 4 {
-		t.Errorf("%d health checks of 4 workers in one turn", healthChecks)
+		t.Errorf("%d health checks of 4 workers in one run of the housekeeping", healthChecks)
 	}
-	if actions := h.handle(TimerFired{Token: timer{kind: deadlineTimer, request: due}.token()}); !hasAction[FailRequest](actions) {
-		t.Errorf("a request that may have run is not failed when due: %v", actions)
+	if actions := h.handle(TimerFired{Token: timer{kind: deadlineTimer, request: dueID}.token()}); !hasAction[FailRequest](actions) {
+		t.Errorf("a request that may have run did not fail when its final answer was due: %v", actions)
 	}
 	h.answer(id, warm, InstanceWarm, 100*ms)
 	for _, w := range h.policy.fleet {
@@ -146,12 +149,12 @@
 		}
 	}
 	if got := h.serve(7, 100*ms, InstanceWarm); got != warm {
-		t.Errorf("the warm worker %d is left for %d", warm, got)
+		t.Errorf("the function is warm at worker %d, but the request was sent to worker %d", warm, got)
 	}
 }
 
-// One class failing at a worker that serves the rest: its requests go elsewhere, the others stay, and it is
-// tried again later.
+// A worker fails the requests of one class and serves those of the others. The requests of the failing class must go to
+// other workers and the others must stay. Later, the worker must no longer be avoided.
 func TestFailuresOfOneClassMoveOnlyThatClass(t *testing.T) {
 	h := newHarness(t, testConfig(), 5)
 	warm := h.serve(7, 1100*ms, LoadStarted)
@@ -162,10 +165,10 @@
 	}
 	_, actions := h.arrive(classKeyed, 7)
 	if s, ok := firstAction[SendAttempt](actions); ok && s.Worker == warm {
-		t.Error("the failing class goes on at the worker")
+		t.Error("a request of the failing class was sent to the worker that fails it")
 	}
 	if got := h.serve(7, 80*ms, InstanceWarm); got != warm {
-		t.Errorf("the other class left for %d", got)
+		t.Errorf("a request of the class that is served was sent to worker %d, want %d", got, warm)
 	}
 	h.now += 30 * time.Second
 	h.policy.workers[warm].instance(7).warmUntil = h.now + time.Minute
@@ -176,46 +179,47 @@
 	}
 	_, actions = h.arrive(classKeyed, 7)
 	if s, ok := firstAction[SendAttempt](actions); ok && s.Worker != warm {
-		t.Error("the worker is shut out for the class")
+		t.Error("30 s later, a request of the failing class was sent to a worker without an instance")
 	}
 }
 
-// Guards workers against blame for requests that none can serve: whoever can connect could ask for functions
-// that do not exist, and have each worker called unfit in turn.
-func TestErrorsOfUnknownFunctionsBlameNoWorker(t *testing.T) {
+// Guards against failures that count against workers although no worker can serve the request: any client could request
+// functions that do not exist, and each worker in turn would seem to leave requests unserved.
+func TestErrorsOfUnknownFunctionsDoNotCountAsUnserved(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	warm := h.serve(7, 80*ms, InstanceWarm)
 	for f := FunctionID(100); f < 110; f++ {
 		id, actions := h.arrive(classIdempotent, f)
-		for n := 0; ; n++ { // at one worker after another
+		for attempt := 0; ; attempt++ { // the policy tries one worker after another
 			s, ok := firstAction[SendAttempt](actions)
 			if !ok {
 				break
 			}
-			actions = h.handle(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Errored, Duration: ms})
+			actions = h.handle(AttemptEnded{Request: id, Attempt: attempt, Worker: s.Worker, Outcome: Errored, Duration: ms})
 		}
 	}
 	for _, w := range h.policy.fleet {
 		if share := w.health.unserved[classIdempotent].value(h.now); share > 0 {
-			t.Errorf("%.0f%% of requests are thought to go unserved at worker %d", 100*share, w.id())
+			t.Errorf("the estimated share of unserved requests is %.0f%% at worker %d, want 0", 100*share, w.id())
 		}
 	}
 	id, w := h.arriveAndSend(classIdempotent, 7)
 	if w != warm {
-		t.Errorf("the warm worker %d is left for %d", warm, w)
+		t.Errorf("the function is warm at worker %d, but the request was sent to worker %d", warm, w)
 	}
 	h.handle(AttemptEnded{Request: id, Worker: warm, Outcome: Errored, Duration: ms})
 	if h.policy.workers[warm].health.unserved[classIdempotent].value(h.now) == 0 {
-		t.Error("an error to a request of a function that was served counts for nothing")
+		t.Error("an error for a function that was served before does not count as unserved")
 	}
 }
 
-// Guards a class whose requests a worker takes in and never answers, while it goes on serving the others.
-func TestUnansweredClassLeavesItsWorker(t *testing.T) {
+// Guards against further requests of a class to a worker that accepts them and never answers, while it serves other
+// classes. A request whose client cancels does not count as unserved.
+func TestUnansweredClassMovesToAnotherWorker(t *testing.T) {
 	for _, tc := range []struct {
-		name             string
-		clientCancels    bool
-		nextGoesToWorker bool
+		name          string
+		clientCancels bool
+		nextStays     bool
 	}{
 		{"no answer by the deadline", false, false},
 		{"the client cancels", true, true},
@@ -225,7 +229,7 @@
 			cfg.AllowHealthChecks = false
 			h := newHarness(t, cfg, 4)
 			warm := h.serve(7, 80*ms, InstanceWarm)
-			id := h.sentToWarm(classNotIdempotent, warm)
+			id := h.sendToWarmWorker(classNotIdempotent, warm)
 			start := h.now
 			for range 30 {
 				h.serve(7, 80*ms, InstanceWarm)
@@ -241,16 +245,16 @@
 				Duration: h.now - start,
 			})
 			if got := h.serve(7, 80*ms, InstanceWarm); got != warm {
-				t.Errorf("the class that is served left for %d", got)
+				t.Errorf("a request of the class that is served was sent to worker %d, want %d", got, warm)
 			}
-			if _, w := h.arriveAndSend(classNotIdempotent, 7); (w == warm) != tc.nextGoesToWorker {
-				t.Errorf("the next request went to %d from %d", w, warm)
+			if _, w := h.arriveAndSend(classNotIdempotent, 7); (w == warm) != tc.nextStays {
+				t.Errorf("the next request was sent to worker %d; worker %d left its request unserved", w, warm)
 			}
 		})
 	}
 }
 
-// An answer lost by a reset does not mean that the process died: a health check finds out.
+// A connection reset does not prove that the worker's process has ended: a health check must show it.
 func TestConnectionResetTriggersHealthCheck(t *testing.T) {
 	h := newHarness(t, testConfig(), 5)
 	w := h.serve(7, 1100*ms, LoadStarted)
@@ -261,20 +265,21 @@
 	}
 	h.handle(HealthCheckEnded{Worker: w})
 	if h.policy.isEjected(h.policy.workers[w]) || h.policy.workers[w].instances[7].warmUntil <= h.now {
-		t.Error("a living worker is ejected or thought empty")
+		t.Error("the worker answered the health check, but it is ejected or its instance no longer counts as warm")
 	}
 	h.now += ms
-	h.handle(HealthCheckEnded{Worker: 999}) // the clock goes on
+	h.handle(HealthCheckEnded{Worker: 999}) // an unknown worker: the event only advances the clock of the policy
 	h.policy.checkHealth(h.policy.workers[w])
 	h.now += time.Second
 	h.handle(HealthCheckEnded{Worker: w, Outcome: TimedOut})
 	if !h.policy.isEjected(h.policy.workers[w]) {
-		t.Error("a worker that answers no health check is still used")
+		t.Error("the worker is not ejected after a health check without an answer")
 	}
 }
 
-// housekeepUntilCancel plays 3 s of housekeeping, in which a silent worker answers no health check and the others do. It
-// reports whether the silent one was checked, and whether an attempt was cancelled for it.
+// housekeepUntilCancel runs the housekeeping until an attempt is cancelled, for 3 s at most. Health checks of the
+// silent worker time out; the other workers answer theirs. It reports whether the silent worker was checked, and
+// whether an attempt was cancelled.
 func (h *harness) housekeepUntilCancel(silent WorkerID) (checked, cancelled bool) {
 	for range 60 {
 		h.now += housekeepingInterval
@@ -298,18 +303,19 @@
 	return checked, cancelled
 }
 
-// A silent worker gives no outcomes: the failed health check is the signal to cancel what may be sent elsewhere.
-func TestSilentWorkerIsEjectedAndItsAttemptsRescued(t *testing.T) {
+// Attempts at a worker that has stopped answering do not end by themselves. A failed health check must eject the worker
+// and cancel the attempts whose requests may be sent to another worker.
+func TestSilentWorkerIsEjectedAndItsAttemptsCancelled(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	silent := h.serve(7, 1100*ms, LoadStarted)
-	id := h.sentToWarm(classIdempotent, silent)
+	id := h.sendToWarmWorker(classIdempotent, silent)
 	checked, cancelled := h.housekeepUntilCancel(silent)
 	if !checked || !cancelled {
-		t.Fatalf("checked %v, cancelled %v", checked, cancelled)
+		t.Fatalf("health checked: %v, attempt cancelled: %v", checked, cancelled)
 	}
 	retry, ok := firstAction[SendAttempt](h.fail(id, 0, silent, Cancelled))
 	if !ok || retry.Worker == silent {
-		t.Errorf("rescued request: %v %v", retry, ok)
+		t.Errorf("the cancelled request is not retried at another worker: %v, sent: %v", retry, ok)
 	}
 	_, actions := h.arrive(classNotIdempotent, 9)
 	if s, ok := firstAction[SendAttempt](actions); ok && s.Worker == silent {
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-func TestSticksToWarmWorker(t *testing.T) {
+func TestRequestsStayAtWarmWorker(t *testing.T) {
 	h := newHarness(t, testConfig(), 6)
 	w := h.serve(7, 1100*ms, LoadStarted)
 	for range 20 {
 		if got := h.serve(7, 80*ms, InstanceWarm); got != w {
-			t.Fatalf("warm at %d, sent to %d", w, got)
+			t.Fatalf("the function is warm at worker %d, but the request was sent to worker %d", w, got)
 		}
 	}
 	h.now += 11 * time.Second // longer than the keep-alive
 	if i := h.policy.workers[w].instances[7]; i != nil && h.now < i.warmUntil {
-		t.Error("the instance is believed in beyond its keep-alive")
+		t.Error("the instance still counts as warm after its keep-alive time")
 	}
 }
 
-// sendSingle brings a request for function 7, whose instances run one request at a time, and returns where it
-// was sent.
-func (h *harness) sendSingle() (RequestID, WorkerID) {
+// sendWithConcurrency1 passes the policy a request for function 7, whose instances run one request at a time. It
+// returns the request's id and the worker.
+func (h *harness) sendWithConcurrency1() (RequestID, WorkerID) {
 	h.t.Helper()
 	h.lastRequest++
 	return h.lastRequest, h.sentTo(h.handle(RequestArrived{
@@ -31,95 +31,98 @@
 	}))
 }
 
-// Guards the store and the memory: a request that finds an instance busy goes to another worker's, where one is
-// known, before the first worker begins a further one by itself. A concurrency that was observed counts, until a
-// miss shows that the instances have gone.
+// Guards against needless instances, which cost memory and load the store that functions are loaded from: if the
+// instance at a worker is busy, the request goes to a free instance at another worker, because the first worker would
+// load another instance. The number of requests that were served at the same time counts as the concurrency of the
+// instances, until a miss shows that they are no longer loaded.
 func TestPrefersInstanceWithFreeConcurrency(t *testing.T) {
 	h := newHarness(t, testConfig(), 2)
-	for _, w := range []WorkerID{1, 2} { // both have an instance; queueing at 2 looks a little worse
+	for _, w := range []WorkerID{1, 2} { // both have an instance; the queueing delay is slightly longer at worker 2
 		h.policy.workers[w].instance(7).warmUntil = h.now + 10*time.Second
 		h.policy.workers[w].queue.excessDelay.observe(h.now, float64(w-1)*float64(20*ms))
 	}
-	first, atFirst := h.sendSingle()
-	second, atSecond := h.sendSingle()
-	if atFirst != 1 || atSecond != 2 {
-		t.Fatalf("sent to %d, then to %d", atFirst, atSecond)
+	firstID, firstWorker := h.sendWithConcurrency1()
+	secondID, secondWorker := h.sendWithConcurrency1()
+	if firstWorker != 1 || secondWorker != 2 {
+		t.Fatalf("first request sent to worker %d, second to worker %d, want 1 and 2", firstWorker, secondWorker)
 	}
 	h.now += 80 * ms
-	h.answer(first, atFirst, InstanceWarm, 80*ms)
+	h.answer(firstID, firstWorker, InstanceWarm, 80*ms)
 	h.now += 80 * ms
-	h.answer(second, atSecond, InstanceWarm, 80*ms)
-	h.policy.workers[1].instance(7).concurrency = 2 // two were served at a time
+	h.answer(secondID, secondWorker, InstanceWarm, 80*ms)
+	h.policy.workers[1].instance(7).concurrency = 2 // two requests were served at the same time
 	h.policy.workers[2].queue.excessDelay.observe(h.now, float64(100*ms))
-	if _, w := h.sendSingle(); w != 1 {
-		t.Fatalf("sent to %d", w)
+	if _, w := h.sendWithConcurrency1(); w != 1 {
+		t.Fatalf("sent to worker %d, want 1", w)
 	}
-	id, w := h.sendSingle()
+	id, w := h.sendWithConcurrency1()
 	if w != 1 {
-		t.Fatalf("sent to %d though a concurrency of 2 was observed", w)
+		t.Fatalf("sent to worker %d, want 1, which served 2 requests at the same time", w)
 	}
 	h.fail(id, 0, 1, FunctionNotLoaded)
 	if n := h.policy.workers[1].instance(7).concurrency; n != 0 {
-		t.Errorf("a concurrency of %d is believed in after a miss", n)
+		t.Errorf("the concurrency is %d after a miss, want 0", n)
 	}
 }
 
-// Guards against a load at worker after worker: requests that come while the preferred worker loads wait there.
+// Guards against loads of one function at several workers: requests that arrive while the preferred worker loads the
+// function must be sent there too.
 func TestRequestsWaitForLoadUnderWay(t *testing.T) {
 	for routers := 1; routers <= 4; routers++ {
 		cfg := testConfig()
 		cfg.RouterCount = routers
 		h := newHarness(t, cfg, 6)
-		h.policy.estimates.servedWork = 6 * nanoseconds(rateTimeConstant) // all are at work, so one function deserves one worker
+		// All 6 workers are busy, so that the function's share of the work requires one worker.
+		h.policy.estimates.servedWork = 6 * nanoseconds(rateTimeConstant)
 		sends := map[WorkerID]int{}
-		for range 4 { // as many as an instance runs at a time
+		for range 4 { // as many as an instance runs at the same time
 			_, w := h.arriveAndSend(classIdempotent, 7)
 			sends[w]++
 			h.now += 20 * ms
 		}
 		if len(sends) != 1 {
-			t.Errorf("%d routers: requests of one function began loads at %d workers", routers, len(sends))
+			t.Errorf("%d routers: requests for one function were sent to %d workers, want 1", routers, len(sends))
 		}
 	}
 }
 
-// A hot function needs many workers, and no router sees more than a request of it now and then.
-func TestHotFunctionSpreadsAndRareOneStays(t *testing.T) {
+// A popular function must be spread over several workers although each router gets only a few of its requests. A rare
+// function must be loaded at one worker only.
+func TestPopularFunctionSpreadsAndRareOneDoesNot(t *testing.T) {
 	cfg := testConfig()
 	cfg.RouterCount = 50
-	hot, rare := map[WorkerID]bool{}, map[WorkerID]bool{}
-	for n := range uint64(50) {
+	popularWorkers, rareWorkers := map[WorkerID]bool{}, map[WorkerID]bool{}
+	for seed := range uint64(50) {
 		h := newHarness(t, cfg, 20)
-		h.policy.replicaSeed, h.policy.rng = n, rand.New(rand.NewPCG(n, 2))
+		h.policy.replicaSeed, h.policy.rng = seed, rand.New(rand.NewPCG(seed, 2))
 		for k := range 30 {
 			f := FunctionID(1000 + k)
 			if k%3 == 0 {
-				f = 7 // a third of all work: a third of the fleet
+				f = 7 // a third of all requests, which requires a third of the fleet
 			}
 			h.now += 300 * ms
 			w := h.serve(f, 30*ms, InstanceWarm)
-			h.policy.workers[w].instances[f].warmUntil = h.now // as a router that has just lost sight of it
+			h.policy.workers[w].instances[f].warmUntil = h.now // as at a router that no longer knows of the instance
 			if k > 15 && f == 7 {
-				hot[w] = true
+				popularWorkers[w] = true
 			}
 		}
 		h.now += time.Minute
-		rare[h.serve(9, 30*ms, InstanceWarm)] = true
+		rareWorkers[h.serve(9, 30*ms, InstanceWarm)] = true
 	}
-	if len(hot) < 4 || len(hot) > 14 {
-		t.Errorf("a third of all work went to %d of 20 workers", len(hot))
+	if len(popularWorkers) < 4 || len(popularWorkers) > 14 {
+		t.Errorf("a third of all requests went to %d of 20 workers, want 4 to 14", len(popularWorkers))
 	}
-	if len(rare) != 1 {
-		t.Errorf("a function called now and then is loaded at %d workers", len(rare))
+	if len(rareWorkers) != 1 {
+		t.Errorf("a rare function was sent to %d workers, want 1", len(rareWorkers))
 	}
 }
 
-// routerFleet is many routers that share workers and do not see each other's requests. It counts the first
-// attempts of function 7.
+// routerFleet is a set of routers that share workers and do not see each other's requests.
 type routerFleet struct {
 	routers   []*harness
-	preferred WorkerID // where function 7 goes while all is well
-	sends     map[WorkerID]int
+	preferred WorkerID         // the worker that gets most requests for function 7 before the overload
+	sends     map[WorkerID]int // number of first attempts for function 7
 }
 
 func newRouterFleet(t *testing.T, routers, workers int) *routerFleet {
@@ -127,17 +130,18 @@
 	cfg := testConfig()
 	cfg.RouterCount, cfg.InstanceStatusInAnswers = routers, false
 	fleet := &routerFleet{sends: map[WorkerID]int{}}
-	for n := range uint64(routers) {
+	for seed := range uint64(routers) {
 		h := newHarness(t, cfg, workers)
-		h.policy.replicaSeed, h.policy.rng = n, rand.New(rand.NewPCG(n, 9))
+		h.policy.replicaSeed, h.policy.rng = seed, rand.New(rand.NewPCG(seed, 9))
 		fleet.routers = append(fleet.routers, h)
 	}
 	return fleet
 }
 
-// play brings each router 24 requests in 12 s, the first of them for function 7, which comes too seldom to be
-// known as warm. It returns the share of that function's first attempts that went to the preferred worker, which
-// rejects them while overloaded.
+// play passes each router 24 requests, with pauses of 500 ms, that is 12 s in all. The first request is for function 7,
+// which is requested too rarely for a router to assume that it is still warm. If overloaded is true, the preferred
+// worker rejects the requests for function 7. play returns the share of the first attempts for function 7 that were
+// sent to the preferred worker.
 func (fleet *routerFleet) play(overloaded bool) float64 {
 	sends, toPreferred := 0, 0
 	for _, h := range fleet.routers {
@@ -163,7 +167,8 @@
 	return float64(toPreferred) / float64(sends)
 }
 
-// playAttempts answers a request's attempts, of which the preferred worker may reject up to three.
+// playAttempts ends up to three attempts of a request. The worker serves the attempt after 60 ms, unless it is the
+// preferred worker and preferredRejects is true: then it rejects the attempt after 5 ms.
 func (fleet *routerFleet) playAttempts(h *harness, id RequestID, actions []Action, preferredRejects bool) {
 	for attempt := range 3 {
 		send, ok := firstAction[SendAttempt](actions)
@@ -186,8 +191,9 @@
 	}
 }
 
-// A function's preferred worker rejects at once while the others have room: many routers, which do not see each
-// other's requests, move their sum of sends off it within seconds and come back after.
+// A function's preferred worker rejects requests for overload while the other workers have free capacity. Many routers,
+// which do not see each other's requests, must together reduce its share of the first attempts to a third within 4
+// rounds of play. After the overload, they must use the worker again.
 func TestRequestsLeaveOverloadedWorkerAndReturn(t *testing.T) {
 	fleet := newRouterFleet(t, 60, 20)
 	for range 5 {
@@ -198,47 +204,52 @@
 			fleet.preferred = w
 		}
 	}
-	before := fleet.play(false)
+	shareBefore := fleet.play(false)
 	for range 4 {
 		fleet.play(true)
 	}
-	during := fleet.play(true)
+	shareDuring := fleet.play(true)
 	for range 40 {
 		fleet.play(false)
 	}
-	after := fleet.play(false)
-	t.Logf("share of sends at the preferred worker: %.2f before, %.2f in overload, %.2f after", before, during, after)
-	if during > before/3 {
-		t.Errorf("the overloaded worker still draws %.2f of sends, %.2f before", during, before)
+	shareAfter := fleet.play(false)
+	t.Logf("share of first attempts at the preferred worker: %.2f before, %.2f during and %.2f after the overload",
+		shareBefore, shareDuring, shareAfter)
+	if shareDuring > shareBefore/3 {
+		t.Errorf("the overloaded worker gets %.2f of the first attempts, %.2f before the overload",
+			shareDuring, shareBefore)
 	}
-	if after < before/2 {
-		t.Errorf("the worker draws %.2f of sends after it has room again, %.2f before", after, before)
+	if shareAfter < shareBefore/2 {
+		t.Errorf("after the overload, the worker gets %.2f of the first attempts, %.2f before it",
+			shareAfter, shareBefore)
 	}
 }
 
-// A worker that rejects a request has begun no load for it: the next request must not count on one.
-func TestOverloadedAnswerBeganNoLoad(t *testing.T) {
+// A worker that rejects a request for overload starts no load for it: the policy must not assume that a load is under
+// way.
+func TestOverloadedAnswerStartsNoLoad(t *testing.T) {
 	h := newHarness(t, testConfig(), 3)
 	id, w := h.arriveAndSend(classIdempotent, 7)
 	h.handle(AttemptEnded{Request: id, Worker: w, Outcome: WorkerOverloaded, Duration: ms})
 	worker, r := h.policy.workers[w], h.policy.requests[id]
 	if !h.policy.needsLoad(worker, r) {
-		t.Errorf("a load is thought under way: %v left", h.policy.remainingLoadTime(worker, r))
+		t.Errorf("a load is assumed to be under way, with %.0f ns left", h.policy.remainingLoadTime(worker, r))
 	}
 }
 
-// Little time left is no reason to refuse what is most likely loaded at the preferred worker.
+// Guards against the refusal of a request with less time left than a load takes, whose function is likely warm at the
+// preferred worker: it must be sent if the time left is enough without a load.
 func TestShortDeadlineIsSentToLikelyWarmWorker(t *testing.T) {
-	for left, want := range map[time.Duration]bool{20 * ms: false, 300 * ms: true} { // nothing runs in 20 ms
-		t.Run(left.String(), func(t *testing.T) {
+	for timeLeft, want := range map[time.Duration]bool{20 * ms: false, 300 * ms: true} { // 20 ms is less than a run
+		t.Run(timeLeft.String(), func(t *testing.T) {
 			cfg := testConfig()
 			cfg.RouterCount = 40
 			h := newHarness(t, cfg, 5)
 			h.serve(7, 100*ms, InstanceWarm)
 			h.policy.lastExploration = h.now
-			actions := h.handle(RequestArrived{Request: 99, Function: 8, LoadTime: time.Second, TimeLeft: left})
+			actions := h.handle(RequestArrived{Request: 99, Function: 8, LoadTime: time.Second, TimeLeft: timeLeft})
 			if hasAction[SendAttempt](actions) != want {
-				t.Errorf("answered with %v", actions)
+				t.Errorf("sent: %v, want %v: %v", !want, want, actions)
 			}
 		})
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-func TestNewRejectsImpossibleSettings(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	for _, tc := range []struct {
 		name, field string
-		spoil       func(*Config)
+		change      func(*Config)
 	}{
 		{"no classes", "Classes", func(c *Config) { c.Classes = nil }},
 		{"no deadline", "Classes[0].Deadline", func(c *Config) { c.Classes[0].Deadline = 0 }},
 		{"capacity above 1", "SlowStartCapacity", func(c *Config) { c.SlowStartCapacity = 1.5 }},
-		{"not a number", "OverloadMultiple", func(c *Config) { c.OverloadMultiple = math.NaN() }},
+		{"overload multiple not a number", "OverloadMultiple", func(c *Config) { c.OverloadMultiple = math.NaN() }},
 		{"negative tick", "Tick", func(c *Config) { c.Tick = -1 }},
-		{"infinite loads", "LoadCommandAllowance", func(c *Config) { c.LoadCommandAllowance = math.Inf(1) }},
+		{"infinite load command allowance", "LoadCommandAllowance", func(c *Config) { c.LoadCommandAllowance = math.Inf(1) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			cfg := testConfig()
-			tc.spoil(&cfg)
+			tc.change(&cfg)
 			_, err := New(cfg, 1)
-			var invalid *ConfigError
-			if !errors.As(err, &invalid) || invalid.Field != tc.field {
-				t.Errorf("got %v, want a ConfigError of %s", err, tc.field)
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) || configErr.Field != tc.field {
+				t.Errorf("got error %v, want a ConfigError for field %s", err, tc.field)
 			}
 		})
 	}
@@ -40,13 +40,13 @@
 	}
 	h.now += timer.After
 	if actions := h.handle(TimerFired{Token: timer.Token}); !hasAction[FailRequest](actions) {
-		t.Errorf("no failure at the deadline: %v", actions)
+		t.Errorf("the request did not fail when its deadline timer fired: %v", actions)
 	}
 }
 
-// rejectEverywhere has each of a new request's attempts rejected, of which there must be a number, and returns
-// the last actions.
-func rejectEverywhere(h *harness, attempts int) []Action {
+// rejectAttempts passes the policy a new request and rejects the given number of its attempts for overload. It returns
+// the actions after the last rejection.
+func rejectAttempts(h *harness, attempts int) []Action {
 	h.t.Helper()
 	id, actions := h.arrive(classIdempotent, 7)
 	for n := range attempts {
@@ -55,48 +55,49 @@
 	return actions
 }
 
-// A request that no worker can take any more is answered at once, long before its deadline.
-func TestHopelessRequestIsAnsweredAtOnce(t *testing.T) {
+// Guards against requests that wait until their deadline although no worker may take them any more: the policy must
+// answer them at once. In the last case a worker may still be listed, and the request must wait for it.
+func TestRequestIsAnsweredAtOnceIfNoWorkerMayTakeIt(t *testing.T) {
 	t.Run("rejected by all workers", func(t *testing.T) {
 		h := newHarness(t, testConfig(), 3)
-		if actions := rejectEverywhere(h, 3); !hasAction[RefuseRequest](actions) {
+		if actions := rejectAttempts(h, 3); !hasAction[RefuseRequest](actions) {
 			t.Errorf("not refused: %v", actions)
 		}
 	})
-	t.Run("attempts used up", func(t *testing.T) {
+	t.Run("all attempts used", func(t *testing.T) {
 		h := newHarness(t, testConfig(), 9)
-		if actions := rejectEverywhere(h, 5); !hasAction[RefuseRequest](actions) {
+		if actions := rejectAttempts(h, 5); !hasAction[RefuseRequest](actions) {
 			t.Errorf("not refused: %v", actions)
 		}
 	})
-	t.Run("dedup window past", func(t *testing.T) {
+	t.Run("dedup window over", func(t *testing.T) {
 		h := newHarness(t, testConfig(), 9)
 		id, w := h.arriveAndSend(classKeyed, 7)
 		h.now += 1200 * ms
-		if actions := h.fail(id, 0, w, Errored); !isFinal(actions) {
-			t.Errorf("waits: %v", actions)
+		if actions := h.fail(id, 0, w, Errored); !hasFinalAnswer(actions) {
+			t.Errorf("no final answer: %v", actions)
 		}
 	})
-	t.Run("dedup window past, no worker listed", func(t *testing.T) {
+	t.Run("dedup window over, no worker listed", func(t *testing.T) {
 		h := newHarness(t, testConfig(), 1)
 		id, w := h.arriveAndSend(classKeyed, 7)
-		h.list()
+		h.setEndpoints()
 		h.now += 1200 * ms
-		if actions := h.fail(id, 0, w, Errored); !isFinal(actions) {
-			t.Errorf("waits: %v", actions)
+		if actions := h.fail(id, 0, w, Errored); !hasFinalAnswer(actions) {
+			t.Errorf("no final answer: %v", actions)
 		}
 	})
 	t.Run("loads paused for longer than the client waits", testPausedLoads)
 	t.Run("no worker listed yet", func(t *testing.T) {
 		h := newHarness(t, testConfig(), 0)
 		id, actions := h.arrive(classIdempotent, 7)
-		if isFinal(actions) {
-			t.Fatalf("does not wait: %v", actions)
+		if hasFinalAnswer(actions) {
+			t.Fatalf("answered although a worker may still be listed: %v", actions)
 		}
-		h.list(Endpoint{Worker: 1, State: Ready})
+		h.setEndpoints(Endpoint{Worker: 1, State: Ready})
 		h.now += housekeepingInterval
 		if s, ok := firstAction[SendAttempt](h.housekeep()); !ok || s.Request != id {
-			t.Error("not sent once a worker is listed")
+			t.Error("not sent after a worker was listed")
 		}
 	})
 }
@@ -104,19 +105,19 @@
 func testPausedLoads(t *testing.T) {
 	h := newHarness(t, testConfig(), 3)
 	h.policy.loadBackoff.until = h.now + 1500*ms
-	h.list(Endpoint{Worker: 9, State: Ready})
+	h.setEndpoints(Endpoint{Worker: 9, State: Ready})
 	h.policy.cfg.RouterCount = 1
 	actions := h.handle(RequestArrived{Request: 77, Function: 3, LoadTime: time.Second, TimeLeft: 1400 * ms})
-	if !isFinal(actions) {
-		t.Errorf("waits: %v", actions)
+	if !hasFinalAnswer(actions) {
+		t.Errorf("no final answer although the pause is longer than the time left: %v", actions)
 	}
 	actions = h.handle(RequestArrived{Request: 78, Function: 3, LoadTime: time.Second, TimeLeft: 4 * time.Second})
-	if isFinal(actions) || hasAction[SendAttempt](actions) {
-		t.Errorf("does not wait though the pause ends in time: %v", actions)
+	if hasFinalAnswer(actions) || hasAction[SendAttempt](actions) {
+		t.Errorf("answered or sent although the pause ends in time: %v", actions)
 	}
 }
 
-func TestImplausibleValuesDistortNoEstimate(t *testing.T) {
+func TestImplausibleValuesDoNotDistortEstimates(t *testing.T) {
 	h := newHarness(t, testConfig(), 3)
 	h.handle(RequestArrived{
 		Request: 99, Function: 7, Concurrency: math.NaN(), MemoryMB: math.Inf(1),
@@ -135,10 +136,10 @@
 	}
 	for _, w := range h.policy.fleet {
 		p := h.policy
-		v := w.queue.slope.sumY + float64(p.classes[classIdempotent].runTime.mean) + p.estimates.loadRatio +
+		sum := w.queue.slope.sumY + float64(p.classes[classIdempotent].runTime.mean) + p.estimates.loadRatio +
 			float64(p.estimates.standingDelay)
-		if math.IsNaN(v) || math.IsInf(v, 0) {
-			t.Errorf("worker %d: an estimate is %v", w.id(), v)
+		if math.IsNaN(sum) || math.IsInf(sum, 0) {
+			t.Errorf("worker %d: the sum of the estimates is %v", w.id(), sum)
 		}
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// sendsToFirstWorker brings a request and counts its sends to worker 1, where each attempt errs.
+// sendsToFirstWorker passes the policy a request, ends all its attempts with Errored, and returns the number of
+// attempts at worker 1.
 func sendsToFirstWorker(h *harness, f FunctionID) (sent int) {
 	id, actions := h.arrive(classIdempotent, f)
 	send, ok := firstAction[SendAttempt](actions)
@@ -19,10 +20,11 @@
 	return sent
 }
 
-// In overload, what workers reject must not count as what they can take.
-func TestWarmingWorkerStaysWithinBudget(t *testing.T) {
+// Guards against too many requests to a worker that has just started: requests that the workers do not serve must not
+// count as work that a worker can take.
+func TestWarmingWorkerStaysWithinSlowStartLimit(t *testing.T) {
 	h := newHarness(t, testConfig(), 5)
-	for range 200 { // 10 a second over 5 workers
+	for range 200 { // 10 requests per second over 5 workers
 		h.serve(FunctionID(h.now%50), 100*ms, InstanceWarm)
 		if h.now%time.Second < 100*ms {
 			h.housekeep()
@@ -33,15 +35,16 @@
 	for f := FunctionID(1000); f < 1400; f++ {
 		sent += sendsToFirstWorker(h, f)
 	}
-	// A share of 0.2 at a multiple of 2 allows 0.4 of the mean: 2.4 of 6 in the 3 s window.
+	// A capacity of 0.2 and an overload multiple of 2 allow 0.4 of a worker's mean work: 2.4 of 6 requests in the 3 s
+	// window.
 	if sent < 1 || sent > 3 {
-		t.Errorf("%d sends to a warming worker at once", sent)
+		t.Errorf("%d attempts at a warming worker, want 1 to 3", sent)
 	}
 }
 
-// Of many routers, which do not see each other's requests, each may send a worker that just started only part
-// of a request.
-func TestManyRoutersTogetherSpareWarmingWorker(t *testing.T) {
+// Guards against overload of a worker that has just started by many routers, which do not see each other's requests:
+// the limit of each single router is less than one request.
+func TestManyRoutersTogetherDoNotOverloadWarmingWorker(t *testing.T) {
 	const routers, workers, requests = 100, 10, 30 // requests of each router in 10 s
 	cfg := testConfig()
 	cfg.RouterCount = routers
@@ -59,8 +62,9 @@
 			sent += sendsToFirstWorker(h, f)
 		}
 	}
-	// A worker serves 30 requests a second. At 0.2 to 0.44 of its capacity and a multiple of 2, 3 s allow 36 to 79.
+	// A worker serves 30 requests per second. At 0.2 to 0.44 of its capacity and an overload multiple of 2, 36 to 79
+	// requests are allowed in 3 s.
 	if sent < 8 || sent > 60 {
-		t.Errorf("%d sends to a warming worker within 3 s by all together", sent)
+		t.Errorf("all routers together sent %d attempts to a warming worker within 3 s, want 8 to 60", sent)
 	}
 }
--- a/policy/timers_test.go
+++ b/policy/timers_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Guards the timers against each other: the token that the router gives back names the timer that was set.
+// Guards against a timer that is taken for another one: the token that the router returns must identify the timer that
+// was set.
 func TestTimerTokensRoundTrip(t *testing.T) {
 	for _, want := range []timer{
 		{kind: housekeepingTimer},
@@ -12,7 +13,7 @@
 		{kind: deadlineTimer, request: ^RequestID(0)},
 	} {
 		if got, ok := timerForToken(want.token()); !ok || got != want {
-			t.Errorf("%+v has token %d, which is taken for %+v, %v", want, want.token(), got, ok)
+			t.Errorf("timer %+v has token %d, which is taken for %+v (found: %v)", want, want.token(), got, ok)
 		}
 	}
 	if got, ok := timerForToken(deadlineTokenOffset - 1); ok {
