--- a/cmd/functionrouter/cancel_test.go
+++ b/cmd/functionrouter/cancel_test.go
@@ -20,23 +20,23 @@
 func TestCancelWhileDialing(t *testing.T) {
 	for _, test := range cancellations {
 		t.Run(test.name, func(t *testing.T) {
-			worker := startFullWorker(t)
+			worker := startFullBacklogWorker(t)
 			h := startHarness(t, longDialTimeout, listedWorker{name: "s-1", addr: worker.addr})
-			c := h.connect()
-			other := h.connect()
-			c.sendCall("safe", "00000000000000a1", "cancelled")
-			other.checkHealth()
-			test.cancel(c)
-			other.checkHealth()
-			other.sendCall("safe", "00000000000000a2", "not cancelled")
-			other.checkHealth()
+			cancelling := h.connect()
+			waiting := h.connect()
+			cancelling.sendCall("safe", "00000000000000a1", "cancelled")
+			waiting.checkHealth()
+			test.cancel(cancelling)
+			waiting.checkHealth()
+			waiting.sendCall("safe", "00000000000000a2", "not cancelled")
+			waiting.checkHealth()
 			worker.startAccepting()
 			r := worker.nextRequest()
 			if r.body != "not cancelled" {
 				t.Fatalf("the worker was sent %q", r.body)
 			}
 			r.respond("HIT", "done")
-			other.expectStatus("served")
+			waiting.expectStatus("served")
 			worker.expectNoRequest()
 		})
 	}
@@ -46,16 +46,16 @@
 func TestCancelBeforeRetry(t *testing.T) {
 	for _, test := range cancellations {
 		t.Run(test.name, func(t *testing.T) {
-			h, first, second := startWithTwoWorkers(t)
-			c := h.connect()
-			other := h.connect()
-			c.sendCall("safe", "00000000000000a1", "one")
-			r := first.nextRequestOfEither(second)
-			test.cancel(c)
-			other.checkHealth()
+			h, first, second := startHarnessWithTwoWorkers(t)
+			cancelling := h.connect()
+			barrier := h.connect()
+			cancelling.sendCall("safe", "00000000000000a1", "one")
+			r := first.nextRequestToEither(second)
+			test.cancel(cancelling)
+			barrier.checkHealth()
 			r.respond("FAULT", "")
 			r.respond("NONE", "")
-			other.checkHealth() // both have been read
+			barrier.checkHealth() // both have been read
 			first.expectNoRequest()
 			second.expectNoRequest()
 		})
@@ -64,27 +64,27 @@
 
 // The process is paused while a client sends a call and closes its connection: no attempt is sent for it when the
 // process continues.
-func TestCallOfGoneClientAfterAPause(t *testing.T) {
+func TestDisconnectedClientAfterPause(t *testing.T) {
 	worker := startFakeWorker(t)
 	h, _ := newHarness(t, newFakeDirectory(t), testSockets, "", listedWorker{name: "s-1", addr: worker.addr})
 	process := h.startProcess(testSockets)
-	gone := h.connect()
-	other := h.connect()
-	gone.checkHealth()
-	other.sendCall("safe", "00000000000000a0", "to open a connection to the worker")
+	disconnected := h.connect()
+	waiting := h.connect()
+	disconnected.checkHealth()
+	waiting.sendCall("safe", "00000000000000a0", "to open a connection to the worker")
 	worker.nextRequest().respond("HIT", "done")
-	other.expectStatus("served")
+	waiting.expectStatus("served")
 	pause(t, process)
-	gone.sendCall("safe", "00000000000000a1", "of a client that has gone")
-	gone.close()
+	disconnected.sendCall("safe", "00000000000000a1", "of a client that has gone")
+	disconnected.close()
 	signalProcess(t, process, unix.SIGCONT)
-	other.checkHealth()
-	other.sendCall("safe", "00000000000000a2", "of one that waits")
+	waiting.checkHealth()
+	waiting.sendCall("safe", "00000000000000a2", "of one that waits")
 	r := worker.nextRequest()
 	if r.body != "of one that waits" {
 		t.Fatalf("the worker was sent %q", r.body)
 	}
 	r.respond("HIT", "done")
-	other.expectStatus("served")
+	waiting.expectStatus("served")
 	worker.expectNoRequest()
 }
--- a/cmd/functionrouter/client_test.go
+++ b/cmd/functionrouter/client_test.go
@@ -46,15 +46,15 @@
 	}
 }
 
-// appendSized appends a string behind its length.
-func appendSized(b []byte, s string) []byte {
+// appendLengthPrefixed appends a string behind its length.
+func appendLengthPrefixed(b []byte, s string) []byte {
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(s))), s...)
 }
 
 // frameMessage frames a Thrift message with these encoded arguments.
 func frameMessage(kind byte, method string, sequence uint32, args ...byte) []byte {
 	size := []byte{0, 0, 0, 0}
-	b := appendSized(append(size, 0x80, 1, 0, kind), method)
+	b := appendLengthPrefixed(append(size, 0x80, 1, 0, kind), method)
 	b = binary.BigEndian.AppendUint32(b, sequence)
 	b = append(append(b, args...), thriftStop)
 	binary.BigEndian.PutUint32(b, uint32(len(b)-len(size)))
@@ -62,7 +62,7 @@
 }
 
 // callFrame is the frame of a request. It has the next sequence number. moreFields are names and values.
-func (c *testClient) callFrame(class, id, body string, wait time.Duration, moreFields ...string) []byte {
+func (c *testClient) callFrame(class, id, body string, wait time.Duration, extraHeaders ...string) []byte {
 	c.lastSequence++
 	headers := []string{
 		"class", class,
@@ -70,12 +70,12 @@
 		"wait", strconv.FormatInt(wait.Milliseconds(), 10),
 		"key", "7f3a9c21e0b4d655",
 	}
-	headers = append(headers, moreFields...)
+	headers = append(headers, extraHeaders...)
 	args := []byte{thriftMap, 0, 1, thriftString, thriftString, 0, 0, 0, byte(len(headers) / 2)}
 	for _, s := range headers {
-		args = appendSized(args, s)
+		args = appendLengthPrefixed(args, s)
 	}
-	args = appendSized(append(args, thriftString, 0, 2), body)
+	args = appendLengthPrefixed(append(args, thriftString, 0, 2), body)
 	return frameMessage(thriftCall, "execute", c.lastSequence, args...)
 }
 
--- a/cmd/functionrouter/config.go
+++ b/cmd/functionrouter/config.go
@@ -96,34 +96,34 @@
 // of the settings is parsed but checked by policy.New alone, so that a reload does not check it. Its errors are of type
 // *ConfigError.
 func parseConfig(path string, text []byte, getenv func(string) string) (*config, error) {
-	fault := func(field string, cause error) (*config, error) {
-		return nil, &ConfigError{Path: path, Field: field, Err: cause}
+	configError := func(field string, err error) (*config, error) {
+		return nil, &ConfigError{Path: path, Field: field, Err: err}
 	}
 	c := &config{}
 	if err := json.Unmarshal(text, c); err != nil {
-		return fault("", err)
+		return configError("", err)
 	}
 	c.applyEnvironment(getenv)
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		return fault("listen", err)
+		return configError("listen", err)
 	}
 	if _, err := netip.ParseAddrPort(c.DirectoryAddress); err != nil {
-		return fault("names", err)
+		return configError("names", err)
 	}
 	var err error
 	if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
-		return fault("seed", err)
+		return configError("seed", err)
 	}
 	if c.policy, err = simwire.ParseSettings(c.Settings); err != nil {
-		return fault("", err) // the error names the key
+		return configError("", err) // the error names the key
 	}
 	if err := c.transport.parse(c.Settings); err != nil {
-		return fault("settings", err)
+		return configError("settings", err)
 	}
 	setDefault(&c.Limits.MemoryMB, defaultMemoryMB)
 	setDefault(&c.Limits.Sockets, defaultSockets)
 	if c.Limits.MemoryMB < minMemoryMB || c.Limits.Sockets < minSockets {
-		return fault("limits", errLimitsTooLow)
+		return configError("limits", errLimitsTooLow)
 	}
 	return c, nil
 }
--- a/cmd/functionrouter/config_test.go
+++ b/cmd/functionrouter/config_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.1:10080","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+const validConfig = `{"name":"n3","listen":"127.0.0.1:10080","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "names":"127.0.0.1:1053","known":{"offset":3,"batch":[{"offset":3,"topology":{"complete":true,"members":[]}}]},
  "settings":{"classes":[{"name":"repair-order","deadlineMs":3000,"goalTimeMs":1200,"semantics":"unsafe","group":"all"}]}}`
 
@@ -24,18 +24,18 @@
 	})
 }
 
-// readChanged reads goodConfig with one replacement.
-func readChanged(t *testing.T, replaced, replacement string) (*config, error) {
+// readModifiedConfig reads goodConfig with one replacement.
+func readModifiedConfig(t *testing.T, replaced, replacement string) (*config, error) {
 	t.Helper()
-	if !strings.Contains(goodConfig, replaced) {
+	if !strings.Contains(validConfig, replaced) {
 		t.Fatalf("the configuration lacks %q", replaced)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	return writeAndReadConfig(path, strings.Replace(goodConfig, replaced, replacement, 1))
+	return writeAndReadConfig(path, strings.Replace(validConfig, replaced, replacement, 1))
 }
 
 func TestReadConfig(t *testing.T) {
-	c, err := readChanged(t, "", "")
+	c, err := readModifiedConfig(t, "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		{"type", `{"name":"n3"`, `{"name":3`, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := readChanged(t, test.replaced, test.replacement)
+			_, err := readModifiedConfig(t, test.replaced, test.replacement)
 			var configErr *ConfigError
 			if !errors.As(err, &configErr) || configErr.Field != test.field || configErr.Path == "" {
 				t.Fatalf("error %#v, want one of field %q", err, test.field)
@@ -84,8 +84,8 @@
 }
 
 // A reload must not take over half of a file in silence: it names what needs a restart.
-func TestNeedsRestart(t *testing.T) {
-	c, err := readChanged(t, "", "")
+func TestChangesNeedingRestart(t *testing.T) {
+	c, err := readModifiedConfig(t, "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,11 +102,11 @@
 		{"settings", `"deadlineMs":3000`, `"deadlineMs":2000`, "[settings]"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			fresh, err := readChanged(t, test.replaced, test.replacement)
+			updated, err := readModifiedConfig(t, test.replaced, test.replacement)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := fmt.Sprint(c.needsRestart(fresh)); got != test.want {
+			if got := fmt.Sprint(c.changesNeedingRestart(updated)); got != test.want {
 				t.Errorf("%s needs a restart for %s, want %s", test.replacement, got, test.want)
 			}
 		})
--- a/cmd/functionrouter/connections_test.go
+++ b/cmd/functionrouter/connections_test.go
@@ -18,14 +18,14 @@
 		{class: "unsafe", want: "failed", retried: false},
 	} {
 		t.Run(test.class, func(t *testing.T) {
-			h, first, second := startWithTwoWorkers(t)
+			h, first, second := startHarnessWithTwoWorkers(t)
 			c := h.connect()
 			c.sendCall(test.class, "00000000000000a1", "one")
-			if err := first.nextRequestOfEither(second).conn.Close(); err != nil {
+			if err := first.nextRequestToEither(second).conn.Close(); err != nil {
 				t.Fatal(err)
 			}
 			if test.retried {
-				first.nextRequestOfEither(second).respond("HIT", "done")
+				first.nextRequestToEither(second).respond("HIT", "done")
 			}
 			c.expectStatus(test.want)
 			first.expectNoRequest()
@@ -47,22 +47,22 @@
 		}
 	}
 	c.sendCall("unsafe", "00000000000000a1", "one")
-	one := worker.nextRequest()
-	if _, err := io.WriteString(one.conn, one.reply("HIT", "first")+one.reply("HIT", "second")); err != nil {
+	firstRequest := worker.nextRequest()
+	if _, err := io.WriteString(firstRequest.conn, firstRequest.reply("HIT", "first")+firstRequest.reply("HIT", "second")); err != nil {
 		t.Fatal(err)
 	}
 	expectServedWith("first")
 	c.sendCall("unsafe", "00000000000000a2", "two")
-	two := worker.nextRequest()
-	one.respond("HIT", "third")
-	two.respond("HIT", "of two")
+	secondRequest := worker.nextRequest()
+	firstRequest.respond("HIT", "third")
+	secondRequest.respond("HIT", "of two")
 	expectServedWith("of two")
 	// The ID of a request that has ended may be used again; a late response to the first must not end the second.
 	c.sendCall("unsafe", "00000000000000a1", "again")
-	again := worker.nextRequest()
-	one.respond("HIT", "fourth")
+	reusedIDRequest := worker.nextRequest()
+	firstRequest.respond("HIT", "fourth")
 	c.checkHealth() // an answer would come before those to the health checks
-	again.respond("HIT", "of the last")
+	reusedIDRequest.respond("HIT", "of the last")
 	expectServedWith("of the last")
 }
 
@@ -71,14 +71,14 @@
 func TestPartialRequestIsNotEvicted(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
-	half := h.connect()
-	half.checkHealth()
-	frame := half.callFrame("safe", "00000000000000a1", "in two pieces", 5*time.Second)
-	half.sendBytes(frame[:len(frame)/2])
+	partial := h.connect()
+	partial.checkHealth()
+	frame := partial.callFrame("safe", "00000000000000a1", "in two pieces", 5*time.Second)
+	partial.sendBytes(frame[:len(frame)/2])
 	for range testSockets / clientDescriptorDivisor { // as many as may be accepted
 		h.connect().checkHealth()
 	}
-	half.sendBytes(frame[len(frame)/2:])
+	partial.sendBytes(frame[len(frame)/2:])
 	worker.nextRequest().respond("HIT", "done")
-	half.expectStatus("served")
+	partial.expectStatus("served")
 }
--- a/cmd/functionrouter/counters.go
+++ b/cmd/functionrouter/counters.go
@@ -57,7 +57,7 @@
 // logAttemptCounters logs the attempts sent to workers and their outcomes. Overdue requests are those that the router
 // answered at their deadline because the policy had not.
 func logAttemptCounters(c *router.Counters) {
-	attributes := withOutcomes([]any{"sent", c.AttemptsSent}, &c.AttemptOutcomes)
+	attributes := appendOutcomes([]any{"sent", c.AttemptsSent}, &c.AttemptOutcomes)
 	attributes = append(attributes, "overdue_requests", c.Overdue)
 	slog.Info("attempt counters", attributes...)
 }
@@ -73,18 +73,18 @@
 
 // logLoadCommandCounters logs the commands to load function instances and their outcomes, and those to unload them.
 func logLoadCommandCounters(c *router.Counters) {
-	attributes := withOutcomes([]any{"sent", c.LoadCommands}, &c.LoadCommandOutcomes)
+	attributes := appendOutcomes([]any{"sent", c.LoadCommands}, &c.LoadCommandOutcomes)
 	attributes = append(attributes, "unloads_sent", c.Unloads)
 	slog.Info("load command counters", attributes...)
 }
 
 // logHealthCheckCounters logs the health checks sent to workers and their outcomes.
 func logHealthCheckCounters(c *router.Counters) {
-	slog.Info("health check counters", withOutcomes([]any{"sent", c.HealthChecks}, &c.HealthCheckOutcomes)...)
+	slog.Info("health check counters", appendOutcomes([]any{"sent", c.HealthChecks}, &c.HealthCheckOutcomes)...)
 }
 
-// withOutcomes appends an attribute for each outcome that occurred, in the order of policy.Outcome.
-func withOutcomes(attributes []any, counts *outcomeCounts) []any {
+// appendOutcomes appends an attribute for each outcome that occurred, in the order of policy.Outcome.
+func appendOutcomes(attributes []any, counts *outcomeCounts) []any {
 	for outcome, count := range counts {
 		if count > 0 {
 			attributes = append(attributes, policy.Outcome(outcome).String(), count)
--- a/cmd/functionrouter/dial_test.go
+++ b/cmd/functionrouter/dial_test.go
@@ -20,8 +20,8 @@
 		{"gone", func(string) []listedWorker { return nil }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			worker := startFullWorker(t)
-			other := startFakeWorker(t)
+			worker := startFullBacklogWorker(t)
+			readyWorker := startFakeWorker(t)
 			h := startHarness(t, longDialTimeout, listedWorker{name: "s-1", addr: worker.addr})
 			c := h.connect()
 			c.sendCall("unsafe", "00000000000000a1", "one")
@@ -29,8 +29,8 @@
 			if connectingSockets(t, worker.addr) == 0 {
 				t.Fatal("the worker is not being dialed")
 			}
-			h.updateEndpoints(2, append([]listedWorker{{name: "s-2", addr: other.addr}}, test.after(worker.addr)...)...)
-			other.nextRequest().respond("HIT", "done")
+			h.updateEndpoints(2, append([]listedWorker{{name: "s-2", addr: readyWorker.addr}}, test.after(worker.addr)...)...)
+			readyWorker.nextRequest().respond("HIT", "done")
 			c.expectStatus("served")
 			if connectingSockets(t, worker.addr) > 0 {
 				t.Error("a dial that can only complete too late for its worker goes on")
@@ -43,18 +43,18 @@
 
 // A dial that completes after its timeout carries nothing: its request went elsewhere at the timeout.
 func TestDialCompletesAfterTimeout(t *testing.T) {
-	worker := startFullWorker(t)
-	other := startFakeWorker(t)
+	worker := startFullBacklogWorker(t)
+	readyWorker := startFakeWorker(t)
 	h := startHarness(t, `"limits":{"dialTimeoutMs":300},`, listedWorker{name: "s-1", addr: worker.addr})
 	c := h.connect()
 	c.sendCall("unsafe", "00000000000000a1", "one")
 	c.checkHealth()
-	h.updateEndpoints(2, listedWorker{name: "s-1", addr: worker.addr}, listedWorker{name: "s-2", addr: other.addr})
-	other.nextRequest().respond("HIT", "done")
+	h.updateEndpoints(2, listedWorker{name: "s-1", addr: worker.addr}, listedWorker{name: "s-2", addr: readyWorker.addr})
+	readyWorker.nextRequest().respond("HIT", "done")
 	c.expectStatus("served")
 	worker.startAccepting() // the kernel's half of the dial has been closed meanwhile
 	c.sendCall("unsafe", "00000000000000a2", "two")
-	r := worker.nextRequestOfEither(other) // over a dial of its own, or the other's
+	r := worker.nextRequestToEither(readyWorker) // over a dial of its own, or the other's
 	if r.body != "two" {
 		t.Errorf("a worker was sent %q", r.body)
 	}
@@ -68,18 +68,18 @@
 func TestManyWorkersDrainAtOnce(t *testing.T) {
 	var initial, drained []listedWorker
 	for i := range 12 {
-		w := listedWorker{name: fmt.Sprintf("s-%02d", i), addr: startFullWorker(t).addr}
+		w := listedWorker{name: fmt.Sprintf("s-%02d", i), addr: startFullBacklogWorker(t).addr}
 		initial = append(initial, w)
 		w.draining = true
 		drained = append(drained, w)
 	}
-	last := startFakeWorker(t)
+	readyWorker := startFakeWorker(t)
 	h := startHarness(t, `"limits":{"dialTimeoutMs":15000,"maxAttempts":2},`, initial...)
 	c := h.connect()
 	c.sendCall("unsafe", "00000000000000a1", "one")
 	c.checkHealth()
-	h.updateEndpoints(2, append(drained, listedWorker{name: "s-99", addr: last.addr})...)
-	last.nextRequest().respond("HIT", "done")
+	h.updateEndpoints(2, append(drained, listedWorker{name: "s-99", addr: readyWorker.addr})...)
+	readyWorker.nextRequest().respond("HIT", "done")
 	c.expectStatus("served")
 }
 
--- a/cmd/functionrouter/endpoint_log_test.go
+++ b/cmd/functionrouter/endpoint_log_test.go
@@ -9,7 +9,7 @@
 )
 
 // A list that repeats what is known logs one line; only what it changes is logged besides.
-func TestEndpointLogTellsChangesOnly(t *testing.T) {
+func TestEndpointLogLogsOnlyChanges(t *testing.T) {
 	captured := newLogCapture()
 	captured.install(t)
 	first := discovery.Endpoint{Name: "s-1", Address: "127.0.0.1:1", State: policy.Ready}
@@ -28,9 +28,9 @@
 		{list: []discovery.Endpoint{first, draining}, updated: "worker=s-2", absent: "worker=s-1"},
 		{list: []discovery.Endpoint{draining}, removed: "worker=s-1", absent: "worker=s-2"},
 	} {
-		from := captured.end()
+		offset := captured.size()
 		l.record(step.list)
-		text := captured.text.String()[from:]
+		text := captured.text.String()[offset:]
 		if !strings.Contains(text, `msg="endpoint list applied"`) ||
 			step.updated != "" && !strings.Contains(text, `msg="endpoint updated" `+step.updated) ||
 			step.removed != "" && !strings.Contains(text, `msg="endpoint removed" `+step.removed) ||
--- a/cmd/functionrouter/endpoints.go
+++ b/cmd/functionrouter/endpoints.go
@@ -32,7 +32,7 @@
 		Worker:    e.ID(),
 		State:     e.State,
 		Weight:    e.Weight,
-		StartedAt: s.startTimes.of(e),
+		StartedAt: s.startTimes.startedAt(e),
 		Cell:      e.Cell,
 		Zone:      s.zoneIndex(e.Zone),
 	}
--- a/cmd/functionrouter/endpoints_test.go
+++ b/cmd/functionrouter/endpoints_test.go
@@ -13,17 +13,17 @@
 	first := startFakeWorker(t)
 	second := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: first.addr})
-	unanswered := h.directory.nextQuery() // to the old directory
-	old := h.directory
-	moved := newFakeDirectory(t)
-	if err := h.reload(strings.Replace(h.configText, old.addr(), moved.addr(), 1)); err != nil {
+	pendingQuery := h.directory.nextQuery() // to the oldDirectory directory
+	oldDirectory := h.directory
+	newDirectory := newFakeDirectory(t)
+	if err := h.reload(strings.Replace(h.configText, oldDirectory.addr(), newDirectory.addr(), 1)); err != nil {
 		t.Fatal(err)
 	}
-	h.directory = moved
-	drained := []listedWorker{{name: "s-1", addr: first.addr, draining: true}, {name: "s-2", addr: second.addr}}
-	h.updateEndpoints(2, drained...)
-	old.answer(unanswered, 9, listedWorker{name: "s-1", addr: first.addr}, listedWorker{name: "s-3", addr: first.addr})
-	h.updateEndpoints(3, drained...)
+	h.directory = newDirectory
+	endpoints := []listedWorker{{name: "s-1", addr: first.addr, draining: true}, {name: "s-2", addr: second.addr}}
+	h.updateEndpoints(2, endpoints...)
+	oldDirectory.answer(pendingQuery, 9, listedWorker{name: "s-1", addr: first.addr}, listedWorker{name: "s-3", addr: first.addr})
+	h.updateEndpoints(3, endpoints...)
 	c := h.connect()
 	for n := range 10 {
 		c.sendCall("safe", fmt.Sprintf("%016x", 0xa0+n), "after the drain")
@@ -46,20 +46,20 @@
 		w.nextRequest().respond("HIT", "done")
 		c.expectStatus("served")
 	}
-	early := h.directory.nextQuery()
+	earliestQuery := h.directory.nextQuery()
 	h.directory.nextQuery()
 	h.directory.nextQuery() // none of the three was answered yet
 	expectServedBy(first, "00000000000000a1")
-	from := h.log.end()
-	h.directory.answer(early, 2,
+	offset := h.log.size()
+	h.directory.answer(earliestQuery, 2,
 		listedWorker{name: "s-1", addr: first.addr}, listedWorker{name: "s-2", addr: second.addr, draining: true})
-	h.log.waitFor(t, from, endpointLogged("s-2"))
+	h.log.waitFor(t, offset, endpointLogged("s-2"))
 	expectServedBy(first, "00000000000000a2")
 
 	addr := h.directory.addr()
-	from = h.log.end()
+	offset = h.log.size()
 	h.directory.close()
-	h.log.waitFor(t, from, `msg="directory unreachable"`)
+	h.log.waitFor(t, offset, `msg="directory unreachable"`)
 	expectServedBy(first, "00000000000000a3")
 	h.directory = newFakeDirectoryAt(t, addr)
 	h.updateEndpoints(3, listedWorker{name: "s-2", addr: second.addr}) // the whole list: s-1 has gone
@@ -74,15 +74,15 @@
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
 	c := h.connect()
 	c.sendCall("unsafe", "00000000000000a1", "to the old one")
-	old := worker.nextRequest()
+	oldRequest := worker.nextRequest()
 	h.updateEndpoints(2, listedWorker{name: "s-2", addr: worker.addr})
 	c.sendCall("unsafe", "00000000000000a2", "to the new one")
-	fresh := worker.nextRequest()
-	if fresh.conn == old.conn {
+	newRequest := worker.nextRequest()
+	if newRequest.conn == oldRequest.conn {
 		t.Error("a request to the new worker went over a connection to the old one")
 	}
-	old.respond("HIT", "done")
-	fresh.respond("HIT", "done")
+	oldRequest.respond("HIT", "done")
+	newRequest.respond("HIT", "done")
 	for range 2 {
 		c.expectStatus("served")
 	}
@@ -95,27 +95,27 @@
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
 	c := h.connect()
 	c.sendCall("unsafe", "00000000000000a1", "to the old process")
-	old := worker.nextRequest()
-	old.respond("HIT", "done")
+	oldRequest := worker.nextRequest()
+	oldRequest.respond("HIT", "done")
 	c.response()
 	started := time.Now().UnixMilli() + 1 // in whole milliseconds; the dial may have been in the present one
 	h.updateEndpoints(2, listedWorker{name: "s-1", addr: worker.addr, startedUnixMs: started})
 	c.sendCall("unsafe", "00000000000000a2", "to the new process")
-	r := worker.nextRequest()
-	if r.conn == old.conn {
+	newRequest := worker.nextRequest()
+	if newRequest.conn == oldRequest.conn {
 		t.Fatal("the request went over a connection to the old process")
 	}
-	r.respond("HIT", "done")
+	newRequest.respond("HIT", "done")
 	c.expectStatus("served")
 }
 
 // A process starts with a list whose workers no longer run; a worker that only the directory lists serves.
 func TestStaleInitialEndpoints(t *testing.T) {
-	gone := newFakeWorker(t)
+	stoppedWorker := newFakeWorker(t)
 	worker := startFakeWorker(t)
-	gone.stop()
+	stoppedWorker.stop()
 	h := startHarness(t, manyAttempts,
-		listedWorker{name: "s-1", addr: gone.addr}, listedWorker{name: "s-2", addr: gone.addr})
+		listedWorker{name: "s-1", addr: stoppedWorker.addr}, listedWorker{name: "s-2", addr: stoppedWorker.addr})
 	h.updateEndpoints(7, listedWorker{name: "s-3", addr: worker.addr})
 	c := h.connect()
 	c.sendCall("unsafe", "00000000000000a1", "one")
--- a/cmd/functionrouter/extensions.go
+++ b/cmd/functionrouter/extensions.go
@@ -119,6 +119,6 @@
 		logNoticeCounters(&x.sender.Counters, x.sender.OpenNotices())
 	}
 	if x.exporter != nil {
-		logFlowCounters(&x.exporter.Counters)
+		logFlowExportCounters(&x.exporter.Counters)
 	}
 }
--- a/cmd/functionrouter/fake_worker_test.go
+++ b/cmd/functionrouter/fake_worker_test.go
@@ -65,8 +65,8 @@
 	return w
 }
 
-// startFullWorker returns a worker whose backlog is full: a dial to it lasts until it accepts.
-func startFullWorker(t *testing.T) *fakeWorker {
+// startFullBacklogWorker returns a worker whose backlog is full: a dial to it lasts until it accepts.
+func startFullBacklogWorker(t *testing.T) *fakeWorker {
 	t.Helper()
 	w := newFakeWorker(t)
 	conn, err := net.Dial("tcp", w.addr)
@@ -179,11 +179,11 @@
 // nextRequest waits for a request to the worker.
 func (w *fakeWorker) nextRequest() workerRequest {
 	w.t.Helper()
-	return w.nextRequestOfEither(w)
+	return w.nextRequestToEither(w)
 }
 
-// nextRequestOfEither waits for a request to one of two workers.
-func (w *fakeWorker) nextRequestOfEither(other *fakeWorker) workerRequest {
+// nextRequestToEither waits for a request to one of two workers.
+func (w *fakeWorker) nextRequestToEither(other *fakeWorker) workerRequest {
 	w.t.Helper()
 	select {
 	case r := <-w.requests:
@@ -209,12 +209,12 @@
 
 // reply is a response in RESP, with the fields "-", which mean nothing. The words are HIT for a result, FAULT for an error,
 // and so on.
-func (r workerRequest) reply(word, body string) string {
+func (r workerRequest) reply(status, body string) string {
 	return fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$%d\r\n%s\r\n",
-		len(r.id), r.id, len(word), word, len(body), body)
+		len(r.id), r.id, len(status), status, len(body), body)
 }
 
 // respond sends a response.
-func (r workerRequest) respond(word, body string) {
-	_, _ = io.WriteString(r.conn, r.reply(word, body)) // some tests respond to a router that has gone
+func (r workerRequest) respond(status, body string) {
+	_, _ = io.WriteString(r.conn, r.reply(status, body)) // some tests respond to a router that has gone
 }
--- a/cmd/functionrouter/fault_proxy_test.go
+++ b/cmd/functionrouter/fault_proxy_test.go
@@ -14,21 +14,21 @@
 type connectionFault int
 
 const (
-	noFault        connectionFault = iota
-	resetSoon                      // the connection is reset after some milliseconds
-	cutAnswer                      // it is closed in the middle of what the worker sends
-	stallAnswers                   // the worker's answers no longer pass, and the connection stays open
-	dribbleAnswers                 // they pass a few bytes at a time
-	delayAnswers                   // they pass late
+	noFault         connectionFault = iota
+	resetConnection                 // the connection is reset after some milliseconds
+	truncateAnswer                  // it is closed in the middle of what the worker sends
+	stallAnswers                    // the worker's answers no longer pass, and the connection stays open
+	fragmentAnswers                 // they pass a few bytes at a time
+	delayAnswers                    // they pass late
 	connectionFaultCount
 )
 
 // The figures of the faults.
 const (
-	maxResetDelayMs = 100                   // of resetSoon, in milliseconds
-	maxPassingBytes = 3000                  // that the worker sends before cutAnswer and stallAnswers begin
-	dribbleBytes    = 7                     // in one write of dribbleAnswers: less than any answer
-	answerDelay     = 20 * time.Millisecond // of delayAnswers
+	maxResetDelayMs     = 100                   // of resetSoon, in milliseconds
+	maxBytesBeforeFault = 3000                  // that the worker sends before cutAnswer and stallAnswers begin
+	fragmentBytes       = 7                     // in one write of dribbleAnswers: less than any answer
+	answerDelay         = 20 * time.Millisecond // of delayAnswers
 )
 
 // faultProxy stands between the router and a worker. Each connection that it carries has a fault, drawn from its seed.
@@ -71,8 +71,8 @@
 	}
 }
 
-// draw returns a number below limit.
-func (p *faultProxy) draw(limit int) int {
+// randomBelow returns a number below limit.
+func (p *faultProxy) randomBelow(limit int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.random.IntN(limit)
@@ -94,24 +94,24 @@
 		p.open[client] = struct{}{}
 		p.open[server] = struct{}{}
 		p.mu.Unlock()
-		go p.carryRequests(client, server)
-		go p.carryAnswers(client, server, connectionFault(p.draw(int(connectionFaultCount))))
+		go p.forwardRequests(client, server)
+		go p.forwardAnswers(client, server, connectionFault(p.randomBelow(int(connectionFaultCount))))
 	}
 }
 
-// carryRequests copies what the router sends.
-func (p *faultProxy) carryRequests(client, server net.Conn) {
+// forwardRequests copies what the router sends.
+func (p *faultProxy) forwardRequests(client, server net.Conn) {
 	_, _ = io.Copy(server, client) // either end may end it
 	_ = server.Close()
 }
 
-// carryAnswers copies what the worker sends, with the fault, until either end closes.
-func (p *faultProxy) carryAnswers(client, server net.Conn, fault connectionFault) {
+// forwardAnswers copies what the worker sends, with the fault, until either end closes.
+func (p *faultProxy) forwardAnswers(client, server net.Conn, fault connectionFault) {
 	defer func() { _ = errors.Join(client.Close(), server.Close()) }() // they may have ended
-	if fault == resetSoon {
-		resetAfter(client, time.Duration(p.draw(maxResetDelayMs))*time.Millisecond)
+	if fault == resetConnection {
+		resetAfter(client, time.Duration(p.randomBelow(maxResetDelayMs))*time.Millisecond)
 	}
-	passing := 1 + p.draw(maxPassingBytes) // bytes until the fault begins
+	bytesBeforeFault := 1 + p.randomBelow(maxBytesBeforeFault) // bytes until the fault begins
 	buffer := make([]byte, 4096)
 	for {
 		n, err := server.Read(buffer)
@@ -120,20 +120,20 @@
 		}
 		answers := buffer[:n]
 		switch {
-		case fault == cutAnswer && n > passing:
-			_, _ = client.Write(answers[:passing])
+		case fault == truncateAnswer && n > bytesBeforeFault:
+			_, _ = client.Write(answers[:bytesBeforeFault])
 			return
-		case fault == stallAnswers && n > passing:
+		case fault == stallAnswers && n > bytesBeforeFault:
 			_, _ = io.Copy(io.Discard, server) // until the connection ends
 			return
 		case fault == delayAnswers:
 			time.Sleep(answerDelay)
-		case fault == dribbleAnswers:
-			if answers, err = dribble(client, answers); err != nil {
+		case fault == fragmentAnswers:
+			if answers, err = writeFragments(client, answers); err != nil {
 				return
 			}
 		}
-		passing -= n
+		bytesBeforeFault -= n
 		if _, err := client.Write(answers); err != nil {
 			return
 		}
@@ -148,13 +148,13 @@
 	})
 }
 
-// dribble writes answers in pieces of dribbleBytes. It returns the last piece, which it does not write.
-func dribble(conn net.Conn, answers []byte) (last []byte, err error) {
-	for len(answers) > dribbleBytes {
-		if _, err := conn.Write(answers[:dribbleBytes]); err != nil {
+// writeFragments writes answers in pieces of dribbleBytes. It returns the last piece, which it does not write.
+func writeFragments(conn net.Conn, answers []byte) (last []byte, err error) {
+	for len(answers) > fragmentBytes {
+		if _, err := conn.Write(answers[:fragmentBytes]); err != nil {
 			return nil, err
 		}
-		answers = answers[dribbleBytes:]
+		answers = answers[fragmentBytes:]
 	}
 	return answers, nil
 }
--- a/cmd/functionrouter/flow_export.go
+++ b/cmd/functionrouter/flow_export.go
@@ -42,7 +42,7 @@
 	})
 }
 
-// logFlowCounters logs the flow records and the messages that carried them.
-func logFlowCounters(c *ipfix.Counters) {
+// logFlowExportCounters logs the flow records and the messages that carried them.
+func logFlowExportCounters(c *ipfix.Counters) {
 	slog.Info("flow export counters", "records", c.Records, "sent", c.Sent, "dropped", c.Dropped, "messages", c.Messages)
 }
--- a/cmd/functionrouter/harness_test.go
+++ b/cmd/functionrouter/harness_test.go
@@ -58,7 +58,7 @@
 	ignoreSIGTERM(t)
 	h.log.install(t)
 	go func() {
-		h.exitError = serve(cfg, h.reread)
+		h.exitError = serve(cfg, h.reloadConfig)
 		close(h.exited)
 	}()
 	t.Cleanup(h.stop)
@@ -66,8 +66,8 @@
 	return h
 }
 
-// startWithTwoWorkers is startHarness with two workers, and attempts enough for both.
-func startWithTwoWorkers(t *testing.T) (h *harness, first, second *fakeWorker) {
+// startHarnessWithTwoWorkers is startHarness with two workers, and attempts enough for both.
+func startHarnessWithTwoWorkers(t *testing.T) (h *harness, first, second *fakeWorker) {
 	t.Helper()
 	first = startFakeWorker(t)
 	second = startFakeWorker(t)
@@ -143,8 +143,8 @@
 		listen, sockets, directory, known, extraSettings)
 }
 
-// reread reads the configuration on SIGHUP, and passes the error to reload.
-func (h *harness) reread() (*config, error) {
+// reloadConfig reads the configuration on SIGHUP, and passes the error to reload.
+func (h *harness) reloadConfig() (*config, error) {
 	cfg, err := readConfig(func(name string) string { return map[string]string{configVariable: h.configPath}[name] })
 	h.reloadResults <- err
 	return cfg, err
@@ -234,9 +234,9 @@
 // updateEndpoints answers a query of the router's, and returns once the router has taken the list over.
 func (h *harness) updateEndpoints(serial uint32, list ...listedWorker) {
 	h.t.Helper()
-	from := h.log.end()
+	offset := h.log.size()
 	h.directory.answer(h.directory.nextQuery(), serial, list...)
-	h.log.waitFor(h.t, from, fmt.Sprintf(`msg="endpoint list applied" endpoints=%d `, len(list)))
+	h.log.waitFor(h.t, offset, fmt.Sprintf(`msg="endpoint list applied" endpoints=%d `, len(list)))
 	h.connect().checkHealth()
 }
 
--- a/cmd/functionrouter/limits_test.go
+++ b/cmd/functionrouter/limits_test.go
@@ -67,7 +67,7 @@
 		{"1800", 2300 * time.Millisecond},
 	} {
 		t.Run(test.deadlineMs+" ms", func(t *testing.T) {
-			c, err := readChanged(t, `"deadlineMs":3000`, `"deadlineMs":`+test.deadlineMs)
+			c, err := readModifiedConfig(t, `"deadlineMs":3000`, `"deadlineMs":`+test.deadlineMs)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/functionrouter/load_clients_test.go
+++ b/cmd/functionrouter/load_clients_test.go
@@ -67,14 +67,14 @@
 
 // start runs count clients until stop. Their pauses, and the calls on each connection, are drawn from seed.
 func (l *clientLoad) start(count int, seed uint64) {
-	began := time.Now()
+	startedAt := time.Now()
 	for i := range count {
 		l.clients.Add(1)
 		go func() {
 			defer l.clients.Done()
 			random := rand.New(rand.NewPCG(seed, uint64(i)))
 			for !l.stopping.Load() {
-				if !l.useConnection(random, began) {
+				if !l.useConnection(random, startedAt) {
 					return
 				}
 			}
@@ -92,7 +92,7 @@
 }
 
 // useConnection sends calls on a new connection. It returns false if a call was lost, or the router can't be connected to.
-func (l *clientLoad) useConnection(random *rand.Rand, began time.Time) bool {
+func (l *clientLoad) useConnection(random *rand.Rand, startedAt time.Time) bool {
 	conn, err := net.Dial("tcp", l.address)
 	if err != nil {
 		l.t.Errorf("a client can't connect: %v", err)
@@ -110,7 +110,7 @@
 			l.mu.Lock()
 			l.lost = append(l.lost, lostCall{
 				id:            id,
-				at:            time.Since(began),
+				at:            time.Since(startedAt),
 				client:        conn.LocalAddr().String(),
 				callsAnswered: sent,
 				reason:        err,
--- a/cmd/functionrouter/log_capture_test.go
+++ b/cmd/functionrouter/log_capture_test.go
@@ -34,19 +34,19 @@
 	return l.text.Write(line)
 }
 
-// end is the position at which the log ends now.
-func (l *logCapture) end() int {
+// size is the position at which the log ends now.
+func (l *logCapture) size() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Len()
 }
 
 // waitFor returns once the log contains text behind the position from.
-func (l *logCapture) waitFor(t *testing.T, from int, text string) {
+func (l *logCapture) waitFor(t *testing.T, offset int, text string) {
 	t.Helper()
 	for timeout := time.After(testTimeout); ; {
 		l.mu.Lock()
-		found := strings.Contains(l.text.String()[from:], text)
+		found := strings.Contains(l.text.String()[offset:], text)
 		written := l.written
 		l.mu.Unlock()
 		if found {
--- a/cmd/functionrouter/lost_answers_test.go
+++ b/cmd/functionrouter/lost_answers_test.go
@@ -10,26 +10,26 @@
 )
 
 // Whatever other clients do to their connections, one that waits for its answer gets it.
-func TestCallsAreAnsweredBesideUnfriendlyPeers(t *testing.T) {
-	const playFor = 1500 * time.Millisecond
+func TestCallsAnsweredDespiteMisbehavingClients(t *testing.T) {
+	const loadDuration = 1500 * time.Millisecond
 	for _, test := range []struct {
-		name  string
-		kinds []unfriendlyPeer
+		name         string
+		misbehaviors []misbehavior
 	}{
-		{"reset", peersNamed(t, "reset")},
-		{"partial", peersNamed(t, "partial")},
-		{"garbage", peersNamed(t, "garbage")},
-		{"half-close", peersNamed(t, "half-close")},
-		{"mixed", unfriendlyPeers},
+		{"reset", misbehaviorsNamed(t, "reset")},
+		{"partial", misbehaviorsNamed(t, "partial")},
+		{"garbage", misbehaviorsNamed(t, "garbage")},
+		{"half-close", misbehaviorsNamed(t, "half-close")},
+		{"mixed", misbehaviors},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h, _ := startPinnedRouter(t, func(text string) string { return text })
 			clients := &clientLoad{t: t, address: h.listen, wait: 3 * time.Second, callsPerConnection: 10}
 			clients.start(24, 1)
-			peers := startPeers(t, h.listen, 16, 1, test.kinds...)
-			time.Sleep(playFor)
+			misbehaving := startMisbehavingClients(t, h.listen, 16, 1, test.misbehaviors...)
+			time.Sleep(loadDuration)
 			lost := clients.stop()
-			peers.stop()
+			misbehaving.stop()
 			reportLost(t, lost)
 			t.Logf("%d calls answered, %d served", clients.answered.Load(), clients.served.Load())
 			if clients.served.Load() == 0 {
@@ -41,7 +41,7 @@
 
 // After SIGTERM clients may go on sending on their open connections until the process is killed, at the earliest after
 // the longest deadline of the deployment and 0.7 s. Each call gets an answer.
-func TestCallsAreAnsweredUntilTheKill(t *testing.T) {
+func TestCallsAnsweredUntilKill(t *testing.T) {
 	for _, deadline := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			h, process := startPinnedRouter(t, func(text string) string { return withDeadline(text, deadline) })
@@ -61,52 +61,52 @@
 
 // A worker hangs, and a client waits longer than the platform lets the process run after SIGTERM: the call is answered
 // before the earliest kill.
-func TestHangingCallIsAnsweredBeforeTheKill(t *testing.T) {
+func TestHangingCallAnsweredBeforeKill(t *testing.T) {
 	worker := startFakeWorker(t) // answers nothing
 	h, process := startPinnedProcess(t, func(text string) string { return withDeadline(text, 300*time.Millisecond) },
 		listedWorker{name: "s-1", addr: worker.addr})
-	before := h.connect()
-	after := h.connect()
-	before.sendCall("unsafe", "00000000000000a1", "before SIGTERM")
+	clientBefore := h.connect()
+	clientAfter := h.connect()
+	clientBefore.sendCall("unsafe", "00000000000000a1", "before SIGTERM")
 	worker.nextRequest()
 	start := time.Now()
 	signalProcess(t, process, unix.SIGTERM)
-	for after.checkHealth() { // until the router knows of the signal
+	for clientAfter.checkHealth() { // until the router knows of the signal
 	}
-	after.sendCall("safe", "00000000000000a2", "after SIGTERM")
-	before.expectStatus("failed")
-	if status, _ := after.response(); status == "served" {
+	clientAfter.sendCall("safe", "00000000000000a2", "after SIGTERM")
+	clientBefore.expectStatus("failed")
+	if status, _ := clientAfter.response(); status == "served" {
 		t.Error("a worker that hangs served a call")
 	}
 	if took := time.Since(start); took >= time.Second { // 0.3 s and 0.7 s
 		t.Errorf("the calls were answered %v after SIGTERM", took)
 	}
-	before.close()
-	after.close()
+	clientBefore.close()
+	clientAfter.close()
 	expectExit(t, process)
 }
 
 // Whatever fault the connections to workers have, and while the configuration is reloaded, each call gets one answer in
 // time, with its own body if it was served. A call that must not run twice is not retried if it may have run.
-func TestCallsAreAnsweredBesideFaultyWorkers(t *testing.T) {
-	const playFor = time.Second
+func TestCallsAnsweredDespiteFaultyWorkers(t *testing.T) {
+	const loadDuration = time.Second
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			counts := &attemptCounts{byBody: map[string]int{}}
-			h, process := startBesideFaultyWorkers(t, seed, counts, func(text string) string { return text })
+			h, process := startWithFaultyWorkers(t, seed, counts, func(text string) string { return text })
 			clients := &clientLoad{
 				t: t, address: h.listen, wait: 800 * time.Millisecond, callsPerConnection: 20,
 				classes: []string{"safe", "unsafe"},
 			}
 			clients.start(16, seed)
-			peers := startPeers(t, h.listen, 4, seed, unfriendlyPeers...)
-			time.Sleep(playFor / 2)
+			misbehaving := startMisbehavingClients(t, h.listen, 4, seed, misbehaviors...)
+			time.Sleep(loadDuration / 2)
 			signalProcess(t, process, unix.SIGHUP)
-			time.Sleep(playFor / 2)
+			time.Sleep(loadDuration / 2)
 			lost := clients.stop()
-			peers.stop()
+			misbehaving.stop()
 			reportLost(t, lost)
-			counts.report(t, maxAttemptsInService)
+			counts.report(t, deploymentMaxAttempts)
 			t.Logf("%d calls answered, %d served", clients.answered.Load(), clients.served.Load())
 			if clients.served.Load() == 0 {
 				t.Error("no call was served")
@@ -117,24 +117,24 @@
 
 // Faulty workers and unfriendly peers together, and then SIGTERM, after which clients go on sending on open connections
 // until the earliest kill. Each call is answered before it.
-func TestCallsAreAnsweredUntilTheKillBesideFaults(t *testing.T) {
+func TestCallsAnsweredUntilKillDespiteFaults(t *testing.T) {
 	const deadline = 300 * time.Millisecond
 	const untilKill = time.Second
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			counts := &attemptCounts{byBody: map[string]int{}}
-			h, process := startBesideFaultyWorkers(t, seed, counts, func(text string) string {
+			h, process := startWithFaultyWorkers(t, seed, counts, func(text string) string {
 				return withDeadline(text, deadline)
 			})
 			clients := &clientLoad{t: t, address: h.listen, wait: deadline, classes: []string{"safe", "unsafe"}}
 			clients.start(16, seed)
-			peers := startPeers(t, h.listen, 4, seed, unfriendlyPeers...)
+			misbehaving := startMisbehavingClients(t, h.listen, 4, seed, misbehaviors...)
 			time.Sleep(200 * time.Millisecond)
 			signalProcess(t, process, unix.SIGTERM)
 			time.Sleep(untilKill)
-			peers.stop()
+			misbehaving.stop()
 			reportLost(t, clients.stop())
-			counts.report(t, maxAttemptsInService)
+			counts.report(t, deploymentMaxAttempts)
 			expectExit(t, process)
 		})
 	}
@@ -142,11 +142,11 @@
 
 // A call arrives while the process is paused, and its worker hangs: the pause counts, and the answer comes before the time
 // that the client waits is over.
-func TestCallDuringAPauseIsAnsweredInTime(t *testing.T) {
+func TestCallDuringPauseAnsweredInTime(t *testing.T) {
 	const wait = time.Second
 	const paused = 600 * time.Millisecond
 	worker := startFakeWorker(t) // answers nothing
-	h, _ := newHarness(t, newFakeDirectory(t), testSockets, serviceSettings, listedWorker{name: "s-1", addr: worker.addr})
+	h, _ := newHarness(t, newFakeDirectory(t), testSockets, deploymentSettings, listedWorker{name: "s-1", addr: worker.addr})
 	process := h.startProcess(testSockets)
 	c := h.connect()
 	c.checkHealth()
--- a/cmd/functionrouter/main.go
+++ b/cmd/functionrouter/main.go
@@ -37,10 +37,10 @@
 
 // run reads the configuration and serves until a signal ends the program. It returns an error only if the start fails.
 func run() error {
-	readEnvironment := func() (*config, error) { return readConfig(os.Getenv) }
-	cfg, err := readEnvironment()
+	loadConfig := func() (*config, error) { return readConfig(os.Getenv) }
+	cfg, err := loadConfig()
 	if err != nil {
 		return err
 	}
-	return serve(cfg, readEnvironment)
+	return serve(cfg, loadConfig)
 }
--- a/cmd/functionrouter/pinned_router_test.go
+++ b/cmd/functionrouter/pinned_router_test.go
@@ -10,13 +10,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// serviceSettings are further settings as a deployment has them.
-const serviceSettings = `"granularityMs":4,"limits":{"cancel":true,"dialTimeoutMs":250,"keepaliveMs":30000,"maxAttempts":3,
+// deploymentSettings are further settings as a deployment has them.
+const deploymentSettings = `"granularityMs":4,"limits":{"cancel":true,"dialTimeoutMs":250,"keepaliveMs":30000,"maxAttempts":3,
  "maxOpen":20000,"maxRetryAfterMs":1000,"mayProbe":true,"retryAfter":true,"secondCopies":true,"streamsPerConn":32},
  "peersTotal":1,"rules":{"coldFrom":0.18,"coldMs":17000,"drainGraceMs":1000,"fallMs":1000,"fallMultiple":2},`
 
-// maxAttemptsInService is the limit on attempts in serviceSettings.
-const maxAttemptsInService = 3
+// deploymentMaxAttempts is the limit on attempts in serviceSettings.
+const deploymentMaxAttempts = 3
 
 // withDeadline returns the text of a configuration of configJSON with another deadline for all classes, and an objective of
 // 200 ms.
@@ -37,7 +37,7 @@
 	t *testing.T, adaptConfig func(string) string, listed ...listedWorker,
 ) (h *harness, process *os.Process) {
 	t.Helper()
-	h, _ = newHarness(t, newFakeDirectory(t), testSockets, serviceSettings, listed...)
+	h, _ = newHarness(t, newFakeDirectory(t), testSockets, deploymentSettings, listed...)
 	h.configText = adaptConfig(h.configText)
 	if err := os.WriteFile(h.configPath, []byte(h.configText), 0o600); err != nil {
 		t.Fatal(err)
@@ -68,9 +68,9 @@
 	}
 }
 
-// startBesideFaultyWorkers starts the router as a process of its own on one core, with three workers that are behind a
+// startWithFaultyWorkers starts the router as a process of its own on one core, with three workers that are behind a
 // faultProxy each. adaptConfig changes the text of its configuration.
-func startBesideFaultyWorkers(
+func startWithFaultyWorkers(
 	t *testing.T, seed uint64, counts *attemptCounts, adaptConfig func(string) string,
 ) (h *harness, process *os.Process) {
 	t.Helper()
--- a/cmd/functionrouter/process_test.go
+++ b/cmd/functionrouter/process_test.go
@@ -20,10 +20,10 @@
 	directory := newFakeDirectory(t)
 	addr := directory.addr()
 	directory.close() // each query takes a new socket, since the port refuses
-	gone := startFakeWorker(t)
-	gone.stop()
+	stoppedWorker := startFakeWorker(t)
+	stoppedWorker.stop()
 	worker := startFakeWorker(t)
-	h, _ := newHarness(t, directory, sockets, "", listedWorker{name: "s-1", addr: gone.addr})
+	h, _ := newHarness(t, directory, sockets, "", listedWorker{name: "s-1", addr: stoppedWorker.addr})
 	process := h.startProcess(sockets)
 	for range 3 * sockets {
 		h.connect()
@@ -55,10 +55,10 @@
 	var idle []*testClient
 	closed := make(chan struct{}, 1000)
 	for len(closed) == 0 { // until one is closed at once, since there was no descriptor for it
-		i := h.connect()
-		idle = append(idle, i)
+		idleClient := h.connect()
+		idle = append(idle, idleClient)
 		go func() {
-			_, _ = i.Read(make([]byte, 1)) // returns when the connection has ended, whatever the error
+			_, _ = idleClient.Read(make([]byte, 1)) // returns when the connection has ended, whatever the error
 			closed <- struct{}{}
 		}()
 	}
@@ -85,15 +85,15 @@
 			t.Error(err)
 		}
 	})
-	good := configJSON(t, taken.Addr().String(), "127.0.0.1:9", 256, "")
+	validText := configJSON(t, taken.Addr().String(), "127.0.0.1:9", 256, "")
 	for _, test := range []struct {
 		name string
 		text string
 	}{
-		{"half a file", good[:len(good)/2]},
-		{"no classes", strings.Replace(good, `"classes"`, `"klasses"`, 1)},
-		{"impossible deadline", strings.Replace(good, `"deadlineMs":6000`, `"deadlineMs":-1`, 1)},
-		{"address taken", good},
+		{"half a file", validText[:len(validText)/2]},
+		{"no classes", strings.Replace(validText, `"classes"`, `"klasses"`, 1)},
+		{"impossible deadline", strings.Replace(validText, `"deadlineMs":6000`, `"deadlineMs":-1`, 1)},
+		{"address taken", validText},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
@@ -122,11 +122,11 @@
 	c := h.connect()
 	c.sendCall("unsafe", "00000000000000a1", "one")
 	inFlight := first.nextRequest()
-	fresh := h.connect()
+	idleClient := h.connect()
 	if err := process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []*testClient{c, fresh} {
+	for _, c := range []*testClient{c, idleClient} {
 		if _, _, err := c.tryResponse(); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("a connection to a process that was killed: %v", err)
 		}
@@ -137,17 +137,17 @@
 	second.serveAll()
 	for status := ""; status != "served"; { // the first queries are the old process's
 		h.directory.answer(h.directory.nextQuery(), 5, listedWorker{name: "s-2", addr: second.addr})
-		again := h.connect()
-		again.sendCall("unsafe", "00000000000000a2", "two")
-		status, _ = again.response()
+		newClient := h.connect()
+		newClient.sendCall("unsafe", "00000000000000a2", "two")
+		status, _ = newClient.response()
 	}
 }
 
 // The collector of the router's log stops reading it, or ends: calls are still answered.
-func TestLogWithoutAReader(t *testing.T) {
+func TestLogReaderStallsOrCloses(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		lose func(t *testing.T, reader *os.File)
+		name        string
+		stopReading func(t *testing.T, reader *os.File)
 	}{
 		{"stalls", func(*testing.T, *os.File) {}},
 		{"ends", func(t *testing.T, reader *os.File) {
@@ -159,7 +159,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			worker := startEchoWorker(t, nil)
-			h, _ := newHarness(t, newFakeDirectory(t), testSockets, serviceSettings, listedWorker{name: "s-1", addr: worker.addr})
+			h, _ := newHarness(t, newFakeDirectory(t), testSockets, deploymentSettings, listedWorker{name: "s-1", addr: worker.addr})
 			reader, writer, err := os.Pipe()
 			if err != nil {
 				t.Fatal(err)
@@ -169,7 +169,7 @@
 			if err := writer.Close(); err != nil {
 				t.Fatal(err)
 			}
-			test.lose(t, reader)
+			test.stopReading(t, reader)
 			c := h.connect()
 			const pipeBytes = 64 << 10 // what a pipe holds (pipe(7)); a report of the counters takes over 1 KiB
 			for i := range 2 * pipeBytes / 1024 {
--- a/cmd/functionrouter/reload.go
+++ b/cmd/functionrouter/reload.go
@@ -8,31 +8,31 @@
 // reload applies what can change while the program runs: the directory's address. It logs the other keys in which fresh
 // differs from the configuration of the start, since these need a restart: each further reload names them again. A
 // configuration that can't be used, for which err says why, changes nothing.
-func (s *server) reload(fresh *config, err error) {
+func (s *server) reload(updated *config, err error) {
 	if err != nil {
 		slog.Error("configuration reload failed", "error", err)
 		return
 	}
-	slog.Info("configuration reloaded", "directory_address", fresh.DirectoryAddress)
-	s.discovery.Migrate(s.loop.Now(), fresh.DirectoryAddress)
-	if changed := s.cfg.needsRestart(fresh); len(changed) > 0 {
+	slog.Info("configuration reloaded", "directory_address", updated.DirectoryAddress)
+	s.discovery.Migrate(s.loop.Now(), updated.DirectoryAddress)
+	if changed := s.cfg.changesNeedingRestart(updated); len(changed) > 0 {
 		slog.Warn("restart needed", "settings", changed)
 	}
 }
 
-// needsRestart names the keys in which fresh differs from c and that a reload does not apply. The seed and the initial
+// changesNeedingRestart names the keys in which fresh differs from c and that a reload does not apply. The seed and the initial
 // endpoints are left out: they matter only when the process starts.
-func (c *config) needsRestart(fresh *config) (changed []string) {
-	if c.Name != fresh.Name {
+func (c *config) changesNeedingRestart(updated *config) (changed []string) {
+	if c.Name != updated.Name {
 		changed = append(changed, "name")
 	}
-	if c.Listen != fresh.Listen {
+	if c.Listen != updated.Listen {
 		changed = append(changed, "listen")
 	}
-	if c.Limits != fresh.Limits {
+	if c.Limits != updated.Limits {
 		changed = append(changed, "limits")
 	}
-	if !reflect.DeepEqual(c.policy, fresh.policy) || !reflect.DeepEqual(c.transport, fresh.transport) {
+	if !reflect.DeepEqual(c.policy, updated.policy) || !reflect.DeepEqual(c.transport, updated.transport) {
 		changed = append(changed, "settings")
 	}
 	return changed
--- a/cmd/functionrouter/serve.go
+++ b/cmd/functionrouter/serve.go
@@ -22,7 +22,7 @@
 // serve runs the function router on the calling goroutine until a signal ends it. On each SIGHUP it calls reread, on
 // another goroutine, and applies what that returns. It returns an error only if the start fails. It sets limits of the Go
 // runtime that last beyond its return.
-func serve(cfg *config, reread func() (*config, error)) error {
+func serve(cfg *config, reloadConfig func() (*config, error)) error {
 	signals := watchSignals() // first, so that a signal during the start is handled once the loop runs
 	defer signals.close()
 	runtime.GOMAXPROCS(maxProcs)
@@ -35,8 +35,8 @@
 		return err
 	}
 	slog.Info("started", "name", cfg.Name, "listen", cfg.Listen)
-	signals.forward(s, reread)                    // it posts to the loop, which must have been started
-	s.housekeeping.lastCountersLog = s.loop.Now() // else the first turn would log counters that are all 0
+	signals.forward(s, reloadConfig)           // it posts to the loop, which must have been started
+	s.taskTimes.lastCountersLog = s.loop.Now() // else the first turn would log counters that are all 0
 	s.loop.Run(s.beginTurn, s.endTurn)
 	s.extensions.close()
 	s.logCounters()
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// housekeeping is when each periodic task last ran, on the loop's clock; 0 makes it due in the first turn.
-type housekeeping struct {
+// periodicTaskTimes is when each periodic task last ran, on the loop's clock; 0 makes it due in the first turn.
+type periodicTaskTimes struct {
 	lastPoolSweep      time.Duration
 	lastExtensionSweep time.Duration
 	lastCountersLog    time.Duration
@@ -75,17 +75,17 @@
 
 // runPeriodicTasks runs the periodic tasks that are due at now.
 func (s *server) runPeriodicTasks(now time.Duration) {
-	h := &s.housekeeping
-	if now-h.lastPoolSweep >= backend.SweepInterval {
-		h.lastPoolSweep = now
+	times := &s.taskTimes
+	if now-times.lastPoolSweep >= backend.SweepInterval {
+		times.lastPoolSweep = now
 		s.pool.Sweep(now)
 	}
-	if now-h.lastExtensionSweep >= extensionSweepInterval {
-		h.lastExtensionSweep = now
+	if now-times.lastExtensionSweep >= extensionSweepInterval {
+		times.lastExtensionSweep = now
 		s.extensions.sweep(now)
 	}
-	if now-h.lastCountersLog >= countersLogInterval {
-		h.lastCountersLog = now
+	if now-times.lastCountersLog >= countersLogInterval {
+		times.lastCountersLog = now
 		s.logCounters()
 	}
 }
--- a/cmd/functionrouter/server.go
+++ b/cmd/functionrouter/server.go
@@ -21,24 +21,24 @@
 	discovery  *discovery.Client
 	extensions *extensions
 
-	startTimes   startTimes
-	endpointLog  endpointLog
-	housekeeping housekeeping
-	shutdown     shutdown
+	startTimes  startTimes
+	endpointLog endpointLog
+	taskTimes   periodicTaskTimes
+	shutdown    shutdown
 }
 
 // newServer builds the parts and joins them. The loop is not started: nothing listens yet. The order counts: LoadInitial
 // calls updateEndpoints, which needs the router, the pool and s.discovery. After an error the program must end, since an
 // open ledger is not closed.
 func newServer(cfg *config) (*server, error) {
-	decisions, err := policy.New(cfg.policy, cfg.seed)
+	routingPolicy, err := policy.New(cfg.policy, cfg.seed)
 	if err != nil {
 		return nil, err
 	}
 	s := &server{cfg: cfg, shutdown: shutdown{flushTimeout: cfg.flushTimeout()}}
 	s.loop = eventloop.New(cfg.loopConfig())
 	s.router = router.New(router.Config{
-		Policy: decisions,
+		Policy: routingPolicy,
 		Limits: cfg.routerLimits(),
 		NewWorkerPool: func(r *router.Router) router.WorkerPool {
 			s.pool = backend.New(s.poolConfig(), r)
--- a/cmd/functionrouter/shutdown.go
+++ b/cmd/functionrouter/shutdown.go
@@ -66,7 +66,7 @@
 		s.shutdown.lastClientAt = now
 	}
 	if !graceOver || now-s.shutdown.lastClientAt < shutdownQuietPeriod {
-		s.logShutdown(now)
+		s.logShutdownProgress(now)
 		return
 	}
 	requestsDone := s.router.OpenRequests() == 0
@@ -75,11 +75,11 @@
 		s.loop.Stop()
 		return
 	}
-	s.logShutdown(now)
+	s.logShutdownProgress(now)
 }
 
-// logShutdown logs what the shutdown waits for, when a line is due.
-func (s *server) logShutdown(now time.Duration) {
+// logShutdownProgress logs what the shutdown waits for, when a line is due.
+func (s *server) logShutdownProgress(now time.Duration) {
 	if now-s.shutdown.lastLogAt < shutdownLogInterval {
 		return
 	}
--- a/cmd/functionrouter/shutdown_test.go
+++ b/cmd/functionrouter/shutdown_test.go
@@ -13,7 +13,7 @@
 func TestServeReloadShutdown(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
-	moved := newFakeDirectory(t) // the directory at its next address; neither ever answers
+	newDirectory := newFakeDirectory(t) // the directory at its next address; neither ever answers
 	c := h.connect()
 	for i, step := range []struct {
 		body   string
@@ -21,10 +21,10 @@
 	}{
 		{"before", func() {}},
 		{"moved", func() {
-			if err := h.reload(strings.Replace(h.configText, h.directory.addr(), moved.addr(), 1)); err != nil {
+			if err := h.reload(strings.Replace(h.configText, h.directory.addr(), newDirectory.addr(), 1)); err != nil {
 				t.Errorf("reloaded: %v", err)
 			}
-			moved.nextQuery()
+			newDirectory.nextQuery()
 		}},
 		{"unread", func() {
 			if err := h.reload(h.configText[:len(h.configText)/2]); err == nil {
@@ -52,20 +52,20 @@
 func TestPartialRequestAtSIGTERM(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
-	half := h.connect()
+	partial := h.connect()
 	c := h.connect()
-	frame := half.callFrame("safe", "00000000000000a1", "in two pieces", 5*time.Second)
-	half.sendBytes(frame[:len(frame)/2])
+	frame := partial.callFrame("safe", "00000000000000a1", "in two pieces", 5*time.Second)
+	partial.sendBytes(frame[:len(frame)/2])
 	c.checkHealth()
 	h.beginShutdown(c)
-	fresh := h.connect()
-	fresh.sendCall("safe", "00000000000000a2", "on a new connection")
+	newClient := h.connect()
+	newClient.sendCall("safe", "00000000000000a2", "on a new connection")
 	worker.nextRequest().respond("HIT", "done")
-	fresh.expectStatus("served")
+	newClient.expectStatus("served")
 	worker.serveAll()
 	c.callUntilRefused()
-	half.sendBytes(frame[len(frame)/2:])
-	half.expectStatus("refused")
+	partial.sendBytes(frame[len(frame)/2:])
+	partial.expectStatus("refused")
 	h.waitForExit()
 }
 
@@ -74,12 +74,12 @@
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
 	c := h.connect()
-	second := h.connect()
+	secondClient := h.connect()
 	c.sendCall("unsafe", "00000000000000a1", "one")
 	r := worker.nextRequest()
-	h.beginShutdown(second)
+	h.beginShutdown(secondClient)
 	worker.serveAll()
-	second.callUntilRefused()
+	secondClient.callUntilRefused()
 	r.respond("HIT", "done late")
 	if body := c.expectStatus("served"); body != "done late" {
 		t.Errorf("the request was served with %q", body)
--- a/cmd/functionrouter/signals.go
+++ b/cmd/functionrouter/signals.go
@@ -11,24 +11,24 @@
 type signalWatcher struct {
 	// Each purpose has a channel, so that many SIGHUPs or SIGUSR1s can't displace a SIGTERM. A channel holds one signal. A
 	// signal that arrives while its channel is full is dropped: the one in the channel has the same effect.
-	terminations chan os.Signal // SIGTERM and SIGINT
-	reports      chan os.Signal // SIGUSR1
-	// hangups holds a SIGHUP that arrives while the file is being read, which makes it be read once more.
-	hangups chan os.Signal
+	terminations   chan os.Signal // SIGTERM and SIGINT
+	counterReports chan os.Signal // SIGUSR1
+	// reloads holds a SIGHUP that arrives while the file is being read, which makes it be read once more.
+	reloads chan os.Signal
 	closed  chan struct{} // closed by close
 }
 
 // watchSignals begins to receive signals. Until forward is called it keeps the first of each channel.
 func watchSignals() *signalWatcher {
 	w := &signalWatcher{
-		terminations: make(chan os.Signal, 1),
-		reports:      make(chan os.Signal, 1),
-		hangups:      make(chan os.Signal, 1),
-		closed:       make(chan struct{}),
+		terminations:   make(chan os.Signal, 1),
+		counterReports: make(chan os.Signal, 1),
+		reloads:        make(chan os.Signal, 1),
+		closed:         make(chan struct{}),
 	}
 	signal.Notify(w.terminations, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(w.reports, syscall.SIGUSR1)
-	signal.Notify(w.hangups, syscall.SIGHUP)
+	signal.Notify(w.counterReports, syscall.SIGUSR1)
+	signal.Notify(w.reloads, syscall.SIGHUP)
 	return w
 }
 
@@ -36,25 +36,25 @@
 // must not delay the end of the program, and a loop that has stopped does not run what they post.
 func (w *signalWatcher) close() {
 	signal.Stop(w.terminations)
-	signal.Stop(w.reports)
-	signal.Stop(w.hangups)
+	signal.Stop(w.counterReports)
+	signal.Stop(w.reloads)
 	close(w.closed)
 }
 
 // forward starts the goroutines that pass signals on to s, whose loop must have been started. It is called once.
-func (w *signalWatcher) forward(s *server, reread func() (*config, error)) {
-	go w.forwardHangups(s, reread)
+func (w *signalWatcher) forward(s *server, reloadConfig func() (*config, error)) {
+	go w.forwardReloads(s, reloadConfig)
 	go w.forwardSignals(s)
 }
 
-// forwardHangups reads the configuration on each SIGHUP and posts the result to the event loop. It reads on its own
+// forwardReloads reads the configuration on each SIGHUP and posts the result to the event loop. It reads on its own
 // goroutine, so that requests are served meanwhile.
-func (w *signalWatcher) forwardHangups(s *server, reread func() (*config, error)) {
+func (w *signalWatcher) forwardReloads(s *server, reloadConfig func() (*config, error)) {
 	for {
 		select {
-		case <-w.hangups:
-			fresh, err := reread()
-			s.loop.Post(func() { s.reload(fresh, err) })
+		case <-w.reloads:
+			updated, err := reloadConfig()
+			s.loop.Post(func() { s.reload(updated, err) })
 		case <-w.closed:
 			return
 		}
@@ -67,7 +67,7 @@
 		select {
 		case sig := <-w.terminations:
 			s.loop.Post(func() { s.handleTermination(sig) })
-		case <-w.reports:
+		case <-w.counterReports:
 			s.loop.Post(s.logCounters)
 		case <-w.closed:
 			return
--- a/cmd/functionrouter/start_times.go
+++ b/cmd/functionrouter/start_times.go
@@ -6,9 +6,9 @@
 	"functionrouter/internal/discovery"
 )
 
-// maxNoticeDelay is how long before an answer of the directory a worker may have started that the answer does not list
+// maxListingDelay is how long before an answer of the directory a worker may have started that the answer does not list
 // yet. While the directory is silent, a change counts as announced after 4.5 s (docs/QUESTIONS.md); the rest is slack.
-const maxNoticeDelay = 5 * time.Second
+const maxListingDelay = 5 * time.Second
 
 // maxRememberedStarts bounds the starts that are remembered of workers which the list lacks. They are remembered because
 // a worker that returns to the list with the same start has not started anew. Beyond the bound all of them are forgotten.
@@ -48,23 +48,23 @@
 		}
 	}
 	if len(s.converted) > len(list)+maxRememberedStarts {
-		s.forgetOthers(list)
+		s.forgetUnlisted(list)
 	}
 }
 
-// forgetOthers forgets the starts that list does not hold.
-func (s *startTimes) forgetOthers(list []discovery.Endpoint) {
+// forgetUnlisted forgets the starts that list does not hold.
+func (s *startTimes) forgetUnlisted(list []discovery.Endpoint) {
 	kept := make(map[startKey]time.Duration, len(list))
 	for _, e := range list {
-		if startedAt := s.of(e); startedAt > 0 {
+		if startedAt := s.startedAt(e); startedAt > 0 {
 			kept[startKeyOf(e)] = startedAt
 		}
 	}
 	s.converted = kept
 }
 
-// of returns when a worker of the last list started, on the loop's clock; 0 if that is not known or was long ago.
-func (s *startTimes) of(e discovery.Endpoint) time.Duration { return s.converted[startKeyOf(e)] }
+// startedAt returns when a worker startedAt the last list started, on the loop's clock; 0 if that is not known or was long ago.
+func (s *startTimes) startedAt(e discovery.Endpoint) time.Duration { return s.converted[startKeyOf(e)] }
 
 // boundStart returns a time of start that agrees with now, at which the start was noticed. If the converted time does not
 // agree, the clocks differ, and the start is taken to be between the previous answer and now: at now if the converted time
@@ -73,7 +73,7 @@
 	switch {
 	case converted > now:
 		return now
-	case previousAnswer > 0 && converted < previousAnswer-maxNoticeDelay:
+	case previousAnswer > 0 && converted < previousAnswer-maxListingDelay:
 		return previousAnswer
 	}
 	return max(converted, 1) // of would report 0 as not known
--- a/cmd/functionrouter/start_times_test.go
+++ b/cmd/functionrouter/start_times_test.go
@@ -9,7 +9,7 @@
 
 // The clocks of two machines, or one clock before and after a step, may differ by anything: a start that was just noticed
 // is never later than now, nor long past.
-func TestStartTimesAreBoundedByTheirNotice(t *testing.T) {
+func TestStartTimesBoundedByListing(t *testing.T) {
 	const now = 2 * time.Hour
 	wallNow := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 	for _, test := range []struct {
@@ -39,12 +39,12 @@
 			fromWallClock := func(at time.Time) time.Duration { return now + at.Sub(wallNow.Add(test.step)) }
 			var s startTimes
 			s.update([]discovery.Endpoint{e}, now, test.previousAnswer, fromWallClock)
-			if got := s.of(e); got != test.want {
+			if got := s.startedAt(e); got != test.want {
 				t.Errorf("started at %v, want %v", got, test.want)
 			}
 			// A start is converted once: a later step of the clock does not change it.
 			s.update([]discovery.Endpoint{e}, now+time.Minute, now+59*time.Second, func(time.Time) time.Duration { return 1 })
-			if got := s.of(e); got != test.want {
+			if got := s.startedAt(e); got != test.want {
 				t.Errorf("a minute later, started at %v, want %v", got, test.want)
 			}
 		})
@@ -52,14 +52,14 @@
 }
 
 // A worker that a list lacks for a while keeps its start, and the number of starts that are remembered is bounded.
-func TestStartTimesOfWorkersThatAreBack(t *testing.T) {
+func TestStartTimesOfReturningWorkers(t *testing.T) {
 	const now = 2 * time.Hour
 	e := discovery.Endpoint{Name: "s-1", StartedUnixMs: 1}
 	var s startTimes
 	s.update([]discovery.Endpoint{e}, now, 0, func(time.Time) time.Duration { return time.Hour })
 	s.update(nil, now+time.Second, now, nil)
 	s.update([]discovery.Endpoint{e}, now+2*time.Second, now+time.Second, nil)
-	if got := s.of(e); got != time.Hour {
+	if got := s.startedAt(e); got != time.Hour {
 		t.Errorf("started at %v after it was back", got)
 	}
 	for i := range 3 * maxRememberedStarts {
--- a/cmd/functionrouter/transport_settings.go
+++ b/cmd/functionrouter/transport_settings.go
@@ -71,9 +71,9 @@
 }
 
 // setDefault replaces a value that is absent or not above zero.
-func setDefault[T int | float64](value *T, fallback T) {
+func setDefault[T int | float64](value *T, defaultValue T) {
 	if *value <= 0 {
-		*value = fallback
+		*value = defaultValue
 	}
 }
 
