--- a/cmd/functionrouter/config.go
+++ b/cmd/functionrouter/config.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"net/netip"
 	"os"
 	"strconv"
@@ -12,34 +13,34 @@
 	"functionrouter/policy"
 )
 
-// Defaults of limits that are absent or not above zero. The platform always gives them; the defaults are the largest that
-// it is known to give.
+// Defaults for limits that are absent, zero or negative. The platform always sets these limits; the defaults are the
+// largest values that it is known to set.
 const (
 	defaultMemoryMB = 192  // MiB
 	defaultSockets  = 1024 // file descriptors
 )
 
-// The least limits that are accepted: the shares in limits.go are tested down to these. Below them the Go runtime and
-// the descriptors of the process itself would leave almost nothing for requests.
+// Minimum limits that a configuration may set. The shares in limits.go are tested down to these values. Below them, the
+// Go runtime and the process's own descriptors would leave almost nothing for requests.
 const (
 	minMemoryMB = 32 // MiB
 	minSockets  = 64 // file descriptors
 )
 
 var (
-	errNoConfigFile = errors.New("names no file")
-	errNoClassName  = errors.New("has no name")
-	errLimitsTooLow = errors.New("too little memory or too few sockets")
+	errNoConfigFile = errors.New("environment variable is not set")
+	errNoClassName  = errors.New("name is missing")
+	errLimitsTooLow = errors.New("limit is below the minimum")
 )
 
 // ConfigError reports a configuration that can't be used.
 type ConfigError struct {
-	Path  string // of the file; empty if none is named
-	Field string // the key or the environment variable that is at fault; empty if Err names it or the whole file is
+	Path  string // path of the configuration file; empty if EDGE_CONFIG is not set
+	Field string // invalid key or environment variable; empty if Err names it or if the whole file is invalid
 	Err   error  // the cause
 }
 
-// Error names the file, the field and the cause, as far as they are known.
+// Error returns the path, the field and the cause in one line. It omits the path or the field if it is empty.
 func (e *ConfigError) Error() string {
 	text := "config"
 	if e.Path != "" {
@@ -54,12 +55,12 @@
 // Unwrap returns the cause, for errors.Is and errors.As.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// config is the configuration that the platform gives a router. Its keys are the platform's; others are ignored. It does
-// not change once parseConfig has returned it.
+// config is the configuration that the platform provides for a router. The platform defines its JSON keys; unknown keys
+// are ignored. A config does not change after parseConfig has returned it.
 type config struct {
-	Name             string                     `json:"name"`   // of the router, for the log alone
+	Name             string                     `json:"name"`   // name of the router, used only in the log
 	Listen           string                     `json:"listen"` // IP address and port for Thrift clients
-	Seed             string                     `json:"seed"`   // hexadecimal, of 64 bits at most
+	Seed             string                     `json:"seed"`   // hexadecimal number of at most 64 bits
 	Limits           processLimits              `json:"limits"`
 	DirectoryAddress string                     `json:"names"` // IP address and port
 	InitialEndpoints discovery.InitialEndpoints `json:"known"`
@@ -67,13 +68,13 @@
 
 	seed uint64 // parsed from Seed
 
-	// What decisions and what connections depend on, both parsed from Settings. Their classes and tenants are those of
-	// the settings, in the same order: the index of a class or tenant is the same in both.
+	// The settings of the policy and those of the connections, both parsed from Settings. Both list the classes and the
+	// tenants in the order of Settings, so that an index refers to the same class or tenant in both.
 	policy    policy.Config
 	transport transportSettings
 }
 
-// processLimits is what the process may use.
+// processLimits holds the resource limits of the process.
 type processLimits struct {
 	MemoryMB int `json:"memory_mb"` // MiB
 	Sockets  int `json:"sockets"`   // file descriptors
@@ -92,9 +93,9 @@
 	return parseConfig(path, text, getenv)
 }
 
-// parseConfig parses and checks the text of the file at path, and reports the first fault that it finds. The policy's part
-// of the settings is parsed but checked by policy.New alone, so that a reload does not check it. Its errors are of type
-// *ConfigError.
+// parseConfig parses and checks the text of the file at path, and returns the first error that it finds, of type
+// *ConfigError. It parses the settings of the policy but does not check them: only policy.New does, so a reload does
+// not check them.
 func parseConfig(path string, text []byte, getenv func(string) string) (*config, error) {
 	configError := func(field string, err error) (*config, error) {
 		return nil, &ConfigError{Path: path, Field: field, Err: err}
@@ -105,10 +106,10 @@
 	}
 	c.applyEnvironment(getenv)
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		return configError("listen", err)
+		return configError("listen", fmt.Errorf("address %q: %w", c.Listen, err))
 	}
 	if _, err := netip.ParseAddrPort(c.DirectoryAddress); err != nil {
-		return configError("names", err)
+		return configError("names", fmt.Errorf("address %q: %w", c.DirectoryAddress, err))
 	}
 	var err error
 	if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
@@ -123,12 +124,13 @@
 	setDefault(&c.Limits.MemoryMB, defaultMemoryMB)
 	setDefault(&c.Limits.Sockets, defaultSockets)
 	if c.Limits.MemoryMB < minMemoryMB || c.Limits.Sockets < minSockets {
-		return configError("limits", errLimitsTooLow)
+		return configError("limits", fmt.Errorf("%w: memory_mb is %d (minimum %d), sockets is %d (minimum %d)",
+			errLimitsTooLow, c.Limits.MemoryMB, minMemoryMB, c.Limits.Sockets, minSockets))
 	}
 	return c, nil
 }
 
-// applyEnvironment replaces the name and the address by those of the environment, where it sets them.
+// applyEnvironment overrides the name and the listen address with the environment variables that are set.
 func (c *config) applyEnvironment(getenv func(string) string) {
 	if name := getenv(nameVariable); name != "" {
 		c.Name = name
--- a/cmd/functionrouter/counters.go
+++ b/cmd/functionrouter/counters.go
@@ -8,12 +8,12 @@
 	"functionrouter/policy"
 )
 
-// outcomeCounts is how many attempts, load commands or health checks ended with each policy.Outcome, as router.Counters
-// holds them.
+// outcomeCounts counts attempts, load commands or health checks by their policy.Outcome. It is the type of the outcome
+// fields of router.Counters.
 type outcomeCounts = [policy.FunctionNotLoaded + 1]uint64
 
-// logCounters logs all counters, one message for each group, always in this order. They count from the start of the
-// process.
+// logCounters logs all counters, one message per group, always in the same order. The counters count from the start of
+// the process.
 func (s *server) logCounters() {
 	c := &s.router.Counters
 	for f := range c.Received {
@@ -42,8 +42,8 @@
 		"client_disconnected", c.ClientDisconnected[f])
 }
 
-// logConnectionCounters logs how many client connections were accepted, and how many ended for each cause that occurred.
-// Those of eventloop.OverLimit were never accepted.
+// logConnectionCounters logs how many client connections were accepted, and how many ended for each cause that
+// occurred. Connections that ended with eventloop.OverLimit were refused and do not count as accepted.
 func (s *server) logConnectionCounters() {
 	attributes := []any{"accepted", s.loop.AcceptedCount()}
 	for cause, count := range s.loop.CloseCounts() {
@@ -55,7 +55,7 @@
 }
 
 // logAttemptCounters logs the attempts sent to workers and their outcomes. Overdue requests are those that the router
-// answered at their deadline because the policy had not.
+// answered at their deadline because the policy had not decided them by then.
 func logAttemptCounters(c *router.Counters) {
 	attributes := appendOutcomes([]any{"sent", c.AttemptsSent}, &c.AttemptOutcomes)
 	attributes = append(attributes, "overdue_requests", c.Overdue)
@@ -71,7 +71,7 @@
 	slog.Info("unserved counters", attributes...)
 }
 
-// logLoadCommandCounters logs the commands to load function instances and their outcomes, and those to unload them.
+// logLoadCommandCounters logs the load commands sent to workers, their outcomes, and the unload commands sent.
 func logLoadCommandCounters(c *router.Counters) {
 	attributes := appendOutcomes([]any{"sent", c.LoadCommands}, &c.LoadCommandOutcomes)
 	attributes = append(attributes, "unloads_sent", c.Unloads)
--- a/cmd/functionrouter/endpoint_log.go
+++ b/cmd/functionrouter/endpoint_log.go
@@ -7,14 +7,14 @@
 	"functionrouter/internal/discovery"
 )
 
-// endpointLog logs what a new endpoint list changes. Each change of one worker brings a list of all workers: logged
-// whole, the lists would hide everything else in the log.
+// endpointLog logs the differences between successive endpoint lists. Whenever one worker changes, the directory sends
+// the list of all workers; logging each list in full would make the other log messages hard to find.
 type endpointLog struct {
-	lastList map[string]discovery.Endpoint // the last list, by the workers' names; nil before the first
+	lastList map[string]discovery.Endpoint // the last list, by worker name; nil before the first list
 }
 
-// record logs a line for each endpoint that list adds or changes, in its order, then one for each that it lacks, and one
-// for the list.
+// record logs one message for each endpoint that list adds or changes, in the order of list, then one for each endpoint
+// that list no longer contains, and one for the list itself.
 func (l *endpointLog) record(list []discovery.Endpoint) {
 	previousList := l.lastList
 	l.lastList = make(map[string]discovery.Endpoint, len(list))
--- a/cmd/functionrouter/endpoints.go
+++ b/cmd/functionrouter/endpoints.go
@@ -7,9 +7,9 @@
 	"functionrouter/policy"
 )
 
-// updateEndpoints is the directory client's callback for a new endpoint list, which it passes to the router and then to the
-// pool. The order matters: attempts that the pool ends because of the list are retried by this list, not by the one
-// before. The start times come first, since policyEndpoint reads them.
+// updateEndpoints is the directory client's callback for a new endpoint list. It passes the list to the router before
+// the pool: the pool ends attempts because of the list, and the router must retry them with the new list. It updates
+// the start times first, because policyEndpoint reads them.
 func (s *server) updateEndpoints(list []discovery.Endpoint) {
 	s.startTimes.update(list, s.loop.Now(), s.discovery.LastAnswerAt(), s.loop.TimeFromWallClock)
 	update := policy.EndpointUpdate{Kind: policy.FullUpdate}
@@ -26,7 +26,7 @@
 	s.pool.RetainEndpoints(present)
 }
 
-// policyEndpoint converts an endpoint to the policy's form. Its start must be in s.startTimes.
+// policyEndpoint converts an endpoint to the policy's type. The endpoint's start must already be in s.startTimes.
 func (s *server) policyEndpoint(e discovery.Endpoint) policy.Endpoint {
 	return policy.Endpoint{
 		Worker:    e.ID(),
@@ -38,7 +38,7 @@
 	}
 }
 
-// zoneIndex returns the position of a zone in the settings. An unknown zone counts as the first.
+// zoneIndex returns the index of a zone in the settings. For an unknown zone it returns 0, the index of the first zone.
 func (s *server) zoneIndex(zone string) int {
 	return max(slices.Index(s.cfg.transport.FailureDomains, zone), 0)
 }
--- a/cmd/functionrouter/environment.go
+++ b/cmd/functionrouter/environment.go
@@ -5,31 +5,34 @@
 	"strings"
 )
 
-// The environment variables of the platform. The name and the address override those in the file.
+// Environment variables that the platform sets. EDGE_NAME and EDGE_LISTEN override the name and the listen address in
+// the configuration file.
 const (
 	configVariable = "EDGE_CONFIG" // path of the configuration file
 	nameVariable   = "EDGE_NAME"
 	listenVariable = "EDGE_LISTEN"
 )
 
-// The environment variables of the operators: each names the file of an extension, in place of the default one.
+// Environment variables for operators. Each sets the path of an extension's configuration file, in place of the default
+// path.
 const (
 	webhookVariable    = "FUNCTIONROUTER_WEBHOOK"
 	flowExportVariable = "FUNCTIONROUTER_IPFIX"
 )
 
 const (
-	// variablePrefix begins the names of the operators' variables.
+	// variablePrefix is the prefix of the operators' variables.
 	variablePrefix = "FUNCTIONROUTER_"
 
-	// deprecatedVariablePrefix began them when the program had another name. Deployed environments may still set such
-	// variables; without them their webhooks and flow records would end in silence. So they are read until no start
-	// logs one any more.
+	// deprecatedVariablePrefix is the prefix that the operators' variables had under the program's former name.
+	// Deployed environments may still set variables with this prefix; if the router ignored them, webhooks and flow
+	// records would stop there without an error. The prefix is supported until no router logs a deprecated variable at
+	// its start.
 	deprecatedVariablePrefix = "CRANKHOLD_"
 )
 
-// operatorVariable returns the value of an operators' variable. If it is not set, or empty, the variable's deprecated
-// name counts, and a line in the log says so.
+// operatorVariable returns the value of an operator's variable. If the variable is unset or empty, it returns the value
+// of the variable's deprecated name, and logs a warning if that value is not empty.
 func operatorVariable(getenv func(string) string, variable string) string {
 	if value := getenv(variable); value != "" {
 		return value
--- a/cmd/functionrouter/extensions.go
+++ b/cmd/functionrouter/extensions.go
@@ -14,29 +14,31 @@
 	"functionrouter/internal/router"
 )
 
-// maxIdleInterval is when extensions that have nothing to do ask to be called again. Any long time serves.
+// maxIdleInterval is the time after which extensions without pending work ask to be called again. Any long interval
+// works.
 const maxIdleInterval = time.Hour
 
-// extensions are the optional parts beside the platform's frontend: receiver, sender and exporter. Each is nil if it is
-// off, as all three are on the platform. All methods belong to the loop's goroutine.
+// extensions holds the optional parts of the router besides the platform's frontend: the webhook receiver, the notice
+// sender and the flow exporter. A part that is disabled is nil; on the platform, all three are disabled. All methods
+// must be called on the event loop's goroutine.
 type extensions struct {
 	cfg  *config
 	loop *eventloop.Loop
 
-	receiver *webhook.Receiver // signed webhooks that carry requests
-	sender   *webhook.Sender   // signed notices of how requests ended
-	exporter *ipfix.Exporter   // flow records
+	receiver *webhook.Receiver // receives signed webhooks that carry requests
+	sender   *webhook.Sender   // sends signed notices of how requests ended
+	exporter *ipfix.Exporter   // exports flow records
 
-	// frontendAddrs is where the frontends router.Thrift and router.Webhook listen, for the flow records.
+	// frontendAddrs holds the listen addresses of the frontends router.Thrift and router.Webhook, for the flow records.
 	frontendAddrs [2]netip.AddrPort
 }
 
-// newExtensions reads the files of the extensions and adds the parts that they enable to the loop. The webhook frontend
-// sends its requests to requestRouter. It fails if a file, or a key or ledger that a file names, can't be used; parts that
-// it has added by then stay open.
+// newExtensions reads the configuration files of the extensions and adds the parts that they enable to the loop. The
+// webhook frontend submits its requests to requestRouter. newExtensions fails if it can't use a file, or a key or
+// ledger that a file names; the parts that it has already added then stay open.
 func newExtensions(cfg *config, loop *eventloop.Loop, requestRouter webhook.RequestRouter) (*extensions, error) {
 	x := &extensions{cfg: cfg, loop: loop}
-	x.frontendAddrs[router.Thrift] = netip.MustParseAddrPort(cfg.Listen) // readConfig checked it
+	x.frontendAddrs[router.Thrift] = netip.MustParseAddrPort(cfg.Listen) // parseConfig has checked it
 	if path := extensionFile(webhookVariable, webhookFile); path != "" {
 		if err := x.addWebhooks(path, requestRouter); err != nil {
 			return nil, err
@@ -50,7 +52,8 @@
 	return x, nil
 }
 
-// requestEnded is the router's Config.OnRequestEnd: it queues a notice and a flow record, where these are on.
+// requestEnded is the callback for router.Config.OnRequestEnd. It queues a notice and a flow record if the sender and
+// the exporter are enabled.
 func (x *extensions) requestEnded(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	if x.sender != nil {
 		x.notify(now, r, outcome)
@@ -60,8 +63,9 @@
 	}
 }
 
-// extensionFile returns the path of the file to read: the one that the variable names, or else the default, or "" if that
-// does not exist. A default that can't be examined for another reason is returned too: its reader reports the error.
+// extensionFile returns the path of an extension's configuration file: the value of the environment variable, or
+// defaultFile if the variable is not set. It returns "" if the variable is not set and defaultFile does not exist. If
+// os.Stat fails for another reason, it returns defaultFile, so that the reader of the file reports the error.
 func extensionFile(variable, defaultFile string) string {
 	if path := operatorVariable(os.Getenv, variable); path != "" {
 		return path
@@ -72,7 +76,7 @@
 	return defaultFile
 }
 
-// process sends the notices and flow records that are due. It returns when it must be called again at the latest.
+// process sends the notices and flow records that are due. It returns the latest time at which it must be called again.
 func (x *extensions) process(now time.Duration) (next time.Duration) {
 	next = now + maxIdleInterval
 	if x.sender != nil {
@@ -91,7 +95,7 @@
 	}
 }
 
-// openNotices is how many notices have been neither delivered nor given up.
+// openNotices returns how many notices have been neither delivered nor given up.
 func (x *extensions) openNotices() int {
 	if x.sender == nil {
 		return 0
@@ -99,8 +103,8 @@
 	return x.sender.OpenNotices()
 }
 
-// close waits until the ledger is on disk, and logs an error of that. It must be called after the loop has stopped, so that
-// no delivery arrives later. Flow records that have not been sent are dropped.
+// close waits until the ledger is written to disk, and logs an error if that fails. It must be called after the loop
+// has stopped, so that no further delivery can arrive. Flow records that have not been sent are dropped.
 func (x *extensions) close() {
 	if x.receiver == nil {
 		return
@@ -110,7 +114,7 @@
 	}
 }
 
-// logCounters logs the counters of the parts that are on, from the start of the process.
+// logCounters logs the counters of the enabled parts, which count from the start of the process.
 func (x *extensions) logCounters() {
 	if x.receiver != nil {
 		logWebhookCounters(&x.receiver.Counters)
--- a/cmd/functionrouter/flow_export.go
+++ b/cmd/functionrouter/flow_export.go
@@ -9,11 +9,12 @@
 	"functionrouter/internal/router"
 )
 
-// flowExportFile turns on the export of flow records (RFC 7011); flowExportVariable names another file.
+// flowExportFile is the default configuration file of the export of flow records (RFC 7011). flowExportVariable
+// overrides it.
 const flowExportFile = "deploy/ipfix.toml"
 
-// addFlowExport turns on the export if the file at path enables it. The exporter opens its socket when it is first
-// processed.
+// addFlowExport enables the export if the file at path says so. The exporter opens its socket in the first call of
+// Process.
 func (x *extensions) addFlowExport(path string) error {
 	file, err := ipfix.ReadConfig(path)
 	if err != nil {
@@ -29,7 +30,8 @@
 	return nil
 }
 
-// exportFlow adds a record of a request that has just ended, at now on the loop's clock. Its times are the wall clock's.
+// exportFlow adds a record of a request that ended at now on the loop's clock. The times in the record are wall-clock
+// times.
 func (x *extensions) exportFlow(now time.Duration, r *router.Request) {
 	end := time.Now()
 	x.exporter.Add(ipfix.Flow{
@@ -42,7 +44,7 @@
 	})
 }
 
-// logFlowExportCounters logs the flow records and the messages that carried them.
+// logFlowExportCounters logs the counters of flow records and of the messages that carry them.
 func logFlowExportCounters(c *ipfix.Counters) {
 	slog.Info("flow export counters", "records", c.Records, "sent", c.Sent, "dropped", c.Dropped, "messages", c.Messages)
 }
--- a/cmd/functionrouter/limits.go
+++ b/cmd/functionrouter/limits.go
@@ -2,83 +2,88 @@
 
 import "time"
 
-// fullMemoryMB is the memory for which the bounds in bytes below are chosen, in MiB: the limit that the platform usually
-// sets. With less memory these bounds shrink in proportion, with more they stay the same: see scaleToMemory.
+// fullMemoryMB is the memory, in MiB, to which the byte limits below refer. It is the limit that the platform usually
+// sets. With less memory, scaleToMemory reduces the byte limits in proportion; with more memory, they stay the same.
 const fullMemoryMB = 192
 
-// Bounds on what is held for peers, in bytes, at fullMemoryMB. They add up to 72 MiB of the 192. With the open requests
-// beside their bodies, see openRequestsPerMB, they stay within half of the memory.
+// Limits on the bytes held for peers, at fullMemoryMB. They add up to 72 of the 192 MiB. Together with the memory that
+// open requests take besides their bodies (see openRequestsPerMB), they stay within half of the memory.
 const (
-	maxUnreadBytes        = 32 << 20 // written for peers that do not read
+	maxUnreadBytes        = 32 << 20 // output that peers have not read yet
 	maxBodyBytes          = 24 << 20 // bodies of open requests
 	maxWebhookResultBytes = 16 << 20 // results kept for webhooks that are delivered again
 )
 
-// openRequestsPerMB bounds the open requests by the memory, whether that is less or more than fullMemoryMB. At 2 KiB
-// each, bodies aside, they take a sixteenth of it.
+// openRequestsPerMB limits the open requests in proportion to the memory, also above fullMemoryMB. An open request
+// takes 2 KiB besides its body, so the open requests take at most a sixteenth of the memory.
 const openRequestsPerMB = 32
 
-// The Go runtime's soft limit is six tenths of the memory. It has to stay well below the limit at which the platform
-// kills the process: the runtime does not count memory outside of Go, and a collection may come late.
+// The Go runtime's soft memory limit is 6/10 of the memory. It must stay well below the limit at which the platform
+// kills the process, because the runtime does not count memory outside of Go and a garbage collection may run late.
 const (
 	goMemoryNumerator   = 6
 	goMemoryDenominator = 10
 )
 
 const (
-	// clientDescriptorDivisor gives the clients a third of the descriptors. The workers have what the clients and the
-	// reserve leave.
+	// clientDescriptorDivisor gives client connections a third of the descriptors. Worker connections get the
+	// descriptors that remain after the clients' share and the reserve.
 	clientDescriptorDivisor = 3
 
-	// reservedDescriptors are reserved for what is neither a client nor a worker: pollers, listeners, the directory,
-	// notices, files, and an accepted connection beyond the limit until it is closed.
+	// reservedDescriptors is the number of descriptors reserved for uses other than client and worker connections:
+	// pollers, listeners, the directory, notices, files, and an accepted connection beyond the limit until the router
+	// closes it.
 	reservedDescriptors = 32
 
-	// reservedDescriptorDivisor bounds the reserve to a quarter of the descriptors, for limits below 128.
+	// reservedDescriptorDivisor limits the reserve to a quarter of the descriptors. It takes effect if there are fewer
+	// than 128 descriptors.
 	reservedDescriptorDivisor = 4
 )
 
 const (
-	// healthCheckTimeout is how long a worker may take to answer a health check; then it ends as policy.TimedOut.
+	// healthCheckTimeout is how long a worker may take to answer a health check. After that, the check ends with
+	// policy.TimedOut.
 	healthCheckTimeout = 250 * time.Millisecond
 
-	// maxRefusalRetryAfter bounds refusalRetryAfter; the settings may bound it further.
+	// maxRefusalRetryAfter is the upper limit of refusalRetryAfter. The settings may set a lower limit.
 	maxRefusalRetryAfter = time.Second
 
-	// The platform kills a router that has not ended by L + 0.7 s after SIGTERM, where L is the longest deadline of all
-	// classes, counted as maxFlushDeadline at most.
+	// maxFlushDeadline is the longest deadline that the platform takes into account when it stops a router. The
+	// platform kills a router that has not ended by L + 0.7 s after SIGTERM, where L is the longest deadline of all
+	// classes, but at most maxFlushDeadline.
 	maxFlushDeadline = 3 * time.Second
 
-	// flushMargin is the part of these 0.7 s in which open requests are still answered and notices delivered. The other
-	// 0.2 s are left for the end of the program, logCloseTimeout included, and for a machine that stalls.
+	// flushMargin is the part of these 0.7 s in which the router still answers open requests and delivers notices. The
+	// remaining 0.2 s are for the end of the program, including logCloseTimeout, and for pauses of the machine.
 	flushMargin = 500 * time.Millisecond
 )
 
-// goMemoryLimit is the soft memory limit of the Go runtime, in bytes.
+// goMemoryLimit returns the soft memory limit of the Go runtime, in bytes.
 func (c *config) goMemoryLimit() int64 {
 	return int64(c.Limits.MemoryMB) << 20 * goMemoryNumerator / goMemoryDenominator
 }
 
-// maxClientConnections is how many accepted connections may be open at once, over all frontends.
+// maxClientConnections returns how many accepted connections may be open at once, over all frontends.
 func (c *config) maxClientConnections() int { return c.Limits.Sockets / clientDescriptorDivisor }
 
-// maxWorkerConnections is how many connections to workers there may be: what the clients and the reserve leave.
+// maxWorkerConnections returns how many connections to workers may be open at once. They get the descriptors that
+// remain after the clients' share and the reserve.
 func (c *config) maxWorkerConnections() int {
 	reserve := min(reservedDescriptors, c.Limits.Sockets/reservedDescriptorDivisor)
 	return c.Limits.Sockets - c.maxClientConnections() - reserve
 }
 
-// scaleToMemory scales a bound in bytes that is chosen for fullMemoryMB to the memory limit. It never raises the bound.
+// scaleToMemory scales a byte limit that refers to fullMemoryMB to the configured memory. It never raises the limit.
 func (c *config) scaleToMemory(bytes int) int {
 	return bytes * min(c.Limits.MemoryMB, fullMemoryMB) / fullMemoryMB
 }
 
-// maxOpenRequests is how many requests may be open at once.
+// maxOpenRequests returns how many requests may be open at once.
 func (c *config) maxOpenRequests() int {
 	return min(c.transport.Limits.MaxOpenRequests, c.Limits.MemoryMB*openRequestsPerMB)
 }
 
-// flushTimeout is how long after SIGTERM requests are answered at the latest and notices are waited for.
+// flushTimeout returns the longest time after SIGTERM in which the router answers requests and waits for notices.
 func (c *config) flushTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.policy.Classes {
@@ -87,8 +92,9 @@
 	return min(longest, maxFlushDeadline) + flushMargin
 }
 
-// refusalRetryAfter is the Retry-After of the refusals that the policy does not decide: those at once, by the deadline
-// guard, and of a client that has ended its side of the connection. It is 0 if the settings allow none.
+// refusalRetryAfter returns the Retry-After of the refusals that the router decides without the policy: refusals at
+// once, refusals at the deadline of an overdue request, and refusals of requests whose client has closed its side of
+// the connection. It returns 0 if the settings do not allow a Retry-After.
 func (c *config) refusalRetryAfter() time.Duration {
 	if !c.policy.AllowRetryAfter {
 		return 0
--- a/cmd/functionrouter/main.go
+++ b/cmd/functionrouter/main.go
@@ -1,9 +1,10 @@
-// Command functionrouter is the function router: the decision module of package policy on real sockets.
+// Command functionrouter runs the function router: it connects the routing policy of package policy to clients, workers
+// and the directory over real sockets.
 //
-// It reads the configuration file that the environment names (environment.go) and serves until SIGTERM or SIGINT, which
-// begin a graceful shutdown (shutdown.go). SIGHUP makes it read the file again and apply a new directory address
-// (reload.go); SIGUSR1 makes it log its counters (counters.go). The log goes to standard error. The exit status is 1 if the
-// program can't start.
+// The command reads the configuration file that the environment names (environment.go) and serves requests until
+// SIGTERM or SIGINT, which start a graceful shutdown (shutdown.go). On SIGHUP it reads the file again and applies a new
+// directory address (reload.go). On SIGUSR1 it logs its counters (counters.go). The log goes to standard error. The
+// exit status is 1 if the program can't start.
 package main
 
 import (
@@ -17,13 +18,14 @@
 	"functionrouter/internal/logging"
 )
 
-// logCloseTimeout is how long the program, at its end, waits for the reader of its log. It is part of the time that
+// logCloseTimeout is how long the program waits at its end until its log is written. It is part of the time that
 // flushMargin leaves before the platform kills the program.
 const logCloseTimeout = 100 * time.Millisecond
 
-// main runs the router and reports an error of its start in one plain line, after the log.
+// main runs the router. If the start fails, it prints the error on one plain line after the log.
 func main() {
-	// The end of the log's reader must not end the router: without this a write to its closed pipe kills the process.
+	// Without this, a write to the log would kill the router with SIGPIPE after the reader of the log has closed the
+	// pipe.
 	signal.Ignore(syscall.SIGPIPE)
 	log := logging.NewWriter(os.Stderr)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
@@ -35,7 +37,8 @@
 	}
 }
 
-// run reads the configuration and serves until a signal ends the program. It returns an error only if the start fails.
+// run reads the configuration and serves requests until a signal ends the program. It returns an error only if the
+// start fails.
 func run() error {
 	loadConfig := func() (*config, error) { return readConfig(os.Getenv) }
 	cfg, err := loadConfig()
--- a/cmd/functionrouter/reload.go
+++ b/cmd/functionrouter/reload.go
@@ -5,9 +5,9 @@
 	"reflect"
 )
 
-// reload applies what can change while the program runs: the directory's address. It logs the other keys in which fresh
-// differs from the configuration of the start, since these need a restart: each further reload names them again. A
-// configuration that can't be used, for which err says why, changes nothing.
+// reload applies the only value that can change while the program runs: the directory's address. It also logs the other
+// keys in which updated differs from the configuration at the start, because a change of these needs a restart; each
+// further reload logs them again. If err is not nil, the configuration can't be used, and reload only logs err.
 func (s *server) reload(updated *config, err error) {
 	if err != nil {
 		slog.Error("configuration reload failed", "error", err)
@@ -20,8 +20,8 @@
 	}
 }
 
-// changesNeedingRestart names the keys in which fresh differs from c and that a reload does not apply. The seed and the initial
-// endpoints are left out: they matter only when the process starts.
+// changesNeedingRestart returns the keys in which updated differs from c and that a reload does not apply. It omits the
+// seed and the initial endpoints, because they matter only when the process starts.
 func (c *config) changesNeedingRestart(updated *config) (changed []string) {
 	if c.Name != updated.Name {
 		changed = append(changed, "name")
--- a/cmd/functionrouter/serve.go
+++ b/cmd/functionrouter/serve.go
@@ -9,19 +9,19 @@
 	"functionrouter/internal/backend"
 )
 
-// maxProcs is GOMAXPROCS. The process has one core; further threads let the event loop run while a poller sleeps in the
-// kernel.
+// maxProcs is GOMAXPROCS. The process has one core; the additional threads let the event loop run while a poller sleeps
+// in the kernel.
 const maxProcs = 4
 
-// The intervals of the periodic tasks; that of the pool is backend.SweepInterval.
+// Intervals of the periodic tasks. The interval of the pool is backend.SweepInterval.
 const (
 	extensionSweepInterval = time.Second
 	countersLogInterval    = 5 * time.Second
 )
 
-// serve runs the function router on the calling goroutine until a signal ends it. On each SIGHUP it calls reread, on
-// another goroutine, and applies what that returns. It returns an error only if the start fails. It sets limits of the Go
-// runtime that last beyond its return.
+// serve runs the function router on the calling goroutine until a signal ends it. On each SIGHUP it calls reloadConfig
+// on another goroutine and applies the result. It returns an error only if the start fails. It sets limits of the Go
+// runtime that stay in effect after it returns.
 func serve(cfg *config, reloadConfig func() (*config, error)) error {
 	signals := watchSignals() // first, so that a signal during the start is handled once the loop runs
 	defer signals.close()
@@ -35,8 +35,8 @@
 		return err
 	}
 	slog.Info("started", "name", cfg.Name, "listen", cfg.Listen)
-	signals.forward(s, reloadConfig)           // it posts to the loop, which must have been started
-	s.taskTimes.lastCountersLog = s.loop.Now() // else the first turn would log counters that are all 0
+	signals.forward(s, reloadConfig)           // posts to the loop, which must have been started
+	s.taskTimes.lastCountersLog = s.loop.Now() // otherwise the first turn would log counters that are all 0
 	s.loop.Run(s.beginTurn, s.endTurn)
 	s.extensions.close()
 	s.logCounters()
@@ -44,23 +44,24 @@
 	return nil
 }
 
-// periodicTaskTimes is when each periodic task last ran, on the loop's clock; 0 makes it due in the first turn.
+// periodicTaskTimes holds when each periodic task last ran, on the loop's clock. The value 0 makes a task due in the
+// first turn.
 type periodicTaskTimes struct {
 	lastPoolSweep      time.Duration
 	lastExtensionSweep time.Duration
 	lastCountersLog    time.Duration
 }
 
-// beginTurn sets the time of a turn of the event loop, before the turn's events are handled: the handlers take it from
-// the router and the pool.
+// beginTurn sets the time of the router and of the pool at the start of a turn of the event loop. The handlers of the
+// turn's events use this time.
 func (s *server) beginTurn(now time.Duration) {
 	s.router.SetNow(now)
 	s.pool.SetNow(now)
 }
 
-// endTurn does what is due after a turn's events have been handled. It returns the latest time for the next turn. The
-// extensions come after the router, so that they send notices and flow records of the requests that it has just ended, and
-// the shutdown comes last, so that it sees what is left.
+// endTurn does the work that is due after the events of a turn have been handled. It returns the latest time for the
+// next turn. The extensions run after the router, so that they send notices and flow records of the requests that it
+// has just ended. The shutdown runs last, so that it sees the remaining work.
 func (s *server) endTurn(now time.Duration) (next time.Duration) {
 	next = s.router.Process(now)
 	next = min(next, s.discovery.Poll(now))
--- a/cmd/functionrouter/server.go
+++ b/cmd/functionrouter/server.go
@@ -11,8 +11,8 @@
 	"functionrouter/policy"
 )
 
-// server is the function router with all its parts, joined on one event loop. Once the loop runs, all of it belongs to
-// the loop's goroutine; others reach it through loop.Post.
+// server connects all parts of the function router through one event loop. Once the loop runs, all fields belong to the
+// loop's goroutine; other goroutines access them through loop.Post.
 type server struct {
 	cfg        *config
 	loop       *eventloop.Loop
@@ -27,9 +27,9 @@
 	shutdown    shutdown
 }
 
-// newServer builds the parts and joins them. The loop is not started: nothing listens yet. The order counts: LoadInitial
-// calls updateEndpoints, which needs the router, the pool and s.discovery. After an error the program must end, since an
-// open ledger is not closed.
+// newServer creates and connects the parts. It does not start the loop, so nothing listens yet. The order matters:
+// LoadInitial calls updateEndpoints, which needs the router, the pool and s.discovery. If newServer fails, the program
+// must end, because an open ledger is not closed.
 func newServer(cfg *config) (*server, error) {
 	routingPolicy, err := policy.New(cfg.policy, cfg.seed)
 	if err != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// poolConfig returns the configuration of the connections to workers. Its Dial uses s.loop, which must be set.
+// poolConfig returns the configuration of the connections to workers. Its Dial function uses s.loop, which must be set.
 func (s *server) poolConfig() backend.Config {
 	limits := s.cfg.transport.Limits
 	return backend.Config{
@@ -109,6 +109,6 @@
 	return s.loop.DialUDP(addr, h)
 }
 
-// ready reports whether clients should send requests here: there is a worker to forward them to, and no shutdown
-// has begun.
+// ready reports whether clients should send requests to this router: the router knows a worker, and no shutdown has
+// begun.
 func (s *server) ready() bool { return s.discovery.EndpointCount() > 0 && !s.shutdown.begun() }
--- a/cmd/functionrouter/shutdown.go
+++ b/cmd/functionrouter/shutdown.go
@@ -7,33 +7,34 @@
 )
 
 const (
-	// shutdownGracePeriod is how long after SIGTERM new requests are still routed; later ones are refused. Clients connect
-	// for 0.4 s after SIGTERM, and send requests on open connections for another 0.2 s; the rest is a margin.
+	// shutdownGracePeriod is how long after SIGTERM the router still accepts new requests; it refuses later ones.
+	// Clients open connections for 0.4 s after SIGTERM, and send requests on open connections for another 0.2 s; the
+	// rest is a margin.
 	shutdownGracePeriod = 650 * time.Millisecond
 
-	// shutdownQuietPeriod is how long there must have been no client connection before a server that shuts down ends: a
-	// client that has just connected may still wait to be accepted.
+	// shutdownQuietPeriod is how long no client connection must have been open before the router ends, because a client
+	// that has just connected may still wait to be accepted.
 	shutdownQuietPeriod = 200 * time.Millisecond
 
-	// shutdownCheckInterval is the longest time between two checks of whether a shutdown is complete.
+	// shutdownCheckInterval is the longest time between two checks whether a shutdown is complete.
 	shutdownCheckInterval = 10 * time.Millisecond
 
-	// shutdownLogInterval is the time between two log lines on what a shutdown waits for.
+	// shutdownLogInterval is the time between two log messages about the progress of a shutdown.
 	shutdownLogInterval = time.Second
 )
 
 // shutdown is the state of a graceful shutdown. All times are on the loop's clock.
 type shutdown struct {
-	startedAt    time.Duration // 0 before it begins
-	lastClientAt time.Duration // when a client connection was last seen open; at first startedAt
-	lastLogAt    time.Duration // when logShutdown last wrote a line
+	startedAt    time.Duration // 0 before the shutdown begins
+	lastClientAt time.Duration // when a client connection was last seen open; initially startedAt
+	lastLogAt    time.Duration // when logShutdownProgress last logged; initially startedAt
 	flushTimeout time.Duration // see config.flushTimeout
 }
 
 // begun reports whether the server is shutting down.
 func (s *shutdown) begun() bool { return s.startedAt > 0 }
 
-// handleTermination logs the counters, and begins the shutdown unless one has begun.
+// handleTermination logs the counters, and begins the shutdown if none has begun.
 func (s *server) handleTermination(sig os.Signal) {
 	s.logCounters()
 	if s.shutdown.begun() {
@@ -43,8 +44,9 @@
 	slog.Info("shutdown started", "signal", sig.String())
 }
 
-// beginShutdown starts the graceful shutdown. Each request, open or yet to come, is answered by the end of the flush
-// timeout, counted from now, whatever time its client has left: the platform kills the process soon after.
+// beginShutdown starts the graceful shutdown. The router answers each request, whether it is open now or arrives later,
+// before the flush timeout from now has passed, even if the client would wait longer, because the platform kills the
+// process soon afterwards.
 func (s *server) beginShutdown(now time.Duration) {
 	s.shutdown.startedAt = now
 	s.shutdown.lastClientAt = now
@@ -52,10 +54,11 @@
 	s.router.BeginShutdown(now, now+s.shutdown.flushTimeout)
 }
 
-// advanceShutdown stops the loop once the grace period is over, no client connection has been open for the quiet period, no
-// request is open, and the notices are delivered or the flush timeout has passed. Until then clients may send requests;
-// after the grace period the router refuses them. It closes no connection by itself: a request may be on its way, and its
-// client may have no other router to send it to. It is called in each turn of the loop once the shutdown has begun.
+// advanceShutdown stops the loop once the grace period is over, no client connection has been open for the quiet
+// period, no request is open, and the notices are delivered or the flush timeout has passed. Until the loop stops,
+// clients may send requests; after the grace period the router refuses them. advanceShutdown does not close any
+// connection, because a request may be in transit and its client may have no other router. It is called in each turn of
+// the loop once the shutdown has begun.
 func (s *server) advanceShutdown(now time.Duration) {
 	elapsed := now - s.shutdown.startedAt
 	graceOver := elapsed >= shutdownGracePeriod
@@ -78,7 +81,7 @@
 	s.logShutdownProgress(now)
 }
 
-// logShutdownProgress logs what the shutdown waits for, when a line is due.
+// logShutdownProgress logs what the shutdown waits for, once in each shutdownLogInterval.
 func (s *server) logShutdownProgress(now time.Duration) {
 	if now-s.shutdown.lastLogAt < shutdownLogInterval {
 		return
--- a/cmd/functionrouter/signals.go
+++ b/cmd/functionrouter/signals.go
@@ -6,19 +6,21 @@
 	"syscall"
 )
 
-// signalWatcher receives the process's signals and passes them on to the event loop. forward starts its two goroutines,
-// which end after close.
+// signalWatcher receives the process's signals and forwards them to the event loop. forward starts its two goroutines,
+// which end after close has been called.
 type signalWatcher struct {
-	// Each purpose has a channel, so that many SIGHUPs or SIGUSR1s can't displace a SIGTERM. A channel holds one signal. A
-	// signal that arrives while its channel is full is dropped: the one in the channel has the same effect.
+	// Each purpose has its own channel, so that repeated SIGHUPs or SIGUSR1s can't displace a SIGTERM. A channel holds
+	// one signal. A signal that arrives while its channel is full is dropped, because the signal in the channel has the
+	// same effect.
 	terminations   chan os.Signal // SIGTERM and SIGINT
 	counterReports chan os.Signal // SIGUSR1
-	// reloads holds a SIGHUP that arrives while the file is being read, which makes it be read once more.
+	// reloads holds SIGHUP. If a SIGHUP arrives while the file is being read, the file is read again afterwards.
 	reloads chan os.Signal
 	closed  chan struct{} // closed by close
 }
 
-// watchSignals begins to receive signals. Until forward is called it keeps the first of each channel.
+// watchSignals starts to receive signals. Until forward is called, each channel keeps the first signal that it
+// receives.
 func watchSignals() *signalWatcher {
 	w := &signalWatcher{
 		terminations:   make(chan os.Signal, 1),
@@ -32,8 +34,8 @@
 	return w
 }
 
-// close stops receiving signals and ends the goroutines. It does not wait for them: a file that takes long to read
-// must not delay the end of the program, and a loop that has stopped does not run what they post.
+// close stops receiving signals and ends the goroutines. It does not wait for them: a slow read of the file must not
+// delay the end of the program, and a loop that has stopped does not run what the goroutines post.
 func (w *signalWatcher) close() {
 	signal.Stop(w.terminations)
 	signal.Stop(w.counterReports)
@@ -41,14 +43,15 @@
 	close(w.closed)
 }
 
-// forward starts the goroutines that pass signals on to s, whose loop must have been started. It is called once.
+// forward starts the goroutines that forward signals to s. The loop of s must have been started. forward must be called
+// only once.
 func (w *signalWatcher) forward(s *server, reloadConfig func() (*config, error)) {
 	go w.forwardReloads(s, reloadConfig)
 	go w.forwardSignals(s)
 }
 
-// forwardReloads reads the configuration on each SIGHUP and posts the result to the event loop. It reads on its own
-// goroutine, so that requests are served meanwhile.
+// forwardReloads reads the configuration on each SIGHUP and posts the result to the event loop. It has its own
+// goroutine, so that the router serves requests while the file is being read.
 func (w *signalWatcher) forwardReloads(s *server, reloadConfig func() (*config, error)) {
 	for {
 		select {
@@ -61,7 +64,7 @@
 	}
 }
 
-// forwardSignals posts what SIGTERM, SIGINT and SIGUSR1 ask for to the event loop.
+// forwardSignals posts the actions for SIGTERM, SIGINT and SIGUSR1 to the event loop.
 func (w *signalWatcher) forwardSignals(s *server) {
 	for {
 		select {
--- a/cmd/functionrouter/transport_settings.go
+++ b/cmd/functionrouter/transport_settings.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Defaults of settings that are absent or not above zero. The platform always gives them; the defaults are of the size
-// that it gives.
+// Defaults for settings that are absent, zero or negative. The platform always sets these settings; the defaults are of
+// the same order of magnitude as its values.
 const (
 	defaultDialTimeoutMs        = 250    // milliseconds
 	defaultIdleTimeoutMs        = 30_000 // milliseconds
@@ -15,8 +15,8 @@
 	defaultStreamsPerConnection = 32
 )
 
-// transportSettings is the part of the settings that is of use outside of the policy: to frontends, connections and the
-// endpoint list. The policy knows zones, classes and tenants by their positions alone.
+// transportSettings holds the settings that are used outside of the policy: by the frontends, the connections and the
+// endpoint list. The policy identifies zones, classes and tenants only by index.
 type transportSettings struct {
 	FailureDomains []string        `json:"failureDomains"` // names of the zones
 	Classes        []namedSetting  `json:"classes"`
@@ -24,22 +24,23 @@
 	Limits         transportLimits `json:"limits"`
 }
 
-// namedSetting is a class or a tenant, of which only the name is read here.
+// namedSetting is a class or a tenant. Only its name is parsed here.
 type namedSetting struct {
 	Name string `json:"name"`
 }
 
-// transportLimits bounds connections to workers and open requests.
+// transportLimits limits connections to workers and open requests.
 type transportLimits struct {
-	DialTimeoutMs float64 `json:"dialTimeoutMs"` // of a dial to a worker, in milliseconds
-	// IdleTimeoutMs is after how many milliseconds the workers close an idle connection. The pool closes it earlier.
+	DialTimeoutMs float64 `json:"dialTimeoutMs"` // timeout of a dial to a worker, in milliseconds
+	// IdleTimeoutMs is the time in milliseconds after which workers close an idle connection. The pool closes it
+	// earlier.
 	IdleTimeoutMs        float64 `json:"keepaliveMs"`
-	MaxOpenRequests      int     `json:"maxOpen"`        // may be less: see config.maxOpenRequests
+	MaxOpenRequests      int     `json:"maxOpen"`        // config.maxOpenRequests may reduce it
 	StreamsPerConnection int     `json:"streamsPerConn"` // attempts in flight on one connection to a worker
 }
 
-// parse reads the settings and sets the defaults. It fails if the JSON has another form or a class has no name; t is not
-// to be used then.
+// parse parses the settings and sets the defaults. It fails if the JSON does not fit the type or a class has no name; t
+// must not be used then.
 func (t *transportSettings) parse(settings []byte) error {
 	if err := json.Unmarshal(settings, t); err != nil {
 		return err
@@ -70,12 +71,12 @@
 	return names
 }
 
-// setDefault replaces a value that is absent or not above zero.
+// setDefault replaces a value that is absent, zero or negative with defaultValue.
 func setDefault[T int | float64](value *T, defaultValue T) {
 	if *value <= 0 {
 		*value = defaultValue
 	}
 }
 
-// milliseconds converts a setting that is given in milliseconds. It drops fractions of a nanosecond.
+// milliseconds converts a setting in milliseconds to a duration. It drops fractions of a nanosecond.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/cmd/functionrouter/webhooks.go
+++ b/cmd/functionrouter/webhooks.go
@@ -11,10 +11,11 @@
 	"functionrouter/policy"
 )
 
-// webhookFile turns on the webhook frontend and the notices; webhookVariable names another file.
+// webhookFile is the default configuration file of the webhook frontend and of the notices. webhookVariable overrides
+// it.
 const webhookFile = "deploy/webhook.toml"
 
-// addWebhooks turns on the receiver and the sender, if the file at path enables them.
+// addWebhooks enables the webhook frontend and the notice sender, each if the file at path says so.
 func (x *extensions) addWebhooks(path string, requestRouter webhook.RequestRouter) error {
 	file, err := webhook.ReadConfig(path)
 	if err != nil {
@@ -36,8 +37,8 @@
 	return nil
 }
 
-// addReceiver turns on the webhook frontend: it opens the ledger and adds a listener to the loop. Requests of every class
-// that is not idempotent by itself count as orders, also of one that is idempotent with a key.
+// addReceiver enables the webhook frontend: it opens the ledger and adds a listener to the loop. Requests of each class
+// that is not policy.Idempotent count as orders, including classes that are idempotent only with a key.
 func (x *extensions) addReceiver(file *webhook.Config, requestRouter webhook.RequestRouter) error {
 	var classes []webhook.Class
 	for i, class := range x.cfg.policy.Classes {
@@ -60,28 +61,28 @@
 		return err
 	}
 	x.receiver = receiver
-	x.frontendAddrs[router.Webhook] = netip.MustParseAddrPort(file.Receiver.Listen) // webhook.ReadConfig checked it
+	x.frontendAddrs[router.Webhook] = netip.MustParseAddrPort(file.Receiver.Listen) // webhook.ReadConfig has checked it
 	x.loop.Listen(file.Receiver.Listen, receiver.Accept)
 	slog.Info("webhook frontend enabled", "listen", file.Receiver.Listen, "path", file.Receiver.Path,
 		"ledger", file.Receiver.Ledger.Path)
 	return nil
 }
 
-// notify queues a notice of how a request ended, whichever frontend it came from, if its class is not idempotent. Requests
-// that are idempotent with a key get no notice, although the webhook frontend records them as orders.
+// notify queues a notice of how a request of any frontend ended, if its class is not idempotent. Requests of classes
+// that are idempotent with a key cause no notice, although the webhook frontend records them as orders.
 func (x *extensions) notify(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	if x.cfg.policy.Classes[r.Class].Idempotency == policy.NotIdempotent {
 		x.sender.Notify(now, r, outcome)
 	}
 }
 
-// logWebhookCounters logs the deliveries by what was done with them.
+// logWebhookCounters logs the counters of webhook deliveries by how the receiver handled them.
 func logWebhookCounters(c *webhook.Counters) {
 	slog.Info("webhook counters", "deliveries", c.Deliveries, "unauthorized", c.Unauthorized, "malformed", c.Malformed,
 		"replayed", c.Replayed, "joined", c.Joined, "ledger_refused", c.LedgerRefused)
 }
 
-// logNoticeCounters logs what became of the notices, and how many are not delivered yet.
+// logNoticeCounters logs the counters of the notices by result, and the number of notices that are not delivered yet.
 func logNoticeCounters(c *webhook.SenderCounters, open int) {
 	slog.Info("notice counters", "queued", c.Queued, "dropped", c.Dropped, "delivered", c.Delivered,
 		"retried", c.Retried, "given_up", c.Failed, "open", open)
