--- a/cmd/functionrouter/cancel_test.go
+++ b/cmd/functionrouter/cancel_test.go
@@ -6,17 +6,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// cancellations are the ways in which a client cancels its last request.
+// cancellations are the ways in which a client cancels its latest request.
 var cancellations = []struct {
 	name   string
 	cancel func(c *testClient)
 }{
-	{"closes", func(c *testClient) { c.close() }},
-	{"interrupts", func(c *testClient) { c.sendInterrupt(c.lastSequence) }},
+	{"close connection", func(c *testClient) { c.close() }},
+	{"send interrupt", func(c *testClient) { c.sendInterrupt(c.lastSequence) }},
 }
 
-// No attempt is sent for a client that has cancelled, also where the settings do not allow cancels of attempts: an
-// attempt that waits for a dial ends unsent.
+// Checks that the router sends no attempt for a client that has cancelled its request while the attempt waits for a
+// dial. This also holds if the settings do not allow the router to cancel attempts.
 func TestCancelWhileDialing(t *testing.T) {
 	for _, test := range cancellations {
 		t.Run(test.name, func(t *testing.T) {
@@ -42,7 +42,8 @@
 	}
 }
 
-// A request that its client cancelled while it was in flight is not retried when the attempt fails.
+// Checks that the router does not retry a request after a failed attempt if the client cancelled the request while the
+// attempt was in flight.
 func TestCancelBeforeRetry(t *testing.T) {
 	for _, test := range cancellations {
 		t.Run(test.name, func(t *testing.T) {
@@ -55,15 +56,15 @@
 			barrier.checkHealth()
 			r.respond("FAULT", "")
 			r.respond("NONE", "")
-			barrier.checkHealth() // both have been read
+			barrier.checkHealth() // the router has read both responses
 			first.expectNoRequest()
 			second.expectNoRequest()
 		})
 	}
 }
 
-// The process is paused while a client sends a call and closes its connection: no attempt is sent for it when the
-// process continues.
+// Checks that the router sends no attempt for a call whose client closed its connection while the process was paused.
+// The client sends the call and closes during the pause, so that the router reads both when it continues.
 func TestDisconnectedClientAfterPause(t *testing.T) {
 	worker := startFakeWorker(t)
 	h, _ := newHarness(t, newFakeDirectory(t), testSockets, "", listedWorker{name: "s-1", addr: worker.addr})
@@ -71,11 +72,11 @@
 	disconnected := h.connect()
 	waiting := h.connect()
 	disconnected.checkHealth()
-	waiting.sendCall("safe", "00000000000000a0", "to open a connection to the worker")
+	waiting.sendCall("safe", "00000000000000a0", "opens a connection to the worker")
 	worker.nextRequest().respond("HIT", "done")
 	waiting.expectStatus("served")
 	pause(t, process)
-	disconnected.sendCall("safe", "00000000000000a1", "of a client that has gone")
+	disconnected.sendCall("safe", "00000000000000a1", "from a disconnected client")
 	disconnected.close()
 	signalProcess(t, process, unix.SIGCONT)
 	waiting.checkHealth()
--- a/cmd/functionrouter/client_test.go
+++ b/cmd/functionrouter/client_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The codes of Thrift's binary protocol that the tests use.
+// Codes of Thrift's binary protocol that the tests use.
 const (
 	thriftCall   = 1
 	thriftOneway = 4
@@ -21,24 +21,25 @@
 	thriftMap    = 13
 )
 
-// testClient is a connection to the router.
+// testClient is a client with one connection to the router.
 type testClient struct {
 	net.Conn
 	t            *testing.T
 	lastSequence uint32 // sequence number of the latest call
 }
 
-// newTestClient returns a client on conn, which is closed at the end of the test. All it does must end within testTimeout.
+// newTestClient returns a client on conn. The connection is closed at the end of the test. All reads and writes on it
+// must finish within testTimeout.
 func newTestClient(t *testing.T, conn net.Conn) *testClient {
 	t.Helper()
 	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // some tests have closed it
+	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it already
 	return &testClient{Conn: conn, t: t}
 }
 
-// close ends the connection.
+// close closes the connection.
 func (c *testClient) close() {
 	c.t.Helper()
 	if err := c.Close(); err != nil {
@@ -46,12 +47,12 @@
 	}
 }
 
-// appendLengthPrefixed appends a string behind its length.
+// appendLengthPrefixed appends the length of s, and then s.
 func appendLengthPrefixed(b []byte, s string) []byte {
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(s))), s...)
 }
 
-// frameMessage frames a Thrift message with these encoded arguments.
+// frameMessage returns the frame of a Thrift message with the encoded arguments args.
 func frameMessage(kind byte, method string, sequence uint32, args ...byte) []byte {
 	size := []byte{0, 0, 0, 0}
 	b := appendLengthPrefixed(append(size, 0x80, 1, 0, kind), method)
@@ -61,7 +62,7 @@
 	return b
 }
 
-// callFrame is the frame of a request. It has the next sequence number. moreFields are names and values.
+// callFrame returns the frame of a request with the next sequence number. extraHeaders holds names and values in turn.
 func (c *testClient) callFrame(class, id, body string, wait time.Duration, extraHeaders ...string) []byte {
 	c.lastSequence++
 	headers := []string{
@@ -79,7 +80,7 @@
 	return frameMessage(thriftCall, "execute", c.lastSequence, args...)
 }
 
-// sendBytes sends b, which need not be a whole frame.
+// sendBytes sends b, which may be a part of a frame.
 func (c *testClient) sendBytes(b []byte) {
 	c.t.Helper()
 	if _, err := c.Write(b); err != nil {
@@ -87,20 +88,20 @@
 	}
 }
 
-// sendCall sends a request whose client waits for 5 s.
+// sendCall sends a request with a client timeout of 5 s.
 func (c *testClient) sendCall(class, id, body string) {
 	c.t.Helper()
 	c.sendBytes(c.callFrame(class, id, body, 5*time.Second))
 }
 
-// sendInterrupt cancels the request with that sequence number.
+// sendInterrupt cancels the request with the given sequence number.
 func (c *testClient) sendInterrupt(sequence uint32) {
 	c.t.Helper()
 	args := binary.BigEndian.AppendUint32([]byte{thriftInt32, 0, 1}, sequence)
 	c.sendBytes(frameMessage(thriftOneway, "interrupt", 0, args...))
 }
 
-// callUntilRefused sends requests until the router, which is shutting down, refuses one.
+// callUntilRefused sends requests until the router, which must be shutting down, refuses one.
 func (c *testClient) callUntilRefused() {
 	c.t.Helper()
 	for status := "served"; status == "served"; {
@@ -109,7 +110,8 @@
 	}
 }
 
-// response reads a response: "served" with the body, "refused" or "failed".
+// response reads a response and returns its status, "served", "refused" or "failed". If the status is "served", it also
+// returns the body.
 func (c *testClient) response() (status, body string) {
 	c.t.Helper()
 	status, body, err := c.tryResponse()
@@ -119,7 +121,7 @@
 	return status, body
 }
 
-// expectStatus reads a response, whose status must be want. It returns the body.
+// expectStatus reads a response and checks that its status is want. It returns the body.
 func (c *testClient) expectStatus(want string) (body string) {
 	c.t.Helper()
 	status, body := c.response()
@@ -129,14 +131,14 @@
 	return body
 }
 
-// tryResponse is response for a connection that may have ended.
+// tryResponse reads a response like response does, but returns an error if the connection has ended.
 func (c *testClient) tryResponse() (status, body string, err error) {
 	b, err := c.readFrame()
 	if err != nil {
 		return "", "", err
 	}
 	methodSize := binary.BigEndian.Uint32(b[4:])
-	b = b[4+4+methodSize+4:] // behind the version, the method and the sequence number
+	b = b[4+4+methodSize+4:] // skips the version, the method and the sequence number
 	switch field := binary.BigEndian.Uint16(b[1:]); field {
 	case 0:
 		size := binary.BigEndian.Uint32(b[6:])
@@ -159,9 +161,9 @@
 	return b, err
 }
 
-// checkHealth asks the router whether it is ready. It also is a barrier: once it has been answered twice, the router
-// has read all that was readable before. The first answer may come in the same turn of the loop as other input, and
-// before that is read.
+// checkHealth asks the router whether it is ready. It also serves as a barrier: once the router has answered two
+// checks, it has read all input that was readable before. One check is not enough, because the router may answer it in
+// the same turn of the loop as other input, before it reads that input.
 func (c *testClient) checkHealth() (ready bool) {
 	c.t.Helper()
 	for range 2 {
@@ -171,7 +173,7 @@
 		if err != nil {
 			c.t.Fatal(err)
 		}
-		// A struct in field 0 whose boolean in field 3 comes before the two stop bytes.
+		// The answer is a struct in field 0. The boolean in its field 3 comes directly before the two stop bytes.
 		ready = b[len(b)-3] == 1
 	}
 	return ready
--- a/cmd/functionrouter/config_test.go
+++ b/cmd/functionrouter/config_test.go
@@ -14,7 +14,7 @@
  "names":"127.0.0.1:1053","known":{"offset":3,"batch":[{"offset":3,"topology":{"complete":true,"members":[]}}]},
  "settings":{"classes":[{"name":"repair-order","deadlineMs":3000,"goalTimeMs":1200,"semantics":"unsafe","group":"all"}]}}`
 
-// writeAndReadConfig writes a configuration to a file at path and reads it, with the name that the environment gives.
+// writeAndReadConfig writes a configuration to a file at path and reads it, with the router name n4 in the environment.
 func writeAndReadConfig(path, text string) (*config, error) {
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return nil, err
@@ -24,11 +24,11 @@
 	})
 }
 
-// readModifiedConfig reads goodConfig with one replacement.
+// readModifiedConfig reads validConfig with one replacement.
 func readModifiedConfig(t *testing.T, replaced, replacement string) (*config, error) {
 	t.Helper()
 	if !strings.Contains(validConfig, replaced) {
-		t.Fatalf("the configuration lacks %q", replaced)
+		t.Fatalf("the configuration does not contain %q", replaced)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	return writeAndReadConfig(path, strings.Replace(validConfig, replaced, replacement, 1))
@@ -64,10 +64,10 @@
 			_, err := readModifiedConfig(t, test.replaced, test.replacement)
 			var configErr *ConfigError
 			if !errors.As(err, &configErr) || configErr.Field != test.field || configErr.Path == "" {
-				t.Fatalf("error %#v, want one of field %q", err, test.field)
+				t.Fatalf("error %#v, want a *ConfigError with the field %q and a path", err, test.field)
 			}
 			if strings.Contains(err.Error(), "\n") {
-				t.Errorf("an error of several lines: %q", err)
+				t.Errorf("the error has more than one line: %q", err)
 			}
 		})
 	}
@@ -75,15 +75,16 @@
 
 func TestReadConfigWithoutFile(t *testing.T) {
 	if _, err := readConfig(func(string) string { return "" }); !errors.Is(err, errNoConfigFile) {
-		t.Errorf("no file is named: %v", err)
+		t.Errorf("without a file name: %v, want %v", err, errNoConfigFile)
 	}
 	absent := filepath.Join(t.TempDir(), "config.json")
 	if _, err := readConfig(func(string) string { return absent }); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("an absent file: %v", err)
+		t.Errorf("with an absent file: %v, want %v", err, fs.ErrNotExist)
 	}
 }
 
-// A reload must not take over half of a file in silence: it names what needs a restart.
+// Checks that a reload reports each changed key that it does not apply, so that an operator learns that the change
+// needs a restart.
 func TestChangesNeedingRestart(t *testing.T) {
 	c, err := readModifiedConfig(t, "", "")
 	if err != nil {
@@ -107,7 +108,7 @@
 				t.Fatal(err)
 			}
 			if got := fmt.Sprint(c.changesNeedingRestart(updated)); got != test.want {
-				t.Errorf("%s needs a restart for %s, want %s", test.replacement, got, test.want)
+				t.Errorf("with %s, a restart is needed for the keys %s, want %s", test.replacement, got, test.want)
 			}
 		})
 	}
--- a/cmd/functionrouter/connections_test.go
+++ b/cmd/functionrouter/connections_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A worker that closes its connection under a request may have run it: an idempotent request goes to another worker, any
-// other fails at once.
+// Checks what happens if a worker closes its connection while it may have run a request: the router retries an
+// idempotent request on another worker, and fails any other request at once.
 func TestWorkerClosesDuringRequest(t *testing.T) {
 	for _, test := range []struct {
 		class   string
@@ -34,8 +34,8 @@
 	}
 }
 
-// A second response, in one piece with the first and behind it, reaches nobody: neither the client that has its answer
-// nor the one whose request is next on that connection.
+// Checks that the router drops a second response to a request, which the worker sends together with the first. Neither
+// the client that already has its answer nor the client with the next request on that connection receives it.
 func TestDuplicateResponseIsDropped(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
@@ -55,19 +55,20 @@
 	c.sendCall("unsafe", "00000000000000a2", "two")
 	secondRequest := worker.nextRequest()
 	firstRequest.respond("HIT", "third")
-	secondRequest.respond("HIT", "of two")
-	expectServedWith("of two")
-	// The ID of a request that has ended may be used again; a late response to the first must not end the second.
+	secondRequest.respond("HIT", "second request")
+	expectServedWith("second request")
+	// A client may reuse the ID of a request that has ended. A late response to the first request must not end the
+	// second.
 	c.sendCall("unsafe", "00000000000000a1", "again")
 	reusedIDRequest := worker.nextRequest()
 	firstRequest.respond("HIT", "fourth")
-	c.checkHealth() // an answer would come before those to the health checks
-	reusedIDRequest.respond("HIT", "of the last")
-	expectServedWith("of the last")
+	c.checkHealth() // an answer to the client would arrive before those to the health checks
+	reusedIDRequest.respond("HIT", "reused ID")
+	expectServedWith("reused ID")
 }
 
-// A connection on which half a request has come is not closed to make room for others: an idle client's is, also one
-// that was active later.
+// Checks that the router does not close a connection with a partially received request to make room for new
+// connections. It closes the connection of an idle client instead, even if that client was active more recently.
 func TestPartialRequestIsNotEvicted(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
@@ -75,7 +76,7 @@
 	partial.checkHealth()
 	frame := partial.callFrame("safe", "00000000000000a1", "in two pieces", 5*time.Second)
 	partial.sendBytes(frame[:len(frame)/2])
-	for range testSockets / clientDescriptorDivisor { // as many as may be accepted
+	for range testSockets / clientDescriptorDivisor { // the limit on accepted connections
 		h.connect().checkHealth()
 	}
 	partial.sendBytes(frame[len(frame)/2:])
--- a/cmd/functionrouter/counters_test.go
+++ b/cmd/functionrouter/counters_test.go
@@ -8,7 +8,7 @@
 	"functionrouter/policy"
 )
 
-// Operators read these lines and scripts search them: the messages and the keys stay.
+// Checks the messages and keys of the counter log lines, which operators and scripts match.
 func TestCounterMessages(t *testing.T) {
 	var c router.Counters
 	c.Received[router.Webhook] = 9
--- a/cmd/functionrouter/dial_test.go
+++ b/cmd/functionrouter/dial_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// A dial that completes after its worker began to drain, or was removed, carries nothing; the request that waited for
-// it goes to another worker at once.
+// Checks that the router sends nothing over a dial that completes after its worker has begun to drain or was removed,
+// and that it sends the request that waited for the dial to another worker at once.
 func TestDialCompletesAfterDrain(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		after func(addr string) []listedWorker
 	}{
 		{"draining", func(addr string) []listedWorker { return []listedWorker{{name: "s-1", addr: addr, draining: true}} }},
-		{"gone", func(string) []listedWorker { return nil }},
+		{"removed", func(string) []listedWorker { return nil }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			worker := startFullBacklogWorker(t)
@@ -27,13 +27,13 @@
 			c.sendCall("unsafe", "00000000000000a1", "one")
 			c.checkHealth()
 			if connectingSockets(t, worker.addr) == 0 {
-				t.Fatal("the worker is not being dialed")
+				t.Fatal("the router is not dialing the worker")
 			}
 			h.updateEndpoints(2, append([]listedWorker{{name: "s-2", addr: readyWorker.addr}}, test.after(worker.addr)...)...)
 			readyWorker.nextRequest().respond("HIT", "done")
 			c.expectStatus("served")
 			if connectingSockets(t, worker.addr) > 0 {
-				t.Error("a dial that can only complete too late for its worker goes on")
+				t.Error("the router continues the dial to a worker that drains or was removed")
 			}
 			worker.startAccepting()
 			worker.expectNoRequest()
@@ -41,7 +41,8 @@
 	}
 }
 
-// A dial that completes after its timeout carries nothing: its request went elsewhere at the timeout.
+// Checks that the router sends nothing over a dial that completes after its timeout, when the router has already
+// sent the request to another worker.
 func TestDialCompletesAfterTimeout(t *testing.T) {
 	worker := startFullBacklogWorker(t)
 	readyWorker := startFakeWorker(t)
@@ -52,19 +53,19 @@
 	h.updateEndpoints(2, listedWorker{name: "s-1", addr: worker.addr}, listedWorker{name: "s-2", addr: readyWorker.addr})
 	readyWorker.nextRequest().respond("HIT", "done")
 	c.expectStatus("served")
-	worker.startAccepting() // the kernel's half of the dial has been closed meanwhile
+	worker.startAccepting() // the router has closed its side of the dial by now
 	c.sendCall("unsafe", "00000000000000a2", "two")
-	r := worker.nextRequestToEither(readyWorker) // over a dial of its own, or the other's
+	r := worker.nextRequestToEither(readyWorker) // over a new dial to worker, or to readyWorker
 	if r.body != "two" {
-		t.Errorf("a worker was sent %q", r.body)
+		t.Errorf("a worker received the request %q, want %q", r.body, "two")
 	}
 	r.respond("HIT", "done")
 	c.response()
 	worker.expectNoRequest()
 }
 
-// A list in which all but one of many workers drain costs a request that waits for a dial one attempt, not one for each
-// of them.
+// Checks that a list in which many workers drain at once costs a request that waits for a dial only one attempt, not
+// one attempt for each draining worker.
 func TestManyWorkersDrainAtOnce(t *testing.T) {
 	var initial, drained []listedWorker
 	for i := range 12 {
@@ -83,7 +84,7 @@
 	c.expectStatus("served")
 }
 
-// connectingSockets returns how many sockets of this machine are connecting to addr (proc(5), net/tcp).
+// connectingSockets returns the number of sockets on this machine that are connecting to addr (proc(5), net/tcp).
 func connectingSockets(t *testing.T, addr string) int {
 	t.Helper()
 	const synSent = "02"
--- a/cmd/functionrouter/endpoint_log_test.go
+++ b/cmd/functionrouter/endpoint_log_test.go
@@ -8,7 +8,7 @@
 	"functionrouter/policy"
 )
 
-// A list that repeats what is known logs one line; only what it changes is logged besides.
+// Checks that the endpoint log reports only the changes of each list: a list without changes logs one line.
 func TestEndpointLogLogsOnlyChanges(t *testing.T) {
 	captured := newLogCapture()
 	captured.install(t)
@@ -19,9 +19,9 @@
 	var l endpointLog
 	for _, step := range []struct {
 		list    []discovery.Endpoint
-		updated string // the worker of an "endpoint updated", if there must be one
-		removed string // the worker of an "endpoint removed", if there must be one
-		absent  string // what no line may hold
+		updated string // worker of the expected "endpoint updated" line; empty if none is expected
+		removed string // worker of the expected "endpoint removed" line; empty if none is expected
+		absent  string // text that no line may contain
 	}{
 		{list: []discovery.Endpoint{first, second}, updated: "worker=s-2"},
 		{list: []discovery.Endpoint{first, second}, absent: "worker=s-1"},
--- a/cmd/functionrouter/endpoints_test.go
+++ b/cmd/functionrouter/endpoints_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A reload moves the directory, and the new one lists a worker as draining: requests avoid that worker at once, and what
-// the old directory still answers changes nothing.
+// Checks that a drain announced by a new directory takes effect at once. A reload changes the directory's address, and
+// the new directory lists a worker as draining. Requests must avoid that worker, and a late answer from the old
+// directory must change nothing.
 func TestReloadThenDrain(t *testing.T) {
 	first := startFakeWorker(t)
 	second := startFakeWorker(t)
@@ -33,8 +34,8 @@
 	first.expectNoRequest()
 }
 
-// While the directory is silent, unreachable or late, requests are served by the list that is known; the list that it
-// sends at last replaces it as a whole.
+// Checks that the router uses the list that it has while the directory is silent, unreachable or late, and that the
+// next list from the directory replaces it completely.
 func TestDirectoryOutage(t *testing.T) {
 	first := startFakeWorker(t)
 	second := startFakeWorker(t)
@@ -48,7 +49,7 @@
 	}
 	earliestQuery := h.directory.nextQuery()
 	h.directory.nextQuery()
-	h.directory.nextQuery() // none of the three was answered yet
+	h.directory.nextQuery() // none of the three queries has been answered yet
 	expectServedBy(first, "00000000000000a1")
 	offset := h.log.size()
 	h.directory.answer(earliestQuery, 2,
@@ -62,21 +63,21 @@
 	h.log.waitFor(t, offset, `msg="directory unreachable"`)
 	expectServedBy(first, "00000000000000a3")
 	h.directory = newFakeDirectoryAt(t, addr)
-	h.updateEndpoints(3, listedWorker{name: "s-2", addr: second.addr}) // the whole list: s-1 has gone
+	h.updateEndpoints(3, listedWorker{name: "s-2", addr: second.addr}) // the list no longer contains s-1
 	expectServedBy(second, "00000000000000a4")
 	first.expectNoRequest()
 }
 
-// A new worker has the address of one that was removed with a request in flight: nothing of the new one's goes over a
-// connection to the old one.
+// Checks that requests to a new worker do not use connections to an old worker that had the same address and was
+// removed while a request was in flight.
 func TestWorkerAddressReused(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
 	c := h.connect()
-	c.sendCall("unsafe", "00000000000000a1", "to the old one")
+	c.sendCall("unsafe", "00000000000000a1", "to the old worker")
 	oldRequest := worker.nextRequest()
 	h.updateEndpoints(2, listedWorker{name: "s-2", addr: worker.addr})
-	c.sendCall("unsafe", "00000000000000a2", "to the new one")
+	c.sendCall("unsafe", "00000000000000a2", "to the new worker")
 	newRequest := worker.nextRequest()
 	if newRequest.conn == oldRequest.conn {
 		t.Error("a request to the new worker went over a connection to the old one")
@@ -88,8 +89,8 @@
 	}
 }
 
-// A worker that restarted at its address has dropped the connections to its old process: a request that must not be
-// repeated is not tried on one of them.
+// Checks that the router does not send a request that must not be repeated over a connection to the old process of a
+// worker that has restarted at the same address. The restart has dropped that connection.
 func TestWorkerRestartsAtSameAddress(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
@@ -98,7 +99,7 @@
 	oldRequest := worker.nextRequest()
 	oldRequest.respond("HIT", "done")
 	c.response()
-	started := time.Now().UnixMilli() + 1 // in whole milliseconds; the dial may have been in the present one
+	started := time.Now().UnixMilli() + 1 // rounded up, because the dial may have been in the current millisecond
 	h.updateEndpoints(2, listedWorker{name: "s-1", addr: worker.addr, startedUnixMs: started})
 	c.sendCall("unsafe", "00000000000000a2", "to the new process")
 	newRequest := worker.nextRequest()
@@ -109,7 +110,8 @@
 	c.expectStatus("served")
 }
 
-// A process starts with a list whose workers no longer run; a worker that only the directory lists serves.
+// Checks that a router that starts with a list of workers that no longer run sends requests to a worker that only the
+// directory lists.
 func TestStaleInitialEndpoints(t *testing.T) {
 	stoppedWorker := newFakeWorker(t)
 	worker := startFakeWorker(t)
--- a/cmd/functionrouter/environment_test.go
+++ b/cmd/functionrouter/environment_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// deployedPrefix begins the names that deployed environments set. It stands here a second time, so that a slip in the
-// program's own constant is found.
+// deployedPrefix is the prefix of the variables that deployed environments set. The test repeats the value so that it
+// detects a change of deprecatedVariablePrefix.
 const deployedPrefix = "CRANKHOLD_"
 
-// deprecatedNames are the variables that deployed environments may set, each by the name that replaced it.
+// deprecatedNames maps each operator variable to its deprecated name, which deployed environments may set.
 var deprecatedNames = map[string]string{
 	webhookVariable:    deployedPrefix + "WEBHOOK",
 	flowExportVariable: deployedPrefix + "IPFIX",
 }
 
-// Each variable of the operators is also read by its deprecated name, with a line in the log, where the new one is not
-// set.
+// Checks that the router reads an operator variable under its deprecated name, and logs a warning, only if the new name
+// is unset or empty.
 func TestOperatorVariable(t *testing.T) {
 	for variable, deprecated := range deprecatedNames {
 		line := fmt.Sprintf(`level=WARN msg="deprecated environment variable" variable=%s use_instead=%s`, deprecated, variable)
@@ -36,7 +36,7 @@
 				want:        "new.toml",
 			},
 			{
-				name:        "deprecated name beside an empty new one",
+				name:        "deprecated name and empty new name",
 				environment: map[string]string{variable: "", deprecated: "old.toml"},
 				want:        "old.toml",
 				logged:      line,
@@ -58,7 +58,8 @@
 	}
 }
 
-// An extension reads the file that either of its variables names; the process's own environment counts.
+// Checks that extensionFile reads the process's environment and accepts the new and the deprecated name of each
+// variable.
 func TestExtensionFileFromEnvironment(t *testing.T) {
 	for variable, deprecated := range deprecatedNames {
 		t.Run(variable, func(t *testing.T) {
@@ -66,15 +67,15 @@
 			t.Setenv(variable, "")
 			t.Setenv(deprecated, "")
 			if got := extensionFile(variable, defaultFile); got != "" {
-				t.Errorf("the file without any variable is %q", got)
+				t.Errorf("the file without any variable is %q, want none", got)
 			}
 			t.Setenv(deprecated, "old.toml")
 			if got := extensionFile(variable, defaultFile); got != "old.toml" {
-				t.Errorf("the file by the deprecated variable is %q", got)
+				t.Errorf("the file from the deprecated variable is %q, want old.toml", got)
 			}
 			t.Setenv(variable, "new.toml")
 			if got := extensionFile(variable, defaultFile); got != "new.toml" {
-				t.Errorf("the file by both variables is %q", got)
+				t.Errorf("the file with both variables set is %q, want new.toml", got)
 			}
 		})
 	}
--- a/cmd/functionrouter/fake_directory_test.go
+++ b/cmd/functionrouter/fake_directory_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// The codes of DNS (RFC 1035, RFC 2782) that the tests use.
+// Codes of DNS (RFC 1035, RFC 2782) that the tests use.
 const (
 	dnsResponseFlag = 0x80 // in byte 2 of the header
 
-	dnsAnswerCount     = 6 // offsets of the sections' counts in the header
+	dnsAnswerCount     = 6 // offsets of the section counts in the header
 	dnsAuthorityCount  = 8
 	dnsAdditionalCount = 10
 
@@ -24,16 +24,16 @@
 	dnsTypeSRV = 33
 )
 
-// dnsQuestionName refers to the name in the question, which follows the header of 12 bytes.
+// dnsQuestionName is a compression pointer to the name in the question, which follows the header of 12 bytes.
 var dnsQuestionName = []byte{0xc0, 12}
 
-// fakeDirectory is a directory that answers when the test says so.
+// fakeDirectory is a directory that answers queries only when the test calls answer.
 type fakeDirectory struct {
 	net.PacketConn
 	t *testing.T
 }
 
-// directoryQuery is a query as the directory received it.
+// directoryQuery is a query that the directory received.
 type directoryQuery struct {
 	packet []byte
 	from   net.Addr
@@ -55,13 +55,13 @@
 	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // some tests have closed it
+	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it already
 	return &fakeDirectory{conn, t}
 }
 
 func (d *fakeDirectory) addr() string { return d.LocalAddr().String() }
 
-// close ends the directory: its port refuses from now on.
+// close closes the socket. The port then refuses queries.
 func (d *fakeDirectory) close() {
 	d.t.Helper()
 	if err := d.Close(); err != nil {
@@ -69,7 +69,8 @@
 	}
 }
 
-// nextQuery waits for a query. The router takes an answer to any of its last 32 that has none yet.
+// nextQuery waits for a query. The router accepts an answer to any of its last 32 queries that has not been answered
+// yet.
 func (d *fakeDirectory) nextQuery() directoryQuery {
 	d.t.Helper()
 	packet := make([]byte, 512)
@@ -80,7 +81,7 @@
 	return directoryQuery{packet[:size], from}
 }
 
-// answer sends a whole list with its serial number.
+// answer sends a complete list with its serial number.
 func (d *fakeDirectory) answer(q directoryQuery, serial uint32, list ...listedWorker) {
 	d.t.Helper()
 	m := dnsMessage{slices.Clone(q.packet)}
@@ -88,7 +89,7 @@
 	for _, w := range list {
 		m.addRecord(dnsAnswerCount, dnsQuestionName, dnsTypeSRV, w.srvData())
 	}
-	soa := binary.BigEndian.AppendUint32([]byte{0, 0}, serial) // between two empty names and four intervals
+	soa := binary.BigEndian.AppendUint32([]byte{0, 0}, serial) // after two empty names, before four intervals
 	m.addRecord(dnsAuthorityCount, dnsQuestionName, dnsTypeSOA, append(soa, make([]byte, 16)...))
 	for _, w := range list {
 		ip := w.addrPort().Addr().As4()
@@ -103,12 +104,13 @@
 
 func (w listedWorker) addrPort() netip.AddrPort { return netip.MustParseAddrPort(w.addr) }
 
-// hostName is the worker's name in DNS, in the zone aarhus.
+// hostName returns the worker's DNS name, in the zone aarhus.
 func (w listedWorker) hostName() []byte {
 	return slices.Concat(dnsLabel(w.name), dnsLabel("aarhus"), dnsLabel("hosts"), []byte{0})
 }
 
-// srvData is the data of the worker's SRV record: priority 0 (ready) or 1 (draining), weight 10 (size 1), port and host.
+// srvData returns the data of the worker's SRV record: priority 0 (ready) or 1 (draining), weight 10 (size 1), port and
+// host name.
 func (w listedWorker) srvData() []byte {
 	priority := byte(0)
 	if w.draining {
@@ -118,13 +120,13 @@
 	return append(data, w.hostName()...)
 }
 
-// dnsLabel is a string behind a byte with its length.
+// dnsLabel returns s, prefixed with its length in one byte.
 func dnsLabel(s string) []byte { return append([]byte{byte(len(s))}, s...) }
 
-// dnsMessage is a DNS message that grows by records.
+// dnsMessage is a DNS message to which records are appended.
 type dnsMessage struct{ bytes []byte }
 
-// addRecord appends a record of class IN without a time to live, to the section whose count is at countOffset.
+// addRecord appends a record of class IN with a TTL of 0 to the section whose count is at countOffset.
 func (m *dnsMessage) addRecord(countOffset int, name []byte, recordType byte, data []byte) {
 	count := binary.BigEndian.Uint16(m.bytes[countOffset:])
 	binary.BigEndian.PutUint16(m.bytes[countOffset:], count+1)
--- a/cmd/functionrouter/fake_worker_test.go
+++ b/cmd/functionrouter/fake_worker_test.go
@@ -16,26 +16,26 @@
 	"time"
 )
 
-// fakeWorker is a worker whose responses the test gives.
+// fakeWorker is a worker whose responses the test controls.
 type fakeWorker struct {
 	t        *testing.T
 	addr     string
 	requests chan workerRequest
 
 	mu       sync.Mutex
-	listenFD int         // until startAccepting; -1 afterwards
-	closers  []io.Closer // the listener, its connections, and one that fills its backlog
+	listenFD int         // listening socket until startAccepting or stop; -1 afterwards
+	closers  []io.Closer // the listener, its connections, and the connection that fills its backlog
 }
 
-// workerRequest is a request as a worker received it.
+// workerRequest is a request that a worker received.
 type workerRequest struct {
 	conn net.Conn
 	id   string
 	body string
 }
 
-// newFakeWorker returns a worker that listens and accepts nothing yet: its kernel completes one connection, and any
-// further dial lasts until the worker accepts.
+// newFakeWorker returns a worker that listens but accepts no connections yet. The kernel completes one connection;
+// further dials wait until the worker accepts.
 func newFakeWorker(t *testing.T) *fakeWorker {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -65,7 +65,7 @@
 	return w
 }
 
-// startFullBacklogWorker returns a worker whose backlog is full: a dial to it lasts until it accepts.
+// startFullBacklogWorker returns a worker whose backlog is full, so that a dial to it waits until it accepts.
 func startFullBacklogWorker(t *testing.T) *fakeWorker {
 	t.Helper()
 	w := newFakeWorker(t)
@@ -77,13 +77,13 @@
 	return w
 }
 
-// startAccepting begins to accept connections and to read from them. The goroutines end with stop.
+// startAccepting starts to accept connections and to read from them. The goroutines end after stop.
 func (w *fakeWorker) startAccepting() {
 	w.t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	file := os.NewFile(uintptr(w.listenFD), "worker")
-	listener, err := net.FileListener(file) // of a duplicate of the descriptor
+	listener, err := net.FileListener(file) // uses a duplicate of the descriptor
 	if err := errors.Join(err, file.Close()); err != nil {
 		w.t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	go w.acceptAll(listener)
 }
 
-// acceptAll serves connections until the listener closes.
+// acceptAll accepts and serves connections until the listener closes.
 func (w *fakeWorker) acceptAll(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -111,15 +111,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.listenFD >= 0 {
-		_ = syscall.Close(w.listenFD) // nothing to be done about an error
+		_ = syscall.Close(w.listenFD) // the error does not matter to the test
 		w.listenFD = -1
 	}
 	for _, c := range w.closers {
-		_ = c.Close() // tests stop a worker twice, and its connections end by themselves
+		_ = c.Close() // the test may have stopped the worker already, and connections may have ended
 	}
 }
 
-// serveConnection passes the requests of a connection to the test, and answers the router's keep-alive checks.
+// serveConnection passes the requests on a connection to the test, and answers the router's keep-alive checks.
 func (w *fakeWorker) serveConnection(conn net.Conn) {
 	defer func() { _ = conn.Close() }() // stop may have closed it
 	for in := bufio.NewReader(conn); ; {
@@ -138,7 +138,7 @@
 	}
 }
 
-// readCommand reads a command in RESP: an array of bulk strings.
+// readCommand reads a RESP command, which is an array of bulk strings.
 func readCommand(in *bufio.Reader) (words []string, err error) {
 	count, err := readNumber(in)
 	if err != nil {
@@ -158,7 +158,7 @@
 	return words, nil
 }
 
-// readNumber reads the line that begins an array or a bulk string: a mark, and a count or a length.
+// readNumber reads the first line of an array or a bulk string: a type byte, then a count or a length.
 func readNumber(in *bufio.Reader) (int, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -167,7 +167,7 @@
 	return strconv.Atoi(strings.TrimSpace(line[1:]))
 }
 
-// serveAll serves all requests from now on. No other method may wait for requests any more.
+// serveAll responds to all further requests. The test must not call a method that waits for a request afterwards.
 func (w *fakeWorker) serveAll() {
 	go func() {
 		for r := range w.requests {
@@ -182,7 +182,7 @@
 	return w.nextRequestToEither(w)
 }
 
-// nextRequestToEither waits for a request to one of two workers.
+// nextRequestToEither waits for a request to w or to other.
 func (w *fakeWorker) nextRequestToEither(other *fakeWorker) workerRequest {
 	w.t.Helper()
 	select {
@@ -191,30 +191,30 @@
 	case r := <-other.requests:
 		return r
 	case <-time.After(testTimeout):
-		w.t.Fatal("no request was forwarded")
+		w.t.Fatal("no request has arrived")
 		return workerRequest{}
 	}
 }
 
-// expectNoRequest checks that no further request has come to the worker so far. It does not wait: a test that calls it has
-// waited for something that the router would have done later.
+// expectNoRequest checks that the worker has received no further request so far. It does not wait: the test must first
+// wait for something that the router does after it would have sent such a request.
 func (w *fakeWorker) expectNoRequest() {
 	w.t.Helper()
 	select {
 	case r := <-w.requests:
-		w.t.Errorf("the worker was sent %q", r.body)
+		w.t.Errorf("the worker received the unexpected request %q", r.body)
 	default:
 	}
 }
 
-// reply is a response in RESP, with the fields "-", which mean nothing. The words are HIT for a result, FAULT for an error,
-// and so on.
+// reply returns a response in RESP. Its third element is "-", which has no meaning. The status is HIT for a result,
+// FAULT for an error, and so on.
 func (r workerRequest) reply(status, body string) string {
 	return fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$%d\r\n%s\r\n",
 		len(r.id), r.id, len(status), status, len(body), body)
 }
 
-// respond sends a response.
+// respond sends a response to the router.
 func (r workerRequest) respond(status, body string) {
-	_, _ = io.WriteString(r.conn, r.reply(status, body)) // some tests respond to a router that has gone
+	_, _ = io.WriteString(r.conn, r.reply(status, body)) // the router may have ended
 }
--- a/cmd/functionrouter/fault_proxy_test.go
+++ b/cmd/functionrouter/fault_proxy_test.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// connectionFault is what a faultProxy does to the answers on one connection.
+// connectionFault is a fault that a faultProxy injects into the answers on one connection.
 type connectionFault int
 
 const (
 	noFault         connectionFault = iota
-	resetConnection                 // the connection is reset after some milliseconds
-	truncateAnswer                  // it is closed in the middle of what the worker sends
-	stallAnswers                    // the worker's answers no longer pass, and the connection stays open
-	fragmentAnswers                 // they pass a few bytes at a time
-	delayAnswers                    // they pass late
+	resetConnection                 // reset the connection after some milliseconds
+	truncateAnswer                  // close the connection in the middle of the worker's output
+	stallAnswers                    // stop forwarding answers, but keep the connection open
+	fragmentAnswers                 // forward answers a few bytes at a time
+	delayAnswers                    // forward answers late
 	connectionFaultCount
 )
 
-// The figures of the faults.
+// Parameters of the faults.
 const (
-	maxResetDelayMs     = 100                   // of resetSoon, in milliseconds
-	maxBytesBeforeFault = 3000                  // that the worker sends before cutAnswer and stallAnswers begin
-	fragmentBytes       = 7                     // in one write of dribbleAnswers: less than any answer
-	answerDelay         = 20 * time.Millisecond // of delayAnswers
+	maxResetDelayMs     = 100                   // of resetConnection, in milliseconds
+	maxBytesBeforeFault = 3000                  // forwarded before truncateAnswer or stallAnswers begins
+	fragmentBytes       = 7                     // size of one write of fragmentAnswers; less than any answer
+	answerDelay         = 20 * time.Millisecond // delay of delayAnswers
 )
 
-// faultProxy stands between the router and a worker. Each connection that it carries has a fault, drawn from its seed.
+// faultProxy forwards connections between the router and a worker. Each connection has one fault, drawn from the seed.
 type faultProxy struct {
 	listener net.Listener
 	target   string
@@ -41,7 +41,7 @@
 	open   map[net.Conn]struct{}
 }
 
-// startFaultProxy returns a proxy to the worker at target, until the test ends.
+// startFaultProxy starts a proxy to the worker at target. It stops at the end of the test.
 func startFaultProxy(t *testing.T, target string, seed uint64) *faultProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,11 +67,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn := range p.open {
-		_ = conn.Close() // it may have ended
+		_ = conn.Close() // it may be closed already
 	}
 }
 
-// randomBelow returns a number below limit.
+// randomBelow returns a random number below limit.
 func (p *faultProxy) randomBelow(limit int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +87,7 @@
 		}
 		server, err := net.Dial("tcp", p.target)
 		if err != nil {
-			_ = client.Close() // the worker has gone, and so does the connection
+			_ = client.Close() // the worker can't be reached
 			continue
 		}
 		p.mu.Lock()
@@ -99,19 +99,19 @@
 	}
 }
 
-// forwardRequests copies what the router sends.
+// forwardRequests forwards what the router sends.
 func (p *faultProxy) forwardRequests(client, server net.Conn) {
-	_, _ = io.Copy(server, client) // either end may end it
+	_, _ = io.Copy(server, client) // ends when either side closes
 	_ = server.Close()
 }
 
-// forwardAnswers copies what the worker sends, with the fault, until either end closes.
+// forwardAnswers forwards what the worker sends, with the fault, until either side closes.
 func (p *faultProxy) forwardAnswers(client, server net.Conn, fault connectionFault) {
-	defer func() { _ = errors.Join(client.Close(), server.Close()) }() // they may have ended
+	defer func() { _ = errors.Join(client.Close(), server.Close()) }() // they may be closed already
 	if fault == resetConnection {
 		resetAfter(client, time.Duration(p.randomBelow(maxResetDelayMs))*time.Millisecond)
 	}
-	bytesBeforeFault := 1 + p.randomBelow(maxBytesBeforeFault) // bytes until the fault begins
+	bytesBeforeFault := 1 + p.randomBelow(maxBytesBeforeFault) // number of bytes before the fault begins
 	buffer := make([]byte, 4096)
 	for {
 		n, err := server.Read(buffer)
@@ -124,7 +124,7 @@
 			_, _ = client.Write(answers[:bytesBeforeFault])
 			return
 		case fault == stallAnswers && n > bytesBeforeFault:
-			_, _ = io.Copy(io.Discard, server) // until the connection ends
+			_, _ = io.Copy(io.Discard, server) // until the connection closes
 			return
 		case fault == delayAnswers:
 			time.Sleep(answerDelay)
@@ -140,15 +140,15 @@
 	}
 }
 
-// resetAfter resets the connection after a time, unless it is closed by then.
+// resetAfter resets the connection after delay, unless it is closed before.
 func resetAfter(conn net.Conn, delay time.Duration) {
 	time.AfterFunc(delay, func() {
-		_ = conn.(*net.TCPConn).SetLinger(0) // Close sends a reset
+		_ = conn.(*net.TCPConn).SetLinger(0) // makes Close send a reset
 		_ = conn.Close()
 	})
 }
 
-// writeFragments writes answers in pieces of dribbleBytes. It returns the last piece, which it does not write.
+// writeFragments writes answers in fragments of fragmentBytes. It does not write the last fragment but returns it.
 func writeFragments(conn net.Conn, answers []byte) (last []byte, err error) {
 	for len(answers) > fragmentBytes {
 		if _, err := conn.Write(answers[:fragmentBytes]); err != nil {
--- a/cmd/functionrouter/harness_test.go
+++ b/cmd/functionrouter/harness_test.go
@@ -12,23 +12,23 @@
 	"time"
 )
 
-// testTimeout bounds each wait of a test; none of them is expected to last.
+// testTimeout limits each wait of a test. No test is expected to reach it.
 const testTimeout = 20 * time.Second
 
-// testSockets is the limit on descriptors in the tests that need no other.
+// testSockets is the limit on file descriptors in tests that do not need a specific limit.
 const testSockets = 1024
 
-// Members of the settings, for startHarness.
+// Members of the settings, for the argument extraSettings of startHarness.
 const (
-	// longDialTimeout makes a dial to a full worker last until the worker accepts: the kernel sends the connect anew
-	// after a second.
+	// longDialTimeout lets a dial to a worker with a full backlog last until the worker accepts: the kernel repeats the
+	// connect after a second.
 	longDialTimeout = `"limits":{"dialTimeoutMs":15000},`
 
-	// manyAttempts allows more attempts of a request than any test has workers for.
+	// manyAttempts allows more attempts per request than any test has workers.
 	manyAttempts = `"limits":{"maxAttempts":6},`
 )
 
-// harness is a router on real sockets, with a directory, workers and clients under the test's control.
+// harness is a router on real sockets, with a directory, workers and clients that the test controls.
 type harness struct {
 	t             *testing.T
 	configPath    string
@@ -36,22 +36,22 @@
 	listen        string
 	directory     *fakeDirectory
 	log           *logCapture
-	reloadResults chan error    // one for each SIGHUP; reread blocks while a second one waits
+	reloadResults chan error    // one result per SIGHUP; reloadConfig blocks while a second result waits
 	exited        chan struct{} // closed when serve has returned
-	clients       []*testClient // that have connected
-	exitError     error         // of serve; set before exited is closed
+	clients       []*testClient // all clients that have connected
+	exitError     error         // result of serve; set before exited is closed
 }
 
-// listedWorker is a worker as the directory lists it.
+// listedWorker is a worker in the directory's list.
 type listedWorker struct {
 	name          string
 	addr          string
 	draining      bool
-	startedUnixMs int64 // 0: long ago
+	startedUnixMs int64 // 0 means long ago
 }
 
-// startHarness runs a router whose configuration lists initial. Its settings have two classes, safe (idempotent) and
-// unsafe (not idempotent); extraSettings, JSON members that end in a comma, go beside them.
+// startHarness runs a router whose configuration lists the workers in initial. Its settings have two classes: safe
+// (idempotent) and unsafe (not idempotent). extraSettings holds additional JSON members, which end with a comma.
 func startHarness(t *testing.T, extraSettings string, initial ...listedWorker) *harness {
 	t.Helper()
 	h, cfg := newHarness(t, newFakeDirectory(t), testSockets, extraSettings, initial...)
@@ -66,7 +66,7 @@
 	return h
 }
 
-// startHarnessWithTwoWorkers is startHarness with two workers, and attempts enough for both.
+// startHarnessWithTwoWorkers starts a harness with two workers, and allows enough attempts to try both.
 func startHarnessWithTwoWorkers(t *testing.T) (h *harness, first, second *fakeWorker) {
 	t.Helper()
 	first = startFakeWorker(t)
@@ -76,7 +76,7 @@
 	return h, first, second
 }
 
-// ignoreSIGTERM keeps a SIGTERM that arrives as the router ends from ending the tests too.
+// ignoreSIGTERM prevents a SIGTERM that arrives while the router ends from ending the test process.
 func ignoreSIGTERM(t *testing.T) {
 	t.Helper()
 	ignored := make(chan os.Signal, 1)
@@ -84,7 +84,7 @@
 	t.Cleanup(func() { signal.Stop(ignored) })
 }
 
-// newHarness writes the configuration of a router that listens at a free address. It starts no router.
+// newHarness writes the configuration of a router that listens at a free address. It does not start a router.
 func newHarness(
 	t *testing.T, directory *fakeDirectory, sockets int, extraSettings string, initial ...listedWorker,
 ) (*harness, *config) {
@@ -106,7 +106,7 @@
 	return h, cfg
 }
 
-// freeAddress returns an address of this machine at which nothing listens.
+// freeAddress returns a loopback address at which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -150,8 +150,8 @@
 	return cfg, err
 }
 
-// reload makes the router read text as its configuration, and returns the error of that. The loop may not have applied the
-// configuration yet.
+// reload makes the router read text as its configuration, and returns the error of reading it. When reload returns, the
+// loop may not have applied the configuration yet.
 func (h *harness) reload(text string) error {
 	h.t.Helper()
 	if err := os.WriteFile(h.configPath, []byte(text), 0o600); err != nil {
@@ -177,7 +177,7 @@
 	}
 }
 
-// stop ends the router, if it still runs.
+// stop ends the router if it still runs.
 func (h *harness) stop() {
 	select {
 	case <-h.exited:
@@ -188,17 +188,17 @@
 	h.waitForExit()
 }
 
-// waitForExit closes all clients' connections, for which a router that shuts down waits, and waits until the router has
-// ended, which must be without an error.
+// waitForExit closes the connections of all clients, because a router that shuts down waits for them. It then waits
+// until the router has ended, and checks that it has ended without an error.
 func (h *harness) waitForExit() {
 	h.t.Helper()
 	select {
 	case <-h.exited:
-		h.t.Error("the router has ended before its clients have closed")
+		h.t.Error("the router has ended before its clients closed their connections")
 	default:
 	}
 	for _, c := range h.clients {
-		_ = c.Close() // a test may have closed it
+		_ = c.Close() // the test may have closed it already
 	}
 	select {
 	case <-h.exited:
@@ -206,11 +206,11 @@
 			h.t.Error(h.exitError)
 		}
 	case <-time.After(testTimeout):
-		h.t.Error("the router doesn't end")
+		h.t.Errorf("the router has not ended after %v", testTimeout)
 	}
 }
 
-// connect returns a new connection to the router, once that listens.
+// connect returns a new connection to the router. It retries until the router listens.
 func (h *harness) connect() *testClient {
 	h.t.Helper()
 	for deadline := time.Now().Add(testTimeout); ; {
@@ -231,7 +231,7 @@
 	}
 }
 
-// updateEndpoints answers a query of the router's, and returns once the router has taken the list over.
+// updateEndpoints answers a query of the router with list, and returns once the router has applied the list.
 func (h *harness) updateEndpoints(serial uint32, list ...listedWorker) {
 	h.t.Helper()
 	offset := h.log.size()
@@ -240,5 +240,6 @@
 	h.connect().checkHealth()
 }
 
-// endpointLogged is the text that the router logs once it has an endpoint from a list.
+// endpointLogged returns the start of the message that the router logs when a list adds or changes the endpoint of
+// worker.
 func endpointLogged(worker string) string { return `msg="endpoint updated" worker=` + worker + " " }
--- a/cmd/functionrouter/limits_test.go
+++ b/cmd/functionrouter/limits_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// With small limits too, what may be held for peers stays within the memory and the descriptors.
+// Checks that what the router may hold for peers stays within the memory and the file descriptors, also with small
+// limits.
 func TestLimitsScaleWithResources(t *testing.T) {
 	for _, memory := range []int{32, 48, 64, 192, 2048} {
 		for _, sockets := range []int{64, 256, 1024} {
@@ -21,8 +22,8 @@
 	}
 }
 
-// checkMemoryBounds checks that half of the memory is enough for what is held for peers, with 2 KiB for an open request
-// beside its body, and that the router can do some work with it.
+// checkMemoryBounds checks that what is held for peers takes at most half of the memory, if an open request takes 2 KiB
+// besides its body. It also checks that the limits leave room for a minimum of bodies and requests.
 func checkMemoryBounds(t *testing.T, c *config) {
 	t.Helper()
 	bodies := c.scaleToMemory(maxBodyBytes)
@@ -30,11 +31,11 @@
 	held := bodies + c.scaleToMemory(maxUnreadBytes) +
 		c.scaleToMemory(maxWebhookResultBytes) + open*2048
 	if held > c.Limits.MemoryMB<<20/2 || bodies < 1<<20 || open < 1000 {
-		t.Errorf("%d bytes may be held, %d of them bodies; %d requests may be open", held, bodies, open)
+		t.Errorf("limits of %d bytes held for peers, %d of them bodies, and %d open requests", held, bodies, open)
 	}
 }
 
-// checkDescriptorBounds checks the shares of clients, workers and the process itself.
+// checkDescriptorBounds checks the shares of the file descriptors for clients, for workers and for other uses.
 func checkDescriptorBounds(t *testing.T, c *config) {
 	t.Helper()
 	clients := c.maxClientConnections()
@@ -47,7 +48,7 @@
 func TestRefusalRetryAfter(t *testing.T) {
 	var c config
 	if got := c.refusalRetryAfter(); got != 0 {
-		t.Errorf("Retry-After %v where the settings allow none", got)
+		t.Errorf("Retry-After %v although the settings allow none", got)
 	}
 	c.policy.AllowRetryAfter = true
 	c.policy.MaxRetryAfter = 300 * time.Millisecond
@@ -56,7 +57,8 @@
 	}
 }
 
-// A shutdown must end before the platform kills the process, whose patience depends on the deadlines.
+// Checks that a shutdown ends before the platform kills the process. The time until the kill depends on the deadlines
+// of the classes.
 func TestFlushTimeoutEndsBeforeKill(t *testing.T) {
 	for _, test := range []struct {
 		deadlineMs string
--- a/cmd/functionrouter/load_clients_test.go
+++ b/cmd/functionrouter/load_clients_test.go
@@ -13,30 +13,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// answerTolerance is how much later than its client waits an answer may come, on a machine that is busy.
+// answerTolerance is how much later than its client's timeout an answer may arrive, because the machine may be busy.
 const answerTolerance = 500 * time.Millisecond
 
-// maxCallPause is the longest time between two calls of a client of clientLoad.
+// maxCallPause is the longest time between two calls of one client of a clientLoad.
 const maxCallPause = 2 * time.Millisecond
 
-// functionProperties are the figures of a small function that loads fast.
+// functionProperties are the properties of a small function that loads fast.
 const functionProperties = "memory_mb:128;lanes:2;load_ms:10"
 
-// clientLoad is a number of well-behaved clients, each on a goroutine of its own. It follows each call that they send
-// to its answer. A call is lost if its connection ends before the answer, if the answer is wrong, or if it comes later
-// than answerTolerance after the time that the client waits.
+// clientLoad runs a number of well-behaved clients, each on its own goroutine, and checks the answer to each of their
+// calls. A call is lost if its connection ends before the answer, if the answer is wrong, or if it arrives later than
+// answerTolerance after the client's timeout.
 type clientLoad struct {
 	t       *testing.T
 	address string
-	wait    time.Duration // that a client has for each call
-	classes []string      // of the calls, in turn; safe alone if there are none
-	// callsPerConnection is how many calls at most a client sends before it connects again, drawn for each connection; 0: it
-	// keeps its connection.
+	wait    time.Duration // client's timeout for each call
+	classes []string      // classes of the calls, used in turn; only safe if empty
+	// callsPerConnection is the largest number of calls that a client sends on one connection; the number is drawn for
+	// each connection. With 0, a client keeps its connection.
 	callsPerConnection int
 
 	stopping  atomic.Bool
 	clients   sync.WaitGroup
-	callCount atomic.Uint64 // numbers the calls
+	callCount atomic.Uint64 // number of calls so far; the source of their IDs
 	answered  atomic.Int64
 	served    atomic.Int64
 
@@ -48,24 +48,24 @@
 type lostCall struct {
 	id            string
 	at            time.Duration // since the start of the load
-	client        string        // its address, by which the router's log names it
-	callsAnswered int           // on the same connection, before it
+	client        string        // address by which the router's log names the client
+	callsAnswered int           // on the same connection, before this call
 	reason        error
 }
 
 func (l lostCall) String() string {
-	return fmt.Sprintf("%v: call %s of %s, after %d answered ones: %v", l.at, l.id, l.client, l.callsAnswered, l.reason)
+	return fmt.Sprintf("%v: ID %s, client %s, after %d answered calls: %v", l.at, l.id, l.client, l.callsAnswered, l.reason)
 }
 
-// reportLost fails the test for each call that was lost.
+// reportLost fails the test for each lost call.
 func reportLost(t *testing.T, lost []lostCall) {
 	t.Helper()
 	for _, l := range lost {
-		t.Errorf("lost at %v", l)
+		t.Errorf("lost call at %v", l)
 	}
 }
 
-// start runs count clients until stop. Their pauses, and the calls on each connection, are drawn from seed.
+// start runs count clients until stop. The pauses and the number of calls on each connection are drawn from seed.
 func (l *clientLoad) start(count int, seed uint64) {
 	startedAt := time.Now()
 	for i := range count {
@@ -82,7 +82,7 @@
 	}
 }
 
-// stop lets the clients finish the calls that are open, and returns those that were lost.
+// stop waits until the clients have finished their open calls, and returns the calls that were lost.
 func (l *clientLoad) stop() []lostCall {
 	l.stopping.Store(true)
 	l.clients.Wait()
@@ -91,14 +91,14 @@
 	return l.lost
 }
 
-// useConnection sends calls on a new connection. It returns false if a call was lost, or the router can't be connected to.
+// useConnection sends calls on a new connection. It returns false if a call was lost or the connection failed.
 func (l *clientLoad) useConnection(random *rand.Rand, startedAt time.Time) bool {
 	conn, err := net.Dial("tcp", l.address)
 	if err != nil {
 		l.t.Errorf("a client can't connect: %v", err)
 		return false
 	}
-	defer func() { _ = conn.Close() }() // the router may have ended it
+	defer func() { _ = conn.Close() }() // the router may have closed it
 	client := &testClient{Conn: conn, t: l.t}
 	limit := l.callsPerConnection
 	if limit > 0 {
@@ -123,7 +123,7 @@
 	return true
 }
 
-// call sends a call and waits for its answer. An error says how it was lost.
+// call sends a call and waits for its answer. It returns an error if the call was lost.
 func (l *clientLoad) call(client *testClient, id string) error {
 	if err := client.SetDeadline(time.Now().Add(l.wait + answerTolerance)); err != nil {
 		return err
@@ -143,13 +143,14 @@
 	if status == "served" {
 		l.served.Add(1)
 		if !strings.HasSuffix(body, id) {
-			return fmt.Errorf("served with %q", body)
+			return fmt.Errorf("served with body %q, want one that ends in the ID", body)
 		}
 	}
 	return nil
 }
 
-// attemptCounts counts the attempts of each request that any worker has received completely, by the request's body.
+// attemptCounts counts the attempts that the workers received for each request, which it identifies by its body. Only
+// completely received attempts count.
 type attemptCounts struct {
 	mu     sync.Mutex
 	byBody map[string]int
@@ -161,8 +162,8 @@
 	a.byBody[body]++
 }
 
-// report fails the test for each request that was sent too often: an unsafe one more than once, since it may have run, or a
-// safe one more than maxAttempts times.
+// report fails the test for each request with too many attempts: more than one for an unsafe request, since the first
+// attempt may have run, and more than maxAttempts for a safe request.
 func (a *attemptCounts) report(t *testing.T, maxAttempts int) {
 	t.Helper()
 	a.mu.Lock()
@@ -170,16 +171,16 @@
 	for body, count := range a.byBody {
 		class, _, _ := strings.Cut(body, " ")
 		if class == "safe" && count > maxAttempts || class == "unsafe" && count > 1 {
-			t.Errorf("%d attempts of %q", count, body)
+			t.Errorf("the workers received %d attempts of request %q", count, body)
 		}
 	}
 }
 
-// startEchoWorker starts a worker that answers each request with its own body, and enters it in counts, if that is not nil.
-// Its requests channel is read by a goroutine of its own.
+// startEchoWorker starts a worker that answers each request with the request's body. If counts is not nil, it counts
+// the requests there. A goroutine reads the worker's requests channel, so the test must not read it.
 func startEchoWorker(t *testing.T, counts *attemptCounts) *fakeWorker {
 	t.Helper()
-	const backlog = 128 // as a real server has it
+	const backlog = 128 // a common backlog of servers
 	w := newFakeWorker(t)
 	if err := unix.Listen(w.listenFD, backlog); err != nil {
 		t.Fatal(err)
--- a/cmd/functionrouter/log_capture_test.go
+++ b/cmd/functionrouter/log_capture_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// logCapture keeps the router's log, so that a test can wait for a line.
+// logCapture stores the router's log, so that a test can wait for a line.
 type logCapture struct {
 	mu      sync.Mutex
-	text    strings.Builder // a test may read it without mu if only its own goroutine logs
-	written chan struct{}   // closed at the next line
+	text    strings.Builder // a test may read it without mu if only the test's goroutine logs
+	written chan struct{}   // closed when the next line is written
 }
 
 func newLogCapture() *logCapture { return &logCapture{written: make(chan struct{})} }
 
-// install makes l the log for the rest of the test.
+// install makes l the default log until the end of the test.
 func (l *logCapture) install(t *testing.T) {
 	t.Helper()
 	previous := slog.Default()
@@ -25,7 +25,7 @@
 	t.Cleanup(func() { slog.SetDefault(previous) })
 }
 
-// Write takes a line of the log.
+// Write appends a line to the log.
 func (l *logCapture) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,14 +34,14 @@
 	return l.text.Write(line)
 }
 
-// size is the position at which the log ends now.
+// size returns the present length of the log, for waitFor.
 func (l *logCapture) size() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Len()
 }
 
-// waitFor returns once the log contains text behind the position from.
+// waitFor waits until the log contains text after the position offset.
 func (l *logCapture) waitFor(t *testing.T, offset int, text string) {
 	t.Helper()
 	for timeout := time.After(testTimeout); ; {
@@ -55,7 +55,7 @@
 		select {
 		case <-written:
 		case <-timeout:
-			t.Fatalf("the log lacks %q", text)
+			t.Fatalf("the log does not contain %q after %v", text, testTimeout)
 		}
 	}
 }
--- a/cmd/functionrouter/lost_answers_test.go
+++ b/cmd/functionrouter/lost_answers_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Whatever other clients do to their connections, one that waits for its answer gets it.
+// Checks that a client that waits for its answer gets it, whatever other clients do to their connections.
 func TestCallsAnsweredDespiteMisbehavingClients(t *testing.T) {
 	const loadDuration = 1500 * time.Millisecond
 	for _, test := range []struct {
@@ -39,8 +39,8 @@
 	}
 }
 
-// After SIGTERM clients may go on sending on their open connections until the process is killed, at the earliest after
-// the longest deadline of the deployment and 0.7 s. Each call gets an answer.
+// Checks that the router answers each call until the platform may kill the process. After SIGTERM, clients may send
+// calls on open connections until then; the earliest kill is 0.7 s after the longest deadline of the deployment.
 func TestCallsAnsweredUntilKill(t *testing.T) {
 	for _, deadline := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
@@ -54,13 +54,13 @@
 			}
 			time.Sleep(deadline + 700*time.Millisecond)
 			reportLost(t, clients.stop())
-			expectExit(t, process) // since its clients have closed
+			expectExit(t, process) // the router ends because its clients have closed their connections
 		})
 	}
 }
 
-// A worker hangs, and a client waits longer than the platform lets the process run after SIGTERM: the call is answered
-// before the earliest kill.
+// Checks that the router answers a call before the earliest kill if a worker hangs and the client's timeout is longer
+// than the time until the kill.
 func TestHangingCallAnsweredBeforeKill(t *testing.T) {
 	worker := startFakeWorker(t) // answers nothing
 	h, process := startPinnedProcess(t, func(text string) string { return withDeadline(text, 300*time.Millisecond) },
@@ -71,14 +71,14 @@
 	worker.nextRequest()
 	start := time.Now()
 	signalProcess(t, process, unix.SIGTERM)
-	for clientAfter.checkHealth() { // until the router knows of the signal
+	for clientAfter.checkHealth() { // until the router has handled the signal
 	}
 	clientAfter.sendCall("safe", "00000000000000a2", "after SIGTERM")
 	clientBefore.expectStatus("failed")
 	if status, _ := clientAfter.response(); status == "served" {
-		t.Error("a worker that hangs served a call")
+		t.Error("a call was served although its worker hangs")
 	}
-	if took := time.Since(start); took >= time.Second { // 0.3 s and 0.7 s
+	if took := time.Since(start); took >= time.Second { // the deadline of 0.3 s and 0.7 s
 		t.Errorf("the calls were answered %v after SIGTERM", took)
 	}
 	clientBefore.close()
@@ -86,8 +86,9 @@
 	expectExit(t, process)
 }
 
-// Whatever fault the connections to workers have, and while the configuration is reloaded, each call gets one answer in
-// time, with its own body if it was served. A call that must not run twice is not retried if it may have run.
+// Checks that each call gets one answer in time, with its own body if it was served, whatever faults the connections to
+// workers have, also during a reload of the configuration. A call that must not run twice must not be retried if it may
+// have run.
 func TestCallsAnsweredDespiteFaultyWorkers(t *testing.T) {
 	const loadDuration = time.Second
 	for seed := range uint64(4) {
@@ -115,8 +116,8 @@
 	}
 }
 
-// Faulty workers and unfriendly peers together, and then SIGTERM, after which clients go on sending on open connections
-// until the earliest kill. Each call is answered before it.
+// Checks that each call is answered before the earliest kill, if SIGTERM arrives while workers are faulty and other
+// clients misbehave. After SIGTERM, the clients send calls on their open connections until the kill.
 func TestCallsAnsweredUntilKillDespiteFaults(t *testing.T) {
 	const deadline = 300 * time.Millisecond
 	const untilKill = time.Second
@@ -140,8 +141,8 @@
 	}
 }
 
-// A call arrives while the process is paused, and its worker hangs: the pause counts, and the answer comes before the time
-// that the client waits is over.
+// Checks that the time in which the process is paused counts towards the client's timeout. A call arrives during the
+// pause and its worker hangs; the answer must arrive before the client's timeout.
 func TestCallDuringPauseAnsweredInTime(t *testing.T) {
 	const wait = time.Second
 	const paused = 600 * time.Millisecond
@@ -153,10 +154,10 @@
 	pause(t, process)
 	sent := time.Now()
 	c.sendBytes(c.callFrame("safe", "00000000000000a1", "one", wait))
-	time.Sleep(paused) // the pause is what is tested
+	time.Sleep(paused) // the length of the pause is part of the test
 	signalProcess(t, process, unix.SIGCONT)
 	c.response()
 	if took := time.Since(sent); took > wait {
-		t.Errorf("answered after %v of %v", took, wait)
+		t.Errorf("answered after %v, want at most %v", took, wait)
 	}
 }
--- a/cmd/functionrouter/misbehaving_clients_test.go
+++ b/cmd/functionrouter/misbehaving_clients_test.go
@@ -11,27 +11,28 @@
 	"time"
 )
 
-// misbehavior is a kind of client that opens a connection to the router and ends it at an odd moment. No test awaits the
-// answers to what it sends.
+// misbehavior is a way in which a client ends its connection to the router at an unexpected moment. No test waits for
+// answers to what such a client sends.
 type misbehavior struct {
 	name string
 	run  func(conn *net.TCPConn, seed uint64)
 }
 
-// maxReconnectPause is the longest time between two connections of an unfriendly peer.
+// maxReconnectPause is the longest time between two connections of a misbehaving client.
 const maxReconnectPause = 3 * time.Millisecond
 
-// unawaitedCallFrame is the frame of a call of an unfriendly peer.
+// unawaitedCallFrame returns the frame of a call whose answer no client awaits.
 func unawaitedCallFrame(seed uint64) []byte {
-	id := fmt.Sprintf("%016x", seed|1<<63) // a clientLoad's ids are small numbers
-	return (&testClient{}).callFrame("safe", id, "of nobody", time.Second, "props", functionProperties)
+	id := fmt.Sprintf("%016x", seed|1<<63) // differs from the IDs of a clientLoad, which are small numbers
+	return (&testClient{}).callFrame("safe", id, "unawaited", time.Second, "props", functionProperties)
 }
 
-// misbehaviors are all kinds of them. They ignore errors: the router may have closed the connection.
+// misbehaviors lists all kinds of misbehavior. Their functions ignore errors, because the router may have closed the
+// connection.
 var misbehaviors = []misbehavior{
 	{"reset", func(conn *net.TCPConn, seed uint64) {
-		_, _ = conn.Write(unawaitedCallFrame(seed)) // the router may have closed it
-		_ = conn.SetLinger(0)                       // Close sends a reset
+		_, _ = conn.Write(unawaitedCallFrame(seed))
+		_ = conn.SetLinger(0) // makes Close send a reset
 	}},
 	{"partial", func(conn *net.TCPConn, seed uint64) {
 		_, _ = conn.Write(unawaitedCallFrame(seed)[:30])
@@ -46,34 +47,36 @@
 	{"silent", func(*net.TCPConn, uint64) {}},
 }
 
-// misbehaviorsNamed returns the kinds of unfriendly peers with these names.
+// misbehaviorsNamed returns the misbehaviors with the given names.
 func misbehaviorsNamed(t *testing.T, names ...string) (kinds []misbehavior) {
 	t.Helper()
 	for _, name := range names {
 		index := slices.IndexFunc(misbehaviors, func(p misbehavior) bool { return p.name == name })
 		if index < 0 {
-			t.Fatalf("there is no unfriendly peer %q", name)
+			t.Fatalf("there is no misbehavior %q", name)
 		}
 		kinds = append(kinds, misbehaviors[index])
 	}
 	return kinds
 }
 
-// misbehavingClients is a number of unfriendly peers, each on a goroutine of its own.
+// misbehavingClients runs a number of misbehaving clients, each on its own goroutine.
 type misbehavingClients struct {
 	stopping atomic.Bool
 	running  sync.WaitGroup
 }
 
-// startMisbehavingClients runs count peers until stop. Each connection plays one of kinds, drawn from seed.
-func startMisbehavingClients(t *testing.T, address string, count int, seed uint64, kinds ...misbehavior) *misbehavingClients {
+// startMisbehavingClients runs count clients until stop. For each connection, one of kinds is drawn from seed.
+func startMisbehavingClients(
+	t *testing.T, address string, count int, seed uint64, kinds ...misbehavior,
+) *misbehavingClients {
 	t.Helper()
 	m := &misbehavingClients{}
 	for i := range count {
 		m.running.Add(1)
 		go func() {
 			defer m.running.Done()
-			random := rand.New(rand.NewPCG(seed, uint64(1000+i))) // no client of a clientLoad draws the same
+			random := rand.New(rand.NewPCG(seed, uint64(1000+i))) // no clientLoad uses this source
 			for !m.stopping.Load() {
 				conn, err := net.Dial("tcp", address)
 				if err != nil {
@@ -88,7 +91,7 @@
 	return m
 }
 
-// stop ends the peers, and returns once all of their connections are closed.
+// stop ends the clients, and returns once all their connections are closed.
 func (m *misbehavingClients) stop() {
 	m.stopping.Store(true)
 	m.running.Wait()
--- a/cmd/functionrouter/pinned_router_test.go
+++ b/cmd/functionrouter/pinned_router_test.go
@@ -10,28 +10,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// deploymentSettings are further settings as a deployment has them.
+// deploymentSettings are additional settings like those of a deployment.
 const deploymentSettings = `"granularityMs":4,"limits":{"cancel":true,"dialTimeoutMs":250,"keepaliveMs":30000,"maxAttempts":3,
  "maxOpen":20000,"maxRetryAfterMs":1000,"mayProbe":true,"retryAfter":true,"secondCopies":true,"streamsPerConn":32},
  "peersTotal":1,"rules":{"coldFrom":0.18,"coldMs":17000,"drainGraceMs":1000,"fallMs":1000,"fallMultiple":2},`
 
-// deploymentMaxAttempts is the limit on attempts in serviceSettings.
+// deploymentMaxAttempts is the limit on attempts in deploymentSettings.
 const deploymentMaxAttempts = 3
 
-// withDeadline returns the text of a configuration of configJSON with another deadline for all classes, and an objective of
-// 200 ms.
+// withDeadline changes the text of a configuration from configJSON: all classes get the given deadline and an objective
+// of 200 ms.
 func withDeadline(text string, deadline time.Duration) string {
 	text = strings.ReplaceAll(text, `"goalTimeMs":3000`, `"goalTimeMs":200`)
 	return strings.ReplaceAll(text, `"deadlineMs":6000`, fmt.Sprintf(`"deadlineMs":%d`, deadline.Milliseconds()))
 }
 
-// startPinnedRouter is startPinnedProcess with one worker, which serves all requests.
+// startPinnedRouter starts the router like startPinnedProcess, with one worker that serves all requests.
 func startPinnedRouter(t *testing.T, adaptConfig func(string) string) (h *harness, process *os.Process) {
 	t.Helper()
 	return startPinnedProcess(t, adaptConfig, listedWorker{name: "s-1", addr: startEchoWorker(t, nil).addr})
 }
 
-// startPinnedProcess starts the router as a process of its own on one core. adaptConfig changes the text of its
+// startPinnedProcess starts the router as a separate process on one core. adaptConfig changes the text of its
 // configuration.
 func startPinnedProcess(
 	t *testing.T, adaptConfig func(string) string, listed ...listedWorker,
@@ -47,8 +47,8 @@
 	return h, process
 }
 
-// pinToOneCore gives the process one core, as it has in service. The faults that these tests look for rarely show on
-// several.
+// pinToOneCore restricts the process to one core, which it also has in a deployment. The faults that these tests detect
+// rarely occur on several cores.
 func pinToOneCore(t *testing.T, process *os.Process) {
 	t.Helper()
 	var allowed unix.CPUSet
@@ -68,8 +68,8 @@
 	}
 }
 
-// startWithFaultyWorkers starts the router as a process of its own on one core, with three workers that are behind a
-// faultProxy each. adaptConfig changes the text of its configuration.
+// startWithFaultyWorkers starts the router as a separate process on one core, with three workers behind one faultProxy
+// each. adaptConfig changes the text of its configuration.
 func startWithFaultyWorkers(
 	t *testing.T, seed uint64, counts *attemptCounts, adaptConfig func(string) string,
 ) (h *harness, process *os.Process) {
--- a/cmd/functionrouter/process_control_test.go
+++ b/cmd/functionrouter/process_control_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// threadsOf returns the threads that the process has.
+// threadsOf returns the thread IDs of the process.
 func threadsOf(pid int) ([]int, error) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
 	if err != nil {
@@ -28,7 +28,7 @@
 	return threads, nil
 }
 
-// setAffinityOfAllThreads sets the processors of each thread that the process has. Further threads inherit them.
+// setAffinityOfAllThreads sets the CPU affinity of each existing thread of the process. New threads inherit it.
 func setAffinityOfAllThreads(pid int, cpus *unix.CPUSet) error {
 	threads, err := threadsOf(pid)
 	if err != nil {
@@ -64,16 +64,16 @@
 	if err != nil {
 		return false
 	}
-	_, state, found := strings.Cut(string(text), ") ") // behind the name, which may hold anything
+	_, state, found := strings.Cut(string(text), ") ") // after the name, which may contain any characters
 	return found && strings.HasPrefix(state, "T")
 }
 
-// expectExit waits until the process has ended, which must be by itself and without an error.
+// expectExit waits until the process ends, and checks that it ends without a signal or an error.
 func expectExit(t *testing.T, process *os.Process) {
 	t.Helper()
 	state, err := process.Wait()
 	if err != nil || !state.Success() {
-		t.Errorf("the process ended with %v, %v", state, err)
+		t.Errorf("the process ended with state %v and error %v, want success", state, err)
 	}
 }
 
--- a/cmd/functionrouter/process_harness_test.go
+++ b/cmd/functionrouter/process_harness_test.go
@@ -12,10 +12,11 @@
 	"testing"
 )
 
-// descriptorsVariable makes the test program be the router itself, with that many file descriptors.
+// descriptorsVariable makes the test program run the router instead of the tests. Its value is the limit on file
+// descriptors.
 const descriptorsVariable = "FUNCTIONROUTER_TEST_AS_ROUTER"
 
-// TestMain runs the tests, or the router where descriptorsVariable is set.
+// TestMain runs the tests, or the router if descriptorsVariable is set.
 func TestMain(m *testing.M) {
 	if count := os.Getenv(descriptorsVariable); count != "" {
 		if err := limitDescriptors(count); err != nil {
@@ -38,20 +39,20 @@
 	return syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n})
 }
 
-// routerCommand is the command that runs the router as a process of its own.
+// routerCommand returns the command that runs the router as a separate process.
 func routerCommand(configPath string, descriptors int) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), configVariable+"="+configPath, fmt.Sprintf("%s=%d", descriptorsVariable, descriptors))
 	return cmd
 }
 
-// startProcess starts the router as a process of its own, from nothing but its configuration, and returns once it answers.
-// The test kills it at its end. The harness's log and signals do not reach it. descriptors is its limit on file
-// descriptors, whatever the configuration says.
+// startProcess starts the router as a separate process with nothing but its configuration, and returns once it answers.
+// The process is killed at the end of the test. The harness's log and signals have no effect on it. descriptors limits
+// its file descriptors independently of the configuration.
 func (h *harness) startProcess(descriptors int) *os.Process {
 	h.t.Helper()
 	var log bytes.Buffer
-	// Cleanups run last in, first out: the process has ended, and written its log, before this one reads the log.
+	// Cleanups run in reverse order: when this one reads the log, the process has ended and written its log.
 	h.t.Cleanup(func() {
 		if h.t.Failed() {
 			h.t.Logf("the router's log:\n%s", log.String())
@@ -60,7 +61,7 @@
 	return h.startProcessWithLog(descriptors, &log)
 }
 
-// startProcessWithLog is startProcess with another receiver of the log.
+// startProcessWithLog starts a process like startProcess, but writes its log to log.
 func (h *harness) startProcessWithLog(descriptors int, log io.Writer) *os.Process {
 	h.t.Helper()
 	cmd := routerCommand(h.configPath, descriptors)
@@ -69,8 +70,8 @@
 		h.t.Fatal(err)
 	}
 	h.t.Cleanup(func() {
-		_ = cmd.Process.Kill() // a test may have killed it
-		_ = cmd.Wait()         // reports that it was killed
+		_ = cmd.Process.Kill() // the test may have killed it already
+		_ = cmd.Wait()         // returns an error because the process was killed
 	})
 	c := h.connect()
 	c.checkHealth()
--- a/cmd/functionrouter/process_test.go
+++ b/cmd/functionrouter/process_test.go
@@ -13,13 +13,14 @@
 	"testing"
 )
 
-// Idle clients take all the descriptors that clients may have, and more connect, while the directory is down. Those in
-// reserve are enough to query the directory once it is there, to dial the worker that it lists, and to take a request.
+// Checks that idle clients can't use up all file descriptors. While the directory is down, idle clients take all
+// descriptors available to clients, and more clients connect. The reserved descriptors must suffice to query the
+// directory once it is back, to dial the worker that it lists, and to accept a request.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	const sockets = 128
 	directory := newFakeDirectory(t)
 	addr := directory.addr()
-	directory.close() // each query takes a new socket, since the port refuses
+	directory.close() // each query then needs a new socket, because the port refuses
 	stoppedWorker := startFakeWorker(t)
 	stoppedWorker.stop()
 	worker := startFakeWorker(t)
@@ -30,20 +31,21 @@
 	}
 	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", process.Pid))
 	if err != nil || len(files) < sockets/3 {
-		t.Fatalf("the clients fill %d descriptors only, %v", len(files), err)
+		t.Fatalf("the process has only %d open descriptors, want at least %d (error %v)", len(files), sockets/3, err)
 	}
 	h.directory = newFakeDirectoryAt(t, addr)
 	h.directory.answer(h.directory.nextQuery(), 2, listedWorker{name: "s-2", addr: worker.addr})
 	worker.serveAll()
-	for status := ""; status != "served"; { // refused until the list has been read
+	for status := ""; status != "served"; { // the router refuses requests until it has read the list
 		c := h.connect()
 		c.sendCall("safe", "00000000000000a1", "one")
 		status, _ = c.response()
 	}
 }
 
-// A process that may open fewer descriptors than its configuration says runs out of them: accepts, dials and queries
-// fail. It still answers the requests that it has, and serves again once there are descriptors.
+// Checks the router when it runs out of file descriptors, because the process's limit is lower than the configured one,
+// so that accepts, dials and queries fail. The router must still answer the requests that it has, and serve requests
+// again once descriptors are free.
 func TestDescriptorExhaustion(t *testing.T) {
 	const configured = 1024
 	const available = 48
@@ -54,15 +56,15 @@
 	c.checkHealth()
 	var idle []*testClient
 	closed := make(chan struct{}, 1000)
-	for len(closed) == 0 { // until one is closed at once, since there was no descriptor for it
+	for len(closed) == 0 { // until the router closes one at once, because it has no descriptor for it
 		idleClient := h.connect()
 		idle = append(idle, idleClient)
 		go func() {
-			_, _ = idleClient.Read(make([]byte, 1)) // returns when the connection has ended, whatever the error
+			_, _ = idleClient.Read(make([]byte, 1)) // returns when the connection has ended, with any error
 			closed <- struct{}{}
 		}()
 	}
-	c.sendCall("safe", "00000000000000a1", "one") // there is no descriptor for its dial
+	c.sendCall("safe", "00000000000000a1", "one") // the router has no descriptor for the dial
 	c.expectStatus("refused")
 	for _, i := range idle {
 		i.close()
@@ -74,7 +76,8 @@
 	}
 }
 
-// A configuration that can't be used, and an address that is taken, end the program with a plain message.
+// Checks that an invalid configuration or an address that is already in use ends the program with a plain error
+// message.
 func TestStartupErrors(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -90,10 +93,10 @@
 		name string
 		text string
 	}{
-		{"half a file", validText[:len(validText)/2]},
+		{"truncated file", validText[:len(validText)/2]},
 		{"no classes", strings.Replace(validText, `"classes"`, `"klasses"`, 1)},
-		{"impossible deadline", strings.Replace(validText, `"deadlineMs":6000`, `"deadlineMs":-1`, 1)},
-		{"address taken", validText},
+		{"negative deadline", strings.Replace(validText, `"deadlineMs":6000`, `"deadlineMs":-1`, 1)},
+		{"address in use", validText},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
@@ -103,17 +106,18 @@
 			output, err := routerCommand(path, 256).CombinedOutput()
 			var exit *exec.ExitError
 			if !errors.As(err, &exit) || exit.ExitCode() <= 0 {
-				t.Errorf("ended with %v", err)
+				t.Errorf("the program ended with %v, want an exit code above 0", err)
 			}
 			if !strings.Contains(string(output), "functionrouter: ") || strings.Contains(string(output), "goroutine") {
-				t.Errorf("wrote %s", output)
+				t.Errorf("the program wrote %s, want a plain error message", output)
 			}
 		})
 	}
 }
 
-// A process is killed just after it accepted a connection and with a request in flight, and another is started with its
-// old list: the clients of the first see their connections end, and the second takes the directory's list.
+// Checks a restart after a kill. The first process is killed after it has accepted a connection and while a request is
+// in flight; a second process starts with the same initial list. The connections to the first process must end, and the
+// second process must apply the directory's list.
 func TestRestartAfterKill(t *testing.T) {
 	first := startFakeWorker(t)
 	second := startFakeWorker(t)
@@ -128,14 +132,14 @@
 	}
 	for _, c := range []*testClient{c, idleClient} {
 		if _, _, err := c.tryResponse(); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("a connection to a process that was killed: %v", err)
+			t.Errorf("the connection to the killed process returned %v, want its end", err)
 		}
 	}
 	first.stop()
 	h.startProcess(256)
-	inFlight.respond("HIT", "to nobody")
+	inFlight.respond("HIT", "to the killed process")
 	second.serveAll()
-	for status := ""; status != "served"; { // the first queries are the old process's
+	for status := ""; status != "served"; { // the first queries are from the killed process
 		h.directory.answer(h.directory.nextQuery(), 5, listedWorker{name: "s-2", addr: second.addr})
 		newClient := h.connect()
 		newClient.sendCall("unsafe", "00000000000000a2", "two")
@@ -143,14 +147,14 @@
 	}
 }
 
-// The collector of the router's log stops reading it, or ends: calls are still answered.
+// Checks that the router still answers calls if the reader of its log stops reading or closes the pipe.
 func TestLogReaderStallsOrCloses(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		stopReading func(t *testing.T, reader *os.File)
 	}{
 		{"stalls", func(*testing.T, *os.File) {}},
-		{"ends", func(t *testing.T, reader *os.File) {
+		{"closes", func(t *testing.T, reader *os.File) {
 			t.Helper()
 			if err := reader.Close(); err != nil {
 				t.Fatal(err)
@@ -171,7 +175,7 @@
 			}
 			test.stopReading(t, reader)
 			c := h.connect()
-			const pipeBytes = 64 << 10 // what a pipe holds (pipe(7)); a report of the counters takes over 1 KiB
+			const pipeBytes = 64 << 10 // capacity of a pipe (pipe(7)); one log of the counters is longer than 1 KiB
 			for i := range 2 * pipeBytes / 1024 {
 				signalProcess(t, process, syscall.SIGUSR1)
 				c.sendCall("safe", fmt.Sprintf("%016x", 0xa1+i), "one")
--- a/cmd/functionrouter/shutdown_test.go
+++ b/cmd/functionrouter/shutdown_test.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// From socket to socket: a request is served, also after a reload that moves the directory, after one that can't be
-// used, and on an open connection after SIGTERM; the program then ends by itself and without an error.
+// Checks that the router serves a request in each of these situations: at the start, after a reload that changes the
+// directory's address, after a reload of an invalid configuration, and on an open connection after SIGTERM. It then
+// ends without an error.
 func TestServeReloadShutdown(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
-	newDirectory := newFakeDirectory(t) // the directory at its next address; neither ever answers
+	newDirectory := newFakeDirectory(t) // the directory at its new address; neither directory answers
 	c := h.connect()
 	for i, step := range []struct {
 		body   string
@@ -22,13 +23,13 @@
 		{"before", func() {}},
 		{"moved", func() {
 			if err := h.reload(strings.Replace(h.configText, h.directory.addr(), newDirectory.addr(), 1)); err != nil {
-				t.Errorf("reloaded: %v", err)
+				t.Errorf("the reload failed: %v", err)
 			}
 			newDirectory.nextQuery()
 		}},
 		{"unread", func() {
 			if err := h.reload(h.configText[:len(h.configText)/2]); err == nil {
-				t.Error("half a file was reloaded")
+				t.Error("the reload accepted a truncated file")
 			}
 		}},
 		{"after", func() { h.signal(syscall.SIGTERM) }},
@@ -37,7 +38,7 @@
 		c.sendCall("unsafe", fmt.Sprintf("%016x", i), step.body)
 		r := worker.nextRequest()
 		if r.body != step.body {
-			t.Errorf("ran %q", r.body)
+			t.Errorf("the worker received the request %q, want %q", r.body, step.body)
 		}
 		r.respond("HIT", "done "+step.body)
 		if status, body := c.response(); status != "served" || body != "done "+step.body {
@@ -47,8 +48,8 @@
 	h.waitForExit()
 }
 
-// A request of which half has come at SIGTERM is answered, however late its rest comes within the time that a message
-// has; so is one on a connection made after SIGTERM.
+// Checks that the router answers a request that is only partially received at SIGTERM, however late the rest arrives
+// within the time limit for a message. It also checks a request on a connection that is opened after SIGTERM.
 func TestPartialRequestAtSIGTERM(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
@@ -69,7 +70,8 @@
 	h.waitForExit()
 }
 
-// A request in flight at SIGTERM gets its answer, however late, before the router ends.
+// Checks that a request that is in flight at SIGTERM gets its answer before the router ends, however late the worker
+// responds.
 func TestInFlightRequestAtSIGTERM(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
--- a/cmd/functionrouter/start_times_test.go
+++ b/cmd/functionrouter/start_times_test.go
@@ -7,32 +7,32 @@
 	"functionrouter/internal/discovery"
 )
 
-// The clocks of two machines, or one clock before and after a step, may differ by anything: a start that was just noticed
-// is never later than now, nor long past.
+// Checks that a start that the router first sees in a list is neither later than now nor long ago, however much the
+// clocks of two machines, or one clock before and after a step, differ.
 func TestStartTimesBoundedByListing(t *testing.T) {
 	const now = 2 * time.Hour
 	wallNow := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 	for _, test := range []struct {
 		name           string
-		age            time.Duration // by the directory's clock
-		step           time.Duration // of this machine's clock, forward
+		age            time.Duration // age of the start on the directory's clock
+		step           time.Duration // step of this machine's clock, forward
 		previousAnswer time.Duration
 		want           time.Duration
 	}{
 		{name: "clocks agree", age: time.Second, previousAnswer: now - 200*time.Millisecond, want: now - time.Second},
 		{name: "clocks agree, first answer", age: time.Minute, want: now - time.Minute},
-		{name: "late notice", age: 20 * time.Second, previousAnswer: now - 18*time.Second, want: now - 20*time.Second},
-		{name: "2 s back", age: time.Second, step: -2 * time.Second, previousAnswer: now - 200*time.Millisecond, want: now},
-		{name: "1 h back", age: time.Second, step: -time.Hour, previousAnswer: now - 200*time.Millisecond, want: now},
+		{name: "late listing", age: 20 * time.Second, previousAnswer: now - 18*time.Second, want: now - 20*time.Second},
+		{name: "stepped 2 s back", age: time.Second, step: -2 * time.Second, previousAnswer: now - 200*time.Millisecond, want: now},
+		{name: "stepped 1 h back", age: time.Second, step: -time.Hour, previousAnswer: now - 200*time.Millisecond, want: now},
 		{
-			name: "2 s forward", age: time.Second, step: 2 * time.Second, previousAnswer: now - 200*time.Millisecond,
+			name: "stepped 2 s forward", age: time.Second, step: 2 * time.Second, previousAnswer: now - 200*time.Millisecond,
 			want: now - 3*time.Second,
 		},
 		{
-			name: "1 h forward", age: time.Second, step: time.Hour, previousAnswer: now - 200*time.Millisecond,
+			name: "stepped 1 h forward", age: time.Second, step: time.Hour, previousAnswer: now - 200*time.Millisecond,
 			want: now - 200*time.Millisecond,
 		},
-		{name: "1 h back, first answer", age: time.Second, step: -time.Hour, want: now},
+		{name: "stepped 1 h back, first answer", age: time.Second, step: -time.Hour, want: now},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			e := discovery.Endpoint{Name: "s-1", StartedUnixMs: wallNow.Add(-test.age).UnixMilli()}
@@ -42,7 +42,7 @@
 			if got := s.startedAt(e); got != test.want {
 				t.Errorf("started at %v, want %v", got, test.want)
 			}
-			// A start is converted once: a later step of the clock does not change it.
+			// A start is converted only once, so a later step of the clock does not change it.
 			s.update([]discovery.Endpoint{e}, now+time.Minute, now+59*time.Second, func(time.Time) time.Duration { return 1 })
 			if got := s.startedAt(e); got != test.want {
 				t.Errorf("a minute later, started at %v, want %v", got, test.want)
@@ -51,7 +51,8 @@
 	}
 }
 
-// A worker that a list lacks for a while keeps its start, and the number of starts that are remembered is bounded.
+// Checks that a worker that is missing from some lists keeps its start, and that the number of remembered starts is
+// limited.
 func TestStartTimesOfReturningWorkers(t *testing.T) {
 	const now = 2 * time.Hour
 	e := discovery.Endpoint{Name: "s-1", StartedUnixMs: 1}
@@ -60,13 +61,13 @@
 	s.update(nil, now+time.Second, now, nil)
 	s.update([]discovery.Endpoint{e}, now+2*time.Second, now+time.Second, nil)
 	if got := s.startedAt(e); got != time.Hour {
-		t.Errorf("started at %v after it was back", got)
+		t.Errorf("the returned worker started at %v, want %v", got, time.Hour)
 	}
 	for i := range 3 * maxRememberedStarts {
 		e.StartedUnixMs = int64(2 + i)
 		s.update([]discovery.Endpoint{e}, now, 0, func(time.Time) time.Duration { return time.Hour })
 	}
 	if got := len(s.converted); got > maxRememberedStarts+1 {
-		t.Errorf("%d starts are remembered", got)
+		t.Errorf("%d starts are remembered, want at most %d", got, maxRememberedStarts+1)
 	}
 }
