--- a/cmd/functionrouter/cancel_test.go
+++ b/cmd/functionrouter/cancel_test.go
@@ -33,7 +33,7 @@
 			worker.startAccepting()
 			r := worker.nextRequest()
 			if r.body != "not cancelled" {
-				t.Fatalf("the worker was sent %q", r.body)
+				t.Fatalf("the worker received the request %q, want %q", r.body, "not cancelled")
 			}
 			r.respond("HIT", "done")
 			waiting.expectStatus("served")
@@ -80,10 +80,10 @@
 	disconnected.close()
 	signalProcess(t, process, unix.SIGCONT)
 	waiting.checkHealth()
-	waiting.sendCall("safe", "00000000000000a2", "of one that waits")
+	waiting.sendCall("safe", "00000000000000a2", "from a waiting client")
 	r := worker.nextRequest()
-	if r.body != "of one that waits" {
-		t.Fatalf("the worker was sent %q", r.body)
+	if r.body != "from a waiting client" {
+		t.Fatalf("the worker received the request %q, want %q", r.body, "from a waiting client")
 	}
 	r.respond("HIT", "done")
 	waiting.expectStatus("served")
--- a/cmd/functionrouter/harness_test.go
+++ b/cmd/functionrouter/harness_test.go
@@ -36,7 +36,7 @@
 	listen        string
 	directory     *fakeDirectory
 	log           *logCapture
-	reloadResults chan error    // one result per SIGHUP; reloadConfig blocks while a second result waits
+	reloadResults chan error    // one result per SIGHUP; loadConfig blocks while a second result waits
 	exited        chan struct{} // closed when serve has returned
 	clients       []*testClient // all clients that have connected
 	exitError     error         // result of serve; set before exited is closed
@@ -58,7 +58,7 @@
 	ignoreSIGTERM(t)
 	h.log.install(t)
 	go func() {
-		h.exitError = serve(cfg, h.reloadConfig)
+		h.exitError = serve(cfg, h.loadConfig)
 		close(h.exited)
 	}()
 	t.Cleanup(h.stop)
@@ -143,8 +143,8 @@
 		listen, sockets, directory, known, extraSettings)
 }
 
-// reloadConfig reads the configuration on SIGHUP, and passes the error to reload.
-func (h *harness) reloadConfig() (*config, error) {
+// loadConfig reads the configuration on SIGHUP, and passes the error to reload.
+func (h *harness) loadConfig() (*config, error) {
 	cfg, err := readConfig(func(name string) string { return map[string]string{configVariable: h.configPath}[name] })
 	h.reloadResults <- err
 	return cfg, err
--- a/cmd/functionrouter/misbehaving_clients_test.go
+++ b/cmd/functionrouter/misbehaving_clients_test.go
@@ -51,7 +51,7 @@
 func misbehaviorsNamed(t *testing.T, names ...string) (kinds []misbehavior) {
 	t.Helper()
 	for _, name := range names {
-		index := slices.IndexFunc(misbehaviors, func(p misbehavior) bool { return p.name == name })
+		index := slices.IndexFunc(misbehaviors, func(m misbehavior) bool { return m.name == name })
 		if index < 0 {
 			t.Fatalf("there is no misbehavior %q", name)
 		}
--- a/cmd/functionrouter/serve.go
+++ b/cmd/functionrouter/serve.go
@@ -19,10 +19,10 @@
 	countersLogInterval    = 5 * time.Second
 )
 
-// serve runs the function router on the calling goroutine until a signal ends it. On each SIGHUP it calls reloadConfig
+// serve runs the function router on the calling goroutine until a signal ends it. On each SIGHUP it calls loadConfig
 // on another goroutine and applies the result. It returns an error only if the start fails. It sets limits of the Go
 // runtime that stay in effect after it returns.
-func serve(cfg *config, reloadConfig func() (*config, error)) error {
+func serve(cfg *config, loadConfig func() (*config, error)) error {
 	signals := watchSignals() // first, so that a signal during the start is handled once the loop runs
 	defer signals.close()
 	runtime.GOMAXPROCS(maxProcs)
@@ -35,7 +35,7 @@
 		return err
 	}
 	slog.Info("started", "name", cfg.Name, "listen", cfg.Listen)
-	signals.forward(s, reloadConfig)           // posts to the loop, which must have been started
+	signals.forward(s, loadConfig)             // posts to the loop, which must have been started
 	s.taskTimes.lastCountersLog = s.loop.Now() // otherwise the first turn would log counters that are all 0
 	s.loop.Run(s.beginTurn, s.endTurn)
 	s.extensions.close()
--- a/cmd/functionrouter/signals.go
+++ b/cmd/functionrouter/signals.go
@@ -45,18 +45,18 @@
 
 // forward starts the goroutines that forward signals to s. The loop of s must have been started. forward must be called
 // only once.
-func (w *signalWatcher) forward(s *server, reloadConfig func() (*config, error)) {
-	go w.forwardReloads(s, reloadConfig)
+func (w *signalWatcher) forward(s *server, loadConfig func() (*config, error)) {
+	go w.forwardReloads(s, loadConfig)
 	go w.forwardSignals(s)
 }
 
 // forwardReloads reads the configuration on each SIGHUP and posts the result to the event loop. It has its own
 // goroutine, so that the router serves requests while the file is being read.
-func (w *signalWatcher) forwardReloads(s *server, reloadConfig func() (*config, error)) {
+func (w *signalWatcher) forwardReloads(s *server, loadConfig func() (*config, error)) {
 	for {
 		select {
 		case <-w.reloads:
-			updated, err := reloadConfig()
+			updated, err := loadConfig()
 			s.loop.Post(func() { s.reload(updated, err) })
 		case <-w.closed:
 			return
