--- a/cmd/functionrouter/cancel_test.go
+++ b/cmd/functionrouter/cancel_test.go
@@ -6,85 +6,86 @@
 	"golang.org/x/sys/unix"
 )
 
-// cancellations are the ways in which a client cancels its last request.
+// cancellations are the ways in which a client cancels its latest request.
 var cancellations = []struct {
 	name   string
 	cancel func(c *testClient)
 }{
-	{"closes", func(c *testClient) { c.close() }},
-	{"interrupts", func(c *testClient) { c.sendInterrupt(c.lastSequence) }},
+	{"close connection", func(c *testClient) { c.close() }},
+	{"send interrupt", func(c *testClient) { c.sendInterrupt(c.lastSequence) }},
 }
 
-// No attempt is sent for a client that has cancelled, also where the settings do not allow cancels of attempts: an
-// attempt that waits for a dial ends unsent.
+// Checks that the router sends no attempt for a client that has cancelled its request while the attempt waits for a
+// dial. This also holds if the settings do not allow the router to cancel attempts.
 func TestCancelWhileDialing(t *testing.T) {
 	for _, test := range cancellations {
 		t.Run(test.name, func(t *testing.T) {
-			worker := startFullWorker(t)
+			worker := startFullBacklogWorker(t)
 			h := startHarness(t, longDialTimeout, listedWorker{name: "s-1", addr: worker.addr})
-			c := h.connect()
-			other := h.connect()
-			c.sendCall("safe", "00000000000000a1", "cancelled")
-			other.checkHealth()
-			test.cancel(c)
-			other.checkHealth()
-			other.sendCall("safe", "00000000000000a2", "not cancelled")
-			other.checkHealth()
+			cancelling := h.connect()
+			waiting := h.connect()
+			cancelling.sendCall("safe", "00000000000000a1", "cancelled")
+			waiting.checkHealth()
+			test.cancel(cancelling)
+			waiting.checkHealth()
+			waiting.sendCall("safe", "00000000000000a2", "not cancelled")
+			waiting.checkHealth()
 			worker.startAccepting()
 			r := worker.nextRequest()
 			if r.body != "not cancelled" {
-				t.Fatalf("the worker was sent %q", r.body)
+				t.Fatalf("the worker received the request %q, want %q", r.body, "not cancelled")
 			}
 			r.respond("HIT", "done")
-			other.expectStatus("served")
+			waiting.expectStatus("served")
 			worker.expectNoRequest()
 		})
 	}
 }
 
-// A request that its client cancelled while it was in flight is not retried when the attempt fails.
+// Checks that the router does not retry a request after a failed attempt if the client cancelled the request while the
+// attempt was in flight.
 func TestCancelBeforeRetry(t *testing.T) {
 	for _, test := range cancellations {
 		t.Run(test.name, func(t *testing.T) {
-			h, first, second := startWithTwoWorkers(t)
-			c := h.connect()
-			other := h.connect()
-			c.sendCall("safe", "00000000000000a1", "one")
-			r := first.nextRequestOfEither(second)
-			test.cancel(c)
-			other.checkHealth()
+			h, first, second := startHarnessWithTwoWorkers(t)
+			cancelling := h.connect()
+			barrier := h.connect()
+			cancelling.sendCall("safe", "00000000000000a1", "one")
+			r := first.nextRequestToEither(second)
+			test.cancel(cancelling)
+			barrier.checkHealth()
 			r.respond("FAULT", "")
 			r.respond("NONE", "")
-			other.checkHealth() // both have been read
+			barrier.checkHealth() // the router has read both responses
 			first.expectNoRequest()
 			second.expectNoRequest()
 		})
 	}
 }
 
-// The process is paused while a client sends a call and closes its connection: no attempt is sent for it when the
-// process continues.
-func TestCallOfGoneClientAfterAPause(t *testing.T) {
+// Checks that the router sends no attempt for a call whose client closed its connection while the process was paused.
+// The client sends the call and closes during the pause, so that the router reads both when it continues.
+func TestDisconnectedClientAfterPause(t *testing.T) {
 	worker := startFakeWorker(t)
 	h, _ := newHarness(t, newFakeDirectory(t), testSockets, "", listedWorker{name: "s-1", addr: worker.addr})
 	process := h.startProcess(testSockets)
-	gone := h.connect()
-	other := h.connect()
-	gone.checkHealth()
-	other.sendCall("safe", "00000000000000a0", "to open a connection to the worker")
+	disconnected := h.connect()
+	waiting := h.connect()
+	disconnected.checkHealth()
+	waiting.sendCall("safe", "00000000000000a0", "opens a connection to the worker")
 	worker.nextRequest().respond("HIT", "done")
-	other.expectStatus("served")
+	waiting.expectStatus("served")
 	pause(t, process)
-	gone.sendCall("safe", "00000000000000a1", "of a client that has gone")
-	gone.close()
+	disconnected.sendCall("safe", "00000000000000a1", "from a disconnected client")
+	disconnected.close()
 	signalProcess(t, process, unix.SIGCONT)
-	other.checkHealth()
-	other.sendCall("safe", "00000000000000a2", "of one that waits")
+	waiting.checkHealth()
+	waiting.sendCall("safe", "00000000000000a2", "from a waiting client")
 	r := worker.nextRequest()
-	if r.body != "of one that waits" {
-		t.Fatalf("the worker was sent %q", r.body)
+	if r.body != "from a waiting client" {
+		t.Fatalf("the worker received the request %q, want %q", r.body, "from a waiting client")
 	}
 	r.respond("HIT", "done")
-	other.expectStatus("served")
+	waiting.expectStatus("served")
 	worker.expectNoRequest()
 }
--- a/cmd/functionrouter/connections_test.go
+++ b/cmd/functionrouter/connections_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A worker that closes its connection under a request may have run it: an idempotent request goes to another worker, any
-// other fails at once.
+// Checks what happens if a worker closes its connection while it may have run a request: the router retries an
+// idempotent request on another worker, and fails any other request at once.
 func TestWorkerClosesDuringRequest(t *testing.T) {
 	for _, test := range []struct {
 		class   string
@@ -18,14 +18,14 @@
 		{class: "unsafe", want: "failed", retried: false},
 	} {
 		t.Run(test.class, func(t *testing.T) {
-			h, first, second := startWithTwoWorkers(t)
+			h, first, second := startHarnessWithTwoWorkers(t)
 			c := h.connect()
 			c.sendCall(test.class, "00000000000000a1", "one")
-			if err := first.nextRequestOfEither(second).conn.Close(); err != nil {
+			if err := first.nextRequestToEither(second).conn.Close(); err != nil {
 				t.Fatal(err)
 			}
 			if test.retried {
-				first.nextRequestOfEither(second).respond("HIT", "done")
+				first.nextRequestToEither(second).respond("HIT", "done")
 			}
 			c.expectStatus(test.want)
 			first.expectNoRequest()
@@ -34,8 +34,8 @@
 	}
 }
 
-// A second response, in one piece with the first and behind it, reaches nobody: neither the client that has its answer
-// nor the one whose request is next on that connection.
+// Checks that the router drops a second response to a request, which the worker sends together with the first. Neither
+// the client that already has its answer nor the client with the next request on that connection receives it.
 func TestDuplicateResponseIsDropped(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
@@ -47,38 +47,39 @@
 		}
 	}
 	c.sendCall("unsafe", "00000000000000a1", "one")
-	one := worker.nextRequest()
-	if _, err := io.WriteString(one.conn, one.reply("HIT", "first")+one.reply("HIT", "second")); err != nil {
+	firstRequest := worker.nextRequest()
+	if _, err := io.WriteString(firstRequest.conn, firstRequest.reply("HIT", "first")+firstRequest.reply("HIT", "second")); err != nil {
 		t.Fatal(err)
 	}
 	expectServedWith("first")
 	c.sendCall("unsafe", "00000000000000a2", "two")
-	two := worker.nextRequest()
-	one.respond("HIT", "third")
-	two.respond("HIT", "of two")
-	expectServedWith("of two")
-	// The ID of a request that has ended may be used again; a late response to the first must not end the second.
+	secondRequest := worker.nextRequest()
+	firstRequest.respond("HIT", "third")
+	secondRequest.respond("HIT", "second request")
+	expectServedWith("second request")
+	// A client may reuse the ID of a request that has ended. A late response to the first request must not end the
+	// second.
 	c.sendCall("unsafe", "00000000000000a1", "again")
-	again := worker.nextRequest()
-	one.respond("HIT", "fourth")
-	c.checkHealth() // an answer would come before those to the health checks
-	again.respond("HIT", "of the last")
-	expectServedWith("of the last")
+	reusedIDRequest := worker.nextRequest()
+	firstRequest.respond("HIT", "fourth")
+	c.checkHealth() // an answer to the client would arrive before those to the health checks
+	reusedIDRequest.respond("HIT", "reused ID")
+	expectServedWith("reused ID")
 }
 
-// A connection on which half a request has come is not closed to make room for others: an idle client's is, also one
-// that was active later.
+// Checks that the router does not close a connection with a partially received request to make room for new
+// connections. It closes the connection of an idle client instead, even if that client was active more recently.
 func TestPartialRequestIsNotEvicted(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
-	half := h.connect()
-	half.checkHealth()
-	frame := half.callFrame("safe", "00000000000000a1", "in two pieces", 5*time.Second)
-	half.sendBytes(frame[:len(frame)/2])
-	for range testSockets / clientDescriptorDivisor { // as many as may be accepted
+	partial := h.connect()
+	partial.checkHealth()
+	frame := partial.callFrame("safe", "00000000000000a1", "in two pieces", 5*time.Second)
+	partial.sendBytes(frame[:len(frame)/2])
+	for range testSockets / clientDescriptorDivisor { // the limit on accepted connections
 		h.connect().checkHealth()
 	}
-	half.sendBytes(frame[len(frame)/2:])
+	partial.sendBytes(frame[len(frame)/2:])
 	worker.nextRequest().respond("HIT", "done")
-	half.expectStatus("served")
+	partial.expectStatus("served")
 }
--- a/cmd/functionrouter/endpoint_log_test.go
+++ b/cmd/functionrouter/endpoint_log_test.go
@@ -8,8 +8,8 @@
 	"functionrouter/policy"
 )
 
-// A list that repeats what is known logs one line; only what it changes is logged besides.
-func TestEndpointLogTellsChangesOnly(t *testing.T) {
+// Checks that the endpoint log reports only the changes of each list: a list without changes logs one line.
+func TestEndpointLogLogsOnlyChanges(t *testing.T) {
 	captured := newLogCapture()
 	captured.install(t)
 	first := discovery.Endpoint{Name: "s-1", Address: "127.0.0.1:1", State: policy.Ready}
@@ -19,18 +19,18 @@
 	var l endpointLog
 	for _, step := range []struct {
 		list    []discovery.Endpoint
-		updated string // the worker of an "endpoint updated", if there must be one
-		removed string // the worker of an "endpoint removed", if there must be one
-		absent  string // what no line may hold
+		updated string // worker of the expected "endpoint updated" line; empty if none is expected
+		removed string // worker of the expected "endpoint removed" line; empty if none is expected
+		absent  string // text that no line may contain
 	}{
 		{list: []discovery.Endpoint{first, second}, updated: "worker=s-2"},
 		{list: []discovery.Endpoint{first, second}, absent: "worker=s-1"},
 		{list: []discovery.Endpoint{first, draining}, updated: "worker=s-2", absent: "worker=s-1"},
 		{list: []discovery.Endpoint{draining}, removed: "worker=s-1", absent: "worker=s-2"},
 	} {
-		from := captured.end()
+		offset := captured.size()
 		l.record(step.list)
-		text := captured.text.String()[from:]
+		text := captured.text.String()[offset:]
 		if !strings.Contains(text, `msg="endpoint list applied"`) ||
 			step.updated != "" && !strings.Contains(text, `msg="endpoint updated" `+step.updated) ||
 			step.removed != "" && !strings.Contains(text, `msg="endpoint removed" `+step.removed) ||
--- a/cmd/functionrouter/fault_proxy_test.go
+++ b/cmd/functionrouter/fault_proxy_test.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// connectionFault is what a faultProxy does to the answers on one connection.
+// connectionFault is a fault that a faultProxy injects into the answers on one connection.
 type connectionFault int
 
 const (
-	noFault        connectionFault = iota
-	resetSoon                      // the connection is reset after some milliseconds
-	cutAnswer                      // it is closed in the middle of what the worker sends
-	stallAnswers                   // the worker's answers no longer pass, and the connection stays open
-	dribbleAnswers                 // they pass a few bytes at a time
-	delayAnswers                   // they pass late
+	noFault         connectionFault = iota
+	resetConnection                 // reset the connection after some milliseconds
+	truncateAnswer                  // close the connection in the middle of the worker's output
+	stallAnswers                    // stop forwarding answers, but keep the connection open
+	fragmentAnswers                 // forward answers a few bytes at a time
+	delayAnswers                    // forward answers late
 	connectionFaultCount
 )
 
-// The figures of the faults.
+// Parameters of the faults.
 const (
-	maxResetDelayMs = 100                   // of resetSoon, in milliseconds
-	maxPassingBytes = 3000                  // that the worker sends before cutAnswer and stallAnswers begin
-	dribbleBytes    = 7                     // in one write of dribbleAnswers: less than any answer
-	answerDelay     = 20 * time.Millisecond // of delayAnswers
+	maxResetDelayMs     = 100                   // of resetConnection, in milliseconds
+	maxBytesBeforeFault = 3000                  // forwarded before truncateAnswer or stallAnswers begins
+	fragmentBytes       = 7                     // size of one write of fragmentAnswers; less than any answer
+	answerDelay         = 20 * time.Millisecond // delay of delayAnswers
 )
 
-// faultProxy stands between the router and a worker. Each connection that it carries has a fault, drawn from its seed.
+// faultProxy forwards connections between the router and a worker. Each connection has one fault, drawn from the seed.
 type faultProxy struct {
 	listener net.Listener
 	target   string
@@ -41,7 +41,7 @@
 	open   map[net.Conn]struct{}
 }
 
-// startFaultProxy returns a proxy to the worker at target, until the test ends.
+// startFaultProxy starts a proxy to the worker at target. It stops at the end of the test.
 func startFaultProxy(t *testing.T, target string, seed uint64) *faultProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,12 +67,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn := range p.open {
-		_ = conn.Close() // it may have ended
+		_ = conn.Close() // it may be closed already
 	}
 }
 
-// draw returns a number below limit.
-func (p *faultProxy) draw(limit int) int {
+// randomBelow returns a random number below limit.
+func (p *faultProxy) randomBelow(limit int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.random.IntN(limit)
@@ -87,31 +87,31 @@
 		}
 		server, err := net.Dial("tcp", p.target)
 		if err != nil {
-			_ = client.Close() // the worker has gone, and so does the connection
+			_ = client.Close() // the worker can't be reached
 			continue
 		}
 		p.mu.Lock()
 		p.open[client] = struct{}{}
 		p.open[server] = struct{}{}
 		p.mu.Unlock()
-		go p.carryRequests(client, server)
-		go p.carryAnswers(client, server, connectionFault(p.draw(int(connectionFaultCount))))
+		go p.forwardRequests(client, server)
+		go p.forwardAnswers(client, server, connectionFault(p.randomBelow(int(connectionFaultCount))))
 	}
 }
 
-// carryRequests copies what the router sends.
-func (p *faultProxy) carryRequests(client, server net.Conn) {
-	_, _ = io.Copy(server, client) // either end may end it
+// forwardRequests forwards what the router sends.
+func (p *faultProxy) forwardRequests(client, server net.Conn) {
+	_, _ = io.Copy(server, client) // ends when either side closes
 	_ = server.Close()
 }
 
-// carryAnswers copies what the worker sends, with the fault, until either end closes.
-func (p *faultProxy) carryAnswers(client, server net.Conn, fault connectionFault) {
-	defer func() { _ = errors.Join(client.Close(), server.Close()) }() // they may have ended
-	if fault == resetSoon {
-		resetAfter(client, time.Duration(p.draw(maxResetDelayMs))*time.Millisecond)
+// forwardAnswers forwards what the worker sends, with the fault, until either side closes.
+func (p *faultProxy) forwardAnswers(client, server net.Conn, fault connectionFault) {
+	defer func() { _ = errors.Join(client.Close(), server.Close()) }() // they may be closed already
+	if fault == resetConnection {
+		resetAfter(client, time.Duration(p.randomBelow(maxResetDelayMs))*time.Millisecond)
 	}
-	passing := 1 + p.draw(maxPassingBytes) // bytes until the fault begins
+	bytesBeforeFault := 1 + p.randomBelow(maxBytesBeforeFault) // number of bytes before the fault begins
 	buffer := make([]byte, 4096)
 	for {
 		n, err := server.Read(buffer)
@@ -120,41 +120,41 @@
 		}
 		answers := buffer[:n]
 		switch {
-		case fault == cutAnswer && n > passing:
-			_, _ = client.Write(answers[:passing])
+		case fault == truncateAnswer && n > bytesBeforeFault:
+			_, _ = client.Write(answers[:bytesBeforeFault])
 			return
-		case fault == stallAnswers && n > passing:
-			_, _ = io.Copy(io.Discard, server) // until the connection ends
+		case fault == stallAnswers && n > bytesBeforeFault:
+			_, _ = io.Copy(io.Discard, server) // until the connection closes
 			return
 		case fault == delayAnswers:
 			time.Sleep(answerDelay)
-		case fault == dribbleAnswers:
-			if answers, err = dribble(client, answers); err != nil {
+		case fault == fragmentAnswers:
+			if answers, err = writeFragments(client, answers); err != nil {
 				return
 			}
 		}
-		passing -= n
+		bytesBeforeFault -= n
 		if _, err := client.Write(answers); err != nil {
 			return
 		}
 	}
 }
 
-// resetAfter resets the connection after a time, unless it is closed by then.
+// resetAfter resets the connection after delay, unless it is closed before.
 func resetAfter(conn net.Conn, delay time.Duration) {
 	time.AfterFunc(delay, func() {
-		_ = conn.(*net.TCPConn).SetLinger(0) // Close sends a reset
+		_ = conn.(*net.TCPConn).SetLinger(0) // makes Close send a reset
 		_ = conn.Close()
 	})
 }
 
-// dribble writes answers in pieces of dribbleBytes. It returns the last piece, which it does not write.
-func dribble(conn net.Conn, answers []byte) (last []byte, err error) {
-	for len(answers) > dribbleBytes {
-		if _, err := conn.Write(answers[:dribbleBytes]); err != nil {
+// writeFragments writes answers in fragments of fragmentBytes. It does not write the last fragment but returns it.
+func writeFragments(conn net.Conn, answers []byte) (last []byte, err error) {
+	for len(answers) > fragmentBytes {
+		if _, err := conn.Write(answers[:fragmentBytes]); err != nil {
 			return nil, err
 		}
-		answers = answers[dribbleBytes:]
+		answers = answers[fragmentBytes:]
 	}
 	return answers, nil
 }
