--- a/internal/ipfix/config.go
+++ b/internal/ipfix/config.go
@@ -9,18 +9,19 @@
 	"github.com/BurntSushi/toml"
 )
 
-// errUnknownSetting is wrapped with the setting's name.
+// errUnknownSetting is wrapped in an error that names the setting.
 var errUnknownSetting = errors.New("unknown setting")
 
-// Config is what the export file sets (deploy/ipfix.toml).
+// Config holds the settings of the export file (deploy/ipfix.toml).
 type Config struct {
 	Enabled   bool   `toml:"enabled"`
-	Collector string `toml:"collector"`          // IP:PORT, of UDP
-	Domain    uint32 `toml:"observation_domain"` // the Observation Domain ID, RFC 7011 section 3.1; 0: not specific
+	Collector string `toml:"collector"`          // UDP address as IP:PORT
+	Domain    uint32 `toml:"observation_domain"` // Observation Domain ID, RFC 7011 section 3.1; 0: no specific one
 }
 
-// ReadConfig reads and checks the export file at path. The collector's address is checked only if the export is enabled.
-// Errors name the file; that of a file that can't be read wraps the error of package fs.
+// ReadConfig reads and validates the export file at path. It validates the collector's address only if the export is
+// enabled. Errors name the file. If the file can't be read, the error wraps that of package os, so errors.Is matches
+// fs.ErrNotExist.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -33,7 +34,7 @@
 	return c, nil
 }
 
-// parseConfig parses and checks the text of an export file.
+// parseConfig parses and validates the text of an export file.
 func parseConfig(text string) (*Config, error) {
 	c := &Config{}
 	metadata, err := toml.Decode(text, c)
@@ -47,7 +48,7 @@
 		return c, nil
 	}
 	if _, err := netip.ParseAddrPort(c.Collector); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("collector %q: %w", c.Collector, err)
 	}
 	return c, nil
 }
--- a/internal/ipfix/config_test.go
+++ b/internal/ipfix/config_test.go
@@ -14,8 +14,8 @@
 		name        string
 		text        string
 		want        Config
-		wantError   string // a part of it
-		wantWrapped error  // compared if it is not nil
+		wantError   string // substring of the error's text
+		wantWrapped error  // checked with errors.Is if not nil
 	}{
 		{
 			"all settings", "enabled = true\ncollector = \"127.0.0.1:4739\"\nobservation_domain = 9",
@@ -47,7 +47,7 @@
 	}
 	t.Run("no file", func(t *testing.T) {
 		if _, err := ReadConfig(filepath.Join(t.TempDir(), "none.toml")); !errors.Is(err, fs.ErrNotExist) {
-			t.Errorf("got error %v", err)
+			t.Errorf("got error %v, want it to wrap %v", err, fs.ErrNotExist)
 		}
 	})
 }
--- a/internal/ipfix/doc.go
+++ b/internal/ipfix/doc.go
@@ -1,27 +1,28 @@
-// Package ipfix exports one flow record for each request to a collector: IPFIX, RFC 7011, over UDP.
+// Package ipfix exports one flow record for each request to a collector by IPFIX (RFC 7011) over UDP.
 //
-// An Exporter gathers records (Add) and sends them once a second, several in a message (Process). A message is one
-// datagram, small enough not to be fragmented. UDP gives no guarantee: a message that was sent may be lost, and the
-// collector sees the gap in the sequence numbers. While maxPendingRecords are pending, further records are dropped and
-// counted, so that an absent collector costs a bounded amount of memory.
+// An Exporter queues records (Add) and sends them once a second, several per message (Process). A message is one
+// datagram, small enough not to be fragmented. UDP does not guarantee delivery: if a message is lost, the collector
+// sees a gap in the sequence numbers. While maxPendingRecords records are pending, the Exporter drops and counts
+// further ones, so that an unreachable collector costs a bounded amount of memory.
 //
-// # The way of a record
+// # Path of a record
 //
-//   - Exporter.Add encodes a Flow as a data record and appends it to the pending ones (exporter.go, record.go).
-//   - Exporter.Process opens the socket if need be, and once in flushInterval sends the pending records. The first message
-//     on each socket, and then one in templateInterval, has the templates too (exporter.go).
-//   - messageEncoder.encode puts as many records as fit in a message (message.go).
+//   - Exporter.Add encodes a Flow as a data record and appends it to the pending records (exporter.go, record.go).
+//   - Exporter.Process opens the socket if there is none, and sends the pending records once per flushInterval. The
+//     first message on each socket, and then one message per templateInterval, also contains the templates
+//     (exporter.go).
+//   - messageEncoder.encode puts as many records into a message as fit (message.go).
 //
-// # Units, errors, ownership, goroutine
+// # Units, errors, ownership, concurrency
 //
-// Process and the intervals use the event loop's clock. The times of flows and messages are on the wall clock; on the wire
-// they are milliseconds in a record and seconds in a message's header.
+// Process and the intervals use the event loop's clock. The times of flows and messages are on the wall clock. On the
+// wire, times are in milliseconds in a record and in seconds in a message header.
 //
-// ReadConfig is the only exported function that returns an error. The failure of a socket is logged, and another one is
-// opened after redialDelay; the pending records stay.
+// ReadConfig is the only exported function that returns an error. When a socket fails, the Exporter logs the error,
+// keeps the pending records, and opens another socket after redialDelay.
 //
-// The Exporter drops a Transport only after OnClose or a failed OnOpen, so that it need not close one. A message belongs to
-// the Transport once it is written.
+// The Exporter discards a Transport only after OnClose or a failed OnOpen, so it never has to close one. A message
+// belongs to the Transport once it is written.
 //
-// Nothing in the package is safe for concurrent use: everything runs on the event loop's goroutine.
+// Nothing in the package is safe for concurrent use: all of it runs on the event loop's goroutine.
 package ipfix
--- a/internal/ipfix/exporter_test.go
+++ b/internal/ipfix/exporter_test.go
@@ -15,11 +15,11 @@
 	"functionrouter/internal/testsupport"
 )
 
-// An independent decoder reads the records that were added, in the same sequence, with the templates that it needs and
-// sequence numbers that count the records before.
-func TestCollectorReadsWhatWasAdded(t *testing.T) {
+// An independent decoder reads all added records in their order. The messages contain the templates that it needs, and
+// each sequence number is the number of records in earlier messages.
+func TestCollectorDecodesAddedRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x, transport := newTestExporter()
+		exporter, transport := newTestExporter()
 		now := time.Hour
 		collector := &testCollector{templates: netflow.CreateTemplateSystem()}
 		var added []string
@@ -27,22 +27,23 @@
 			"add": func(t *rapid.T) {
 				for range rapid.IntRange(1, 60).Draw(t, "n") {
 					f := drawFlow(t)
-					x.Add(f)
-					added = append(added, describe(
+					exporter.Add(f)
+					added = append(added, formatRecord(
 						f.Client.Addr().AsSlice(), f.Server.Addr().AsSlice(), f.Octets, []byte(f.Class)))
 				}
 			},
 			"send": func(t *rapid.T) {
 				if len(added)-len(collector.records) > maxPendingRecords {
-					t.Skip("dropped some")
+					t.Skip("some records were dropped")
 				}
 				now += flushInterval
-				x.Process(now)
+				exporter.Process(now)
 				for transport.Written.Len() > 0 {
 					collector.read(t, &transport.Written)
 				}
 				if got := collector.records; fmt.Sprint(got) != fmt.Sprint(added) {
-					t.Fatalf("read %d records, added %d; first %v", len(got), len(added), got[:min(1, len(got))])
+					t.Fatalf("the collector read %d records, %d were added; the first record read is %v",
+						len(got), len(added), got[:min(1, len(got))])
 				}
 			},
 		})
@@ -52,29 +53,29 @@
 func drawFlow(t *rapid.T) Flow {
 	octets := rapid.Uint64Range(0, 1<<14).Draw(t, "octets")
 	class := rapid.SampledFrom([]string{"dim-level", "repair-order", ""}).Draw(t, "class")
-	if rapid.Bool().Draw(t, "six") {
+	if rapid.Bool().Draw(t, "ipv6") {
 		return testFlow("[::1]:4000", "[::2]:10080", octets, class)
 	}
 	return testFlow("127.0.0.9:4000", "127.0.0.1:10080", octets, class)
 }
 
-// describe returns the fields of a record that the tests compare.
-func describe(client, server []byte, octets uint64, class []byte) string {
+// formatRecord formats the fields of a record that the tests compare.
+func formatRecord(client, server []byte, octets uint64, class []byte) string {
 	return fmt.Sprintf("%x %x %d %q", client, server, octets, class)
 }
 
-// testCollector decodes messages with an independent decoder.
+// testCollector decodes messages with the decoder of goflow2.
 type testCollector struct {
 	templates netflow.NetFlowTemplateSystem
-	records   []string
+	records   []string // in the form of formatRecord
 }
 
-// read takes one message off written.
+// read removes one message from written and decodes it.
 func (c *testCollector) read(t *rapid.T, written *bytes.Buffer) {
 	t.Helper()
 	size := int(written.Bytes()[2])<<8 | int(written.Bytes()[3])
 	if size > maxMessageBytes {
-		t.Fatalf("a message of %d bytes", size)
+		t.Fatalf("the message has %d bytes, the limit is %d", size, maxMessageBytes)
 	}
 	var p netflow.IPFIXPacket
 	err := netflow.DecodeMessageVersion(bytes.NewBuffer(written.Next(size)), c.templates, nil, &p)
@@ -91,12 +92,13 @@
 			continue
 		}
 		for _, r := range data.Records {
-			c.records = append(c.records, describeRecord(r))
+			c.records = append(c.records, formatDataRecord(r))
 		}
 	}
 }
 
-func describeRecord(r netflow.DataRecord) string {
+// formatDataRecord formats a decoded record like formatRecord.
+func formatDataRecord(r netflow.DataRecord) string {
 	values := map[informationElement][]byte{}
 	for _, f := range r.Values {
 		values[informationElement(f.Type)], _ = f.Value.([]byte)
@@ -107,37 +109,39 @@
 	}
 	client := slices.Concat(values[sourceIPv4Address], values[sourceIPv6Address])
 	server := slices.Concat(values[destinationIPv4Address], values[destinationIPv6Address])
-	return describe(client, server, octets, values[applicationName])
+	return formatRecord(client, server, octets, values[applicationName])
 }
 
-// The records that wait for a collector are bounded, and those that are dropped are counted.
+// The number of pending records is limited, and dropped records are counted.
 func TestPendingRecordsAreBounded(t *testing.T) {
-	x := New(&Config{}, func() time.Time { return noon },
+	exporter := New(&Config{}, func() time.Time { return noon },
 		func(eventloop.DialHandler) Transport { return &testsupport.Transport{} })
 	for range maxPendingRecords + 5 {
-		x.Add(testFlow("127.0.0.9:1", "127.0.0.1:2", 0, ""))
+		exporter.Add(testFlow("127.0.0.9:1", "127.0.0.1:2", 0, ""))
 	}
-	if x.Counters.Dropped != 5 || len(x.pending) != maxPendingRecords {
-		t.Errorf("%d pending, counters %+v", len(x.pending), x.Counters)
+	if exporter.Counters.Dropped != 5 || len(exporter.pending) != maxPendingRecords {
+		t.Errorf("%d records are pending, want %d; counters %+v, want 5 dropped",
+			len(exporter.pending), maxPendingRecords, exporter.Counters)
 	}
 }
 
-// Flows between addresses of two families, or without an address, have no template and are dropped.
+// A flow whose addresses are of different families or invalid fits no template and is dropped.
 func TestFlowsWithoutATemplateAreDropped(t *testing.T) {
-	x, _ := newTestExporter()
-	x.Add(Flow{})
-	x.Add(testFlow("127.0.0.9:1", "[::2]:2", 0, ""))
-	if want := (Counters{Records: 2, Dropped: 2}); x.Counters != want {
-		t.Errorf("counters %+v, want %+v", x.Counters, want)
+	exporter, _ := newTestExporter()
+	exporter.Add(Flow{})
+	exporter.Add(testFlow("127.0.0.9:1", "[::2]:2", 0, ""))
+	if want := (Counters{Records: 2, Dropped: 2}); exporter.Counters != want {
+		t.Errorf("counters %+v, want %+v", exporter.Counters, want)
 	}
 }
 
-// A socket that can't be opened or fails is opened again after a delay, and a new one gets the templates at once.
-func TestSocketIsOpenedAgain(t *testing.T) {
+// If the socket can't be opened or fails, the exporter opens another one after redialDelay. The first message on the
+// new socket contains the templates.
+func TestSocketIsReopened(t *testing.T) {
 	errRefused := errors.New("refused")
 	dials := 0
 	transport := &testsupport.Transport{}
-	x := New(&Config{}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport {
+	exporter := New(&Config{}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport {
 		dials++
 		return transport
 	})
@@ -146,26 +150,27 @@
 		name string
 		fail func(error)
 	}{
-		{"the dial fails", x.OnOpen},
-		{"the socket fails", func(err error) { x.OnOpen(nil); x.OnClose(err) }},
-		{"the socket is closed", func(error) { x.OnOpen(nil); x.OnClose(nil) }},
+		{"the dial fails", exporter.OnOpen},
+		{"the socket fails", func(err error) { exporter.OnOpen(nil); exporter.OnClose(err) }},
+		{"the socket is closed", func(error) { exporter.OnOpen(nil); exporter.OnClose(nil) }},
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			dials = 0
-			x.Process(now)
+			exporter.Process(now)
 			step.fail(errRefused)
-			if next := x.Process(now + redialDelay - 1); dials != 1 || next != now+redialDelay {
-				t.Errorf("%d dials, the next at %v, want it at %v", dials, next, now+redialDelay)
+			if next := exporter.Process(now + redialDelay - 1); dials != 1 || next != now+redialDelay {
+				t.Errorf("%d dials, the next at %v; want 1, the next at %v", dials, next, now+redialDelay)
 			}
 			now += redialDelay
 		})
 	}
-	x.Process(now)
-	x.OnOpen(nil)
-	x.Add(testFlow("127.0.0.9:1", "127.0.0.1:2", 0, ""))
+	exporter.Process(now)
+	exporter.OnOpen(nil)
+	exporter.Add(testFlow("127.0.0.9:1", "127.0.0.1:2", 0, ""))
 	now += flushInterval
-	x.Process(now)
+	exporter.Process(now)
 	if setID := transport.Written.Bytes()[messageHeaderBytes+1]; setID != templateSetID {
-		t.Errorf("the first message of a new socket begins with set %d", setID)
+		t.Errorf("the first message on a new socket begins with set %d, want the templates (set %d)",
+			setID, templateSetID)
 	}
 }
--- a/internal/ipfix/message.go
+++ b/internal/ipfix/message.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// The forms of RFC 7011, sections 3.1 (message) and 3.3.2 (set).
+// Constants of the message format, RFC 7011 sections 3.1 (message header) and 3.3.2 (set header).
 const (
 	protocolVersion    = 10
 	messageHeaderBytes = 16
 	setHeaderBytes     = 4
 	templateSetID      = 2
 
-	noSetID = 0 // no set has this ID
+	noSetID = 0 // RFC 7011 does not use this ID
 )
 
-// maxMessageBytes keeps a message within one Ethernet frame, so that none is fragmented (RFC 7011 section 10.3.3): it leaves
-// 100 of 1500 bytes to the headers of IP and UDP. The headers, the templates and the longest record must fit; they take
-// about 240 bytes.
+// maxMessageBytes keeps a message within one Ethernet frame, so that IP does not fragment it (RFC 7011 section 10.3.3).
+// It leaves 100 of 1500 bytes for the headers of IP and UDP. The headers, the templates and the longest record, about
+// 240 bytes in total, must fit in one message.
 const maxMessageBytes = 1400
 
 // messageEncoder encodes the messages of one observation domain.
 type messageEncoder struct {
 	domain uint32
-	// sequence is the count of data records in all earlier messages, modulo 2^32 (RFC 7011 section 3.1).
+	// sequence is the number of data records in all earlier messages, modulo 2^32 (RFC 7011 section 3.1).
 	sequence uint32
 }
 
-// encode returns a message with as many of records as fit, from the first on, and the count of those. Consecutive records
-// of one template share a set; the space for a set's header is left even so. If withTemplates is set, the templates come
-// first. The message belongs to the caller.
+// encode returns a message with as many of records as fit, starting with the first, and their number. Consecutive
+// records of one template share a set; nevertheless encode requires space for a set header before each record. If
+// withTemplates is set, the templates come first. The message belongs to the caller.
 func (e *messageEncoder) encode(
 	exportTime time.Time, withTemplates bool, records []record,
 ) (message []byte, count int) {
@@ -38,7 +38,7 @@
 		b = appendTemplateSet(b)
 	}
 	setStart := 0
-	var setID uint16 = noSetID // of the set that the last record is in
+	var setID uint16 = noSetID // set of the previous record
 	for _, r := range records {
 		if len(b)+setHeaderBytes+len(r.data) > maxMessageBytes {
 			break
@@ -52,13 +52,13 @@
 		setSetLength(b, setStart)
 		count++
 	}
-	e.putHeader(b, exportTime) // with the count before this message
+	e.putHeader(b, exportTime) // must precede the update of sequence
 	e.sequence += uint32(count)
 	return b, count
 }
 
-// putHeader writes the header at the front of a complete message: version, length, export time in seconds, sequence
-// number and observation domain, RFC 7011 section 3.1.
+// putHeader writes the header into the first bytes of a complete message: version, length, export time in seconds,
+// sequence number and observation domain, RFC 7011 section 3.1.
 func (e *messageEncoder) putHeader(message []byte, exportTime time.Time) {
 	binary.BigEndian.PutUint16(message[0:], protocolVersion)
 	binary.BigEndian.PutUint16(message[2:], uint16(len(message)))
@@ -83,13 +83,14 @@
 	return b
 }
 
-// appendSetHeader begins a set, whose header is the set's ID and its length; setSetLength fills in the length.
+// appendSetHeader appends the header of a set: its ID and its length, which setSetLength fills in later.
 func appendSetHeader(b []byte, id uint16) []byte {
 	b = binary.BigEndian.AppendUint16(b, id)
 	return binary.BigEndian.AppendUint16(b, 0)
 }
 
-// setSetLength writes the length of the set that begins at start and ends with b. The header counts too.
+// setSetLength writes the length of the set that begins at start and ends at the end of b. The length includes the
+// header.
 func setSetLength(b []byte, start int) {
 	binary.BigEndian.PutUint16(b[start+2:], uint16(len(b)-start))
 }
--- a/internal/ipfix/message_test.go
+++ b/internal/ipfix/message_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Messages are compared byte for byte: the templates and the order of the fields are what collectors store.
+// Messages are compared byte for byte, because collectors store records by the templates and the order of their fields.
 func TestMessagesOnTheWire(t *testing.T) {
-	x, transport := newTestExporter()
+	exporter, transport := newTestExporter()
 	now := time.Hour
 	for _, step := range []struct {
 		name  string
@@ -30,19 +30,19 @@
 				"79da18000001a23179de000fa027600600000000000004d2030c7265706169722d6f72646572",
 		},
 		{
-			"records alone",
+			"records without templates",
 			[]Flow{testFlow("127.0.0.9:4000", "127.0.0.1:10080", 1234, "dim-level")},
 			"000a00446b0eb6c00000000300000007010000347f0000097f000001000001a23179da18000001a23179de000fa02760" +
 				"0600000000000004d2030964696d2d6c6576656c",
 		},
-		{"nothing to send", nil, ""},
+		{"no records", nil, ""},
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			for _, f := range step.flows {
-				x.Add(f)
+				exporter.Add(f)
 			}
 			now += flushInterval
-			x.Process(now)
+			exporter.Process(now)
 			if got := hex.EncodeToString(transport.Written.Next(transport.Written.Len())); got != step.want {
 				t.Errorf("wrote %s, want %s", got, step.want)
 			}
--- a/internal/ipfix/record.go
+++ b/internal/ipfix/record.go
@@ -10,7 +10,7 @@
 // Entities".
 type informationElement uint16
 
-// The information elements of a record.
+// Information elements of a record.
 const (
 	octetDeltaCount          informationElement = 1
 	protocolIdentifier       informationElement = 4
@@ -28,30 +28,31 @@
 
 // Values of information elements.
 const (
-	protocolTCP     = 6 // a protocolIdentifier
-	reasonEndOfFlow = 3 // a flowEndReason: the end of the flow was detected
+	protocolTCP     = 6 // of protocolIdentifier
+	reasonEndOfFlow = 3 // of flowEndReason: the end of the flow was detected
 )
 
-// variableLength is the length, in a template, of a field whose records give its length (RFC 7011 section 7).
+// variableLength is the length that a template gives for a field whose length is encoded in each record (RFC 7011
+// section 7).
 const variableLength = 65535
 
-// maxClassNameBytes bounds an exported class name; longer ones are cut. Below 255 bytes, the length takes one byte (RFC
-// 7011 section 7): newRecord writes it so.
+// maxClassNameBytes limits the length of an exported class name; newRecord truncates longer names. It must stay below
+// 255, because newRecord encodes the length in one byte (RFC 7011 section 7).
 const maxClassNameBytes = 64
 
-// fieldSpecifier is a field of a template, RFC 7011 section 3.2.
+// fieldSpecifier describes a field of a template, RFC 7011 section 3.2.
 type fieldSpecifier struct {
 	element informationElement
 	length  uint16 // bytes, or variableLength
 }
 
-// template says which fields the records of a set hold, RFC 7011 section 3.4.1.
+// template lists the fields of the records of a set, RFC 7011 section 3.4.1.
 type template struct {
-	id     uint16           // 256 or above
-	fields []fieldSpecifier // in the order and with the lengths in which newRecord encodes them
+	id     uint16           // at least 256
+	fields []fieldSpecifier // in the order and with the lengths that newRecord uses
 }
 
-// The templates. Records of requests over IPv4 and IPv6 differ in the addresses alone.
+// The templates of IPv4 and IPv6. They differ only in the address fields.
 var (
 	commonFields = []fieldSpecifier{
 		{flowStartMilliseconds, 8},
@@ -73,24 +74,24 @@
 	}
 )
 
-// Flow is one request, on its way from the client to this program.
+// Flow describes one request that a client sent to the router.
 type Flow struct {
-	Client netip.AddrPort // may be invalid; an IPv4 address may be mapped to IPv6; see newRecord
-	Server netip.AddrPort // the address on which the frontend listens; it must be valid
-	Start  time.Time      // when the request was received, on the wall clock
-	End    time.Time      // when it ended, on the wall clock
-	Octets uint64         // bytes of the request's body
-	Class  string         // exported as the application's name
+	Client netip.AddrPort // may be invalid, or an IPv4 address that is mapped to IPv6; see newRecord
+	Server netip.AddrPort // address on which the frontend listens; must be valid
+	Start  time.Time      // when the router received the request, on the wall clock
+	End    time.Time      // when the request ended, on the wall clock
+	Octets uint64         // size of the request's body in bytes
+	Class  string         // name of the class, exported as applicationName
 }
 
-// record is an encoded data record, RFC 7011 section 3.4.3. It is not changed after newRecord.
+// record is an encoded data record, RFC 7011 section 3.4.3. It is immutable.
 type record struct {
 	templateID uint16
 	data       []byte
 }
 
-// newRecord encodes a flow. It returns false if the client's address is not valid, or of another family than the server's:
-// no template has the fields for it. An IPv4 address that is mapped to IPv6 counts as IPv4.
+// newRecord encodes a flow. It returns false if the client's address is invalid or not of the same family as the
+// server's, because no template fits such a flow. An IPv4 address that is mapped to IPv6 counts as IPv4.
 func newRecord(f Flow) (record, bool) {
 	client := f.Client.Addr().Unmap()
 	server := f.Server.Addr().Unmap()
