--- a/internal/logging/log_lines_test.go
+++ b/internal/logging/log_lines_test.go
@@ -14,14 +14,14 @@
 
 // logLine is a line that the code logs.
 type logLine struct {
-	position string // in the code
+	position string // FILE:LINE:COLUMN of the call or literal
 	level    string
 	message  string
-	fields   []string // those whose names are constant in the call
+	fields   []string // names of the fields that are constant in the call
 }
 
-// findLogLines returns the log lines of all programs and packages below root, tests aside, in no order. It fails the test
-// for a message that it can't tell.
+// findLogLines returns the log lines of all programs and packages below root, except those of tests, in no particular
+// order. It fails the test if it can't determine a message.
 func findLogLines(t *testing.T, root string) []logLine {
 	t.Helper()
 	packages := map[string]*loggingPackage{} // by directory
@@ -52,29 +52,29 @@
 	return lines
 }
 
-// loggingPackage finds the log lines of one package: in calls of log/slog, in calls of functions that pass a message on to
-// log/slog, and in texts of whole lines.
+// loggingPackage finds the log lines of one package: in calls of log/slog, in calls of functions that pass a message to
+// log/slog, and in string literals that contain a whole log line.
 type loggingPackage struct {
 	files     *token.FileSet
 	functions []*ast.FuncDecl
 	literals  []*ast.BasicLit
-	// forwarders are the functions that log a message which they get as a parameter, by name. A method and a function of
-	// one name count as the same.
+	// forwarders holds the functions that log a message which they receive as a parameter, by name. A method and a
+	// function of the same name are not distinguished.
 	forwarders map[string]forwarder
 	lines      []logLine
 }
 
 // forwarder is a function that logs a message which its caller chooses.
 type forwarder struct {
-	line      logLine // without its message
-	parameter int     // the message's position in the function's parameters
+	line      logLine // without the message
+	parameter int     // index of the message among the function's parameters
 }
 
 func newLoggingPackage() *loggingPackage {
 	return &loggingPackage{files: token.NewFileSet(), forwarders: map[string]forwarder{}}
 }
 
-// addFile takes in the functions and literals of a file.
+// addFile collects the functions and literals of a file.
 func (p *loggingPackage) addFile(path string) error {
 	file, err := parser.ParseFile(p.files, path, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// findLogLines returns the package's log lines, once all files are added. Forwarders are found before their calls are
-// looked for, since a call may stand before its forwarder.
+// findLogLines returns the package's log lines. It must be called after all files are added. It finds all forwarders
+// before it looks for their calls, because a call may precede the declaration of its forwarder.
 func (p *loggingPackage) findLogLines(t *testing.T) []logLine {
 	t.Helper()
 	p.lines = nil
@@ -107,7 +107,7 @@
 	return p.lines
 }
 
-// inspectCalls passes each call in the function to visit.
+// inspectCalls calls visit for each call expression in the function.
 func (p *loggingPackage) inspectCalls(function *ast.FuncDecl, visit func(*ast.CallExpr)) {
 	ast.Inspect(function, func(node ast.Node) bool {
 		if call, ok := node.(*ast.CallExpr); ok {
@@ -117,10 +117,11 @@
 	})
 }
 
-// slogLevels maps the functions of log/slog that write a line to its level.
+// slogLevels maps each function of log/slog that writes a line to the level of the line.
 var slogLevels = map[string]string{"Debug": "DEBUG", "Info": "INFO", "Warn": "WARN", "Error": "ERROR"}
 
-// addSlogCall adds the line of a call of slog.Info or the like, or its function as a forwarder.
+// addSlogCall adds the line of a call of slog.Debug, Info, Warn or Error. If the message is a parameter of the
+// enclosing function, it adds that function as a forwarder instead.
 func (p *loggingPackage) addSlogCall(t *testing.T, function *ast.FuncDecl, call *ast.CallExpr) {
 	t.Helper()
 	selector, ok := call.Fun.(*ast.SelectorExpr)
@@ -133,13 +134,13 @@
 	}
 	position := p.files.Position(call.Pos()).String()
 	name := selector.Sel.Name
-	level, logs := slogLevels[name]
-	unknownLogger := strings.HasPrefix(name, "Log") && name != "Logger" || strings.HasSuffix(name, "Context")
+	level, writesLine := slogLevels[name]
+	unsupported := strings.HasPrefix(name, "Log") && name != "Logger" || strings.HasSuffix(name, "Context")
 	switch {
-	case unknownLogger:
-		t.Errorf("%s: this test can't tell what slog.%s logs", position, name)
+	case unsupported:
+		t.Errorf("%s: this test does not support slog.%s", position, name)
 		return
-	case !logs:
+	case !writesLine:
 		return
 	}
 	line := logLine{position: position, level: level, fields: constantFields(call.Args[1:])}
@@ -150,13 +151,13 @@
 	}
 	parameter := parameterIndex(function, call.Args[0])
 	if parameter < 0 {
-		t.Errorf("%s: the message is neither constant nor a parameter", position)
+		t.Errorf("%s: the message is neither a string literal nor a parameter of the function", position)
 		return
 	}
 	p.forwarders[function.Name.Name] = forwarder{line: line, parameter: parameter}
 }
 
-// addForwardedCall adds the line of a call of a forwarder.
+// addForwardedCall adds the line of a call if it calls a forwarder.
 func (p *loggingPackage) addForwardedCall(t *testing.T, call *ast.CallExpr) {
 	t.Helper()
 	var name string
@@ -166,38 +167,38 @@
 	case *ast.SelectorExpr:
 		name = f.Sel.Name
 	}
-	called, ok := p.forwarders[name]
-	if !ok || called.parameter >= len(call.Args) {
+	target, ok := p.forwarders[name]
+	if !ok || target.parameter >= len(call.Args) {
 		return
 	}
-	line := called.line
+	line := target.line
 	line.position = p.files.Position(call.Pos()).String()
-	if line.message, ok = stringConstant(call.Args[called.parameter]); !ok {
-		t.Errorf("%s: the message is not constant", line.position)
+	if line.message, ok = stringConstant(call.Args[target.parameter]); !ok {
+		t.Errorf("%s: the message passed to %s is not a string literal", line.position, name)
 		return
 	}
 	p.lines = append(p.lines, line)
 }
 
-// preformatted is a whole line of the log in a literal.
-var preformatted = regexp.MustCompile(`level=(\w+) msg="([^"]+)"`)
+// preformattedLine matches a whole log line in a string literal.
+var preformattedLine = regexp.MustCompile(`level=(\w+) msg="([^"]+)"`)
 
-// addPreformattedLines adds the lines that are written without log/slog.
+// addPreformattedLines adds the log lines in string literals, which are written without log/slog.
 func (p *loggingPackage) addPreformattedLines() {
 	for _, literal := range p.literals {
 		text, ok := stringConstant(literal)
 		if !ok {
 			continue
 		}
-		if found := preformatted.FindStringSubmatch(text); found != nil {
+		if found := preformattedLine.FindStringSubmatch(text); found != nil {
 			position := p.files.Position(literal.Pos()).String()
 			p.lines = append(p.lines, logLine{position: position, level: found[1], message: found[2]})
 		}
 	}
 }
 
-// constantFields returns the names of a call's fields, of names and values in turn, up to the first name that is not
-// constant.
+// constantFields returns the field names among arguments, which alternate between names and values. It stops at the
+// first name that is not a string literal.
 func constantFields(arguments []ast.Expr) (fields []string) {
 	for i := 0; i < len(arguments); i += 2 {
 		field, constant := stringConstant(arguments[i])
@@ -209,7 +210,8 @@
 	return fields
 }
 
-// stringConstant returns the text of a string literal. It returns false for any other expression, a named constant too.
+// stringConstant returns the text of a string literal. It returns false for any other expression, including a named
+// constant.
 func stringConstant(expression ast.Expr) (text string, constant bool) {
 	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
@@ -219,7 +221,7 @@
 	return text, err == nil
 }
 
-// parameterIndex returns the position of the function's parameter that the expression names, -1 if it names none.
+// parameterIndex returns the index of the function's parameter that the expression names, or -1 if it names none.
 func parameterIndex(function *ast.FuncDecl, expression ast.Expr) int {
 	identifier, ok := expression.(*ast.Ident)
 	if !ok {
--- a/internal/logging/reference_test.go
+++ b/internal/logging/reference_test.go
@@ -14,8 +14,8 @@
 	logReferencePage = "docs/LOG.md"
 )
 
-// Guards the page that operators read the log by: it documents each message of the code, with its level and its
-// fields, and no message that the code does not log.
+// The operators' reference of the log documents each message in the code, with its level and its fields, and no message
+// that the code does not log.
 func TestLogReferenceMatchesCode(t *testing.T) {
 	documented := parseLogReference(t, filepath.Join(repositoryRoot, logReferencePage))
 	logged := map[string]bool{}
@@ -23,7 +23,7 @@
 		logged[line.message] = true
 		row, ok := documented[line.message]
 		if !ok {
-			t.Errorf("%s: %s documents no message `%s`", line.position, logReferencePage, line.message)
+			t.Errorf("%s: %s does not document the message `%s`", line.position, logReferencePage, line.message)
 			continue
 		}
 		if row.level != "" && row.level != line.level {
@@ -31,7 +31,8 @@
 		}
 		for _, field := range line.fields {
 			if !strings.Contains(row.text, "`"+field+"`") {
-				t.Errorf("%s: %s lacks the field `%s` of `%s`", line.position, logReferencePage, field, line.message)
+				t.Errorf("%s: %s does not document the field `%s` of `%s`",
+					line.position, logReferencePage, field, line.message)
 			}
 		}
 	}
@@ -42,17 +43,17 @@
 	}
 }
 
-// referenceRow is what the page says of a message.
+// referenceRow is the entry of a message in the log reference.
 type referenceRow struct {
-	level string // "" where the table has no such column
-	text  string // of the whole row
+	level string // empty if the table has no column "level"
+	text  string // text of the whole row
 }
 
-// backquoted is a text in backquotes, as the page gives messages and fields.
+// backquoted matches a text in backquotes. The log reference writes messages and fields in backquotes.
 var backquoted = regexp.MustCompile("`([^`]+)`")
 
-// parseLogReference returns the messages that the page documents: the first backquoted text in the column "msg" of each
-// row of its tables.
+// parseLogReference returns the entries of the log reference by their message. The message is the first backquoted text
+// in the column "msg" of a table row.
 func parseLogReference(t *testing.T, path string) map[string]referenceRow {
 	t.Helper()
 	page, err := os.ReadFile(path)
@@ -60,7 +61,7 @@
 		t.Fatal(err)
 	}
 	rows := map[string]referenceRow{}
-	var header []string // of the present table
+	var header []string // cells of the current table's header row
 	for line := range strings.Lines(string(page)) {
 		line = strings.TrimSpace(line)
 		if !strings.HasPrefix(line, "|") {
@@ -78,7 +79,7 @@
 		}
 		found := backquoted.FindStringSubmatch(cells[column])
 		if found == nil {
-			t.Errorf("%s: no message in the row %s", path, line)
+			t.Errorf("%s: the column \"msg\" has no message in backquotes in the row %s", path, line)
 			continue
 		}
 		rows[found[1]] = newReferenceRow(line, header, cells)
@@ -86,7 +87,7 @@
 	return rows
 }
 
-// newReferenceRow returns what the line, a row with these cells, says below its table's header.
+// newReferenceRow returns the entry of a table row, given as its line and its cells, in a table with this header.
 func newReferenceRow(line string, header, cells []string) referenceRow {
 	row := referenceRow{text: line}
 	if level := slices.Index(header, "level"); level >= 0 {
@@ -95,7 +96,7 @@
 	return row
 }
 
-// tableCells returns the cells of a table's row, without the spaces around them.
+// tableCells returns the cells of a table row without surrounding spaces.
 func tableCells(line string) []string {
 	cells := strings.Split(strings.Trim(line, "|"), "|")
 	for i, cell := range cells {
--- a/internal/logging/throttle_test.go
+++ b/internal/logging/throttle_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestThrottle(t *testing.T) {
-	limit := Throttle{Interval: time.Second}
+	throttle := Throttle{Interval: time.Second}
 	for _, step := range []struct {
 		name   string
 		add    int
@@ -14,17 +14,17 @@
 		events int
 		due    bool
 	}{
-		{"nothing happened", 0, time.Hour, 0, false},
+		{"no events", 0, time.Hour, 0, false},
 		{"the first event", 1, time.Hour, 1, true},
-		{"more within the interval", 5, time.Hour + time.Second, 0, false},
+		{"more events within the interval", 5, time.Hour + time.Second, 0, false},
 		{"after the interval", 2, time.Hour + time.Second + 1, 7, true},
-		{"nothing since", 0, 2 * time.Hour, 0, false},
+		{"no events since the last line", 0, 2 * time.Hour, 0, false},
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			for range step.add {
-				limit.Add()
+				throttle.Add()
 			}
-			if events, due := limit.Ready(step.now); events != step.events || due != step.due {
+			if events, due := throttle.Ready(step.now); events != step.events || due != step.due {
 				t.Errorf("got %d events, due %v; want %d, %v", events, due, step.events, step.due)
 			}
 		})
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// maxBufferedBytes is how many bytes of the log may wait for a slow destination, beside those of the write that is in
-	// progress, which are as many at most. Lines beyond it are dropped.
+	// maxBufferedBytes limits the bytes that wait for a slow destination. A write in progress may hold as many again.
+	// Lines that exceed the limit are dropped.
 	maxBufferedBytes = 256 << 10
 
-	// writePeriod is the least time between two writes, so that lines of the same moment are written together.
+	// writePeriod is the minimum time between two writes, so that lines logged in quick succession are written
+	// together.
 	writePeriod = time.Millisecond
 )
 
-// Writer buffers log lines and writes them to its destination on a goroutine of its own. Write never blocks on the
-// destination: a log that nobody reads must not delay the work that is logged. Lines that do not fit into the buffer are
-// dropped, and their number is written after the next lines that are. It is safe for concurrent use.
+// Writer buffers log lines and writes them to its destination on its own goroutine. Write never blocks on the
+// destination, so that a stalled reader of the log does not delay the code that logs. Lines that do not fit into the
+// buffer are dropped, and their number is logged after the next lines that are written. It is safe for concurrent use.
 type Writer struct {
-	destination io.Writer     // used by the goroutine of run alone
-	wake        chan struct{} // holds one token once a line came that run has not seen
-	stop        chan struct{} // closed by Close
-	done        chan struct{} // closed when the goroutine of run has ended
+	destination io.Writer     // used only by the goroutine of run
+	wake        chan struct{} // buffered; signals run that Write was called
+	stop        chan struct{} // closed by Close to stop run
+	done        chan struct{} // closed when run returns
 
 	mu       sync.Mutex // guards the fields below
-	buffered []byte     // lines that have yet to be written
+	buffered []byte     // lines to write to the destination
 	dropped  int        // lines dropped since the last write to the destination
 }
 
-// NewWriter returns a Writer to destination and starts its goroutine, which alone may use destination until Close
-// has returned. Close must be called once, at the end.
+// NewWriter returns a Writer to destination and starts its goroutine. Only that goroutine may use destination until
+// Close has returned. Close must be called exactly once.
 func NewWriter(destination io.Writer) *Writer {
 	w := &Writer{
 		destination: destination,
@@ -43,8 +44,8 @@
 	return w
 }
 
-// Write buffers or drops one whole line of the log, its line break included, which it copies. It never fails: a dropped
-// line counts as written. Lines that come after Close may be lost.
+// Write copies one whole log line, including its line break, to the buffer, or drops it if the buffer is full. It never
+// fails: a dropped line counts as written. Lines written after Close may be lost.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if len(w.buffered)+len(line) > maxBufferedBytes {
@@ -55,13 +56,13 @@
 	w.mu.Unlock()
 	select {
 	case w.wake <- struct{}{}:
-	default: // the goroutine has a token already
+	default: // run is already signalled
 	}
 	return len(line), nil
 }
 
-// Close writes what is buffered and ends the goroutine. If that takes longer than timeout, since the destination has
-// stalled, it returns while the goroutine is still writing. A second call panics.
+// Close writes the buffered lines and stops the goroutine. If that takes longer than timeout because the destination
+// has stalled, Close returns while the goroutine is still writing. A second call panics.
 func (w *Writer) Close(timeout time.Duration) {
 	close(w.stop)
 	select {
@@ -70,7 +71,7 @@
 	}
 }
 
-// run writes what is buffered whenever it is woken, at most once in writePeriod, until Close.
+// run writes the buffered lines whenever Write signals it, at most once per writePeriod, until Close.
 func (w *Writer) run() {
 	defer close(w.done)
 	for {
@@ -85,8 +86,8 @@
 	}
 }
 
-// writeBuffered writes what is buffered, and the number of lines that were dropped since the last write. An error of the
-// destination is ignored and costs these lines: there is nowhere else to report it.
+// writeBuffered writes the buffered lines and the number of lines that were dropped since the last write. It ignores an
+// error of the destination, because there is no other place to report it; the lines of that write are lost.
 func (w *Writer) writeBuffered() {
 	w.mu.Lock()
 	batch := w.buffered
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -20,7 +20,8 @@
 	return w.text.Write(b)
 }
 
-// A destination that stalls does not block Write. The lines that do not fit into the buffer are counted in the log.
+// A stalled destination does not block Write. The lines that do not fit into the buffer are dropped, and the log reports
+// that.
 func TestWriterDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		destination := &stallingWriter{released: make(chan struct{})}
@@ -30,17 +31,18 @@
 		start := time.Now()
 		for range lines {
 			if n, err := w.Write(line); n != len(line) || err != nil {
-				t.Fatalf("wrote %d, %v", n, err)
+				t.Fatalf("Write returned %d, %v; want %d, nil", n, err, len(line))
 			}
 		}
 		if took := time.Since(start); took > 0 {
-			t.Errorf("the writes blocked for %v", took)
+			t.Errorf("the calls of Write blocked for %v", took)
 		}
 		close(destination.released)
 		w.Close(time.Minute)
 		written := strings.Count(destination.text.String(), string(line))
 		if written < maxBufferedBytes/1024 || written == lines {
-			t.Errorf("%d lines of %d were written", written, lines)
+			t.Errorf("%d of %d lines were written, want at least %d and not all",
+				written, lines, maxBufferedBytes/1024)
 		}
 		if !strings.Contains(destination.text.String(), `msg="log lines dropped"`) {
 			t.Error("the log does not say that lines were dropped")
@@ -48,22 +50,23 @@
 	})
 }
 
-// Close returns after its timeout although the destination has stalled.
+// Close returns after its timeout if the destination has stalled.
 func TestWriterCloseTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		destination := &stallingWriter{released: make(chan struct{})}
 		w := NewWriter(destination)
-		_, _ = w.Write([]byte("line\n")) // it never fails
+		_, _ = w.Write([]byte("line\n")) // Write never fails
 		start := time.Now()
 		w.Close(2 * time.Second)
 		if took := time.Since(start); took != 2*time.Second {
-			t.Errorf("the end took %v", took)
+			t.Errorf("Close took %v, want its timeout of 2s", took)
 		}
 		close(destination.released)
 		<-w.done
 	})
 }
 
+// failingWriter counts calls of Write and fails each of them.
 type failingWriter struct{ writes int }
 
 func (w *failingWriter) Write([]byte) (int, error) {
@@ -71,19 +74,19 @@
 	return 0, errors.New("broken pipe")
 }
 
-// An error of the destination costs the lines of that write and nothing else.
-func TestWriterGoesOnAfterWriteErrors(t *testing.T) {
+// After an error of the destination, only the lines of that write are lost; later lines are still written.
+func TestWriterContinuesAfterWriteErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		destination := &failingWriter{}
 		w := NewWriter(destination)
 		for range 3 {
-			_, _ = w.Write([]byte("line\n")) // it never fails
+			_, _ = w.Write([]byte("line\n")) // Write never fails
 			synctest.Wait()
 			time.Sleep(writePeriod)
 		}
 		w.Close(time.Second)
 		if destination.writes != 3 {
-			t.Errorf("%d writes", destination.writes)
+			t.Errorf("the destination received %d writes, want 3", destination.writes)
 		}
 	})
 }
--- a/internal/testsupport/transport.go
+++ b/internal/testsupport/transport.go
@@ -2,12 +2,12 @@
 
 import "bytes"
 
-// Transport is a fake connection to a peer, for tests of what writes to an eventloop.Conn or eventloop.UDPConn. It
-// keeps what is written to it, also after Closed, and calls no handler. Its zero value is an open connection. It is not
-// safe for concurrent use.
+// Transport is a fake connection to a peer, for tests of code that writes to an eventloop.Conn or eventloop.UDPConn. It
+// records all written data, even after it is closed, and calls no handler. Its zero value is an open connection. It is
+// not safe for concurrent use.
 type Transport struct {
-	Written bytes.Buffer
-	Closed  bool // by Close or CloseAfterFlush
+	Written bytes.Buffer // data passed to Write
+	Closed  bool         // set by Close and CloseAfterFlush
 }
 
 // Write appends bufs to Written.
