--- a/example/toy/answer_test.go
+++ b/example/toy/answer_test.go
@@ -8,13 +8,14 @@
 	"testing"
 )
 
-// replyStart begins a reply to execute: version, the method's name, and the sequence number 1.
-const replyStart = "80010002 00000007 65786563757465 00000001"
+// replyHeaderDigits are the hexadecimal digits of a reply's first bytes: the version, the method's name execute and the
+// sequence number 1.
+const replyHeaderDigits = "80010002 00000007 65786563757465 00000001"
 
-// answers are replies of the router, and what must be printed for them.
-var answers = []struct {
+// answerTests are replies of the router and the text that is printed for each.
+var answerTests = []struct {
 	name   string
-	digits string // of the frame, after replyStart
+	digits string // hexadecimal digits of the frame after replyHeaderDigits
 	want   string
 }{
 	{
@@ -32,10 +33,10 @@
 	{"failed", "0c 0002 0d 0001 0b 0b 00000000 00 00", "status: failed\n"},
 }
 
-// frameOf decodes the hexadecimal digits of a frame.
-func frameOf(t *testing.T, digits string) []byte {
+// decodeFrame decodes the hexadecimal digits of a frame, which replyHeaderDigits precede.
+func decodeFrame(t *testing.T, digits string) []byte {
 	t.Helper()
-	frame, err := hex.DecodeString(strings.Join(strings.Fields(replyStart+digits), ""))
+	frame, err := hex.DecodeString(strings.Join(strings.Fields(replyHeaderDigits+digits), ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,36 +44,36 @@
 }
 
 func TestAnswerIsPrintedAsText(t *testing.T) {
-	for _, test := range answers {
+	for _, test := range answerTests {
 		t.Run(test.name, func(t *testing.T) {
-			answer, err := decodeAnswer(frameOf(t, test.digits))
+			answer, err := decodeAnswer(decodeFrame(t, test.digits))
 			if got := answer.String(); err != nil || got != test.want {
-				t.Errorf("printed %q (%v), want %q", got, err, test.want)
+				t.Errorf("printed %q (error %v), want %q", got, err, test.want)
 			}
 		})
 	}
 }
 
-// A frame that ends too early is malformed, wherever it ends before the last struct does.
+// A frame that is cut off before the end of the answer's struct is malformed.
 func TestTruncatedAnswer(t *testing.T) {
-	for _, test := range answers {
+	for _, test := range answerTests {
 		t.Run(test.name, func(t *testing.T) {
-			whole := frameOf(t, test.digits)
-			for length := range len(whole) - len("\x00\x00") {
-				if _, err := decodeAnswer(whole[:length]); !errors.Is(err, errMalformedAnswer) {
-					t.Fatalf("cut at %d: %v", length, err)
+			frame := decodeFrame(t, test.digits)
+			for length := range len(frame) - len("\x00\x00") {
+				if _, err := decodeAnswer(frame[:length]); !errors.Is(err, errMalformedAnswer) {
+					t.Fatalf("frame cut off after %d bytes: got error %v, want %v", length, err, errMalformedAnswer)
 				}
 			}
 		})
 	}
 }
 
-// The bytes of a call are those that the router's frontend is documented to read; they must not change.
+// The bytes of a call must not change: they are the documented input of the router's Thrift frontend.
 func TestExecuteFrame(t *testing.T) {
 	want := "\x00\x00\x00\x39\x80\x01\x00\x01\x00\x00\x00\x07execute\x00\x00\x00\x01" +
 		"\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01\x00\x00\x00\x05class\x00\x00\x00\x04safe" +
 		"\x0b\x00\x02\x00\x00\x00\x04body\x00"
-	if got := executeFrame([]field{{"class", "safe"}}, "body"); !bytes.Equal(got, []byte(want)) {
+	if got := encodeExecuteFrame([]field{{"class", "safe"}}, "body"); !bytes.Equal(got, []byte(want)) {
 		t.Errorf("the frame is\n%x, want\n%x", got, want)
 	}
 }
--- a/example/toy/call.go
+++ b/example/toy/call.go
@@ -10,23 +10,23 @@
 	"unicode/utf8"
 )
 
-// callInput is the body of the call.
-const callInput = "lamp 17 to 40%"
+// callBody is the body of the call.
+const callBody = "lamp 17 to 40%"
 
-// routerStartTimeout is how long a call waits for a router that does not listen yet.
+// routerStartTimeout is how long sendCall waits for the router to listen.
 const routerStartTimeout = 30 * time.Second
 
 // dialInterval is the pause between two attempts to connect to the router.
 const dialInterval = 200 * time.Millisecond
 
-// call sends one call to the router and prints the answer, for which it waits without a limit.
-func call() error {
+// sendCall sends one call to the router and prints the answer. It waits for the answer without a timeout.
+func sendCall() error {
 	conn, err := dialRouter()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // the answer has come, or another error is returned
-	if _, err := conn.Write(executeFrame(callFields(), callInput)); err != nil {
+	defer func() { _ = conn.Close() }() // the answer has arrived, or another error is returned
+	if _, err := conn.Write(encodeExecuteFrame(callFields(), callBody)); err != nil {
 		return err
 	}
 	frame, err := readFrame(conn)
@@ -35,13 +35,13 @@
 	}
 	answer, err := decodeAnswer(frame)
 	if err != nil {
-		return fmt.Errorf("%w in the answer:\n%s", err, hex.Dump(frame))
+		return fmt.Errorf("%w; received frame:\n%s", err, hex.Dump(frame))
 	}
 	fmt.Print(answer)
 	return nil
 }
 
-// dialRouter connects to the router, for which it waits as long as routerStartTimeout until it listens.
+// dialRouter connects to the router. It retries for up to routerStartTimeout until the router listens.
 func dialRouter() (net.Conn, error) {
 	deadline := time.Now().Add(routerStartTimeout)
 	for {
@@ -53,7 +53,7 @@
 	}
 }
 
-// callFields are the fields of a call, in the order in which they are sent. Its id is a new one each time.
+// callFields returns the fields of a call in the order in which they are sent, with a new random id.
 func callFields() []field {
 	return []field{
 		{"class", "dim-level"},
@@ -64,14 +64,14 @@
 	}
 }
 
-// answer is what the router answered to a call.
+// answer is the router's answer to a call.
 type answer struct {
 	status string // served, refused or failed
 	body   []byte
 	fields []field
 }
 
-// String shows the answer on a line for each of its parts, a body that is no text as a hex dump.
+// String formats each part of the answer on its own line. A body that is not valid UTF-8 is formatted as a hex dump.
 func (a answer) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "status: %s\n", a.status)
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,14 +1,14 @@
-// Command toy stands in for what a function router talks to, so that a newcomer can try one on a
-// single machine: a directory, two workers that answer at once, and a client.
+// Command toy provides the peers of a function router, so that a new user can try the router on a single machine: a
+// directory, two workers that answer immediately, and a client.
 //
-//	toy try       serve as the directory and the workers, send one call, print the answer and end
+//	toy try       serve as the directory and the workers, send one call, print the answer and exit
 //	toy           serve as the directory and the workers
 //	toy call      send one call by Thrift and print the answer
 //	toy hook ID   send one repair-order as a signed webhook with that webhook-id
 //
-// It is run in the repository's root, beside a router with EDGE_CONFIG=example/config.json; either may be started first.
-// "toy hook" also needs FUNCTIONROUTER_WEBHOOK=example/webhook.toml at the router. It is no model of the protocols: it
-// checks little of what it reads, and sends only what the router needs to work.
+// Run it in the root of the repository, next to a router with EDGE_CONFIG=example/config.json; either may be started
+// first. For "toy hook", the router also needs FUNCTIONROUTER_WEBHOOK=example/webhook.toml. The command is not a
+// reference implementation of the protocols: it checks little of what it reads and sends only what the router requires.
 package main
 
 import (
@@ -19,19 +19,20 @@
 	"strings"
 )
 
-// The addresses of example/config.json and example/webhook.toml.
+// Addresses in example/config.json and example/webhook.toml.
 const (
 	directoryAddr = "127.0.0.1:1053"
 	routerAddr    = "127.0.0.1:10080"
 	webhookURL    = "http://127.0.0.1:10090/hooks"
 )
 
-// workerAddrs are the workers of example/config.json.
+// workerAddrs are the addresses of the workers in example/config.json.
 var workerAddrs = []string{"127.0.0.1:10181", "127.0.0.1:10182"}
 
-// functionKey identifies the function that is called: any 16 hexadecimal digits in lower case.
+// functionKey identifies the function that is called. Any 16 lower-case hexadecimal digits are valid.
 const functionKey = "7f3a9c21e0b4d655"
 
+// errUsage is returned for arguments that toy does not know.
 var errUsage = errors.New("usage: toy [try | call | hook ID]")
 
 func main() {
@@ -41,15 +42,16 @@
 	}
 }
 
-// run does what the arguments ask for. It returns errUsage if they ask for nothing that it knows.
+// run executes the command that args name. It returns errUsage if the command is unknown or has the wrong number of
+// arguments.
 func run(args []string) error {
 	switch {
 	case len(args) == 0:
 		return serve()
 	case args[0] == "try":
-		return try()
+		return serveAndCall()
 	case args[0] == "call":
-		return call()
+		return sendCall()
 	case args[0] == "hook" && len(args) == 2:
 		return sendWebhook(args[1])
 	default:
@@ -59,32 +61,34 @@
 
 // serve runs the directory and the workers until one of them fails.
 func serve() error {
-	failed, err := startServers()
+	serverErrors, err := startServers()
 	if err != nil {
 		return err
 	}
-	return <-failed
+	return <-serverErrors
 }
 
-// try runs the directory and the workers during one call. It returns the error of whichever fails first.
-func try() error {
-	failed, err := startServers()
+// serveAndCall runs the directory and the workers and sends one call. It returns when the call ends or a server fails,
+// with the error of whichever comes first.
+func serveAndCall() error {
+	serverErrors, err := startServers()
 	if err != nil {
 		return err
 	}
-	called := make(chan error, 1)
-	go func() { called <- call() }()
+	callResult := make(chan error, 1)
+	go func() { callResult <- sendCall() }()
 	select {
-	case err := <-called:
+	case err := <-callResult:
 		return err
-	case err := <-failed:
+	case err := <-serverErrors:
 		return err
 	}
 }
 
-// startServers starts the directory and the workers. failed receives the error of each that fails; the others end with the
-// process. If one can't listen, an error is returned, and those that were started go on.
-func startServers() (failed <-chan error, err error) {
+// startServers starts the directory and the workers. errs receives the error of each server that fails; the other
+// servers run until the process exits. If a server can't listen, startServers returns an error, and the servers that
+// were already started keep running.
+func startServers() (errs <-chan error, err error) {
 	serverErrors := make(chan error, len(workerAddrs)+1)
 	for _, addr := range workerAddrs {
 		listener, err := net.Listen("tcp", addr)
--- a/example/toy/resp.go
+++ b/example/toy/resp.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// maxRESPLine is the most bytes of a line that gives a count or a length, with its mark and line break: five digits.
-const maxRESPLine = 8
+// maxRESPLineBytes limits a line that gives a count or a length: the type byte, five digits and the line break.
+const maxRESPLineBytes = 8
 
 // writeArray writes words as a RESP array of bulk strings.
 func writeArray(w io.Writer, words ...string) error {
@@ -23,19 +23,19 @@
 }
 
 // readArray reads a RESP array of bulk strings.
-func readArray(in *bufio.Reader) ([]string, error) {
-	count, err := readNumber(in, '*')
+func readArray(r *bufio.Reader) ([]string, error) {
+	count, err := readNumber(r, '*')
 	if err != nil {
 		return nil, err
 	}
 	var words []string
 	for range count {
-		size, err := readNumber(in, '$')
+		size, err := readNumber(r, '$')
 		if err != nil {
 			return nil, err
 		}
 		word := make([]byte, size+len("\r\n"))
-		if _, err := io.ReadFull(in, word); err != nil {
+		if _, err := io.ReadFull(r, word); err != nil {
 			return nil, err
 		}
 		words = append(words, string(word[:size]))
@@ -43,15 +43,16 @@
 	return words, nil
 }
 
-// readNumber reads a line of a mark and a number, as "*3" or "$12". It fails for another mark and for a line that is too
-// long.
-func readNumber(in *bufio.Reader, mark byte) (int, error) {
-	line, err := in.ReadString('\n')
+// readNumber reads a line that consists of a type byte and a number, such as "*3" or "$12". It returns an error if the
+// type byte is not typeByte or if the line is longer than maxRESPLineBytes.
+func readNumber(r *bufio.Reader, typeByte byte) (int, error) {
+	line, err := r.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
-	if line[0] != mark || len(line) > maxRESPLine {
-		return 0, fmt.Errorf("malformed line %q", line)
+	if line[0] != typeByte || len(line) > maxRESPLineBytes {
+		return 0, fmt.Errorf("RESP line %q does not begin with %q or exceeds %d bytes",
+			line, typeByte, maxRESPLineBytes)
 	}
 	return strconv.Atoi(strings.TrimSpace(line[1:]))
 }
--- a/example/toy/thrift.go
+++ b/example/toy/thrift.go
@@ -7,13 +7,13 @@
 	"io"
 )
 
-// The parts of Thrift's strict binary protocol and framed transport that a call needs. The service is described in
-// package internal/frontend/thrift.
+// Constants of Thrift's strict binary protocol and framed transport that a call needs. Package internal/frontend/thrift
+// describes the service.
 const (
-	thriftFrameHeader  = 4 // bytes: the frame's length
-	thriftLengthSize   = 4 // bytes of a length, the widest number that is read
-	thriftVersionCall  = 0x80010001
-	thriftVersionReply = 0x80010002
+	thriftFrameHeaderBytes = 4 // length of the frame
+	thriftLengthBytes      = 4 // size of a length, the widest number that the decoder reads
+	thriftVersionCall      = 0x80010001
+	thriftVersionReply     = 0x80010002
 
 	thriftTypeStop   = 0
 	thriftTypeBool   = 2
@@ -22,23 +22,25 @@
 	thriftTypeMap    = 13
 )
 
-// maxAnswerBytes is the most bytes of an answer that are read. A longer answer is cut off, which makes it malformed.
+// maxAnswerBytes limits the bytes of an answer that are read. A longer answer is truncated and therefore malformed.
 const maxAnswerBytes = 1 << 16
 
-var errMalformedAnswer = errors.New("malformed data")
+// errMalformedAnswer is returned, alone or wrapped, for a frame that decodeAnswer can't decode.
+var errMalformedAnswer = errors.New("malformed answer")
 
-// answerStatuses are the results of execute, by the ID of the field that is set: 0 is Answer, 1 Backoff and 2 Lost.
+// answerStatuses maps the ID of the result's field that is set to a status: 0 is Answer, 1 is Backoff and 2 is Lost.
 var answerStatuses = []string{"served", "refused", "failed"}
 
-// field is an entry of the fields of a call or an answer.
+// field is an entry in the map of fields of a call or an answer.
 type field struct {
 	name  string
 	value string
 }
 
-// executeFrame is a call of execute(1: map<string, string> fields, 2: binary body), with its frame header.
-func executeFrame(fields []field, body string) []byte {
-	b := make([]byte, thriftFrameHeader)
+// encodeExecuteFrame encodes a call of execute(1: map<string, string> fields, 2: binary body), including its frame
+// header.
+func encodeExecuteFrame(fields []field, body string) []byte {
+	b := make([]byte, thriftFrameHeaderBytes)
 	b = binary.BigEndian.AppendUint32(b, thriftVersionCall)
 	b = appendThriftString(b, "execute")
 	b = binary.BigEndian.AppendUint32(b, 1) // the sequence number
@@ -51,19 +53,19 @@
 	b = append(b, thriftTypeString, 0, 2)
 	b = appendThriftString(b, body)
 	b = append(b, thriftTypeStop)
-	binary.BigEndian.PutUint32(b, uint32(len(b)-thriftFrameHeader))
+	binary.BigEndian.PutUint32(b, uint32(len(b)-thriftFrameHeaderBytes))
 	return b
 }
 
-// appendThriftString appends a string behind its length.
+// appendThriftString appends the length of a string and the string.
 func appendThriftString(b []byte, s string) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(len(s)))
 	return append(b, s...)
 }
 
-// readFrame reads one frame without its header.
+// readFrame reads one frame and returns it without its header.
 func readFrame(r io.Reader) ([]byte, error) {
-	var header [thriftFrameHeader]byte
+	var header [thriftFrameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
@@ -74,36 +76,38 @@
 	return frame, nil
 }
 
-// decodeAnswer decodes the reply to an execute: a result that holds one struct, whose field ID gives the status.
+// decodeAnswer decodes the reply to a call of execute. The reply contains a result with one struct, whose field ID
+// determines the status.
 func decodeAnswer(frame []byte) (answer, error) {
 	d := thriftDecoder{rest: frame}
-	if version := d.uint32(); version != thriftVersionReply {
-		return answer{}, fmt.Errorf("%w: %#x begins no reply", errMalformedAnswer, version)
+	if version := d.readUint32(); version != thriftVersionReply {
+		return answer{}, fmt.Errorf("%w: version %#x is not that of a reply", errMalformedAnswer, version)
 	}
-	d.bytes()  // the method's name
-	d.uint32() // the sequence number
-	valueType, id := d.fieldHeader()
+	d.readBytes()  // the method's name
+	d.readUint32() // the sequence number
+	valueType, id := d.readFieldHeader()
 	if valueType != thriftTypeStruct || int(id) >= len(answerStatuses) {
-		return answer{}, fmt.Errorf("%w: a result of type %d in field %d", errMalformedAnswer, valueType, id)
+		return answer{}, fmt.Errorf("%w: the result has type %d and field ID %d, want type %d and an ID below %d",
+			errMalformedAnswer, valueType, id, thriftTypeStruct, len(answerStatuses))
 	}
 	a := answer{status: answerStatuses[id]}
-	d.answerFields(&a)
+	d.readAnswerFields(&a)
 	if d.malformed {
 		return answer{}, errMalformedAnswer
 	}
 	return a, nil
 }
 
-// answerFields reads the fields of an Answer, a Backoff or a Lost, up to its end.
-func (d *thriftDecoder) answerFields(a *answer) {
+// readAnswerFields reads the struct fields of an Answer, a Backoff or a Lost into a, up to the end of the struct.
+func (d *thriftDecoder) readAnswerFields(a *answer) {
 	for !d.malformed {
-		switch valueType, _ := d.fieldHeader(); valueType {
+		switch valueType, _ := d.readFieldHeader(); valueType {
 		case thriftTypeStop:
 			return
 		case thriftTypeString:
-			a.body = d.bytes()
+			a.body = d.readBytes()
 		case thriftTypeMap:
-			a.fields = d.fieldMap()
+			a.fields = d.readFieldMap()
 		case thriftTypeBool:
 			d.take(1)
 		default:
@@ -112,30 +116,34 @@
 	}
 }
 
-// thriftDecoder reads values from the front of rest. Values that are missing set malformed and read as zero.
+// thriftDecoder reads values from the front of rest. If a value is missing, the decoder sets malformed and returns
+// zero.
 type thriftDecoder struct {
 	rest      []byte
 	malformed bool
 }
 
-// take returns the next bytes. If they are missing, it returns zeros: enough for a number, whatever length was asked for.
+// take removes and returns the next length bytes. If fewer remain, it sets malformed and returns zeros. It returns at
+// most thriftLengthBytes zeros, enough for any number, so that a malformed length can't cause a large allocation.
 func (d *thriftDecoder) take(length int) []byte {
 	if length > len(d.rest) {
 		d.malformed = true
-		return make([]byte, min(length, thriftLengthSize))
+		return make([]byte, min(length, thriftLengthBytes))
 	}
 	taken := d.rest[:length]
 	d.rest = d.rest[length:]
 	return taken
 }
 
-func (d *thriftDecoder) uint32() uint32 { return binary.BigEndian.Uint32(d.take(thriftLengthSize)) }
+func (d *thriftDecoder) readUint32() uint32 {
+	return binary.BigEndian.Uint32(d.take(thriftLengthBytes))
+}
 
-// bytes reads a string or binary behind its length.
-func (d *thriftDecoder) bytes() []byte { return d.take(int(d.uint32())) }
+// readBytes reads a length and the string or binary that follows it.
+func (d *thriftDecoder) readBytes() []byte { return d.take(int(d.readUint32())) }
 
-// fieldHeader reads the type of a struct's next field and its ID. The end of the struct has no ID.
-func (d *thriftDecoder) fieldHeader() (valueType byte, id uint16) {
+// readFieldHeader reads the type and the ID of the next field of a struct. The end of the struct has no ID.
+func (d *thriftDecoder) readFieldHeader() (valueType byte, id uint16) {
 	valueType = d.take(1)[0]
 	if valueType == thriftTypeStop {
 		return valueType, 0
@@ -143,12 +151,12 @@
 	return valueType, binary.BigEndian.Uint16(d.take(2))
 }
 
-// fieldMap reads a map from names to values. The last field is incomplete if the map is malformed.
-func (d *thriftDecoder) fieldMap() (fields []field) {
-	d.take(2) // the types of names and values
-	for count := d.uint32(); count > 0 && !d.malformed; count-- {
-		name := string(d.bytes())
-		fields = append(fields, field{name: name, value: string(d.bytes())})
+// readFieldMap reads a map from names to values. If the map is malformed, the last field may be incomplete.
+func (d *thriftDecoder) readFieldMap() (fields []field) {
+	d.take(2) // the types of the names and the values
+	for count := d.readUint32(); count > 0 && !d.malformed; count-- {
+		name := string(d.readBytes())
+		fields = append(fields, field{name: name, value: string(d.readBytes())})
 	}
 	return fields
 }
--- a/example/toy/webhook.go
+++ b/example/toy/webhook.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// webhookKeyFile has the secret that signs webhooks, in base64 behind webhookKeyPrefix.
+// webhookKeyFile contains the secret that signs webhooks, as webhookKeyPrefix followed by base64.
 const (
 	webhookKeyFile   = "example/hook.key"
 	webhookKeyPrefix = "whsec_"
 )
 
-// sendWebhook sends a repair-order as a webhook with the given webhook-id and prints the response: its status, its body and
-// its Retry-After.
+// sendWebhook sends a repair-order as a webhook with the given webhook-id. It prints the status, the body and the
+// Retry-After header of the response.
 func sendWebhook(id string) error {
 	secret, err := readWebhookKey()
 	if err != nil {
 		return err
 	}
-	request, err := webhookRequest(id, secret, time.Now())
+	request, err := newWebhookRequest(id, secret, time.Now())
 	if err != nil {
 		return err
 	}
@@ -34,13 +34,13 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
+	defer func() { _ = response.Body.Close() }() // the body has been read, or another error is returned
 	body, err := io.ReadAll(response.Body)
 	fmt.Printf("%s %q %s\n", response.Status, body, response.Header.Get("Retry-After"))
 	return err
 }
 
-// readWebhookKey reads the secret.
+// readWebhookKey reads and decodes the secret in webhookKeyFile.
 func readWebhookKey() ([]byte, error) {
 	text, err := os.ReadFile(webhookKeyFile)
 	if err != nil {
@@ -48,13 +48,14 @@
 	}
 	secret, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(strings.TrimSpace(string(text)), webhookKeyPrefix))
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", webhookKeyFile, err)
+		return nil, fmt.Errorf("webhook key file %s: %w", webhookKeyFile, err)
 	}
 	return secret, nil
 }
 
-// webhookRequest returns a request signed by the Standard Webhooks specification (https://www.standardwebhooks.com).
-func webhookRequest(id string, secret []byte, now time.Time) (*http.Request, error) {
+// newWebhookRequest returns a request that is signed according to the Standard Webhooks specification
+// (https://www.standardwebhooks.com).
+func newWebhookRequest(id string, secret []byte, now time.Time) (*http.Request, error) {
 	body := webhookBody(now)
 	timestamp := strconv.FormatInt(now.Unix(), 10)
 	mac := hmac.New(sha256.New, secret)
@@ -69,8 +70,8 @@
 	return request, nil
 }
 
-// webhookBody is the event. A redelivery must repeat it byte for byte. So its time is the start of the hour: a webhook that
-// is sent again in the same hour is a redelivery.
+// webhookBody returns the event in JSON. A redelivery must repeat it byte for byte, so its timestamp is the start of
+// the hour: a webhook that is sent again with the same ID within the hour is a redelivery.
 func webhookBody(now time.Time) string {
 	return fmt.Sprintf(`{"type":"call.requested","timestamp":%q,"data":{"class":"repair-order","key":%q,"wait_ms":1500,`+
 		`"memory_mb":512,"lanes":1,"load_ms":640,"body":%q}}`,
--- a/example/toy/worker.go
+++ b/example/toy/worker.go
@@ -15,7 +15,7 @@
 			return err
 		}
 		go func() {
-			defer func() { _ = conn.Close() }() // an error does not matter: the connection is done with
+			defer func() { _ = conn.Close() }() // an error has no effect: the connection is no longer used
 			if err := serveRequests(conn, listener.Addr().String()); err != nil {
 				log.Printf("%s: %v", listener.Addr(), err)
 			}
@@ -23,14 +23,14 @@
 	}
 }
 
-// serveRequests answers the requests on one connection until it ends, or something comes that is no request. It returns
-// an error only if an answer can't be written.
+// serveRequests answers the requests on one connection until the connection ends or sends something other than a
+// request. It returns an error only if it can't write an answer.
 func serveRequests(conn io.ReadWriter, worker string) error {
-	in := bufio.NewReader(conn)
+	r := bufio.NewReader(conn)
 	for {
-		request, err := readArray(in)
+		request, err := readArray(r)
 		if err != nil || len(request) < 2 {
-			return nil // the router closed the connection, or does not speak the protocol
+			return nil // the router closed the connection or sent a malformed request
 		}
 		log.Printf("%s: %.100q", worker, request)
 		if err := answerRequest(conn, worker, request); err != nil {
@@ -39,9 +39,9 @@
 	}
 }
 
-// answerRequest answers a request, which begins with its command and its ID: RUN is an attempt, HOLD a load command,
-// INFO a health check and NOOP a connection's keep-alive check. Other commands get no answer. Every function counts as
-// loaded. The words of an answer are the ID, the outcome, the fields and the body.
+// answerRequest answers a request, which begins with its command and its ID. RUN is an attempt, HOLD is a load command,
+// INFO is a health check and NOOP is a keep-alive check of a connection. Other commands get no answer. The worker
+// reports every function as loaded. An answer consists of the ID, the outcome, the fields and the body.
 func answerRequest(w io.Writer, worker string, request []string) error {
 	command := request[0]
 	id := request[1]
