--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -20,8 +20,8 @@
 	return w.text.Write(b)
 }
 
-// A stalled destination does not block Write. The lines that do not fit into the buffer are dropped, and the log reports
-// that.
+// A stalled destination does not block Write. The lines that do not fit into the buffer are dropped, and the log
+// reports that.
 func TestWriterDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		destination := &stallingWriter{released: make(chan struct{})}
--- a/internal/testsupport/testsupport.go
+++ b/internal/testsupport/testsupport.go
@@ -32,8 +32,8 @@
 	os.Exit(m.Run())
 }
 
-// DiscardLog makes the default logger discard every line until the process ends. A TestMain calls it if the log lines of
-// its tests would fill the test output.
+// DiscardLog makes the default logger discard every line until the process ends. A TestMain calls it if the log lines
+// of its tests would fill the test output.
 func DiscardLog() { slog.SetDefault(slog.New(slog.DiscardHandler)) }
 
 // CaptureLog redirects the default logger to the returned buffer, as text, until the test ends. It then restores the
