--- a/example/toy/webhook.go
+++ b/example/toy/webhook.go
@@ -71,7 +71,7 @@
 }
 
 // webhookBody returns the event in JSON. A redelivery must repeat it byte for byte, so its timestamp is the start of
-// the hour: a webhook that is sent again with the same ID within the hour is a redelivery.
+// the current clock hour: a webhook that is sent again with the same ID in the same clock hour is a redelivery.
 func webhookBody(now time.Time) string {
 	return fmt.Sprintf(`{"type":"call.requested","timestamp":%q,"data":{"class":"repair-order","key":%q,"wait_ms":1500,`+
 		`"memory_mb":512,"lanes":1,"load_ms":640,"body":%q}}`,
--- a/internal/ipfix/config_test.go
+++ b/internal/ipfix/config_test.go
@@ -23,7 +23,7 @@
 			"", nil,
 		},
 		{"empty", "", Config{}, "", nil},
-		{"disabled, without an address", "collector = \"nowhere\"", Config{Collector: "nowhere"}, "", nil},
+		{"disabled, with an invalid address", "collector = \"nowhere\"", Config{Collector: "nowhere"}, "", nil},
 		{"enabled, without an address", "enabled = true", Config{}, "not an ip:port", nil},
 		{"enabled, with a host name", "enabled = true\ncollector = \"localhost:4739\"", Config{}, "localhost", nil},
 		{"unknown setting", "port = 4739", Config{}, "unknown setting port", errUnknownSetting},
