--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -7,8 +7,8 @@
 	"functionrouter/policy"
 )
 
-// answer is one answer of a worker: a RESP array of the elements ID STATUS FIELDS BODY, of which the last two may be
-// missing. The slices point into the read buffer, which is valid only during OnData.
+// answer is one answer of a worker. On the wire it is a RESP array of the elements ID, STATUS, FIELDS and BODY; FIELDS
+// and BODY may be missing. The slices point into the read buffer, which is valid only during OnData.
 type answer struct {
 	wireID []byte // the wire ID of the answered call
 	status []byte // a key of answerOutcomes once outcomeFor has accepted it
@@ -65,7 +65,7 @@
 
 // parseLoadReport returns the values of a load report, name:value;name:value, in the order of names. It ignores other
 // names and values that are not numbers, and returns nil if it finds fewer values than names. It does not detect
-// duplicates: a name that occurs twice counts as two values.
+// duplicates: it counts a name that occurs twice as two values, and so may accept a report in which a name is missing.
 func parseLoadReport(report []byte, names []string) []float64 {
 	if len(report) == 0 {
 		return nil
--- a/internal/backend/codec.go
+++ b/internal/backend/codec.go
@@ -44,10 +44,11 @@
 	return fmt.Errorf("%w: %s", errMalformedAnswer, fmt.Sprintf(format, arguments...))
 }
 
-// decodeArray decodes the RESP array of bulk strings at the beginning of b, appends its elements, which are slices of
-// b, to elements and returns them with the array's size in bytes. If the array is incomplete, it returns nil and 0. It
-// fails with errMalformedAnswer. Each length is checked when its line is complete, before the bulk string arrives, so
-// that a worker can't make the router buffer an unlimited number of bytes.
+// decodeArray decodes the RESP array of bulk strings at the beginning of b. It appends the array's elements, which are
+// slices of b, to elements, and returns the extended slice and the array's size in bytes. If the array is incomplete,
+// it returns nil and 0. If the array is malformed, it fails with errMalformedAnswer. Each length is checked when its
+// line is complete, before the bulk string arrives, so that a worker can't make the router buffer an unlimited number
+// of bytes.
 func decodeArray(b []byte, elements [][]byte) ([][]byte, int, error) {
 	count, offset, err := decodeLengthLine(b, 0, arrayTypeByte, maxElements)
 	if err != nil || offset == 0 {
@@ -75,8 +76,8 @@
 }
 
 // decodeLengthLine decodes the line that begins at index start of b: typeByte, a decimal number from 0 to limit, and
-// CRLF. It returns the number and the index after the line, or 0 for both if the line is incomplete. It fails with
-// errMalformedAnswer.
+// CRLF. It returns the number and the index after the line, or 0 for both if the line is incomplete. If the line is
+// malformed, it fails with errMalformedAnswer.
 func decodeLengthLine(b []byte, start int, typeByte byte, limit int) (number, next int, err error) {
 	line := b[start:]
 	if len(line) > 0 && line[0] != typeByte {
@@ -100,7 +101,7 @@
 }
 
 // parseLength parses a decimal number from 0 to limit. It stops at the first digit that makes the number exceed limit,
-// so that the number can't overflow. It fails with errMalformedAnswer.
+// so that the number can't overflow. It fails with errMalformedAnswer if digits is not such a number.
 func parseLength(digits []byte, limit int) (int, error) {
 	number := 0
 	for _, digit := range digits {
--- a/internal/backend/codec_test.go
+++ b/internal/backend/codec_test.go
@@ -22,7 +22,7 @@
 		want := "*4\r\n$3\r\nRUN\r\n$16\r\n0123456789abcdef\r\n" +
 			"$49\r\nqueue=dim-level,path=00000000000000aa,budget=1000\r\n$5\r\nhello\r\n"
 		if got := transport.Written.String(); got != want {
-			t.Fatalf("wrote %q", got)
+			t.Fatalf("wrote %q, want %q", got, want)
 		}
 		body := rapid.StringN(0, 200, 400).Draw(t, "body")
 		text := fmt.Sprintf("*4\r\n$16\r\n0123456789abcdef\r\n$3\r\nHIT\r\n"+
@@ -33,10 +33,10 @@
 			text = text[n:]
 		}
 		if ended := p.recorder.attempts[a]; !slices.Equal(ended, []policy.Outcome{policy.Served}) {
-			t.Fatalf("ended %v", ended)
+			t.Fatalf("the attempt ended with %v, want [%v]", ended, policy.Served)
 		}
 		if got := p.recorder.bodies[a]; got != body || transport.Closed {
-			t.Fatalf("ended with %q, closed %v", got, transport.Closed)
+			t.Fatalf("got body %q, want %q; connection closed: %v, want false", got, body, transport.Closed)
 		}
 	})
 }
@@ -82,7 +82,8 @@
 		t.Run(name, func(t *testing.T) {
 			elements, size, err := decodeArray([]byte(text), nil)
 			if !errors.Is(err, errMalformedAnswer) || elements != nil || size != 0 {
-				t.Errorf("got %d elements, size %d, error %v", len(elements), size, err)
+				t.Errorf("got %d elements, size %d and error %v, want 0, 0 and %v",
+					len(elements), size, err, errMalformedAnswer)
 			}
 		})
 	}
@@ -92,15 +93,16 @@
 	text := encodeCommand("HOLD", "h1", "")
 	for n := range text {
 		if elements, size, err := decodeArray(text[:n], nil); elements != nil || size != 0 || err != nil {
-			t.Fatalf("%d bytes: %d elements, size %d, error %v", n, len(elements), size, err)
+			t.Fatalf("first %d bytes: got %d elements, size %d and error %v, want an incomplete array",
+				n, len(elements), size, err)
 		}
 	}
 	elements, size, err := decodeArray(append(text, '*'), nil)
 	if err != nil || size != len(text) {
-		t.Fatalf("size %d, want %d, error %v", size, len(text), err)
+		t.Fatalf("got size %d and error %v, want size %d and no error", size, err, len(text))
 	}
 	if got := fmt.Sprintf("%q", elements); got != `["HOLD" "h1" ""]` {
-		t.Errorf("got %s", got)
+		t.Errorf(`got %s, want ["HOLD" "h1" ""]`, got)
 	}
 }
 
@@ -117,7 +119,8 @@
 		}
 	})
 	if ended := p.recorder.attempts[a]; len(ended) != 1 || allocs > 60 {
-		t.Errorf("ended %v after %v allocations for %d bytes", ended, allocs, len(complete))
+		t.Errorf("the attempt ended with %v, want one outcome; %v allocations for %d bytes, want at most 60",
+			ended, allocs, len(complete))
 	}
 }
 
@@ -140,14 +143,14 @@
 		t.Fatal("the connection with an incomplete answer is still open")
 	}
 	if err := logged.lastError("worker connection closed"); !errors.Is(err, errStalledAnswer) {
-		t.Errorf("logged %v", err)
+		t.Errorf("logged error %v, want %v", err, errStalledAnswer)
 	}
 	transport.handler.OnData(rest) // bytes after the close must be ignored
 	if ended := p.recorder.attempts[a]; len(ended) != 0 {
-		t.Errorf("bytes after the close ended the attempt with %v", ended)
+		t.Errorf("bytes after the close ended the attempt with %v, want no outcome", ended)
 	}
 	p.start(firstAttempt(2), hexID(0xb2))
 	if len(p.transports) != 2 {
-		t.Error("an attempt was sent over a connection that the pool had closed")
+		t.Errorf("%d connections, want 2: a new attempt needs a new connection", len(p.transports))
 	}
 }
--- a/internal/backend/commands.go
+++ b/internal/backend/commands.go
@@ -84,8 +84,8 @@
 }
 
 // CancelControl cancels the load command or health check with this ControlID. No result is reported. The worker is not
-// notified and may still execute the command. Its wire ID is not added to recentIDs, because a ControlID is used only
-// once.
+// notified and may still execute the command. The wire ID of the call is not added to recentIDs, because a ControlID is
+// used only once.
 func (p *Pool) CancelControl(workerID policy.WorkerID, controlID router.ControlID) {
 	w := p.workers[workerID]
 	if w == nil {
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -86,8 +86,9 @@
 	}
 }
 
-// failQueued ends the queued calls of a worker that is no longer ready: attempts end as Unreachable and load commands
-// as WorkerOverloaded. Health checks stay queued. If the queue is then empty during the dial, the dial is cancelled.
+// failQueued ends the queued calls of a worker that is not ready: attempts end as Unreachable and load commands as
+// WorkerOverloaded. Health checks stay queued. If c is still being dialed and no call is left in the queue, failQueued
+// cancels the dial.
 func (c *connection) failQueued() {
 	var remaining []*pendingCall
 	for _, call := range c.queued {
--- a/internal/backend/connection_end.go
+++ b/internal/backend/connection_end.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// maxHealthCheckResends is how often a health check is sent again after its connection was lost. The limit lets the
-	// health check fail if every connection to the worker is lost.
+	// maxHealthCheckResends is how many times a health check is sent again after its connection was lost. The limit
+	// lets the health check fail if every connection to the worker is lost.
 	maxHealthCheckResends = 2
 
-	// maxDialRetries is how often a queued call is moved to another connection after its dial was reset. Both limits
-	// are compared with pendingCall.resends, which counts resends for either reason.
+	// maxDialRetries is how many times a queued call is moved to another connection after the dial for which it waited
+	// was reset. Both limits are compared with pendingCall.resends, which counts resends for either reason.
 	maxDialRetries = 2
 )
 
--- a/internal/backend/connection_state.go
+++ b/internal/backend/connection_state.go
@@ -47,7 +47,7 @@
 func (c *connection) acceptsCalls() bool { return c.state == stateConnecting || c.state == stateReady }
 
 // close closes the connection. If it was open, OnClose follows in a later turn of the event loop. The state changes
-// immediately, so that no call is sent over c before OnClose: that call would be lost but count as written.
+// immediately, so that no call is sent over c before OnClose: the call would be marked as written but lost.
 func (c *connection) close() {
 	c.state = stateClosed
 	c.transport.Close()
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -22,7 +22,8 @@
 	p.transports[0].handler.OnOpen(nil)
 	ended := p.recorder.controls[9]
 	if got := p.transports[0].Written.String(); got != "" || len(ended) != 1 || ended[0] != policy.WorkerOverloaded {
-		t.Errorf("wrote %q, ended %v", got, ended)
+		t.Errorf("wrote %q, want nothing; the load command ended with %v, want [%v]",
+			got, ended, policy.WorkerOverloaded)
 	}
 }
 
@@ -35,11 +36,11 @@
 	}
 	reset := dialError(syscall.ECONNRESET)
 	for _, test := range []struct {
-		name  string
-		dials []error // the results of the dials
-		state policy.WorkerState
-		count int  // expected number of dials
-		ends  bool // whether the attempt ends as Unreachable
+		name        string
+		dials       []error // the results of the dials
+		state       policy.WorkerState
+		wantDials   int
+		unreachable bool // whether the attempt ends as Unreachable
 	}{
 		{"reset once", []error{reset, nil}, policy.Ready, 2, false},
 		{"net.ErrClosed", []error{net.ErrClosed, nil}, policy.Ready, 2, false},
@@ -58,14 +59,16 @@
 				}
 			}
 			ended := p.recorder.attempts[a]
-			if len(p.transports) != test.count || (len(ended) == 1) != test.ends {
-				t.Errorf("%d dials, ended %v", len(p.transports), ended)
+			if len(p.transports) != test.wantDials || (len(ended) == 1) != test.unreachable {
+				t.Errorf("%d dials, want %d; the attempt ended with %v, want one outcome: %v",
+					len(p.transports), test.wantDials, ended, test.unreachable)
 			}
-			if test.ends && ended[0] != policy.Unreachable {
-				t.Errorf("ended %v", ended)
+			if test.unreachable && ended[0] != policy.Unreachable {
+				t.Errorf("the attempt ended with %v, want [%v]", ended, policy.Unreachable)
 			}
-			if carriers := p.transportsWithAttempt(hexID(0xa1)); (len(carriers) == 1) == test.ends {
-				t.Errorf("written to %d connections", len(carriers))
+			if indices := p.transportsWithAttempt(hexID(0xa1)); (len(indices) == 1) == test.unreachable {
+				t.Errorf("the attempt was written to the connections %v; want one connection: %v",
+					indices, !test.unreachable)
 			}
 		})
 	}
@@ -90,12 +93,14 @@
 		ended := p.recorder.attempts[a]
 		if test.want == "" {
 			if len(ended) != 1 || ended[0] != policy.NotSent || p.transports[0].Written.Len() > 0 {
-				t.Errorf("after %v: ended %v, wrote %q", test.waited, ended, p.transports[0].Written.String())
+				t.Errorf("after a wait of %v: the attempt ended with %v, want [%v]; wrote %q, want nothing",
+					test.waited, ended, policy.NotSent, p.transports[0].Written.String())
 			}
 			continue
 		}
 		if !p.transports[0].wrote(test.want) || len(ended) > 0 {
-			t.Errorf("after %v: wrote %q, ended %v", test.waited, p.transports[0].Written.String(), ended)
+			t.Errorf("after a wait of %v: wrote %q, want %q in it; the attempt ended with %v, want no outcome",
+				test.waited, p.transports[0].Written.String(), test.want, ended)
 		}
 	}
 }
@@ -114,12 +119,12 @@
 	}
 	want := []policy.Outcome{policy.NotSent}
 	if got := p.recorder.attempts[a]; !slices.Equal(got, want) {
-		t.Errorf("the attempt ended with %v", got)
+		t.Errorf("the attempt ended with %v, want %v", got, want)
 	}
 	if got := p.recorder.controls[9]; !slices.Equal(got, want) {
-		t.Errorf("the load command ended with %v", got)
+		t.Errorf("the load command ended with %v, want %v", got, want)
 	}
 	if got := p.recorder.controls[10]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) {
-		t.Errorf("the health check ended with %v", got)
+		t.Errorf("the health check ended with %v, want [%v]", got, policy.Unreachable)
 	}
 }
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -2,8 +2,8 @@
 //
 // A Pool keeps connections to each worker and multiplexes calls over them: attempts, load commands and health checks.
 // It selects the connection for a call, dials new connections, sends keep-alive checks over connections without recent
-// answers, and closes connections that are no longer needed. The caller decides which worker gets a call and whether to
-// retry an attempt.
+// answers, and closes connections that are idle for too long, outdated or unresponsive. The caller decides which worker
+// gets a call and whether to retry an attempt.
 //
 // # Results
 //
--- a/internal/backend/endings_test.go
+++ b/internal/backend/endings_test.go
@@ -22,21 +22,24 @@
 	transport.handler.OnData(encodeAnswer(id, "NONE", ""))
 	transport.handler.OnData(encodeAnswer("unknown", "HIT", "ahead"))
 	if ended := p.recorder.attempts[second]; len(ended) != 0 || transport.Closed || len(p.transports) != 2 {
-		t.Fatalf("second attempt ended %v on %d connections", ended, len(p.transports))
+		t.Fatalf("second attempt ended with %v, want no outcome; first connection closed: %v, want false; "+
+			"%d connections, want 2", ended, transport.Closed, len(p.transports))
 	}
 	p.transports[1].handler.OnOpen(nil)
 	p.transports[1].handler.OnData(encodeAnswer(id, "HIT", "done"))
 	ended := p.recorder.attempts[second]
 	body := p.recorder.bodies[second]
 	if len(ended) != 1 || body != "done" || len(p.transportsWithAttempt(id)) != 2 {
-		t.Errorf("second attempt ended %v with %q", ended, body)
+		t.Errorf("second attempt ended with %v and body %q, want one outcome and %q; "+
+			"attempts written to the connections %v, want two", ended, body, "done", p.transportsWithAttempt(id))
 	}
 	for now := time.Duration(0); now <= 3*recentIDLifetime; now += SweepInterval {
 		p.Sweep(now)
 	}
 	for _, c := range p.workers[workerID].connections {
 		if c.recentIDs.len()+len(c.pending) != 0 {
-			t.Errorf("a connection still holds %d recent IDs and %d calls", c.recentIDs.len(), len(c.pending))
+			t.Errorf("a connection still holds %d recent IDs and %d calls, want none",
+				c.recentIDs.len(), len(c.pending))
 		}
 	}
 }
@@ -47,8 +50,8 @@
 	const control = 7
 	for _, test := range []struct {
 		name   string
-		resets int
-		last   func(transport *fakeTransport)
+		resets int                            // connections that are reset before the last one
+		last   func(transport *fakeTransport) // applies the events of the last connection
 		want   policy.Outcome
 	}{
 		{"healthy worker", 1, func(transport *fakeTransport) {
@@ -70,13 +73,15 @@
 				p.transports[i].handler.OnOpen(nil)
 				p.transports[i].handler.OnClose(errors.New("reset"))
 				if ended := p.recorder.controls[control]; len(ended) != 0 || len(p.transports) != i+2 {
-					t.Fatalf("ended %v on %d connections", ended, len(p.transports))
+					t.Fatalf("after reset %d: the health check ended with %v, want no outcome; %d connections, want %d",
+						i+1, ended, len(p.transports), i+2)
 				}
 			}
 			test.last(p.transports[test.resets])
 			ended := p.recorder.controls[control]
 			if len(ended) != 1 || ended[0] != test.want || len(p.transports) != test.resets+1 {
-				t.Errorf("ended %v on %d connections", ended, len(p.transports))
+				t.Errorf("the health check ended with %v, want [%v]; %d connections, want %d",
+					ended, test.want, len(p.transports), test.resets+1)
 			}
 		})
 	}
@@ -97,7 +102,7 @@
 		}
 	}
 	if len(p.workers)+len(p.attempts) != 0 {
-		t.Errorf("%d workers and %d attempts are still stored", len(p.workers), len(p.attempts))
+		t.Errorf("%d workers and %d attempts are still stored, want none", len(p.workers), len(p.attempts))
 	}
 }
 
@@ -168,6 +173,7 @@
 	}
 	second.handler.OnOpen(nil)
 	if second.Written.Len() > 0 || len(p.recorder.attempts) > 0 {
-		t.Errorf("wrote %q, ended %v", second.Written.String(), p.recorder.attempts)
+		t.Errorf("wrote %q after the dial, want nothing; attempts ended with %v, want no outcomes",
+			second.Written.String(), p.recorder.attempts)
 	}
 }
--- a/internal/backend/fuzz_test.go
+++ b/internal/backend/fuzz_test.go
@@ -22,7 +22,7 @@
 		}
 		transport.handler.OnClose(nil)
 		if ended := p.recorder.attempts[a]; len(ended) != 1 {
-			t.Errorf("the attempt ended with %v", ended)
+			t.Errorf("the attempt ended with %v, want one outcome", ended)
 		}
 	})
 }
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -118,7 +118,7 @@
 func hexID(n int) string { return fmt.Sprintf("%016x", n) }
 
 // encodeAnswer returns an answer without fields.
-func encodeAnswer(id, word, body string) []byte {
+func encodeAnswer(id, status, body string) []byte {
 	return fmt.Appendf(nil, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$%d\r\n%s\r\n",
-		len(id), id, len(word), word, len(body), body)
+		len(id), id, len(status), status, len(body), body)
 }
--- a/internal/backend/keep_alive.go
+++ b/internal/backend/keep_alive.go
@@ -5,11 +5,13 @@
 	"time"
 )
 
-// With the sweep intervals, these two durations close a connection that the network has cut off about 0.5 s after its
-// oldest attempt in flight was sent, provided that the worker answers on other connections.
+// The pool closes a connection that the network has cut off about 0.5 s after its oldest attempt in flight was sent or
+// its last complete answer arrived, whichever is later. The time is the sum of keepAliveAfter, keepAliveTimeout and two
+// SweepIntervals, because a sweep detects the end of each duration up to one SweepInterval late. The pool closes the
+// connection only if the worker answers on another connection.
 const (
-	// keepAliveAfter is how long a connection with attempts in flight may receive no complete answer. After that the
-	// pool sends a keep-alive check over it and prefers other connections until an answer arrives.
+	// keepAliveAfter is how long a connection with attempts in flight may go without a complete answer. After that the
+	// pool sends a keep-alive check over the connection and prefers other connections until an answer arrives.
 	keepAliveAfter = 150 * time.Millisecond
 
 	// keepAliveTimeout is how long a keep-alive check may be unanswered. After that the connection is closed if the
@@ -21,12 +23,14 @@
 var errUnresponsiveConnection = errors.New("keep-alive check unanswered while the worker answers on another connection")
 
 // keepAlive holds the times that show whether a connection still works. A keep-alive check tests one connection, and
-// its result is used only in this package. A health check tests a worker, and its result is reported to the policy. Any
-// complete answer on the connection counts as an answer to the keep-alive check, but the keep-alive call stays pending
-// until the answer with its own wire ID arrives.
+// its result is used only in this package. A health check tests a worker, and its result is reported to the policy.
+//
+// A keep-alive check is sent as a call of kind keepAliveCall. Any complete answer on the connection answers the check,
+// because it shows that the connection works. The call itself stays in connection.pending until the answer with the
+// call's own wire ID arrives.
 type keepAlive struct {
 	lastAnswerAt           time.Duration // when the last complete answer arrived
-	lastAnsweredCallSentAt time.Duration // the latest time at which a call that has been answered was sent
+	latestAnsweredSendTime time.Duration // latest send time among the answered calls
 	checkSentAt            time.Duration // when the unanswered keep-alive check was sent; 0 if there is none
 }
 
@@ -37,7 +41,7 @@
 // and closes the connection if the check is unanswered for keepAliveTimeout while the worker answers on another
 // connection. A connection that the network has cut off stays open without delivering data, while other connections to
 // the same worker may work; the worker remains usable. A connection without attempts in flight is neither checked nor
-// closed here. Incomplete answers do not count as activity.
+// closed here. An incomplete answer does not postpone the keep-alive check.
 func (c *connection) checkKeepAlive() {
 	now := c.pool.now
 	oldest := c.oldestAttemptSentAt()
@@ -65,7 +69,8 @@
 	return oldest
 }
 
-// sendKeepAlive sends a keep-alive check over c.
+// sendKeepAlive sends a keep-alive check over c. Until an answer arrives, the preference of c for new calls is then
+// unresponsive.
 func (c *connection) sendKeepAlive() {
 	c.keepAlive.checkSentAt = c.pool.now
 	c.pool.keepAlivesSent++
--- a/internal/backend/keep_alive_test.go
+++ b/internal/backend/keep_alive_test.go
@@ -9,10 +9,10 @@
 	"functionrouter/policy"
 )
 
-// Guards against using a connection that the network has cut off: it stays open but delivers no answers, while its
-// worker is healthy. No more calls are sent over it, it is closed, and its pending calls end. If the worker answers on
-// no connection, the connections stay open, because the policy determines by health checks whether the worker is
-// healthy.
+// Guards against using a connection that the network has cut off. Such a connection looks open to the router but
+// delivers no answers, although its worker is healthy. The pool must send no further calls over the connection, close it
+// and end its pending calls. If the worker answers on no connection, the pool must keep the connections open, because
+// the policy determines by health checks whether the worker is healthy.
 func TestUnresponsiveConnectionIsClosedIfWorkerAnswersOnAnother(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -45,8 +45,9 @@
 	}
 	sweepFor(SweepInterval)
 	p.start(firstAttempt(2), hexID(0xb2))
-	if carriers := p.transportsWithAttempt(hexID(0xb2)); len(p.transports) != 2 || len(carriers) != 0 {
-		t.Fatalf("the unresponsive connection was selected; %d connections", len(p.transports))
+	if indices := p.transportsWithAttempt(hexID(0xb2)); len(p.transports) != 2 || len(indices) != 0 {
+		t.Fatalf("the second attempt was written to the connections %v, want none before the second dial ends; "+
+			"%d connections, want 2", indices, len(p.transports))
 	}
 	responsive := p.transports[1]
 	responsive.handler.OnOpen(nil)
@@ -59,18 +60,18 @@
 	}
 	sweepFor(keepAliveTimeout + SweepInterval)
 	if unresponsive.Closed != healthy {
-		t.Errorf("unresponsive connection closed: %v", unresponsive.Closed)
+		t.Errorf("unresponsive connection closed: %v, want %v", unresponsive.Closed, healthy)
 	}
 	if err := logged.lastError("worker connection closed"); errors.Is(err, errUnresponsiveConnection) != healthy {
-		t.Errorf("logged %v", err)
+		t.Errorf("logged error %v; want %q: %v", err, errUnresponsiveConnection, healthy)
 	}
 	unresponsive.handler.OnClose(nil)
 	if ended := p.recorder.attempts[a]; len(ended) != 1 || ended[0] != policy.ConnectionReset {
-		t.Errorf("ended %v", ended)
+		t.Errorf("the attempt on the unresponsive connection ended with %v, want [%v]", ended, policy.ConnectionReset)
 	}
 }
 
-// Guards against avoiding a connection after its keep-alive check was answered.
+// After an answer to the keep-alive check of a connection, the pool must select the connection for new calls again.
 func TestAnsweredKeepAliveMakesConnectionResponsive(t *testing.T) {
 	p := newTestPool()
 	transport := p.startOnOpenConnection(firstAttempt(1), hexID(0xa1))
@@ -78,6 +79,6 @@
 	transport.handler.OnData([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
 	p.start(firstAttempt(2), hexID(0xb2))
 	if len(p.transports) != 1 || transport.Closed {
-		t.Error("the connection was not selected again, or was closed")
+		t.Errorf("%d connections, want 1; first connection closed: %v, want false", len(p.transports), transport.Closed)
 	}
 }
--- a/internal/backend/log_test.go
+++ b/internal/backend/log_test.go
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// Guards against one log line for each lost connection, and against wrong counts of connections and calls in a line.
+// Guards against writing one log line for each lost connection, and against wrong counts of connections and calls in a
+// line.
 func TestLostConnectionsAreLoggedOncePerInterval(t *testing.T) {
 	logged := captureLog(t)
 	log := newLostConnectionLog()
@@ -63,7 +64,7 @@
 	log.record(time.Hour+lostConnectionLogInterval, "127.0.0.1:3", 4, nil)
 	log.record(time.Hour+lostConnectionLogInterval+1, "127.0.0.1:4", 5, reset)
 	if len(logged.lines) != 2 {
-		t.Fatalf("%d lines: %v", len(logged.lines), logged.lines)
+		t.Fatalf("%d lines, want 2: %v", len(logged.lines), logged.lines)
 	}
 	for i, want := range []map[string]any{
 		{"connections": int64(1), "calls": int64(2), "last_address": "127.0.0.1:1", "error": nil},
@@ -76,7 +77,7 @@
 			}
 		}
 		if line.message != "worker connections lost" {
-			t.Errorf("line %d: %q", i, line.message)
+			t.Errorf("line %d: got message %q, want %q", i, line.message, "worker connections lost")
 		}
 	}
 }
--- a/internal/backend/model_test.go
+++ b/internal/backend/model_test.go
@@ -19,7 +19,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &attemptModel{
 			testPool:    newTestPool(),
-			dialed:      map[*fakeTransport]bool{},
+			dialEnded:   map[*fakeTransport]bool{},
 			lateAnswers: map[*fakeTransport]map[string]int{},
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -38,7 +38,7 @@
 	*testPool
 	lastRequest int
 	started     []router.AttemptID                // attempts that were not cancelled
-	dialed      map[*fakeTransport]bool           // transports whose dial has ended
+	dialEnded   map[*fakeTransport]bool           // transports whose dial has ended
 	lateAnswers map[*fakeTransport]map[string]int // number of late answers by wire ID
 }
 
@@ -104,10 +104,10 @@
 
 func (m *attemptModel) endDial(t *rapid.T) {
 	for _, transport := range m.transports {
-		if m.dialed[transport] || transport.Closed {
+		if m.dialEnded[transport] || transport.Closed {
 			continue
 		}
-		m.dialed[transport] = true
+		m.dialEnded[transport] = true
 		if rapid.Bool().Draw(t, "fails") {
 			transport.Closed = true
 			transport.handler.OnOpen(errors.New("refused"))
@@ -120,7 +120,7 @@
 
 func (m *attemptModel) reset(*rapid.T) {
 	for _, transport := range m.transports {
-		if m.dialed[transport] && !transport.Closed {
+		if m.dialEnded[transport] && !transport.Closed {
 			transport.Closed = true
 			transport.handler.OnClose(errors.New("reset"))
 			return
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -19,7 +19,7 @@
 // two methods, it must not: the Pool may be in a loop that ends several calls, and a call that the handler cancels
 // during the loop would still be reported or sent.
 type ResultHandler interface {
-	// AttemptEnded reports how an attempt ended. The Pool no longer holds the attempt when it calls AttemptEnded.
+	// AttemptEnded reports how an attempt ended. The Pool removes the attempt before it calls AttemptEnded.
 	AttemptEnded(attemptID router.AttemptID, result router.AttemptResult)
 	// LoadCommandEnded reports how a load command ended. instances is the number of loaded instances that the worker
 	// reported, or 0 if it reported none. The Pool does not check the number.
@@ -96,7 +96,7 @@
 		w = &worker{id: workerID}
 		p.workers[workerID] = w
 	}
-	w.retireOutdated(addr, startedAt) // before the address changes, with which it compares
+	w.retireOutdated(addr, startedAt) // before w.address changes, because it compares addr with w.address
 	if addr != "" {
 		w.address = addr
 	}
@@ -112,7 +112,7 @@
 }
 
 // RetainEndpoints sets the state of every worker that is not in present to Gone, with the effects that UpdateEndpoint
-// describes. The order of the workers in which it reports results is not defined.
+// describes. The order in which it reports the results of several workers is not defined.
 func (p *Pool) RetainEndpoints(present map[policy.WorkerID]bool) {
 	for id := range p.workers {
 		if !present[id] {
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -113,7 +113,7 @@
 	}
 	c.release(call)
 	c.lastUsedAt = c.pool.now
-	c.keepAlive.lastAnsweredCallSentAt = max(c.keepAlive.lastAnsweredCallSentAt, call.sentAt)
+	c.keepAlive.latestAnsweredSendTime = max(c.keepAlive.latestAnsweredSendTime, call.sentAt)
 	c.pool.endAnswered(call, outcome, a)
 	return nil
 }
--- a/internal/backend/recent_ids.go
+++ b/internal/backend/recent_ids.go
@@ -5,11 +5,11 @@
 const (
 	// recentIDLifetime is the minimum time for which a wire ID is stored. The maximum is twice as long plus one
 	// SweepInterval. recentIDLifetime must exceed the longest deadline of a request (3 s in example/config.json),
-	// because all attempts of the request are sent before it.
+	// because all attempts of the request are sent before its deadline.
 	recentIDLifetime = 8 * time.Second
 
 	// maxRecentIDs is the number of stored wire IDs at which a connection is full. A full connection accepts no new
-	// attempts, and the next sweep retires it. Only attempts that are already pending then add further wire IDs.
+	// attempts, and the next sweep retires it. After that, only attempts that are already pending add wire IDs.
 	maxRecentIDs = 2048
 )
 
--- a/internal/backend/selection.go
+++ b/internal/backend/selection.go
@@ -7,7 +7,7 @@
 
 	// attemptsBeforeDial is the number of pending attempts on a connection at which the pool dials another connection,
 	// although the first could carry more. A lost connection ends all calls that are pending on it. A higher value
-	// opens fewer connections, and the loss of one ends more calls.
+	// opens fewer connections, and the loss of one connection ends more calls.
 	attemptsBeforeDial = 4
 )
 
@@ -88,9 +88,9 @@
 }
 
 // ensureCapacityForDial reports whether one more connection may be opened. At the limit on all connections, it closes
-// the connection that has been idle for longest, so that workers that are added later get connections too. A closed
-// connection counts towards the limit until its OnClose, so each further dial at the limit closes another idle
-// connection. Call ensureCapacityForDial only if a dial follows. Among connections to several workers that have been
+// the connection that has been idle for longest, so that workers that are added later get connections too. The limit
+// includes a closed connection until its OnClose, so each further dial at the limit closes another idle connection.
+// Call ensureCapacityForDial only if a dial follows. Among connections to several workers that have been
 // idle equally long, the random iteration order of the map determines which one is closed.
 func (p *Pool) ensureCapacityForDial() bool {
 	total := 0
--- a/internal/backend/selection_test.go
+++ b/internal/backend/selection_test.go
@@ -17,7 +17,7 @@
 	p.UpdateEndpoint(2, workerAddress, policy.Ready, 0)
 	p.StartAttempt(2, firstAttempt(1), testRequest("0123456789abcdef"), time.Second)
 	if len(p.transports) != 2 {
-		t.Errorf("%d connections", len(p.transports))
+		t.Errorf("%d connections, want 2", len(p.transports))
 	}
 }
 
@@ -33,7 +33,8 @@
 		p.CancelAttempt(workerID, a)
 	}
 	if ended := p.recorder.attempts[pending]; first.Closed || len(ended) != 0 || len(p.transports) != 2 {
-		t.Errorf("closed %v, ended %v, %d connections", first.Closed, ended, len(p.transports))
+		t.Errorf("first connection closed: %v, want false; its pending attempt ended with %v, want no outcome; "+
+			"%d connections, want 2", first.Closed, ended, len(p.transports))
 	}
 	if n := len(p.workers[workerID].connections[0].recentIDs.current); n != maxRecentIDs {
 		t.Errorf("%d recent IDs, want %d", n, maxRecentIDs)
@@ -51,14 +52,15 @@
 		p.StartAttempt(w, firstAttempt(i), testRequest(hexID(i)), time.Second)
 	}
 	if len(p.transports) != 3 || p.recorder.attempts[firstAttempt(4)][0] != policy.Unreachable {
-		t.Fatalf("%d connections, ended %v", len(p.transports), p.recorder.attempts)
+		t.Fatalf("%d connections, want 3; attempts ended with %v, want %v for the last one",
+			len(p.transports), p.recorder.attempts, policy.Unreachable)
 	}
 	first := p.transports[0]
 	first.handler.OnOpen(nil)
 	first.handler.OnData(encodeAnswer(hexID(0), "HIT", ""))
 	p.StartAttempt(5, firstAttempt(9), testRequest(hexID(0xff)), time.Second)
 	if len(p.transports) != 4 || !first.Closed {
-		t.Errorf("%d connections, idle connection closed: %v", len(p.transports), first.Closed)
+		t.Errorf("%d connections, want 4; idle connection closed: %v, want true", len(p.transports), first.Closed)
 	}
 }
 
@@ -79,7 +81,7 @@
 	}
 	p.transports[0].handler.OnClose(nil)
 	if ended := len(p.recorder.attempts); ended != attemptsBeforeDial {
-		t.Errorf("%d of %d calls ended with one connection", ended, calls)
+		t.Errorf("the loss of one connection ended %d of %d calls, want %d", ended, calls, attemptsBeforeDial)
 	}
 	for n := calls; n < 100; n++ { // at the limit on connections, attempts are spread evenly
 		start(n)
@@ -87,13 +89,13 @@
 	connections := p.workers[workerID].connections
 	for _, c := range connections {
 		if c.pendingAttempts < 9 || c.pendingAttempts > 10 {
-			t.Errorf("%d calls on one of %d connections", c.pendingAttempts, len(connections))
+			t.Errorf("one of %d connections carries %d attempts, want 9 or 10", len(connections), c.pendingAttempts)
 		}
 	}
 }
 
 // Guards against blocking a worker that gets thousands of attempts per second: connections that are full of recent IDs
-// must be replaced, and must not count towards the worker's limit on connections after the next sweep.
+// must be replaced, and after the next sweep the limit on the worker's connections must not include them.
 func TestConnectionsFullOfRecentIDsAreReplaced(t *testing.T) {
 	p := newTestPool()
 	for i := range maxConnectionsPerWorker*maxRecentIDs + 1 {
@@ -113,6 +115,7 @@
 	final := firstAttempt(1 << 20)
 	p.start(final, hexID(1<<20))
 	if ended := p.recorder.attempts[final]; len(ended) > 0 {
-		t.Errorf("an attempt after %d others ended with %v", maxConnectionsPerWorker*maxRecentIDs, ended)
+		t.Errorf("an attempt after %d others ended with %v, want no outcome",
+			maxConnectionsPerWorker*maxRecentIDs, ended)
 	}
 }
--- a/internal/backend/sweep.go
+++ b/internal/backend/sweep.go
@@ -15,9 +15,10 @@
 // rest of the timeout is a margin for the time that a call takes to reach the worker, and for the SweepInterval.
 const idleCloseFraction = 0.8
 
-// Sweep does the pool's periodic work at now, a reading of the event loop's clock. It closes connections that have been
-// idle for too long or are no longer needed, checks that the others still work, and removes workers that are gone and
-// have no connections. Call it every SweepInterval.
+// Sweep does the pool's periodic work at now, a reading of the event loop's clock. It closes ready connections that
+// have been idle for too long and draining connections without pending calls, retires connections that are full of
+// recent wire IDs, checks that the other ready connections still work, and removes workers that are gone and have no
+// connections. Call it every SweepInterval.
 func (p *Pool) Sweep(now time.Duration) {
 	p.SetNow(now)
 	for id, w := range p.workers {
@@ -37,7 +38,7 @@
 	switch {
 	case c.state == stateConnecting: // the dial has a timeout of its own
 	case c.state == stateReady && c.recentIDs.full():
-		c.retire() // it can't carry an attempt for seconds, but counts towards maxConnectionsPerWorker
+		c.retire() // it can't carry new attempts for seconds, but maxConnectionsPerWorker includes it
 	case c.state != stateReady: // draining, or closed while OnClose has not been called yet
 		if c.idle() {
 			c.close()
@@ -52,7 +53,8 @@
 }
 
 // idleCloseAfter returns how long a connection may be idle before the pool closes it. It is less than the workers' idle
-// timeout, because a call that is in transit when the worker closes the connection counts as one that may have run.
+// timeout, because an attempt that is in transit when the worker closes the connection is reported as one that may have
+// run.
 func (p *Pool) idleCloseAfter() time.Duration {
 	return time.Duration(idleCloseFraction * float64(p.cfg.IdleTimeout))
 }
--- a/internal/backend/wire_test.go
+++ b/internal/backend/wire_test.go
@@ -43,7 +43,7 @@
 			p.lastTransport().handler.OnOpen(nil)
 			test.send(p)
 			if got := p.lastTransport().Written.String(); got != healthCheckCommand+test.want {
-				t.Errorf("wrote %q", got)
+				t.Errorf("wrote %q, want %q", got, healthCheckCommand+test.want)
 			}
 		})
 	}
@@ -56,7 +56,7 @@
 	loadReport     []float64
 }
 
-// lastResultRecorder is a ResultHandler that keeps the result of the last attempt in place of all outcomes.
+// lastResultRecorder is a ResultHandler that records, of the attempts, only the result of the last one.
 type lastResultRecorder struct {
 	*resultRecorder
 	last *attemptResult
@@ -93,7 +93,7 @@
 			}
 			if got.outcome != test.want.outcome || got.instanceStatus != test.want.instanceStatus ||
 				!slices.Equal(got.loadReport, test.want.loadReport) || (got.loadReport == nil) != (test.want.loadReport == nil) {
-				t.Errorf("got %+v", *got)
+				t.Errorf("got %+v, want %+v", *got, test.want)
 			}
 		})
 	}
@@ -115,10 +115,12 @@
 			p.CheckHealth(workerID, 9)
 			transport.handler.OnData(encodeCommand(elements[0], elements[1:]...))
 			if err := logged.lastError("worker connection closed"); !transport.Closed || !errors.Is(err, errMalformedAnswer) {
-				t.Errorf("closed %v, logged %v", transport.Closed, err)
+				t.Errorf("connection closed: %v, want true; logged error %v, want %v",
+					transport.Closed, err, errMalformedAnswer)
 			}
 			if len(p.recorder.attempts)+len(p.recorder.controls) != 0 {
-				t.Errorf("ended %v, %v", p.recorder.attempts, p.recorder.controls)
+				t.Errorf("attempts ended with %v and health checks with %v, want no outcomes",
+					p.recorder.attempts, p.recorder.controls)
 			}
 		})
 	}
@@ -127,7 +129,8 @@
 		p.start(firstAttempt(1), id)
 		p.lastTransport().handler.OnData(encodeAnswer(id, "HIT", ""))
 		if !p.lastTransport().Closed || len(p.recorder.attempts) != 0 {
-			t.Errorf("closed %v, ended %v", p.lastTransport().Closed, p.recorder.attempts)
+			t.Errorf("connection closed: %v, want true; attempts ended with %v, want no outcomes",
+				p.lastTransport().Closed, p.recorder.attempts)
 		}
 	})
 }
