--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// pollInterval is the time between two queries. The router must route according to a directory event from 1.5 s
-	// after the event, whether or not an answer has reported it. The interval allows several queries in that time, so
-	// that the loss of single datagrams does no harm.
+	// pollInterval is the time between two queries. From 1.5 s after a directory event, the router must route according
+	// to the event, whether or not an answer has reported it by then. The interval allows several queries within 1.5 s,
+	// so that the loss of single datagrams does no harm.
 	pollInterval = 200 * time.Millisecond
-	// redialDelay is the delay before the next dial after a socket has closed or its dial has failed. It is counted
-	// from the last Poll before the failure. A short delay adds little to the time for which the directory is
+	// redialDelay is the delay before the next dial after a socket has closed or its dial has failed. The delay begins
+	// with the last Poll before the failure. A short delay adds little to the time for which the directory is
 	// unreachable.
 	redialDelay = 200 * time.Millisecond
 )
@@ -72,13 +72,13 @@
 // EndpointCount returns the number of workers in the newest list.
 func (c *Client) EndpointCount() int { return len(c.list.endpoints) }
 
-// LastAnswerAt returns when the last usable answer arrived, as the time of the last Poll before it, or 0 if there has
-// been no usable answer. During a call of onUpdate the result does not include the answer with the new list yet.
+// LastAnswerAt returns the time of the last Poll before the last usable answer arrived, or 0 if there has been no
+// usable answer. During a call of onUpdate, the last usable answer is still the one before that with the new list.
 func (c *Client) LastAnswerAt() time.Duration { return c.lastAnswerAt }
 
 // Migrate changes the directory's address, a "host:port". The first Poll at or after now dials the new address. The
-// list and its serial are kept: the new directory continues the numbering of the old one. Later events of the socket to
-// the old directory are ignored. If the address is unchanged, Migrate does nothing.
+// list and its serial are kept, because the new directory continues the numbering of the previous one. Later events of
+// the socket to the previous directory are ignored. If the address is unchanged, Migrate does nothing.
 func (c *Client) Migrate(now time.Duration, address string) {
 	if address == c.address {
 		return
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -17,14 +17,15 @@
 	c.receiveTwoWorkers()
 }
 
-// unusableAnswers are answers that must not change the list of a client whose list has serial 4.
-var unusableAnswers = []struct {
+// answersKeepingList are answers after which the client must keep its list, which has serial 4. The answer with an
+// older list is usable; all other answers are unusable.
+var answersKeepingList = []struct {
 	name    string
 	message func(c *testClient) []byte
 }{
-	{"older than the list", func(c *testClient) []byte { return buildResponse(c.sendQuery(), 3) }},
+	{"older list", func(c *testClient) []byte { return buildResponse(c.sendQuery(), 3) }},
 	{"unexpected id", func(c *testClient) []byte { return buildResponse(c.sendQuery()+1, 9, 0) }},
-	{"query that was already answered", func(c *testClient) []byte {
+	{"second answer to a query", func(c *testClient) []byte {
 		id := c.sendQuery()
 		c.socket.OnData(buildResponse(id, 4, 0, 1))
 		return buildResponse(id, 9, 0)
@@ -34,17 +35,17 @@
 		b[2] |= flagTruncated >> 8
 		return b
 	}},
-	{"server failure", func(c *testClient) []byte {
+	{"response code of a server failure", func(c *testClient) []byte {
 		b := buildResponse(c.sendQuery(), 9, 0)
 		b[3] |= 2
 		return b
 	}},
-	{"not a response", func(c *testClient) []byte {
+	{"query instead of a response", func(c *testClient) []byte {
 		b := buildResponse(c.sendQuery(), 9, 0)
 		b[2] &^= flagResponse >> 8
 		return b
 	}},
-	{"question for another name", func(c *testClient) []byte {
+	{"response to a question for another name", func(c *testClient) []byte {
 		b := buildResponse(c.sendQuery(), 9, 0)
 		b[13] = 'x'
 		return b
@@ -57,8 +58,8 @@
 	}},
 }
 
-func TestUnusableAnswersChangeNothing(t *testing.T) {
-	for _, test := range unusableAnswers {
+func TestAnswersThatKeepTheList(t *testing.T) {
+	for _, test := range answersKeepingList {
 		t.Run(test.name, func(t *testing.T) {
 			c := newTestClient(t)
 			want := c.receiveTwoWorkers()
@@ -73,14 +74,15 @@
 		for length := range completeLength {
 			c.socket.OnData(buildResponse(c.sendQuery(), 9, 0)[:length])
 			if !reflect.DeepEqual(c.reported, want) {
-				t.Fatalf("cut at %d of %d: list became %v", length, completeLength, c.reported)
+				t.Fatalf("answer cut after %d of %d bytes: reported list %v, want %v",
+					length, completeLength, c.reported, want)
 			}
 		}
 	})
-	t.Run("usable answer after all unusable ones", func(t *testing.T) {
+	t.Run("newer list after all these answers", func(t *testing.T) {
 		c := newTestClient(t)
 		want := c.receiveTwoWorkers()
-		for _, test := range unusableAnswers {
+		for _, test := range answersKeepingList {
 			c.socket.OnData(test.message(c))
 			c.wantReported(want)
 		}
@@ -90,8 +92,8 @@
 	})
 }
 
-// An answer that takes longer than the poll interval belongs to a query that is no longer the latest. The client must
-// accept it.
+// If the directory takes longer than the poll interval to answer a query, the client has sent another query when the
+// answer arrives. The client must accept the answer.
 func TestAnswerToEarlierQueryIsAccepted(t *testing.T) {
 	c := newTestClient(t)
 	c.receiveTwoWorkers()
@@ -113,10 +115,10 @@
 		c.sendQuery()
 	}
 	if c.socket.OnData(buildResponse(discardedID, 4)); c.list.serial != 3 {
-		t.Error("the answer to a discarded query was accepted")
+		t.Errorf("after the answer to a discarded query the serial is %d, want 3", c.list.serial)
 	}
 	if c.socket.OnData(buildResponse(oldestPendingID, 4)); c.list.serial != 4 {
-		t.Error("the answer to the oldest pending query was not accepted")
+		t.Errorf("after the answer to the oldest pending query the serial is %d, want 4", c.list.serial)
 	}
 }
 
@@ -125,7 +127,8 @@
 	c.receiveTwoWorkers()
 	c.socket.OnClose(errors.New("refused"))
 	if c.socket != nil || c.nextPoll > c.now+redialDelay {
-		t.Error("a closed socket isn't replaced after redialDelay")
+		t.Errorf("socket dropped after its close: %v, want true; next dial due %v after the last poll, want at most %v",
+			c.socket == nil, c.nextPoll-c.now, redialDelay)
 	}
 	c.Poll(c.nextPoll)
 	c.socket.OnOpen(nil)
@@ -134,15 +137,15 @@
 	}
 }
 
-// After a reload with another directory address, the client polls the new directory at once and keeps the list and its
-// serial. Late events of the socket to the old directory are ignored, in whichever order dials and closes complete.
-func TestMigrate(t *testing.T) {
+// After Migrate to another address, the client must poll the new directory at once and keep the list and its serial. It
+// must ignore the events of the replaced socket that arrive while the new directory is being dialed.
+func TestMigrateKeepsListAndIgnoresReplacedSocket(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		open bool
 	}{
-		{"while the old socket is open", true},
-		{"while the old socket is being dialed", false},
+		{"while the socket is open", true},
+		{"while the socket is being dialed", false},
 	} {
 		t.Run(test.name, func(t *testing.T) { testMigrate(t, test.open) })
 	}
@@ -163,7 +166,9 @@
 	c.Migrate(c.now+time.Millisecond, "new")
 	c.Poll(c.now + time.Millisecond)
 	if !replacedTransport.Closed || c.addresses[len(c.addresses)-1] != "new" || c.socket == replacedSocket {
-		t.Fatalf("dialed %v, old socket closed: %v", c.addresses, replacedTransport.Closed)
+		t.Fatalf("replaced socket closed: %v, want true; dialed %v, want the last address %q; "+
+			"socket replaced: %v, want true",
+			replacedTransport.Closed, c.addresses, "new", c.socket != replacedSocket)
 	}
 
 	currentSocket := c.socket
@@ -171,30 +176,32 @@
 	replacedSocket.OnData(buildResponse(pendingID, 8, 0, 0))
 	replacedSocket.OnClose(errors.New("late"))
 	if c.socket != currentSocket || len(c.reported) != 1 || c.list.serial != 3 {
-		t.Fatalf("events of the old socket had an effect: list %v", c.reported)
+		t.Fatalf("after events of the replaced socket: reported list %v with serial %d, want one worker and serial 3; "+
+			"new socket kept: %v, want true", c.reported, c.list.serial, c.socket == currentSocket)
 	}
 	currentSocket.OnOpen(nil)
 	if c.nextPoll > c.now {
-		t.Error("the new directory isn't polled at once")
+		t.Errorf("next query due %v after the dial of the new directory, want at once", c.nextPoll-c.now)
 	}
 
 	currentSocket.OnData(buildResponse(c.sendQuery(), 2, 0, 0)) // older than the list
 	if c.list.serial != 3 {
-		t.Errorf("an older answer changed the serial from 3 to %d", c.list.serial)
+		t.Errorf("after an answer with an older list the serial is %d, want 3", c.list.serial)
 	}
 	if currentSocket.OnData(buildResponse(c.sendQuery(), 4, 0, 0)); len(c.reported) != 2 {
 		t.Errorf("list %v, want two workers", c.reported)
 	}
 
 	dialCount := len(c.addresses)
-	c.Migrate(c.now, "new") // a reload with the same address has no effect
+	c.Migrate(c.now, "new") // has no effect, because the address is unchanged
 	if c.Poll(c.now); c.socket != currentSocket || len(c.addresses) != dialCount {
-		t.Error("the same address was dialed again")
+		t.Errorf("after Migrate to the same address: %d dials, want %d; socket kept: %v, want true",
+			len(c.addresses), dialCount, c.socket == currentSocket)
 	}
 }
 
 // A directory that is unreachable or sends unusable answers causes several failures a second. Only the first one is
-// logged until the next usable answer or change of the directory's address.
+// logged until the next usable answer or until Migrate changes the directory's address.
 func TestFailuresAreLoggedOnce(t *testing.T) {
 	logged := testsupport.CaptureLog(t)
 	c := newTestClient(t)
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -51,7 +51,7 @@
 	errNotResponse = errors.New("not a response")
 	// errTruncated means that the list did not fit into one datagram.
 	errTruncated = errors.New("response is truncated")
-	// errQuestionMismatch means that a response repeats a question other than that of encodeQuery.
+	// errQuestionMismatch means that a response repeats a question other than that in the queries of encodeQuery.
 	errQuestionMismatch = errors.New("response to another question")
 	// errNoSerial means that a response has no SOA record, which holds the list's serial.
 	errNoSerial = errors.New("response has no SOA record")
@@ -134,7 +134,8 @@
 // readBytes returns the next length bytes as a slice of the message. It fails with errMalformed if fewer are left.
 func (p *parser) readBytes(length int) ([]byte, error) {
 	if len(p.message)-p.offset < length {
-		return nil, errMalformed
+		return nil, fmt.Errorf("%w: want %d bytes at offset %d, got %d",
+			errMalformed, length, p.offset, len(p.message)-p.offset)
 	}
 	b := p.message[p.offset : p.offset+length]
 	p.offset += length
@@ -169,8 +170,8 @@
 	return h, nil
 }
 
-// question reads one question. It fails with errQuestionMismatch if the name or the type differs from that of
-// encodeQuery. The class is not compared.
+// question reads one question. It fails with errQuestionMismatch if the name or the type differs from that in the
+// queries of encodeQuery. The class is not compared.
 func (p *parser) question() error {
 	name, err := p.name()
 	if err != nil {
--- a/internal/discovery/dns_name.go
+++ b/internal/discovery/dns_name.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"strings"
 )
 
@@ -11,7 +12,7 @@
 	// the encoded name, which is two bytes longer, so names that exceed the RFC's limit by one or two bytes are
 	// accepted.
 	maxNameLength = 255
-	// maxPointers bounds the number of pointers that are followed for one name. The RFC has no such limit; this one
+	// maxPointers bounds the number of pointers that are followed for one name. RFC 1035 has no such limit; maxPointers
 	// ends pointer loops.
 	maxPointers = 16
 )
@@ -31,7 +32,7 @@
 	pointersFollowed := 0
 	for {
 		if offset >= len(message) {
-			return "", 0, errMalformed
+			return "", 0, fmt.Errorf("%w: name continues after the end of the message", errMalformed)
 		}
 		length := message[offset]
 		switch {
@@ -47,10 +48,11 @@
 			pointersFollowed++
 			offset, err = followPointer(message, offset)
 			if err != nil || pointersFollowed > maxPointers {
-				return "", 0, errMalformed
+				return "", 0, fmt.Errorf("%w: name has an invalid pointer or more than %d pointers",
+					errMalformed, maxPointers)
 			}
 		case length&labelTypeMask != 0: // a reserved label type
-			return "", 0, errMalformed
+			return "", 0, fmt.Errorf("%w: label type %#x is reserved", errMalformed, length&labelTypeMask)
 		default:
 			labels, offset, err = appendLabel(labels, message, offset)
 			if err != nil {
@@ -67,7 +69,8 @@
 	start := offset + 1
 	end := start + length
 	if end > len(message) || len(name)+length+1 > maxNameLength {
-		return nil, 0, errMalformed
+		return nil, 0, fmt.Errorf("%w: label of %d bytes exceeds the message, or its name exceeds %d bytes",
+			errMalformed, length, maxNameLength)
 	}
 	if len(name) > 0 {
 		name = append(name, '.')
--- a/internal/discovery/dns_records.go
+++ b/internal/discovery/dns_records.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"net/netip"
 )
 
@@ -24,7 +25,7 @@
 type response struct {
 	serial    uint32                // of the SOA record
 	services  []serviceRecord       // one for each worker
-	addresses map[string]netip.Addr // of A records, by owner; the last one of each owner
+	addresses map[string]netip.Addr // of A records, by owner; if an owner has several addresses, the last one
 	texts     map[string][]string   // of TXT records, by owner
 }
 
@@ -40,7 +41,7 @@
 // errNoSerial if none of them is an SOA record.
 func (p *parser) records(count int) (response, error) {
 	if count > maxRecords {
-		return response{}, errMalformed
+		return response{}, fmt.Errorf("%w: %d records, limit %d", errMalformed, count, maxRecords)
 	}
 	r := response{addresses: map[string]netip.Addr{}, texts: map[string][]string{}}
 	hasSerial := false
@@ -149,7 +150,7 @@
 	for data := rec.data(); len(data) > 0; {
 		end := 1 + int(data[0])
 		if len(data) < end {
-			return nil, errMalformed
+			return nil, fmt.Errorf("%w: TXT string of %d bytes exceeds its record", errMalformed, data[0])
 		}
 		texts = append(texts, string(data[1:end]))
 		data = data[end:]
@@ -157,7 +158,7 @@
 	return texts, nil
 }
 
-// parseSOA returns the serial of an SOA record. It follows two names: a name server and a mailbox.
+// parseSOA returns the serial of an SOA record. The serial follows two names, those of a name server and a mailbox.
 func parseSOA(rec record) (serial uint32, err error) {
 	offset := rec.dataStart
 	for range 2 {
@@ -166,7 +167,7 @@
 		}
 	}
 	if rec.dataEnd < offset+soaFixedLength {
-		return 0, errMalformed
+		return 0, fmt.Errorf("%w: SOA record of %d bytes is too short", errMalformed, rec.dataEnd-rec.dataStart)
 	}
 	return binary.BigEndian.Uint32(rec.message[offset:]), nil
 }
--- a/internal/discovery/dns_test.go
+++ b/internal/discovery/dns_test.go
@@ -34,12 +34,12 @@
 		{"name that points to itself", pointerLoop, errMalformed},
 		{"query instead of a response", withByte(2, 0), errNotResponse},
 		{"truncated", withByte(2, 0x82), errTruncated},
-		{"question for another name", withByte(13, 'x'), errQuestionMismatch},
+		{"response to a question for another name", withByte(13, 'x'), errQuestionMismatch},
 		{"no SOA record", withoutSOA, errNoSerial},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, _, err := parseResponse(test.message); !errors.Is(err, test.want) {
-				t.Errorf("got %v, want %v", err, test.want)
+				t.Errorf("got error %v, want %v", err, test.want)
 			}
 		})
 	}
@@ -47,7 +47,7 @@
 		gotID, _, err := parseResponse(withByte(3, 3))
 		var code responseCodeError
 		if !errors.As(err, &code) || code != 3 || gotID != id {
-			t.Errorf("got id %d, %v; want id %d, response code 3", gotID, err, id)
+			t.Errorf("got id %d and error %v, want id %d and response code 3", gotID, err, id)
 		}
 	})
 }
@@ -55,12 +55,12 @@
 func TestParseNameRejectsLongNames(t *testing.T) {
 	label := "\x3f" + strings.Repeat("x", 63)
 	if _, _, err := parseName([]byte(strings.Repeat(label, 5)+"\x00"), 0); !errors.Is(err, errMalformed) {
-		t.Errorf("a name over %d bytes: got error %v", maxNameLength, err)
+		t.Errorf("a name of more than %d bytes: got error %v, want %v", maxNameLength, err, errMalformed)
 	}
 }
 
-// Changed bytes and a cut at any length must not make parseResponse panic or return more workers than the message
-// holds.
+// Changed bytes and a cut at any length must not make parseResponse panic or return more workers than the original
+// message holds.
 func TestParseResponseOfCorruptedMessage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := buildResponse(1, 9, 0, 1, 0)
--- a/internal/discovery/endpoint_test.go
+++ b/internal/discovery/endpoint_test.go
@@ -32,7 +32,8 @@
 		{Name: "s-00c41f7a", Address: "10.1.0.9:10080", Zone: "east", State: policy.Draining, Weight: 4, Cell: 2, StartedUnixMs: 17},
 	}
 	if !reflect.DeepEqual(reported, want) || c.list.serial != 41 || c.EndpointCount() != 2 {
-		t.Errorf("got %v with serial %d, want %v with 41", reported, c.list.serial, want)
+		t.Errorf("got list %v with serial %d and count %d, want %v with serial 41 and count 2",
+			reported, c.list.serial, c.EndpointCount(), want)
 	}
 }
 
@@ -40,16 +41,16 @@
 	load := func(member initialMember) error {
 		initial := InitialEndpoints{Batch: make([]initialEvent, 1)}
 		initial.Batch[0].Topology.Members = []initialMember{member}
-		return New("", nil, func([]Endpoint) { t.Error("a list was reported") }).LoadInitial(initial)
+		return New("", nil, func([]Endpoint) { t.Error("a list was reported, want none") }).LoadInitial(initial)
 	}
 	t.Run("unknown phase", func(t *testing.T) {
 		if err := load(initialMember{HostPort: "10.1.0.1:10080", Phase: "Asleep"}); !errors.Is(err, errUnknownPhase) {
-			t.Errorf("got error %v, want an unknown phase", err)
+			t.Errorf("got error %v, want %v", err, errUnknownPhase)
 		}
 	})
 	t.Run("address without a port", func(t *testing.T) {
 		if err := load(initialMember{HostPort: "10.1.0.1", Phase: "Ready"}); err == nil {
-			t.Error("the address was accepted")
+			t.Error("got no error for an address without a port")
 		}
 	})
 }
--- a/internal/discovery/initial.go
+++ b/internal/discovery/initial.go
@@ -8,7 +8,7 @@
 	"functionrouter/policy"
 )
 
-// errUnknownPhase means that a worker of the initial list has a phase that parsePhase doesn't know.
+// errUnknownPhase means that a worker of the initial list has a phase that parsePhase does not accept.
 var errUnknownPhase = errors.New("unknown phase")
 
 // InitialEndpoints is the initial list in the form of the configuration: a sequence of directory events. Usually the
@@ -27,7 +27,7 @@
 	} `json:"topology"`
 }
 
-// initialMember is one worker in an event. The fields of Endpoint explain its values.
+// initialMember is one worker in an event. The comments of Endpoint's fields explain the values.
 type initialMember struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"` // IP address and port
--- a/internal/discovery/socket.go
+++ b/internal/discovery/socket.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// OnData handles an answer. It accepts an answer to any pending query: if the directory takes longer than pollInterval,
-// its answers never belong to the latest query. Lost and reordered answers do no harm, because each list is complete. A
-// query stays pending if its answer can't be parsed.
+// OnData handles an answer. It accepts an answer to any pending query, because a directory that takes longer than
+// pollInterval to answer never answers the latest query. Lost and reordered answers do no harm, because each list is
+// complete. A query stays pending if its answer can't be parsed.
 func (s *socket) OnData(message []byte) {
 	if !s.isCurrent() {
 		return
@@ -67,8 +67,8 @@
 	s.client.answerReceived(r, err)
 }
 
-// removePending removes the query with this id from the pending queries. It fails with errUnexpectedID if there is
-// none.
+// removePending removes the query with this id from the pending queries. It fails with errUnexpectedID if no pending
+// query has this id.
 func (s *socket) removePending(id uint16) error {
 	i := slices.Index(s.pending, id)
 	if i < 0 {
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -59,11 +59,11 @@
 	c.Poll(c.nextPoll)
 	b := transport.Written.Bytes()
 	if len(b) < headerLength {
-		c.t.Fatalf("query %x", b)
+		c.t.Fatalf("wrote %x, want a query of at least %d bytes", b, headerLength)
 	}
 	id := binary.BigEndian.Uint16(b)
 	if want := encodeQuery(id); !bytes.Equal(b, want) {
-		c.t.Fatalf("query %x, want %x", b, want)
+		c.t.Fatalf("wrote the query %x, want %x", b, want)
 	}
 	return id
 }
@@ -72,7 +72,7 @@
 func (c *testClient) wantReported(want []Endpoint) {
 	c.t.Helper()
 	if !reflect.DeepEqual(c.reported, want) {
-		c.t.Fatalf("list %v, want %v", c.reported, want)
+		c.t.Fatalf("reported list %v, want %v", c.reported, want)
 	}
 }
 
