--- a/cmd/simadapter/wire_test.go
+++ b/cmd/simadapter/wire_test.go
@@ -63,7 +63,7 @@
 	statusLoadFailed
 )
 
-// Codes of the modes of endpoint lists.
+// Codes of the kinds of endpoint lists.
 const (
 	listIncremental = iota
 	listFull
@@ -114,7 +114,7 @@
 	return 0
 }
 
-// wireReader reads fields from the front of rest. It panics if a field is incomplete, because the reply is then
+// wireReader reads fields from the front of rest. It panics if a field is incomplete, which means that the reply is
 // malformed.
 type wireReader struct {
 	rest []byte
--- a/cmd/simadapter/world_requests_test.go
+++ b/cmd/simadapter/world_requests_test.go
@@ -67,7 +67,7 @@
 }
 
 // cancelRequest schedules the cancellation of a request by its client. The cancellation is skipped if the request has
-// not arrived or is closed by then.
+// not arrived or is closed when the cancellation is due.
 func (w *world) cancelRequest(router int, requestID uint32, r *simRequest) {
 	requests := w.routers[router].requests
 	w.schedule(float64(w.rng.IntN(400)), router, eventClientCancelled, func() []byte {
@@ -87,7 +87,7 @@
 }
 
 // sendAttempt starts an attempt, draws its result and schedules the event of its end. The event is skipped if the
-// attempt is no longer the open attempt of the request by then. sendAttempt fails if the request has never arrived.
+// request has another open attempt or none when the event is due. sendAttempt fails if the request has never arrived.
 func (w *world) sendAttempt(router int, requestID uint32, workerID uint64) error {
 	r := w.routers[router].requests[requestID]
 	if r == nil {
@@ -121,7 +121,7 @@
 }
 
 // scheduleResponseStart schedules the start of the response to the open attempt of a request. The event is skipped if
-// the attempt is no longer open by then.
+// the request has another open attempt or none when the event is due.
 func (w *world) scheduleResponseStart(delay float64, router int, requestID uint32, r *simRequest, workerID uint64) {
 	attempt := r.openAttempt
 	sentAt := w.now
@@ -178,8 +178,8 @@
 }
 
 // cancelAttempt cancels an attempt that is in flight. With a probability of 1 in 3, the worker ignores the
-// cancellation. The event names the first worker, even if the attempt was sent to another worker, and the attempt's
-// worker still counts the attempt as running. The golden files depend on both.
+// cancellation. The event names the first worker, even if the attempt was sent to another worker, and the cancellation
+// does not reduce the number of attempts in flight at the attempt's worker. The golden files depend on both.
 func (w *world) cancelAttempt(router int, requestID uint32, attempt int) {
 	r := w.routers[router].requests[requestID]
 	if r == nil || r.openAttempt != attempt || w.rng.IntN(3) == 0 {
@@ -196,8 +196,9 @@
 	})
 }
 
-// encodeAttemptEnded returns the fields of the event of an attempt's end. The outcomes served and overloaded carry the
-// worker's load report. requestClosed says whether the request has its final answer or was cancelled by its client.
+// encodeAttemptEnded returns the fields of the event of an attempt's end. The fields include the worker's load report if
+// the outcome is served or overloaded. requestClosed says whether the request has its final answer or was cancelled by
+// its client.
 func encodeAttemptEnded(
 	requestID uint32,
 	workerID uint64,
--- a/cmd/simadapter/world_test.go
+++ b/cmd/simadapter/world_test.go
@@ -16,9 +16,9 @@
 // scenario describes a world and the simulated routers that run in it. The other fields must agree with the field
 // settings, because the world does not parse the settings.
 type scenario struct {
-	name                 string // of the scenario and of its golden file
-	seed                 uint64 // of the world, which draws the seeds of the simulated routers
-	settings             string // of the simulated routers, as JSON
+	name                 string // name of the scenario and of its golden file
+	seed                 uint64 // seed of the world, which draws the seeds of the simulated routers
+	settings             string // settings of the simulated routers, as JSON
 	routerCount          int
 	workerCount          int
 	functionCount        int // number of functions that share most of the requests
@@ -50,9 +50,9 @@
 	due         float64
 	sequence    int // index in world.pending; events that are due at the same time are sent in this order
 	router      int
-	incarnation *simulatedRouter // the event is dropped if the router has been restarted since; a kill is always sent
+	incarnation *simulatedRouter // the event is dropped if the router is killed before it is sent; a kill is always sent
 	code        byte
-	fields      func() []byte // returns the event's fields; nil drops the event, except a kill
+	fields      func() []byte // returns the event's fields, or nil to drop the event, except a kill
 }
 
 // simWorker is a simulated worker.
@@ -89,8 +89,8 @@
 	return w
 }
 
-// startRouter schedules the start of a simulated router after a delay. It also schedules the cached endpoint list and,
-// if endpoint lists need no subscription, a full endpoint list.
+// startRouter schedules the start of a simulated router after a delay. It also schedules the cached endpoint list and a
+// full endpoint list. The full list is dropped if the router needs a subscription and has none when the list is due.
 func (w *world) startRouter(router int, delay float64) {
 	w.routers[router] = &simulatedRouter{requests: map[uint32]*simRequest{}}
 	seed := w.rng.Uint64()
@@ -199,7 +199,7 @@
 	w.announceEndpoints([]byte{listIncremental, listFull}[w.rng.IntN(2)])
 }
 
-// breakSubscription ends the subscription of a simulated router and schedules an endpoint list of mode listFailed.
+// breakSubscription ends the subscription of a simulated router and schedules an endpoint list of kind listFailed.
 func (w *world) breakSubscription(router int) {
 	w.routers[router].subscribed = false
 	w.schedule(0, router, eventEndpointUpdate, func() []byte { return w.encodeList(listFailed) })
@@ -217,27 +217,27 @@
 }
 
 // announceEndpoints schedules an endpoint list for each simulated router, each after a random delay below 400 ms.
-func (w *world) announceEndpoints(mode byte) {
+func (w *world) announceEndpoints(kind byte) {
 	for n := range w.routers {
 		delay := float64(w.rng.IntN(400))
-		w.schedule(delay, n, eventEndpointUpdate, func() []byte { return w.encodeListFor(n, mode) })
+		w.schedule(delay, n, eventEndpointUpdate, func() []byte { return w.encodeListFor(n, kind) })
 	}
 }
 
 // encodeListFor returns the fields of an event with the endpoint list for a simulated router, or nil if the router
 // needs a subscription and has none.
-func (w *world) encodeListFor(router int, mode byte) []byte {
+func (w *world) encodeListFor(router int, kind byte) []byte {
 	if w.requiresSubscription && !w.routers[router].subscribed {
 		return nil
 	}
-	return w.encodeList(mode)
+	return w.encodeList(kind)
 }
 
-// encodeList returns the fields of an event with the endpoint list. A list of mode listFailed has no entries.
-func (w *world) encodeList(mode byte) []byte {
+// encodeList returns the fields of an event with the endpoint list. A list of kind listFailed has no entries.
+func (w *world) encodeList(kind byte) []byte {
 	version := uint32(w.now)
-	b := binary.BigEndian.AppendUint32([]byte{mode}, version)
-	if mode == listFailed {
+	b := binary.BigEndian.AppendUint32([]byte{kind}, version)
+	if kind == listFailed {
 		return binary.BigEndian.AppendUint32(b, 0)
 	}
 	b = binary.BigEndian.AppendUint32(b, uint32(len(w.workers)))
--- a/internal/backend/keep_alive_test.go
+++ b/internal/backend/keep_alive_test.go
@@ -10,9 +10,9 @@
 )
 
 // Guards against using a connection that the network has cut off. Such a connection looks open to the router but
-// delivers no answers, although its worker is healthy. The pool must send no further calls over the connection, close it
-// and end its pending calls. If the worker answers on no connection, the pool must keep the connections open, because
-// the policy determines by health checks whether the worker is healthy.
+// delivers no answers, although its worker is healthy. The pool must send no further calls over the connection, close
+// it and end its pending calls. If the worker answers on no connection, the pool must keep all connections open: the
+// policy determines by health checks whether the worker is healthy.
 func TestUnresponsiveConnectionIsClosedIfWorkerAnswersOnAnother(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -12,8 +12,8 @@
 // # Errors
 //
 // Only Client.LoadInitial returns an error. Failures to reach the directory and unusable answers are logged, and the
-// client continues to poll. Once a failure has been logged, further failures are not logged until the next usable answer
-// or until Client.Migrate changes the directory's address.
+// client continues to poll. Once a failure has been logged, further failures are not logged until the next usable
+// answer or until Client.Migrate changes the directory's address.
 //
 // # Concurrency and time
 //
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -32,7 +32,7 @@
 	State         policy.WorkerState // Ready or Draining; workers that are gone are not in the list
 	Weight        float64            // size relative to other workers
 	Cell          int                // group of workers that share their record of idempotency keys; 0 if not given
-	StartedUnixMs int64              // start of the worker's process, in Unix milliseconds; 0 (not given) means long ago
+	StartedUnixMs int64              // start of the process, in Unix milliseconds; 0 (not given) means long ago
 }
 
 // ID returns the worker's id: the 64-bit FNV-1a hash of its name. Every router computes the same id, and restarts of
--- a/internal/simwire/actions_test.go
+++ b/internal/simwire/actions_test.go
@@ -19,7 +19,7 @@
 		41 0003 407f400000000000 000000000000004d 4b 0005 0011 74776f2073657276657273206b6e6f776e`)
 	var out bytes.Buffer
 	if err := reply.Flush(&out, 12); err != nil || !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("got  %x (%v)\nwant %x", out.Bytes(), err, want)
+		t.Errorf("got  %x and error %v\nwant %x and no error", out.Bytes(), err, want)
 	}
 }
 
--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -63,7 +63,7 @@
 }
 
 // instanceStatuses maps the codes in the outcome of an attempt to the statuses of the function's instance at the
-// worker. A code that is not listed stands for policy.InstanceUnknown.
+// worker. A code that is not an index of the slice stands for policy.InstanceUnknown.
 var instanceStatuses = []policy.InstanceStatus{
 	0: policy.InstanceUnknown,
 	1: policy.InstanceWarm,
--- a/internal/simwire/codes_test.go
+++ b/internal/simwire/codes_test.go
@@ -21,7 +21,7 @@
 	} {
 		d := decoder{rest: []byte{byte(code)}}
 		if got := d.outcome(); got != want || d.err != nil {
-			t.Errorf("code %d: got %v, %v; want %v", code, got, d.err, want)
+			t.Errorf("code %d: got %v and error %v, want %v and no error", code, got, d.err, want)
 		}
 	}
 }
@@ -34,7 +34,7 @@
 	} {
 		d := decoder{rest: []byte{byte(code)}}
 		if got := d.workerState(); got != want || d.err != nil {
-			t.Errorf("code %d: got %v, %v; want %v", code, got, d.err, want)
+			t.Errorf("code %d: got %v and error %v, want %v and no error", code, got, d.err, want)
 		}
 	}
 }
@@ -48,16 +48,16 @@
 	} {
 		d := decoder{rest: []byte{byte(code), 0, 0, 0, 41, 0, 0, 0, 0}}
 		if got := d.endpointUpdate(); got.Kind != want || d.err != nil {
-			t.Errorf("code %d: got %v, %v; want %v", code, got.Kind, d.err, want)
+			t.Errorf("code %d: got %v and error %v, want %v and no error", code, got.Kind, d.err, want)
 		}
 	}
 }
 
-// The decoder must report the first error of an endpoint list: a list that ends before its number of entries is
-// reported as truncated, even if the code of its mode is unknown too.
-func TestTruncatedListOfUnknownModeIsReportedAsTruncated(t *testing.T) {
+// A list that ends before the field with the number of entries must be reported as truncated, even if the code of its
+// kind is unknown too: the decoder must check that code only after it has read the field.
+func TestTruncatedListOfUnknownKindIsReportedAsTruncated(t *testing.T) {
 	d := decoder{rest: []byte{9, 0, 0, 0, 41}}
 	if d.endpointUpdate(); !errors.Is(d.err, errTruncated) {
-		t.Errorf("got %v, want %v", d.err, errTruncated)
+		t.Errorf("list without the number of entries: got error %v, want %v", d.err, errTruncated)
 	}
 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// take returns the next field, which has a fixed length in bytes. If fewer bytes are left, it fails and returns zeros.
-// The result shares its array with rest.
+// take returns the next field, which has a fixed length in bytes. If fewer bytes are left, it records errTruncated and
+// returns zeros. The result shares its array with rest.
 func (d *decoder) take(length int) []byte {
 	if length > len(d.rest) {
 		d.fail(errTruncated)
@@ -41,8 +41,8 @@
 	return field
 }
 
-// bytes returns a copy of the next field, whose length in bytes the record states. It returns nil if the length is 0 or
-// if fewer bytes are left, which is an error.
+// bytes returns a copy of the next field, whose length in bytes the record states. If fewer bytes are left, it records
+// errTruncated and returns nil. It also returns nil if the length is 0.
 func (d *decoder) bytes(length uint32) []byte {
 	if uint64(length) > uint64(len(d.rest)) {
 		d.fail(errTruncated)
@@ -72,8 +72,8 @@
 	return address<<16 | port
 }
 
-// loadReport reads a worker's load report: the number of values, then the values. It returns nil if the number is 0 or
-// if fewer values are left, which is an error.
+// loadReport reads a worker's load report: the number of values, then the values. If fewer values are left, it records
+// errTruncated and returns nil. It also returns nil if the number is 0.
 func (d *decoder) loadReport() []float64 {
 	count := int(d.u8())
 	if count*float32Length > len(d.rest) {
@@ -95,8 +95,8 @@
 	return decodeCode(d, "worker state", d.u8(), workerStates)
 }
 
-// decodeCode returns the value at index code of values. If code is out of their range, it fails with an error that
-// names field, and returns the zero value.
+// decodeCode returns the value at index code of values. If code is not an index of values, decodeCode records an error
+// that names field, and returns the zero value.
 func decodeCode[T any](d *decoder, field string, code uint8, values []T) T {
 	if int(code) >= len(values) {
 		d.fail(unknownCodeError{field, code})
--- a/internal/simwire/doc.go
+++ b/internal/simwire/doc.go
@@ -18,10 +18,10 @@
 //
 // # Names
 //
-// The simulator uses its own names for the concepts that package policy names as in docs/GLOSSARY.md. Only two files
-// contain the simulator's names: codes.go translates the codes of records, outcomes, worker states, list modes and
-// instance statuses; settings.go translates the keys of the settings. The simulator calls a simulated router an
-// instance; in this package, an instance is a loaded function.
+// The simulator uses its own names for the concepts that have other names in package policy and docs/GLOSSARY.md. Only
+// two files contain the simulator's names: codes.go translates the codes of records, outcomes, worker states, endpoint
+// update kinds and instance statuses; settings.go translates the keys of the settings. The simulator calls a simulated
+// router an instance; in this package, an instance is a loaded function.
 //
 // # Concurrency and ownership
 //
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -20,7 +20,7 @@
 }
 
 // event reads the fields of the event with this code. The result has one of the types that Record.Event lists. An
-// unknown code is an error, and the result is nil.
+// unknown code is recorded as an error, and the result is nil.
 func (d *decoder) event(code uint8) any {
 	switch code {
 	case codeResponseStarted:
@@ -111,8 +111,8 @@
 }
 
 // splitInfoByte splits the info byte of an attempt's outcome. The lower three bits hold the code of the status of the
-// function's instance; a code that is not listed stands for policy.InstanceUnknown. The upper five bits hold the number
-// of requests for the function that were at the worker.
+// function's instance; a code that is not an index of instanceStatuses stands for policy.InstanceUnknown. The upper
+// five bits hold the number of requests for the function that were at the worker.
 func splitInfoByte(info uint8) (status policy.InstanceStatus, concurrency int) {
 	const statusBits = 3
 	const statusMask = 1<<statusBits - 1
@@ -163,7 +163,7 @@
 	kindCode := d.u8()
 	d.u32() // version of the list
 	count := d.u32()
-	kind := decodeCode(d, "list mode", kindCode, updateKinds)
+	kind := decodeCode(d, "endpoint update kind", kindCode, updateKinds)
 	if uint64(count)*endpointLength > uint64(len(d.rest)) {
 		d.fail(errTruncated)
 	}
--- a/internal/simwire/events_test.go
+++ b/internal/simwire/events_test.go
@@ -101,7 +101,7 @@
 		{"endpoint list cut short", "06 0003 02 00000029 ffffffff 0a9011f22354", errTruncated},
 		{"unknown record code", "44 0003", unknownCodeError{"record code", 0x44}},
 		{"unknown outcome", "05 0003 4014000000000000 09 0a9011f22354 00", unknownCodeError{"outcome", 9}},
-		{"unknown list mode", "06 0003 04 00000029 00000000", unknownCodeError{"list mode", 4}},
+		{"unknown endpoint update kind", "06 0003 04 00000029 00000000", unknownCodeError{"endpoint update kind", 4}},
 		{
 			"unknown worker state", "06 0003 02 00000029 00000001 0a9011f22354 0000 03 3fc00000 0000 00 40b7d40000000000",
 			unknownCodeError{"worker state", 3},
@@ -110,7 +110,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			d := decoder{rest: fromHex(t, test.digits)}
 			if _, err := d.record(); !errors.Is(err, test.want) {
-				t.Errorf("got %v, want %v", err, test.want)
+				t.Errorf("got error %v, want %v", err, test.want)
 			}
 		})
 	}
@@ -127,12 +127,13 @@
 		{2, policy.LoadStarted, 0},
 		{3, policy.LoadAwaited, 0},
 		{4 + 30*8, policy.LoadFailed, 30},
-		{5, policy.InstanceUnknown, 0},
-		{7 + 2*8, policy.InstanceUnknown, 2}, // a status code that is not listed
+		{5, policy.InstanceUnknown, 0},       // a status code that is not in instanceStatuses
+		{7 + 2*8, policy.InstanceUnknown, 2}, // a status code that is not in instanceStatuses
 	} {
 		status, concurrency := splitInfoByte(test.info)
 		if status != test.status || concurrency != test.concurrency {
-			t.Errorf("info %#x: got %v, %d; want %v, %d", test.info, status, concurrency, test.status, test.concurrency)
+			t.Errorf("info byte %#x: got status %v and concurrency %d, want %v and %d",
+				test.info, status, concurrency, test.status, test.concurrency)
 		}
 	}
 }
--- a/internal/simwire/frames_test.go
+++ b/internal/simwire/frames_test.go
@@ -72,15 +72,15 @@
 		{"header cut short", sample[:batchHeaderLength-1], io.ErrUnexpectedEOF},
 		{"body cut short", sample[:len(sample)-1], errTruncated},
 		{"unknown record code", changed(20, 99), unknownCodeError{"record code", 99}},
-		{"too many records announced", changed(11, 9), errTruncated},
-		{"too few records announced", changed(11, 2), errTrailingBytes},
+		{"record count too large", changed(11, 9), errTruncated},
+		{"record count too small", changed(11, 2), errTrailingBytes},
 		{"length too small", changed(7, 0x41), errTruncated},
 		{"length too large", changed(4, 0xff), errFrameTooLong},
 		{"negative clock", changed(12, 0xff), errClockOutOfRange},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := ReadBatch(bytes.NewReader(test.input)); !errors.Is(err, test.want) {
-				t.Errorf("got %v, want %v", err, test.want)
+				t.Errorf("got error %v, want %v", err, test.want)
 			}
 		})
 	}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -173,8 +173,8 @@
 	config.MaxRetryAfter = fromMillis(l.MaxRetryAfterMs)
 }
 
-// ruleSettings is the section "rules": the age from which a listed worker counts as known, and how workers behave after
-// a start, in overload and while they drain.
+// ruleSettings is the section "rules": the age from which an entry of the endpoint list counts as known to the router,
+// and how workers behave after a start, in overload and while they drain.
 type ruleSettings struct {
 	AskWithinMs  float64 `json:"askWithinMs"`
 	ColdFrom     float64 `json:"coldFrom"`
@@ -184,7 +184,7 @@
 	FallMultiple float64 `json:"fallMultiple"`
 }
 
-// apply sets the fields of config that describe the age of the endpoint list, slow start, overload and draining.
+// apply sets the fields of config that describe the age of list entries, slow start, overload and draining.
 func (r ruleSettings) apply(config *policy.Config) {
 	config.ImplicitListAge = fromMillis(r.AskWithinMs)
 	config.SlowStartCapacity = r.ColdFrom
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -91,7 +91,7 @@
 func TestParseSettingsDefaults(t *testing.T) {
 	got, err := ParseSettings([]byte(`{}`))
 	if want := (policy.Config{OverQuotaWeight: 1}); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, %v; want %+v", got, err, want)
+		t.Errorf("got %+v and error %v, want %+v and no error", got, err, want)
 	}
 }
 
@@ -99,14 +99,14 @@
 	t.Run("malformed JSON", func(t *testing.T) {
 		var syntax *json.SyntaxError
 		if _, err := ParseSettings([]byte(`{`)); !errors.As(err, &syntax) {
-			t.Errorf("got %v, want a syntax error", err)
+			t.Errorf("got error %v, want a *json.SyntaxError", err)
 		}
 	})
 	t.Run("unknown semantics", func(t *testing.T) {
 		var semantics unknownSemanticsError
 		_, err := ParseSettings([]byte(`{"classes": [{"semantics": "maybe"}]}`))
 		if !errors.As(err, &semantics) || semantics != "maybe" {
-			t.Errorf("got %v, want unknown semantics", err)
+			t.Errorf("got error %v, want unknown semantics %q", err, "maybe")
 		}
 	})
 }
@@ -114,7 +114,7 @@
 func TestFromMillisReturnsZeroForInvalidTimes(t *testing.T) {
 	for _, ms := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 2 * maxMillis} {
 		if got := fromMillis(ms); got != 0 {
-			t.Errorf("%v: got %v, want 0", ms, got)
+			t.Errorf("%v ms: got %v, want 0", ms, got)
 		}
 	}
 }
