--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// run answers each batch of in with one reply on out until in ends. It returns nil only if in ends before the first
+// run answers each batch from in with one reply to out until in ends. It returns nil only if in ends before the first
 // byte of a batch. If a batch is malformed or cannot be handled, it returns an error and writes no reply to that batch.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
--- a/cmd/simadapter/world_requests_test.go
+++ b/cmd/simadapter/world_requests_test.go
@@ -19,8 +19,8 @@
 }
 
 // scheduleArrival schedules the arrival of a request at a simulated router and draws whether its client cancels it. Of
-// the golden scenarios, only the one with three routers has requests of the third class. The scenario with work hints
-// has two classes, so for it the class is drawn a second time, from these two.
+// the golden scenarios, only that with three simulated routers has requests of the third class. The scenario with work
+// hints has two classes, so for it the class is drawn a second time, from these two.
 func (w *world) scheduleArrival(router int) {
 	w.lastRequestID++
 	requestID := w.lastRequestID
@@ -140,8 +140,8 @@
 type attemptResult struct {
 	outcome          byte
 	status           byte    // status of the function's instance at the worker
-	drawnDuration    float64 // from the send until the end, as drawn
-	reportedDuration float64 // from the send until the batch that reports the end
+	drawnDuration    float64 // time from the send of the attempt until its end, as drawn
+	reportedDuration float64 // time from the send of the attempt until the batch that reports its end
 }
 
 // drawResult draws the result of an attempt, which depends on random faults, on the worker's state and on the functions
@@ -196,9 +196,9 @@
 	})
 }
 
-// encodeAttemptEnded returns the fields of the event of an attempt's end. The fields include the worker's load report if
-// the outcome is served or overloaded. requestClosed says whether the request has its final answer or was cancelled by
-// its client.
+// encodeAttemptEnded returns the fields of the event of an attempt's end. They include the worker's load report if the
+// outcome is served or overloaded. requestClosed says whether the request has its final answer or was cancelled by its
+// client.
 func encodeAttemptEnded(
 	requestID uint32,
 	workerID uint64,
--- a/cmd/simadapter/world_test.go
+++ b/cmd/simadapter/world_test.go
@@ -50,7 +50,7 @@
 	due         float64
 	sequence    int // index in world.pending; events that are due at the same time are sent in this order
 	router      int
-	incarnation *simulatedRouter // the event is dropped if the router is killed before it is sent; a kill is always sent
+	incarnation *simulatedRouter // the event is dropped if the router is killed before; a kill is always sent
 	code        byte
 	fields      func() []byte // returns the event's fields, or nil to drop the event, except a kill
 }
--- a/internal/backend/codec_test.go
+++ b/internal/backend/codec_test.go
@@ -60,7 +60,7 @@
 	transport.handler.OnOpen(nil)
 	transport.handler.OnData([]byte("*4\r\n$16449\r\n"))
 	if !transport.Closed {
-		t.Error("the connection stayed open after the length of a bulk string over the limit")
+		t.Errorf("the connection stayed open after the length 16449, want it closed above %d", maxBulkSize)
 	}
 }
 
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -34,7 +34,7 @@
 type resultRecorder struct {
 	attempts map[router.AttemptID][]policy.Outcome
 	bodies   map[router.AttemptID]string
-	controls map[router.ControlID][]policy.Outcome // of load commands and health checks
+	controls map[router.ControlID][]policy.Outcome // outcomes of load commands and health checks
 }
 
 func (r *resultRecorder) AttemptEnded(a router.AttemptID, result router.AttemptResult) {
--- a/internal/backend/keep_alive.go
+++ b/internal/backend/keep_alive.go
@@ -69,8 +69,8 @@
 	return oldest
 }
 
-// sendKeepAlive sends a keep-alive check over c. Until an answer arrives, the preference of c for new calls is then
-// unresponsive.
+// sendKeepAlive sends a keep-alive check over c. From then until an answer arrives, Pool.preferenceFor returns at most
+// unresponsive for c.
 func (c *connection) sendKeepAlive() {
 	c.keepAlive.checkSentAt = c.pool.now
 	c.pool.keepAlivesSent++
--- a/internal/backend/lost_connection_log.go
+++ b/internal/backend/lost_connection_log.go
@@ -12,9 +12,9 @@
 const lostConnectionLogInterval = time.Second
 
 // lostConnectionLog logs connections that ended while calls were pending on them. One line covers all connections that
-// were lost since the previous line, and gives the address and the error of the last one. A line is written only when a
-// connection is lost: connections that are lost within the interval after a line are logged with the first connection
-// that is lost after the interval.
+// were lost since the previous line, and gives the address and the error of the last connection. A line is written only
+// when a connection is lost: connections that are lost within the interval after a line are logged with the first
+// connection that is lost after the interval.
 type lostConnectionLog struct {
 	throttle     logging.Throttle // counts the connections lost since the last line
 	pendingCalls int              // number of calls that were pending on these connections
--- a/internal/backend/selection.go
+++ b/internal/backend/selection.go
@@ -90,8 +90,8 @@
 // ensureCapacityForDial reports whether one more connection may be opened. At the limit on all connections, it closes
 // the connection that has been idle for longest, so that workers that are added later get connections too. The limit
 // includes a closed connection until its OnClose, so each further dial at the limit closes another idle connection.
-// Call ensureCapacityForDial only if a dial follows. Among connections to several workers that have been
-// idle equally long, the random iteration order of the map determines which one is closed.
+// Call ensureCapacityForDial only if a dial follows. Among connections to several workers that have been idle equally
+// long, the random iteration order of the map determines which one is closed.
 func (p *Pool) ensureCapacityForDial() bool {
 	total := 0
 	var longestIdle *connection
--- a/internal/backend/selection_test.go
+++ b/internal/backend/selection_test.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// Guards against losing most of a worker's calls with one connection: calls are spread over several connections.
+// Guards against losing most of a worker's calls with one connection: the pool must spread them over several
+// connections.
 func TestBrokenConnectionEndsFewCalls(t *testing.T) {
 	p := newTestPool()
 	p.cfg.MaxStreamsPerConnection = 32
--- a/internal/backend/wire_test.go
+++ b/internal/backend/wire_test.go
@@ -89,7 +89,7 @@
 			transport.handler.OnData(encodeCommand(hexID(0xa1), test.status, test.fields, "body"))
 			got := results.last
 			if got == nil {
-				t.Fatal("the attempt has not ended")
+				t.Fatalf("the attempt has not ended, want %+v", test.want)
 			}
 			if got.outcome != test.want.outcome || got.instanceStatus != test.want.instanceStatus ||
 				!slices.Equal(got.loadReport, test.want.loadReport) || (got.loadReport == nil) != (test.want.loadReport == nil) {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -34,7 +34,7 @@
 
 // Client polls the directory for the endpoint list. Its owner calls New, then LoadInitial, and then Poll repeatedly.
 type Client struct {
-	QueriesSent     uint64 // queries sent, to all directories together
+	QueriesSent     uint64 // queries sent to all directories together
 	AnswersReceived uint64 // usable answers, including those whose list was not newer
 
 	dial     DialFunc
@@ -131,7 +131,7 @@
 
 // answerReceived applies the list of an answer if it is newer than the current list. err is the reason why the answer
 // is unusable, or nil if parsing it and matching it to a query succeeded. An unusable answer, such as one with a list
-// that lacks a worker's address, is logged and changes nothing.
+// that lacks a worker's address, does not change the list and is passed to logFailure.
 func (c *Client) answerReceived(r response, err error) {
 	changed := false
 	if err == nil {
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -107,7 +107,7 @@
 	id        uint16
 	flags     uint16
 	questions int
-	records   int // in the answer, authority and additional sections together
+	records   int // number of records in the answer, authority and additional sections together
 }
 
 // check returns an error unless the message is a complete, successful response.
@@ -128,7 +128,7 @@
 // errMalformed if the message is invalid.
 type parser struct {
 	message []byte
-	offset  int // of the next byte to read
+	offset  int // offset of the next byte to read
 }
 
 // readBytes returns the next length bytes as a slice of the message. It fails with errMalformed if fewer are left.
--- a/internal/discovery/dns_records.go
+++ b/internal/discovery/dns_records.go
@@ -23,10 +23,10 @@
 
 // response holds the records that the client uses from a response. Names are in lower case, without the final dot.
 type response struct {
-	serial    uint32                // of the SOA record
+	serial    uint32                // serial of the SOA record
 	services  []serviceRecord       // one for each worker
-	addresses map[string]netip.Addr // of A records, by owner; if an owner has several addresses, the last one
-	texts     map[string][]string   // of TXT records, by owner
+	addresses map[string]netip.Addr // addresses of A records by owner; if an owner has several, the last one
+	texts     map[string][]string   // strings of TXT records by owner
 }
 
 // serviceRecord is an SRV record, RFC 2782. response.endpoint tells how its fields describe a worker.
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -4,7 +4,7 @@
 
 // RouterStarted says that a simulated router starts, or restarts without any state.
 type RouterStarted struct {
-	Seed     uint64 // of the simulated router's random number generator
+	Seed     uint64 // seed of the simulated router's random number generator
 	Settings []byte // JSON text for ParseSettings; the caller of ReadBatch owns it
 }
 
