--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -34,7 +34,7 @@
 type resultRecorder struct {
 	attempts map[router.AttemptID][]policy.Outcome
 	bodies   map[router.AttemptID]string
-	controls map[router.ControlID][]policy.Outcome // of load commands and health checks
+	controls map[router.ControlID][]policy.Outcome // outcomes of load commands and health checks
 }
 
 func (r *resultRecorder) AttemptEnded(a router.AttemptID, result router.AttemptResult) {
@@ -118,7 +118,7 @@
 func hexID(n int) string { return fmt.Sprintf("%016x", n) }
 
 // encodeAnswer returns an answer without fields.
-func encodeAnswer(id, word, body string) []byte {
+func encodeAnswer(id, status, body string) []byte {
 	return fmt.Appendf(nil, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$%d\r\n%s\r\n",
-		len(id), id, len(word), word, len(body), body)
+		len(id), id, len(status), status, len(body), body)
 }
