--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -18,7 +18,7 @@
 var errTooManyConnections = errors.New("too many accepted connections")
 
 // admit adds a connection that listener ln has accepted to the loop. If the limit on accepted connections is reached
-// and no connection can be evicted, admit closes the new connection.
+// and no connection can be evicted, or if the new connection can't be registered with the poller, admit closes it.
 func (l *Loop) admit(ln *listener, fd int, peer netip.AddrPort) {
 	if !l.ensureAcceptCapacity() {
 		l.refusals.Add()
@@ -57,7 +57,7 @@
 	return len(l.accepted) < l.cfg.MaxAcceptedConnections || l.evict(anyConnection)
 }
 
-// logRefusals logs how many connections were refused since its previous log line, if there were any.
+// logRefusals logs how many connections were refused since the previous such log line, if there were any.
 func (l *Loop) logRefusals() {
 	if count, due := l.refusals.Ready(l.now); due {
 		slog.Warn("connections refused", "count", count, "error", errTooManyConnections)
--- a/internal/eventloop/accept_test.go
+++ b/internal/eventloop/accept_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// At the limit, a new connection is refused while the open one has an open request. Once that one is idle, it is
-// evicted for a new connection.
+// At the limit, a new connection is refused while the open one has an open request. Once the open connection is idle,
+// it is evicted for a new one.
 func TestAcceptedConnectionsAreLimited(t *testing.T) {
 	accepted := make(chan *echoHandler, 10)
 	l := startLoop(t, 1, func(c *Conn) AcceptedHandler {
--- a/internal/eventloop/accepted_conn_test.go
+++ b/internal/eventloop/accepted_conn_test.go
@@ -61,7 +61,7 @@
 		h.openRequests = false
 		m.runTurnsUntilIdle()
 		if got := m.readPeerToEnd(); got != "answer" {
-			m.t.Errorf("the client received %q, want the answer", got)
+			m.t.Errorf("the client received %q, want %q", got, "answer")
 		}
 	}, []string{"data request", "end of input", "close: EOF"}, ClosedByPeer},
 	{"end of input, Close in OnEndOfInput", func(m *manualLoop, h *acceptedCallRecorder) {
@@ -166,8 +166,8 @@
 	}, []string{"close"}, ClosedByHandler},
 }
 
-// Guards which calls the handler of an accepted connection gets, in which order, and which cause is counted, depending
-// on how and when the connection ends.
+// Checks the calls that the handler of an accepted connection gets, their order, and the close cause that is counted,
+// for different ways and times of the connection's end.
 func TestAcceptedConnectionHandlerCalls(t *testing.T) {
 	for _, test := range acceptedScenarios {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/eventloop/activity.go
+++ b/internal/eventloop/activity.go
@@ -11,12 +11,14 @@
 	// request is on its way.
 	idleTimeout = 15 * time.Second
 
-	// messageTimeout is how long a complete message may take to arrive. The time starts at the accept for the first
-	// message, and at the first byte for each further one. Bytes that arrive slowly do not extend it. It bounds how
-	// long a descriptor is held by a client that sends nothing or only part of a message. The operators' terms require
-	// that such a client's connection is closed within 3 s of connecting, and the sweep that closes it may run up to
-	// two sweepIntervals after the timeout. A higher value closes such connections too late. A lower value makes a slow
-	// client lose a request that it is still sending.
+	// messageTimeout is how long a complete message may take to arrive. The time starts at the first byte of the
+	// message. A connection's first byte must arrive within the same time after the accept. Bytes that arrive slowly do
+	// not extend the time. The timeout bounds how long a descriptor is held by a client that sends nothing or only part
+	// of a message. The operators' terms require that the connection of such a client is closed within 3 s of
+	// connecting, and the sweep that closes it may run up to two sweepIntervals after the timeout. If a client sends
+	// its first byte some time after the accept, its connection may be closed later than 3 s after connecting, because
+	// the time starts again at that byte. With a higher value, the loop closes these connections too late. With a lower
+	// value, a slow client loses a request that it is still sending.
 	messageTimeout = 2500 * time.Millisecond
 )
 
--- a/internal/eventloop/close_cause.go
+++ b/internal/eventloop/close_cause.go
@@ -16,7 +16,7 @@
 	// ClosedByPeer: the client closed the connection (end of file).
 	ClosedByPeer CloseCause = iota // closed_by_peer
 
-	// ResetByPeer: the peer reset the connection, or the network no longer reaches the peer.
+	// ResetByPeer: the peer reset the connection, or the network can't reach the peer.
 	ResetByPeer // reset_by_peer
 
 	// ReadFailed: a read failed with any other error.
@@ -25,13 +25,15 @@
 	// WriteFailed: a write failed with any other error.
 	WriteFailed // write_failed
 
-	// PeerNotReading: the peer left too many bytes unread, or did not read its last answers within 2 s (closeTimeout).
+	// PeerNotReading: the peer left too many bytes unread, all peers together left too many bytes unread and this one
+	// had read nothing for longest, or the peer did not read its last answers within 2 s (closeTimeout).
 	PeerNotReading // peer_not_reading
 
 	// IdleTimeout: no complete message arrived and no answer was written for 15 s (idleTimeout).
 	IdleTimeout // idle_timeout
 
-	// MessageTimeout: a message was not complete within 2.5 s (messageTimeout).
+	// MessageTimeout: no byte arrived within 2.5 s of the accept, or a message was not complete within 2.5 s of its
+	// first byte (messageTimeout).
 	MessageTimeout // message_timeout
 
 	// Evicted: closed to make room for a new connection.
@@ -51,8 +53,8 @@
 // CloseCounts holds how many accepted connections were closed for each cause, indexed by CloseCause.
 type CloseCounts [closeCauseCount]uint64
 
-// brokenConnectionErrors are the errors with which Linux reports that the peer is gone or can no longer be reached: a
-// reset (ECONNRESET, or EPIPE for a write after it), no acknowledgment for too long (ETIMEDOUT), and network errors.
+// brokenConnectionErrors are the errors with which Linux reports that the peer is gone or unreachable: a reset
+// (ECONNRESET, or EPIPE for a write after it), no acknowledgment for too long (ETIMEDOUT), and network errors.
 var brokenConnectionErrors = []error{
 	syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENETDOWN,
 	syscall.ENOTCONN,
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -22,9 +22,9 @@
 
 	state connState // changed only by connState.apply
 
-	// writeError is the error because of which the connection can no longer be written to; nil while it can. It is not
-	// part of connState because writing can fail in any state. If the state wants input, the data that the peer sent
-	// before the failure is still read in the next turn, before the connection closes.
+	// writeError is the error that made the connection unwritable, or nil while the connection can be written to. It is
+	// not part of connState because writing can fail in several states. If the state wants input, the data that the
+	// peer sent before the failure is still read in the next turn, before the connection closes.
 	writeError error
 
 	pending          [][]byte      // buffers queued by Write in this turn
@@ -56,8 +56,8 @@
 
 func (c *Conn) isClientConnection() bool { return c.isAccepted }
 
-// onEvents handles the events that the poller reports. A broken connection is still read: the socket holds the data
-// that the peer sent before, and the read then returns the error that broke the connection.
+// onEvents handles the events that the poller reports. A broken connection is still read: the reads return the data
+// that the peer sent before the connection broke, and then the error that broke it.
 func (c *Conn) onEvents(events uint32) {
 	const hangupOrError = unix.EPOLLERR | unix.EPOLLHUP
 	if c.state.isDialing() {
--- a/internal/eventloop/conn_state.go
+++ b/internal/eventloop/conn_state.go
@@ -62,8 +62,9 @@
 	// The handler has called CloseAfterFlush.
 	eventCloseAfterFlush // close after flush
 
-	// The connection has ended because of Close, a timeout, an eviction, the peer or an error. After a failed dial:
-	// OnOpen is about to report the failure, or Close was called and the failure is not reported.
+	// The connection has ended because of Close, a timeout, an eviction, the peer or an error. In the state dial
+	// failed, the event means that OnOpen is about to report the failure, or that Close was called and the failure is
+	// not reported.
 	eventClosed // closed
 )
 
@@ -108,7 +109,7 @@
 	return changes
 }
 
-// isDialing reports whether the dial has neither succeeded nor failed. Conn.dial is not nil in these states only.
+// isDialing reports whether the dial has neither succeeded nor failed. Conn.dial is nil in all other states.
 func (s connState) isDialing() bool { return s == stateDialing || s == stateDialingToClose }
 
 // isConnected reports whether the socket is connected. The handler of a dial has got OnOpen(nil), or gets it in this
--- a/internal/eventloop/conn_state_test.go
+++ b/internal/eventloop/conn_state_test.go
@@ -32,14 +32,14 @@
 			got := state
 			changed := got.apply(event)
 			if got != want[state][i] || changed != (want[state][i] != state) {
-				t.Errorf("state %v, event %v: got state %v, changed %v; want state %v",
-					state, event, got, changed, want[state][i])
+				t.Errorf("state %v, event %v: got state %v, changed %v; want state %v, changed %v",
+					state, event, got, changed, want[state][i], want[state][i] != state)
 			}
 		}
 	}
 }
 
-// Guards the properties of each state. Each state replaces a combination of separate flags.
+// Guards the properties of each state. A connection has one state in place of separate flags for these properties.
 func TestConnStateProperties(t *testing.T) {
 	type properties struct {
 		dialing, connected, closed, wantsInput, acceptsWrites, closesAfterFlush bool
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -30,10 +30,10 @@
 // the Conn is closed before that, h gets no call. A timeout of 0 means that the dial does not time out.
 //
 // The Conn must not be written to before OnOpen. The bytes would be dropped, and the flush at the end of the turn would
-// break the dial by calling updateInterest. A socket that is connecting would then be polled for input and no longer
-// for EPOLLOUT, so that a successful connect is noticed only when the peer sends something or closes, and the dial may
-// time out. While the name is being resolved or the dial waits for a retry, there is no descriptor: updateInterest
-// would fail, the failure would close the Conn, and h would get OnClose without OnOpen.
+// break the dial by calling updateInterest. A socket that is connecting would then be polled for input instead of
+// EPOLLOUT: a successful connect would be noticed only when the peer sends something or closes, and the dial might time
+// out. While the name is being resolved or the dial waits for a retry, there is no descriptor: updateInterest would
+// fail, the failure would close the Conn, and h would get OnClose without OnOpen.
 //
 // While this machine lacks a resource for the socket, such as descriptors, ports or buffers, the dial is retried until
 // timeout, because such an error does not mean that the peer is at fault.
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -37,6 +37,6 @@
 	open := newDialRecorder()
 	l.Post(func() { l.Dial(l.Addrs()[0], time.Second, open) })
 	if err := <-open.opened; err != nil {
-		t.Errorf("a dial to a listener: %v", err)
+		t.Errorf("a dial to a listener: got %v, want no error", err)
 	}
 }
--- a/internal/eventloop/dialed_conn_test.go
+++ b/internal/eventloop/dialed_conn_test.go
@@ -53,7 +53,7 @@
 		m.conn.CloseAfterFlush()
 		m.runTurnsUntilIdle()
 		if got := m.readPeerToEnd(); got != "" {
-			m.t.Errorf("the peer received %q", got)
+			m.t.Errorf("the peer received %q, want nothing", got)
 		}
 	}, []string{"open", "close"}},
 	{"connected", func(m *manualLoop, _ *dialCallRecorder) {
@@ -110,7 +110,7 @@
 		m.conn.Write([]byte("dropped"))
 		m.runTurnsUntilIdle()
 		if got := m.readPeerToEnd(); got != "last" {
-			m.t.Errorf("the peer received %q", got)
+			m.t.Errorf("the peer received %q, want %q", got, "last")
 		}
 	}, []string{"open", "close"}},
 	{"write fails before the answer is read", func(m *manualLoop, _ *dialCallRecorder) {
@@ -146,8 +146,8 @@
 	}, []string{"open", "close"}},
 }
 
-// Guards which calls the handler of a dialed connection gets, and in which order, depending on how and when the
-// connection ends.
+// Checks the calls that the handler of a dialed connection gets, and their order, for different ways and times of the
+// connection's end.
 func TestDialedConnectionHandlerCalls(t *testing.T) {
 	for _, test := range dialedScenarios {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -1,6 +1,6 @@
 // Package eventloop runs non-blocking sockets on one goroutine: accepted and dialed TCP connections and connected UDP
-// sockets. It limits the number of connections, their idle time and the bytes that peers leave unread. It requires
-// Linux (epoll).
+// sockets. It limits the number of accepted connections, their idle time, and the bytes that peers leave unread. It
+// requires Linux (epoll).
 //
 // # Goroutines
 //
@@ -17,9 +17,10 @@
 // # Turns
 //
 // The loop works in turns. Each turn waits for events and calls beginTurn. It then makes the calls that the previous
-// turn has deferred and the calls that were posted. It calls the handlers of the connections that have events, client
-// connections first, and then endTurn. At the end of the turn the loop writes what the turn has queued, in one gathered
-// write for each connection. Several times a second it closes the accepted connections that have timed out.
+// turn has deferred and the calls that were posted. Next, it calls the handlers of the connections that have events,
+// client connections first. It then calls endTurn. At the end of the turn the loop writes what the turn has queued, in
+// one gathered write for each connection. Several times a second it closes the accepted connections that have timed
+// out.
 //
 // # Handlers
 //
@@ -47,8 +48,8 @@
 // OnOpen of a Conn gets an error that wraps os.ErrDeadlineExceeded if the dial timed out, or ErrLocalFault if this
 // machine could not open a connection before the timeout. Otherwise it gets the error of the name resolution, or the
 // errno with which the peer or the network refused the connection. OnOpen of a UDPConn gets the error of the name
-// resolution, or the errno with which the socket could not be opened, connected or polled. A UDP dial has no timeout of
-// its own and is not retried.
+// resolution, or the errno with which the socket could not be opened, connected or polled. A UDP dial has no timeout
+// and is not retried.
 package eventloop
 
 //go:generate go tool -modfile=../../tools/go.mod stringer -linecomment -output=enum_string.go -type=CloseCause,evictionPriority,connState,connEvent
--- a/internal/eventloop/eviction.go
+++ b/internal/eventloop/eviction.go
@@ -10,11 +10,11 @@
 	// are skipped. The limit bounds the system calls of one eviction.
 	maxEvictionCandidates = 8
 
-	// firstMessageGracePeriod is how long after its connect a client may take to begin its first message before its
-	// connection counts as silent. Silent connections are the first to be evicted. With a higher value, silent
-	// connections count as new for longer, and a flood of them evicts the idle connections of clients that have sent
-	// requests. With a lower value, a client whose first message takes longer loses its connection when an eviction is
-	// necessary.
+	// firstMessageGracePeriod is how long after the accept a client may take to begin its first message. Until then,
+	// its connection is among the last to be evicted; after that, the connection is silent and among the first. A
+	// higher value protects the connections of a flood of silent clients for longer, and the idle connections of
+	// clients that have sent requests are evicted in their place. A lower value makes a slow client lose its connection
+	// before it has begun its first message, if an eviction is necessary.
 	firstMessageGracePeriod = 250 * time.Millisecond
 
 	// longIdleThreshold is how long a client that has sent messages must be idle before it may be evicted because this
@@ -27,7 +27,7 @@
 type evictionPriority uint8
 
 const (
-	// The client has not begun a message within firstMessageGracePeriod.
+	// The client has not begun its first message within firstMessageGracePeriod.
 	evictSilent evictionPriority = iota // silent
 
 	// The client has sent complete messages, and no part of a further one.
@@ -64,9 +64,9 @@
 // are candidates. evict returns false if it has closed none.
 //
 // The candidate with the lowest eviction priority is closed first; among candidates of equal priority, the one that has
-// been inactive for longest. Connections that are opened by the hundreds and stay silent therefore evict each other,
-// but not the connections of clients that have sent requests or whose requests are on their way. A candidate with
-// unread input is skipped because the input may contain a request.
+// been inactive for longest. If clients open hundreds of connections and stay silent, these connections are therefore
+// evicted once they are older than firstMessageGracePeriod, before those of clients that have sent requests or whose
+// requests are on their way. A candidate with unread input is skipped because the input may contain a request.
 func (l *Loop) evict(eligible func(*Conn) bool) bool {
 	var withUnreadInput []*Conn
 	for len(withUnreadInput) < maxEvictionCandidates {
--- a/internal/eventloop/eviction_test.go
+++ b/internal/eventloop/eviction_test.go
@@ -8,8 +8,8 @@
 
 // Guards the order of eviction. Hundreds of connections that stay silent must not displace clients with requests, so
 // silent connections are evicted first, the oldest before the others. A new connection may have its request on the way,
-// and one that has sent part of a request may have the rest on the way: these are evicted last. A connection whose
-// answer is pending or unread would lose it and is not evicted.
+// and one that has sent part of a request may have the rest on the way: these are evicted last. A connection with an
+// open request, or with a pending or unread answer, is not evicted, because its client would lose the answer.
 func TestSilentConnectionsAreEvictedFirst(t *testing.T) {
 	l := New(Config{})
 	now := l.now
@@ -46,14 +46,17 @@
 
 	for _, c := range evictable {
 		if !l.evict(anyConnection) || c.conn.state != stateClosed {
-			t.Fatalf("the connection %q was not the next to be evicted", c.name)
+			t.Fatalf("the connection %q is in the state %v after the next eviction, want %v",
+				c.name, c.conn.state, stateClosed)
 		}
 	}
 	if l.evict(anyConnection) || openRequests.state != stateOpen || pendingAnswer.state != stateOpen || unreadAnswer.state != stateOpen {
-		t.Error("a connection with an outstanding answer was evicted")
+		t.Errorf("evict closed a connection or returned true; states of the connections with an open request: %v, "+
+			"a pending answer: %v, an unread answer: %v; want false and %v for all",
+			openRequests.state, pendingAnswer.state, unreadAnswer.state, stateOpen)
 	}
 	if pendingAnswer.activity.lastActivity != now {
-		t.Error("writing an answer did not update the connection's last activity")
+		t.Errorf("the last activity after writing an answer is %v, want %v", pendingAnswer.activity.lastActivity, now)
 	}
 }
 
@@ -73,12 +76,12 @@
 			t.Error(err)
 		}
 		if !l.evict(anyConnection) {
-			t.Error("nothing was evicted")
+			t.Error("evict returned false, want true: the second connection has no input")
 		}
 	})
 	got := make([]byte, len("request|"))
 	if _, err := io.ReadFull(first, got); err != nil || string(got) != "request|" {
-		t.Errorf("the client with a request read %q, error %v", got, err)
+		t.Errorf("the client with a request read %q, error %v; want %q", got, err, "request|")
 	}
 	if _, err := second.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the idle client: got %v, want EOF", err)
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -117,7 +117,7 @@
 			write(t, client, []byte("request"))
 			got := make([]byte, len("request|"))
 			if _, err := io.ReadFull(client, got); err != nil || string(got) != "request|" {
-				t.Errorf("the client read %q, error %v", got, err)
+				t.Errorf("the client read %q, error %v; want %q", got, err, "request|")
 			}
 		})
 	}
@@ -192,7 +192,7 @@
 	client := dialLoop(t, l)
 	write(t, client, []byte("request"))
 	if _, err := io.ReadFull(client, make([]byte, len("request|"))); err != nil {
-		t.Error(err)
+		t.Errorf("the client can't read its answer: %v", err)
 	}
 }
 
@@ -244,8 +244,8 @@
 	}
 }
 
-// Guards against a pause after a single failure of accept, for which new connections would have to wait. While accept
-// keeps failing, the pauses grow, up to a limit.
+// Guards against a pause after a single failure of accept, during which new connections would have to wait. While
+// accept keeps failing, the pauses grow, up to a limit.
 func TestAcceptPauses(t *testing.T) {
 	l := New(Config{MaxAcceptedConnections: 10, MaxUnreadBytes: 1 << 20})
 	calls := &faultyCalls{}
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -20,8 +20,8 @@
 	// MessageProgress returns how many complete messages have arrived so far, and whether part of a further message has
 	// arrived. The loop calls it after each OnData.
 	MessageProgress() (complete int, partial bool)
-	// OnEndOfInput is called when the client has sent its last byte. The client may have disconnected or may still
-	// read, so the connection stays open until everything is written and no request is open.
+	// OnEndOfInput is called when the end of the client's input (a FIN) was read. The client may have disconnected or
+	// may still read, so the connection stays open until everything is written and no request is open.
 	OnEndOfInput()
 }
 
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testTimeout limits how long a test waits for an event. A test reaches it only if it fails.
+// testTimeout limits how long a test waits for an event. Only a failing test waits for that long.
 const testTimeout = 20 * time.Second
 
 // echoHandler answers each received piece of data with the given number of copies of it, each followed by a "|". A test
--- a/internal/eventloop/interrupted_log.go
+++ b/internal/eventloop/interrupted_log.go
@@ -12,8 +12,8 @@
 const interruptedLogInterval = time.Second
 
 // interruptedLog collects the accepted connections that ended before their requests were answered, for one log line. A
-// single such connection comes from a client that no longer waits. Many at once, or connections that their clients did
-// not close, point to a fault of the router or the network.
+// single such connection comes from a client that has stopped waiting. Many at once, or connections that their clients
+// did not close, point to a fault of the router or the network.
 type interruptedLog struct {
 	throttle  logging.Throttle // counts the connections since the previous log line
 	lastAddr  netip.AddrPort
@@ -39,7 +39,8 @@
 	l.interrupted.lastError = err
 }
 
-// logInterrupted logs how many connections ended with open requests since its previous log line, if there were any.
+// logInterrupted logs how many connections ended with open requests since the previous such log line, if there were
+// any.
 func (l *Loop) logInterrupted() {
 	count, due := l.interrupted.throttle.Ready(l.now)
 	if !due {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -6,14 +6,16 @@
 	"functionrouter/internal/logging"
 )
 
-// processPauseThreshold is how much longer than expected a turn or a wait may take. If it takes longer, the loop
-// assumes that the machine has paused the process, and that the input of the next turn arrived before the pause
-// (InputTime).
+// processPauseThreshold is how long a turn may take, and how much longer than its timeout a wait may take. If either
+// takes longer, the loop assumes that the machine has paused the process, and that the input of the next turn may have
+// arrived when that turn or wait began (InputTime).
 //
-// It bounds the pauses that the loop does not detect, and thereby how much too late the router may assume a request's
-// deadline to be. The loop does not detect a pause during a wait that ends less than this threshold after the wait's
-// timeout, which is at most sweepInterval. A higher value makes more answers come too late after a pause. A lower value
-// makes turns that are only long count as pauses, and requests that arrived after them get less time than they have.
+// The threshold bounds the pauses that the loop does not detect. After such a pause, the router may assume a request's
+// deadline to be later than it is, by up to the length of the pause. In a turn, an undetected pause is at most as long
+// as the threshold. In a wait, it may be longer by the wait's timeout, which is at most sweepInterval, because the loop
+// detects only that the wait has exceeded its timeout by more than the threshold. A higher value makes more answers
+// come too late after a pause. A lower value makes the loop mistake long turns for pauses, and gives requests that
+// arrived during or after such a turn less time than they have.
 const processPauseThreshold = 50 * time.Millisecond
 
 // Config sets the limits of a Loop.
@@ -73,8 +75,8 @@
 	}
 }
 
-// Start opens the poller and the listeners. If it fails, nothing is left open, and the error names the address that
-// can't be listened on.
+// Start opens the poller and the listeners. If it fails, nothing is left open. If the fault concerns a listener, the
+// error names its address.
 func (l *Loop) Start() error {
 	poll, err := newPoller(l.calls)
 	if err != nil {
@@ -109,7 +111,7 @@
 
 // Run handles events until Stop is called, and then closes all descriptors without calling their handlers. Each turn
 // calls beginTurn with the time, then the handlers of the turn's events, then endTurn, which returns the time by which
-// it must be called again. A turn also starts when there are events, and at least every 200 ms (sweepInterval).
+// the next turn must start. A turn also starts when there are events, and at least every 200 ms (sweepInterval).
 func (l *Loop) Run(beginTurn func(now time.Duration), endTurn func(now time.Duration) time.Duration) {
 	var posted []func()
 	nextTurn := l.now
--- a/internal/eventloop/manual_loop_test.go
+++ b/internal/eventloop/manual_loop_test.go
@@ -69,7 +69,8 @@
 	m.t.Cleanup(m.closeDescriptors)
 }
 
-// runTurn runs one turn at the time m.now. It makes its steps in the order of Run.
+// runTurn runs one turn at the time m.now. It takes the steps of Run that the tests need, in the same order, and always
+// sweeps.
 func (m *manualLoop) runTurn() {
 	events := m.poll.wait(m.timeUntil(m.clock.now() + 50*time.Millisecond))
 	m.runDeferred()
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxPollEvents is how many events one wait returns at most. A router has no more descriptors than this, so that after
-// a pause of the machine one turn handles everything that happened meanwhile.
+// maxPollEvents is how many events one wait returns at most. The platform is not known to give a router more
+// descriptors than this, so one turn after a pause of the machine handles everything that happened meanwhile.
 const maxPollEvents = 1024
 
 // maxInterruptions is how often in a row signals may interrupt a wait before its turn begins without events.
--- a/internal/eventloop/poller_test.go
+++ b/internal/eventloop/poller_test.go
@@ -102,11 +102,11 @@
 	requireNoError(t, l.Start())
 	l.Post(l.Stop)
 	l.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Hour })
-	l.Post(func() { t.Error("called") })
+	l.Post(func() { t.Error("a call that was posted after Run had returned was made") })
 }
 
-// Guards InputTime. Input that is read after a pause of the process may have arrived when the pause began; without a
-// pause it counts as arrived in the present turn.
+// Guards InputTime. Input that is read after a pause of the process may have arrived when the pause began. Without a
+// pause, InputTime is the time of the present turn.
 func TestInputTimeAfterPauses(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	for _, test := range []struct {
--- a/internal/eventloop/post_queue.go
+++ b/internal/eventloop/post_queue.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// take removes the queued calls and returns them in order. The queue reuses the array of spare, a batch that is no
-// longer needed.
+// take removes the queued calls and returns them in order. The queue reuses the array of spare, an earlier batch whose
+// calls have been made.
 func (q *postQueue) take(spare []func()) []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -15,8 +15,8 @@
 	// input does not keep the loop from serving the others.
 	maxReadsPerTurn = 4
 
-	// maxReadsAtEnd is how often a connection is read in one turn at most if its peer has ended it or it can no longer
-	// be written to.
+	// maxReadsAtEnd is how often a connection is read in one turn at most if its peer has ended it or a write to it has
+	// failed.
 	maxReadsAtEnd = 64
 )
 
@@ -61,8 +61,9 @@
 	}
 }
 
-// handleEndOfInput handles the end of the peer's input (a FIN). A dialed connection closes at once. A client may have
-// closed only its sending direction and may still read, so its connection closes when all answers are written.
+// handleEndOfInput handles the end of the peer's input (a FIN). A dialed connection closes at once, and so does an
+// accepted one that can't be written to. A client may have closed only its sending direction and may still read, so its
+// connection closes when all answers are written.
 func (c *Conn) handleEndOfInput() {
 	if !c.isAccepted || c.writeError != nil {
 		c.closeAndNotify(io.EOF)
--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/read_test.go
@@ -37,8 +37,8 @@
 }
 
 // Guards the order of data and close. While the loop is busy, it reads no connection. If peers close their connections
-// in the meantime, the closes must be reported when the loop continues: for a connection with more data than one turn
-// reads, after all its data.
+// in the meantime, the closes must be reported when the loop continues. The close of a connection with more data than
+// maxReadsPerTurn reads take must be reported after all that data.
 func TestCloseIsReportedAfterItsData(t *testing.T) {
 	handlers := []*recordingHandler{{make(chan string, 1000)}, {make(chan string, 1000)}}
 	accepted := make(chan struct{})
@@ -61,7 +61,7 @@
 		<-unblock
 	})
 	<-blocked
-	text := bytes.Repeat([]byte("x"), (maxReadsPerTurn+1)*readBufferSize) // more than the loop reads in one turn
+	text := bytes.Repeat([]byte("x"), (maxReadsPerTurn+1)*readBufferSize) // more than maxReadsPerTurn reads take
 	written := make(chan error, 1)
 	go func() { // Write may block until the loop reads
 		_, err := sender.Write(text)
@@ -79,15 +79,15 @@
 	}
 	requireNoError(t, <-written)
 	if size != len(text) {
-		t.Errorf("the close was reported after %d of %d bytes", size, len(text))
+		t.Errorf("the close was reported after %d bytes, want %d", size, len(text))
 	}
 	if received := handlers[1].next(t); received != closeRecord {
 		t.Errorf("the handler of the silent connection got %q, want only the close", received)
 	}
 }
 
-// A client that has ended its direction (sent a FIN) must still get its answer; then the connection ends. Without an
-// open request it ends at once.
+// A client that has ended its direction (sent a FIN) must still get its answer before the connection ends. Without an
+// open request, the connection must end at once.
 func TestHalfClosedClientIsAnswered(t *testing.T) {
 	for _, hasOpenRequest := range []bool{true, false} {
 		h := &echoHandler{openRequests: hasOpenRequest, closed: make(chan error, 1), inputEnded: make(chan struct{}, 1)}
@@ -106,7 +106,8 @@
 		}
 		got, err := io.ReadAll(client)
 		if err != nil || hasOpenRequest && string(got) != "answer" {
-			t.Errorf("open request %v: the client read %q, error %v", hasOpenRequest, got, err)
+			t.Errorf("open request %v: the client read %q, error %v; want no error, and %q if a request is open",
+				hasOpenRequest, got, err, "answer")
 		}
 		if err := <-h.closed; !errors.Is(err, io.EOF) {
 			t.Errorf("OnClose got %v, want EOF", err)
@@ -160,6 +161,6 @@
 		}
 	})
 	if endOfInputAt := <-h.endOfInputAt; endOfInputAt != h.dataAt {
-		t.Errorf("the data was handled at %v, the end of input at %v", h.dataAt, endOfInputAt)
+		t.Errorf("the data was handled at %v, the end of input at %v; want the same turn", h.dataAt, endOfInputAt)
 	}
 }
--- a/internal/eventloop/sweep.go
+++ b/internal/eventloop/sweep.go
@@ -8,7 +8,7 @@
 	sweepInterval = 200 * time.Millisecond
 
 	// closeTimeout is how long the peer of an accepted connection may take to read its last answers after the handler
-	// has called CloseAfterFlush. It is counted from the connection's last complete message or answer.
+	// has called CloseAfterFlush. The time starts at the connection's last complete message or answer, not at the call.
 	closeTimeout = 2 * time.Second
 )
 
--- a/internal/eventloop/sweep_test.go
+++ b/internal/eventloop/sweep_test.go
@@ -11,7 +11,8 @@
 func TestAcceptedConnectionsTimeOut(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// receive sets the state of h at the time at since the accept, and reports whether data arrives then.
+		// receive sets the state of h for the time that has passed since the accept (at), and reports whether data
+		// arrives then.
 		receive func(h *echoHandler, at time.Duration) bool
 		want    time.Duration // time since the accept at which the connection is closed
 	}{
--- a/internal/eventloop/udp_address_test.go
+++ b/internal/eventloop/udp_address_test.go
@@ -20,7 +20,7 @@
 		cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$", "-test.v")
 		cmd.Env = append(os.Environ(), hiddenAddressVariable+"=1")
 		if out, err := cmd.CombinedOutput(); err != nil {
-			t.Errorf("%v\n%s", err, out)
+			t.Errorf("the process without local addresses failed: %v\n%s", err, out)
 		}
 		return
 	}
@@ -55,7 +55,7 @@
 	}
 	seccomp, ok := map[string]uintptr{"amd64": seccompNumberForAMD64, "arm64": seccompNumberForARM64}[runtime.GOARCH]
 	if !ok {
-		t.Fatalf("no system call number known for %s", runtime.GOARCH)
+		t.Fatalf("the test does not know the system call number of seccomp for %s", runtime.GOARCH)
 	}
 	program := []instruction{
 		{code: loadSystemCallNumber},
--- a/internal/eventloop/udp_test.go
+++ b/internal/eventloop/udp_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// A socket whose peer no longer listens must close by itself, with one call of OnClose. A socket that is closed while
-// it is being dialed must not be opened.
+// A socket whose peer has stopped listening must close by itself, with one call of OnClose. A socket that is closed
+// while it is being dialed must not be opened.
 func TestUDPSocketClosesOnce(t *testing.T) {
 	l := startLoop(t, 1, nil)
 	peer := listenUDP(t)
@@ -88,6 +88,8 @@
 	l.Post(func() { l.DialUDP(addr, last) })
 	requireNoError(t, <-last.opened)
 	if len(cancelled.opened)+len(cancelled.closed)+len(h.closed) > 0 {
-		t.Error("the handler of a socket that was closed while dialing, or had already closed, got another call")
+		t.Errorf("calls after the close: %d OnOpen and %d OnClose for the socket that was closed while dialing, "+
+			"%d OnClose for the socket that had closed by itself; want none",
+			len(cancelled.opened), len(cancelled.closed), len(h.closed))
 	}
 }
--- a/internal/eventloop/unread_test.go
+++ b/internal/eventloop/unread_test.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Guards the last answers of a router that shuts down. Bytes that a turn has queued must count as unread before the
-// turn's flush, and a message that has arrived only in part must be reported.
+// Guards the figures about unfinished answers and requests that a router logs while it shuts down. Bytes that a turn
+// has queued must count as unread before the turn's flush, and a message that has arrived only in part must be
+// reported.
 func TestUnreadBytesAndPartialMessagesAreReported(t *testing.T) {
 	h := &echoHandler{copies: 1, partialMessage: true, closed: make(chan error, 1)}
 	accepted := make(chan struct{})
@@ -39,13 +40,13 @@
 	hasPartial := false
 	runOnLoop(l, func() { hasPartial = l.HasPartialMessages() })
 	if !hasPartial {
-		t.Error("the partial message is not reported")
+		t.Error("HasPartialMessages returned false, want true for an open connection with a partial message")
 	}
 	requireNoError(t, client.Close())
-	t.Logf("closed with %v", <-h.closed)
+	t.Logf("OnClose got %v", <-h.closed)
 	runOnLoop(l, func() { hasPartial = l.HasPartialMessages() })
 	if hasPartial {
-		t.Error("the partial message of a closed connection is reported")
+		t.Error("HasPartialMessages returned true, want false after the connection has closed")
 	}
 }
 
@@ -56,7 +57,7 @@
 	requireNoError(t, client.SetReadBuffer(4<<10))
 	write(t, client, bytes.Repeat([]byte("x"), 200)) // 8 MB of answers
 	if err := <-h.closed; err == nil {
-		t.Error("OnClose got no error")
+		t.Error("OnClose got nil, want an error")
 	}
 }
 
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -11,7 +11,7 @@
 const maxWriteVectors = 512
 
 // Write queues buffers until the end of the turn; the caller must not change them before that. The buffers are dropped
-// if the connection is closed, is not connected yet or can no longer be written to, and after CloseAfterFlush. Write
+// if the connection is closed or not connected yet, if an earlier write has failed, and after CloseAfterFlush. Write
 // must not be called before OnOpen (see Loop.Dial). A peer that leaves too many bytes unread is disconnected: the
 // handler's OnClose gets the error in a later turn.
 func (c *Conn) Write(bufs ...[]byte) {
@@ -93,7 +93,7 @@
 }
 
 // writeBuffers writes bufs in as few system calls as possible. It returns the rest that the kernel did not take because
-// the socket's send buffer is full. It changes the slice, but not the bytes.
+// the socket's send buffer is full or the kernel lacks memory. It changes the slice, but not the bytes.
 func (c *Conn) writeBuffers(bufs [][]byte) (rest [][]byte, err error) {
 	for len(bufs) > 0 {
 		n, err := c.loop.calls.write(c.socket.fd, bufs[:min(len(bufs), maxWriteVectors)])
@@ -143,8 +143,9 @@
 	c.closeIfFlushed()
 }
 
-// failWrite marks a connection as no longer writable, and schedules its close. The peer may have sent data before the
-// connection broke, such as the answers of a worker: closeAfterWriteError reads that data first, in the next turn.
+// failWrite marks a connection as unwritable because of err, and schedules its close. The peer may have sent data
+// before the connection broke, such as the answers of a worker: closeAfterWriteError reads that data first, in the next
+// turn.
 func (c *Conn) failWrite(err error) {
 	if c.state.isClosed() || c.writeError != nil {
 		return
