--- a/cmd/functionrouter/cancel_test.go
+++ b/cmd/functionrouter/cancel_test.go
@@ -16,7 +16,7 @@
 }
 
 // Checks that the router sends no attempt for a client that has cancelled its request while the attempt waits for a
-// dial. This also holds if the settings do not allow the router to cancel attempts.
+// dial. This must hold although the settings of the test do not allow the router to cancel attempts.
 func TestCancelWhileDialing(t *testing.T) {
 	for _, test := range cancellations {
 		t.Run(test.name, func(t *testing.T) {
--- a/cmd/functionrouter/client_test.go
+++ b/cmd/functionrouter/client_test.go
@@ -131,7 +131,7 @@
 	return body
 }
 
-// tryResponse reads a response like response does, but returns an error if the connection has ended.
+// tryResponse reads a response like response does, but returns an error if it can't read the frame.
 func (c *testClient) tryResponse() (status, body string, err error) {
 	b, err := c.readFrame()
 	if err != nil {
--- a/cmd/functionrouter/config_test.go
+++ b/cmd/functionrouter/config_test.go
@@ -41,7 +41,8 @@
 	}
 	if c.Name != "n4" || c.seed != 0x8c1f30d27a5be964 || c.InitialEndpoints.Offset != 3 ||
 		c.transport.Classes[0].Name != "repair-order" || c.transport.Limits.StreamsPerConnection != 32 {
-		t.Errorf("read %+v", c)
+		t.Errorf("read %+v, want the name n4, the seed 8c1f30d27a5be964, the offset 3, the class repair-order and "+
+			"32 streams per connection", c)
 	}
 }
 
--- a/cmd/functionrouter/connections_test.go
+++ b/cmd/functionrouter/connections_test.go
@@ -34,8 +34,9 @@
 	}
 }
 
-// Checks that the router drops a second response to a request, which the worker sends together with the first. Neither
-// the client that already has its answer nor the client with the next request on that connection receives it.
+// Checks that the router drops further responses to a request that it has already answered: one that the worker sends
+// together with the first response, one that arrives during the next request on the same connection to the worker, and
+// one that arrives during a request that reuses the ID.
 func TestDuplicateResponseIsDropped(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
--- a/cmd/functionrouter/counters.go
+++ b/cmd/functionrouter/counters.go
@@ -55,7 +55,7 @@
 }
 
 // logAttemptCounters logs the attempts sent to workers and their outcomes. Overdue requests are those that the router
-// answered at their deadline because the policy had not decided them by then.
+// answered at their deadline because the policy had not decided about them by then.
 func logAttemptCounters(c *router.Counters) {
 	attributes := appendOutcomes([]any{"sent", c.AttemptsSent}, &c.AttemptOutcomes)
 	attributes = append(attributes, "overdue_requests", c.Overdue)
--- a/cmd/functionrouter/counters_test.go
+++ b/cmd/functionrouter/counters_test.go
@@ -49,7 +49,7 @@
 			log.install(t)
 			test.log(&c)
 			if got := log.text.String(); !strings.HasSuffix(got, "level=INFO "+test.want+"\n") {
-				t.Errorf("logged %s, want %s", got, test.want)
+				t.Errorf("logged %q, want a line that ends in %q", got, "level=INFO "+test.want)
 			}
 		})
 	}
--- a/cmd/functionrouter/dial_test.go
+++ b/cmd/functionrouter/dial_test.go
@@ -13,8 +13,8 @@
 // and that it sends the request that waited for the dial to another worker at once.
 func TestDialCompletesAfterDrain(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		after func(addr string) []listedWorker
+		name         string
+		entriesAfter func(addr string) []listedWorker // entries of the worker at addr in the new list
 	}{
 		{"draining", func(addr string) []listedWorker { return []listedWorker{{name: "s-1", addr: addr, draining: true}} }},
 		{"removed", func(string) []listedWorker { return nil }},
@@ -29,7 +29,7 @@
 			if connectingSockets(t, worker.addr) == 0 {
 				t.Fatal("the router is not dialing the worker")
 			}
-			h.updateEndpoints(2, append([]listedWorker{{name: "s-2", addr: readyWorker.addr}}, test.after(worker.addr)...)...)
+			h.updateEndpoints(2, append([]listedWorker{{name: "s-2", addr: readyWorker.addr}}, test.entriesAfter(worker.addr)...)...)
 			readyWorker.nextRequest().respond("HIT", "done")
 			c.expectStatus("served")
 			if connectingSockets(t, worker.addr) > 0 {
--- a/cmd/functionrouter/endpoint_log.go
+++ b/cmd/functionrouter/endpoint_log.go
@@ -14,7 +14,7 @@
 }
 
 // record logs one message for each endpoint that list adds or changes, in the order of list, then one for each endpoint
-// that list no longer contains, and one for the list itself.
+// of the last list that is missing from list, and one for the list itself.
 func (l *endpointLog) record(list []discovery.Endpoint) {
 	previousList := l.lastList
 	l.lastList = make(map[string]discovery.Endpoint, len(list))
--- a/cmd/functionrouter/endpoint_log_test.go
+++ b/cmd/functionrouter/endpoint_log_test.go
@@ -8,7 +8,8 @@
 	"functionrouter/policy"
 )
 
-// Checks that the endpoint log reports only the changes of each list: a list without changes logs one line.
+// Checks that the endpoint log reports the endpoints that a list changes or removes, and not an endpoint that is
+// unchanged.
 func TestEndpointLogLogsOnlyChanges(t *testing.T) {
 	captured := newLogCapture()
 	captured.install(t)
@@ -19,9 +20,9 @@
 	var l endpointLog
 	for _, step := range []struct {
 		list    []discovery.Endpoint
-		updated string // worker of the expected "endpoint updated" line; empty if none is expected
-		removed string // worker of the expected "endpoint removed" line; empty if none is expected
-		absent  string // text that no line may contain
+		updated string // worker of an expected "endpoint updated" line; empty: not checked
+		removed string // worker of an expected "endpoint removed" line; empty: not checked
+		absent  string // text that no line may contain; empty: not checked
 	}{
 		{list: []discovery.Endpoint{first, second}, updated: "worker=s-2"},
 		{list: []discovery.Endpoint{first, second}, absent: "worker=s-1"},
@@ -35,7 +36,8 @@
 			step.updated != "" && !strings.Contains(text, `msg="endpoint updated" `+step.updated) ||
 			step.removed != "" && !strings.Contains(text, `msg="endpoint removed" `+step.removed) ||
 			step.absent != "" && strings.Contains(text, step.absent) {
-			t.Errorf("the list %v logged %q", step.list, text)
+			t.Errorf("the list %v logged %q, want \"endpoint list applied\", an update of %q, a removal of %q and "+
+				"no %q (empty: not checked)", step.list, text, step.updated, step.removed, step.absent)
 		}
 	}
 }
--- a/cmd/functionrouter/endpoints_test.go
+++ b/cmd/functionrouter/endpoints_test.go
@@ -14,7 +14,7 @@
 	first := startFakeWorker(t)
 	second := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: first.addr})
-	pendingQuery := h.directory.nextQuery() // to the oldDirectory directory
+	pendingQuery := h.directory.nextQuery() // to the old directory
 	oldDirectory := h.directory
 	newDirectory := newFakeDirectory(t)
 	if err := h.reload(strings.Replace(h.configText, oldDirectory.addr(), newDirectory.addr(), 1)); err != nil {
@@ -63,7 +63,7 @@
 	h.log.waitFor(t, offset, `msg="directory unreachable"`)
 	expectServedBy(first, "00000000000000a3")
 	h.directory = newFakeDirectoryAt(t, addr)
-	h.updateEndpoints(3, listedWorker{name: "s-2", addr: second.addr}) // the list no longer contains s-1
+	h.updateEndpoints(3, listedWorker{name: "s-2", addr: second.addr}) // a list without s-1
 	expectServedBy(second, "00000000000000a4")
 	first.expectNoRequest()
 }
@@ -89,8 +89,8 @@
 	}
 }
 
-// Checks that the router does not send a request that must not be repeated over a connection to the old process of a
-// worker that has restarted at the same address. The restart has dropped that connection.
+// Checks that, after a worker has restarted at the same address, the router does not use a connection to its old
+// process for a request that must not be repeated. The restart has broken that connection.
 func TestWorkerRestartsAtSameAddress(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
@@ -110,7 +110,7 @@
 	c.expectStatus("served")
 }
 
-// Checks that a router that starts with a list of workers that no longer run sends requests to a worker that only the
+// Checks that a router whose initial list contains only stopped workers sends requests to a worker that only the
 // directory lists.
 func TestStaleInitialEndpoints(t *testing.T) {
 	stoppedWorker := newFakeWorker(t)
--- a/cmd/functionrouter/environment_test.go
+++ b/cmd/functionrouter/environment_test.go
@@ -51,7 +51,7 @@
 				}
 				logged := strings.TrimSuffix(log.text.String(), "\n")
 				if !strings.HasSuffix(logged, test.logged) || test.logged == "" && logged != "" {
-					t.Errorf("logged %q, want %q", logged, test.logged)
+					t.Errorf("logged %q, want a line that ends in %q (empty: no line)", logged, test.logged)
 				}
 			})
 		}
--- a/cmd/functionrouter/fake_worker_test.go
+++ b/cmd/functionrouter/fake_worker_test.go
@@ -191,7 +191,7 @@
 	case r := <-other.requests:
 		return r
 	case <-time.After(testTimeout):
-		w.t.Fatal("no request has arrived")
+		w.t.Fatal("no request has arrived within testTimeout")
 		return workerRequest{}
 	}
 }
--- a/cmd/functionrouter/harness_test.go
+++ b/cmd/functionrouter/harness_test.go
@@ -36,7 +36,7 @@
 	listen        string
 	directory     *fakeDirectory
 	log           *logCapture
-	reloadResults chan error    // one result per SIGHUP; loadConfig blocks while a second result waits
+	reloadResults chan error    // one result per SIGHUP; loadConfig blocks while the previous result is unread
 	exited        chan struct{} // closed when serve has returned
 	clients       []*testClient // all clients that have connected
 	exitError     error         // result of serve; set before exited is closed
@@ -203,7 +203,7 @@
 	select {
 	case <-h.exited:
 		if h.exitError != nil {
-			h.t.Error(h.exitError)
+			h.t.Errorf("the router has ended with the error %v, want none", h.exitError)
 		}
 	case <-time.After(testTimeout):
 		h.t.Errorf("the router has not ended after %v", testTimeout)
--- a/cmd/functionrouter/limits.go
+++ b/cmd/functionrouter/limits.go
@@ -50,11 +50,12 @@
 
 	// maxFlushDeadline is the longest deadline that the platform takes into account when it stops a router. The
 	// platform kills a router that has not ended by L + 0.7 s after SIGTERM, where L is the longest deadline of all
-	// classes, but at most maxFlushDeadline.
+	// classes, limited to maxFlushDeadline.
 	maxFlushDeadline = 3 * time.Second
 
-	// flushMargin is the part of these 0.7 s in which the router still answers open requests and delivers notices. The
-	// remaining 0.2 s are for the end of the program, including logCloseTimeout, and for pauses of the machine.
+	// flushMargin is the part of the 0.7 s before the kill (see maxFlushDeadline) in which the router still answers
+	// open requests and delivers notices. The remaining 0.2 s are for the end of the program, including
+	// logCloseTimeout, and for pauses of the machine.
 	flushMargin = 500 * time.Millisecond
 )
 
--- a/cmd/functionrouter/limits_test.go
+++ b/cmd/functionrouter/limits_test.go
@@ -31,7 +31,8 @@
 	held := bodies + c.scaleToMemory(maxUnreadBytes) +
 		c.scaleToMemory(maxWebhookResultBytes) + open*2048
 	if held > c.Limits.MemoryMB<<20/2 || bodies < 1<<20 || open < 1000 {
-		t.Errorf("limits of %d bytes held for peers, %d of them bodies, and %d open requests", held, bodies, open)
+		t.Errorf("limits: %d bytes held for peers, want at most %d; %d of them bodies, want at least %d; "+
+			"%d open requests, want at least 1000", held, c.Limits.MemoryMB<<20/2, bodies, 1<<20, open)
 	}
 }
 
@@ -40,15 +41,16 @@
 	t.Helper()
 	clients := c.maxClientConnections()
 	workers := c.maxWorkerConnections()
-	if own := c.Limits.Sockets - clients - workers; clients*3 > c.Limits.Sockets || own < 16 || workers < 20 {
-		t.Errorf("%d descriptors for clients, %d for workers, %d for the rest", clients, workers, own)
+	if remaining := c.Limits.Sockets - clients - workers; clients*3 > c.Limits.Sockets || remaining < 16 || workers < 20 {
+		t.Errorf("%d descriptors for clients, want at most %d; %d for workers, want at least 20; "+
+			"%d for other uses, want at least 16", clients, c.Limits.Sockets/3, workers, remaining)
 	}
 }
 
 func TestRefusalRetryAfter(t *testing.T) {
 	var c config
 	if got := c.refusalRetryAfter(); got != 0 {
-		t.Errorf("Retry-After %v although the settings allow none", got)
+		t.Errorf("Retry-After %v, want 0 because the settings allow none", got)
 	}
 	c.policy.AllowRetryAfter = true
 	c.policy.MaxRetryAfter = 300 * time.Millisecond
--- a/cmd/functionrouter/load_clients_test.go
+++ b/cmd/functionrouter/load_clients_test.go
@@ -23,13 +23,13 @@
 const functionProperties = "memory_mb:128;lanes:2;load_ms:10"
 
 // clientLoad runs a number of well-behaved clients, each on its own goroutine, and checks the answer to each of their
-// calls. A call is lost if its connection ends before the answer, if the answer is wrong, or if it arrives later than
-// answerTolerance after the client's timeout.
+// calls. A call is lost if its connection ends before the answer, if the answer is wrong, or if the answer arrives
+// later than answerTolerance after the client's timeout.
 type clientLoad struct {
 	t       *testing.T
 	address string
 	wait    time.Duration // client's timeout for each call
-	classes []string      // classes of the calls, used in turn; only safe if empty
+	classes []string      // classes of the calls, used in turn; if empty, all calls have the class safe
 	// callsPerConnection is the largest number of calls that a client sends on one connection; the number is drawn for
 	// each connection. With 0, a client keeps its connection.
 	callsPerConnection int
@@ -91,7 +91,8 @@
 	return l.lost
 }
 
-// useConnection sends calls on a new connection. It returns false if a call was lost or the connection failed.
+// useConnection sends calls on a new connection. It returns false if the connection could not be opened or a call was
+// lost.
 func (l *clientLoad) useConnection(random *rand.Rand, startedAt time.Time) bool {
 	conn, err := net.Dial("tcp", l.address)
 	if err != nil {
@@ -171,7 +172,8 @@
 	for body, count := range a.byBody {
 		class, _, _ := strings.Cut(body, " ")
 		if class == "safe" && count > maxAttempts || class == "unsafe" && count > 1 {
-			t.Errorf("the workers received %d attempts of request %q", count, body)
+			t.Errorf("the workers received %d attempts of request %q, want at most %d if safe and 1 if unsafe",
+				count, body, maxAttempts)
 		}
 	}
 }
--- a/cmd/functionrouter/lost_answers_test.go
+++ b/cmd/functionrouter/lost_answers_test.go
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Checks that a client that waits for its answer gets it, whatever other clients do to their connections.
+// Checks that a client that waits for its answer gets it while other clients end their connections in the ways that
+// misbehaviors lists.
 func TestCallsAnsweredDespiteMisbehavingClients(t *testing.T) {
 	const loadDuration = 1500 * time.Millisecond
 	for _, test := range []struct {
@@ -40,7 +41,8 @@
 }
 
 // Checks that the router answers each call until the platform may kill the process. After SIGTERM, clients may send
-// calls on open connections until then; the earliest kill is 0.7 s after the longest deadline of the deployment.
+// calls on open connections until then; the earliest kill comes at the longest deadline of the deployment plus 0.7 s
+// after SIGTERM.
 func TestCallsAnsweredUntilKill(t *testing.T) {
 	for _, deadline := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
@@ -76,19 +78,19 @@
 	clientAfter.sendCall("safe", "00000000000000a2", "after SIGTERM")
 	clientBefore.expectStatus("failed")
 	if status, _ := clientAfter.response(); status == "served" {
-		t.Error("a call was served although its worker hangs")
+		t.Error("the call after SIGTERM was served although its worker hangs")
 	}
 	if took := time.Since(start); took >= time.Second { // the deadline of 0.3 s and 0.7 s
-		t.Errorf("the calls were answered %v after SIGTERM", took)
+		t.Errorf("the calls were answered %v after SIGTERM, want less than %v", took, time.Second)
 	}
 	clientBefore.close()
 	clientAfter.close()
 	expectExit(t, process)
 }
 
-// Checks that each call gets one answer in time, with its own body if it was served, whatever faults the connections to
-// workers have, also during a reload of the configuration. A call that must not run twice must not be retried if it may
-// have run.
+// Checks that each call gets one answer in time, with its own body if it was served, while the connections to workers
+// have the faults of a faultProxy and the configuration is reloaded. A call that must not run twice must not be retried
+// if it may have run.
 func TestCallsAnsweredDespiteFaultyWorkers(t *testing.T) {
 	const loadDuration = time.Second
 	for seed := range uint64(4) {
--- a/cmd/functionrouter/main.go
+++ b/cmd/functionrouter/main.go
@@ -24,8 +24,8 @@
 
 // main runs the router. If the start fails, it prints the error on one plain line after the log.
 func main() {
-	// Without this, a write to the log would kill the router with SIGPIPE after the reader of the log has closed the
-	// pipe.
+	// Without this call, a write to the log would kill the router with SIGPIPE after the reader of the log has closed
+	// the pipe.
 	signal.Ignore(syscall.SIGPIPE)
 	log := logging.NewWriter(os.Stderr)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
--- a/cmd/functionrouter/misbehaving_clients_test.go
+++ b/cmd/functionrouter/misbehaving_clients_test.go
@@ -76,7 +76,7 @@
 		m.running.Add(1)
 		go func() {
 			defer m.running.Done()
-			random := rand.New(rand.NewPCG(seed, uint64(1000+i))) // no clientLoad uses this source
+			random := rand.New(rand.NewPCG(seed, uint64(1000+i))) // no clientLoad uses this sequence
 			for !m.stopping.Load() {
 				conn, err := net.Dial("tcp", address)
 				if err != nil {
--- a/cmd/functionrouter/pinned_router_test.go
+++ b/cmd/functionrouter/pinned_router_test.go
@@ -47,8 +47,8 @@
 	return h, process
 }
 
-// pinToOneCore restricts the process to one core, which it also has in a deployment. The faults that these tests detect
-// rarely occur on several cores.
+// pinToOneCore restricts the process to one core, as in a deployment. The faults that these tests detect rarely occur
+// on several cores.
 func pinToOneCore(t *testing.T, process *os.Process) {
 	t.Helper()
 	var allowed unix.CPUSet
--- a/cmd/functionrouter/process_harness_test.go
+++ b/cmd/functionrouter/process_harness_test.go
@@ -46,9 +46,9 @@
 	return cmd
 }
 
-// startProcess starts the router as a separate process with nothing but its configuration, and returns once it answers.
-// The process is killed at the end of the test. The harness's log and signals have no effect on it. descriptors limits
-// its file descriptors independently of the configuration.
+// startProcess starts the router as a separate process that reads the harness's configuration file, and returns once
+// the process has answered a health check. The process is killed at the end of the test. The harness's log and signals
+// have no effect on it. descriptors limits its file descriptors independently of the configuration.
 func (h *harness) startProcess(descriptors int) *os.Process {
 	h.t.Helper()
 	var log bytes.Buffer
--- a/cmd/functionrouter/process_test.go
+++ b/cmd/functionrouter/process_test.go
@@ -132,7 +132,7 @@
 	}
 	for _, c := range []*testClient{c, idleClient} {
 		if _, _, err := c.tryResponse(); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("the connection to the killed process returned %v, want its end", err)
+			t.Errorf("the connection to the killed process returned %v, want EOF or ECONNRESET", err)
 		}
 	}
 	first.stop()
--- a/cmd/functionrouter/serve.go
+++ b/cmd/functionrouter/serve.go
@@ -9,8 +9,8 @@
 	"functionrouter/internal/backend"
 )
 
-// maxProcs is GOMAXPROCS. The process has one core; the additional threads let the event loop run while a poller sleeps
-// in the kernel.
+// maxProcs is GOMAXPROCS. The process has one core; the additional threads let the event loop and the other goroutines
+// run while one of them sleeps in the kernel.
 const maxProcs = 4
 
 // Intervals of the periodic tasks. The interval of the pool is backend.SweepInterval.
--- a/cmd/functionrouter/shutdown.go
+++ b/cmd/functionrouter/shutdown.go
@@ -12,8 +12,8 @@
 	// rest is a margin.
 	shutdownGracePeriod = 650 * time.Millisecond
 
-	// shutdownQuietPeriod is how long no client connection must have been open before the router ends, because a client
-	// that has just connected may still wait to be accepted.
+	// shutdownQuietPeriod is how long the router must have had no open client connection before it ends, because a
+	// client that has just connected may still wait to be accepted.
 	shutdownQuietPeriod = 200 * time.Millisecond
 
 	// shutdownCheckInterval is the longest time between two checks whether a shutdown is complete.
@@ -44,8 +44,8 @@
 	slog.Info("shutdown started", "signal", sig.String())
 }
 
-// beginShutdown starts the graceful shutdown. The router answers each request, whether it is open now or arrives later,
-// before the flush timeout from now has passed, even if the client would wait longer, because the platform kills the
+// beginShutdown starts the graceful shutdown. The router answers the open requests, and those that arrive later, by the
+// end of the flush timeout, which begins now, even if the client would wait longer, because the platform kills the
 // process soon afterwards.
 func (s *server) beginShutdown(now time.Duration) {
 	s.shutdown.startedAt = now
@@ -55,7 +55,7 @@
 }
 
 // advanceShutdown stops the loop once the grace period is over, no client connection has been open for the quiet
-// period, no request is open, and the notices are delivered or the flush timeout has passed. Until the loop stops,
+// period, no request is open, and either no notice is open or the flush timeout has passed. Until the loop stops,
 // clients may send requests; after the grace period the router refuses them. advanceShutdown does not close any
 // connection, because a request may be in transit and its client may have no other router. It is called in each turn of
 // the loop once the shutdown has begun.
--- a/cmd/functionrouter/shutdown_test.go
+++ b/cmd/functionrouter/shutdown_test.go
@@ -20,19 +20,19 @@
 		body   string
 		before func()
 	}{
-		{"before", func() {}},
-		{"moved", func() {
+		{"at the start", func() {}},
+		{"after a new directory address", func() {
 			if err := h.reload(strings.Replace(h.configText, h.directory.addr(), newDirectory.addr(), 1)); err != nil {
 				t.Errorf("the reload failed: %v", err)
 			}
 			newDirectory.nextQuery()
 		}},
-		{"unread", func() {
+		{"after an invalid configuration", func() {
 			if err := h.reload(h.configText[:len(h.configText)/2]); err == nil {
-				t.Error("the reload accepted a truncated file")
+				t.Error("the reload of a truncated file returned no error, want one")
 			}
 		}},
-		{"after", func() { h.signal(syscall.SIGTERM) }},
+		{"after SIGTERM", func() { h.signal(syscall.SIGTERM) }},
 	} {
 		step.before()
 		c.sendCall("unsafe", fmt.Sprintf("%016x", i), step.body)
@@ -42,14 +42,15 @@
 		}
 		r.respond("HIT", "done "+step.body)
 		if status, body := c.response(); status != "served" || body != "done "+step.body {
-			t.Fatalf("the request was %s with %q", status, body)
+			t.Fatalf("the request was %s with %q, want served with %q", status, body, "done "+step.body)
 		}
 	}
 	h.waitForExit()
 }
 
-// Checks that the router answers a request that is only partially received at SIGTERM, however late the rest arrives
-// within the time limit for a message. It also checks a request on a connection that is opened after SIGTERM.
+// Checks that the router answers a request that is only partially received at SIGTERM, even if the rest arrives when
+// the router already refuses requests. It also checks that the router serves a request on a connection that is opened
+// after SIGTERM.
 func TestPartialRequestAtSIGTERM(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
@@ -70,8 +71,8 @@
 	h.waitForExit()
 }
 
-// Checks that a request that is in flight at SIGTERM gets its answer before the router ends, however late the worker
-// responds.
+// Checks that a request that is in flight at SIGTERM gets its answer before the router ends, even if the worker
+// responds when the router already refuses requests.
 func TestInFlightRequestAtSIGTERM(t *testing.T) {
 	worker := startFakeWorker(t)
 	h := startHarness(t, "", listedWorker{name: "s-1", addr: worker.addr})
@@ -84,7 +85,7 @@
 	secondClient.callUntilRefused()
 	r.respond("HIT", "done late")
 	if body := c.expectStatus("served"); body != "done late" {
-		t.Errorf("the request was served with %q", body)
+		t.Errorf("the request was served with %q, want %q", body, "done late")
 	}
 	h.waitForExit()
 }
--- a/cmd/functionrouter/start_times.go
+++ b/cmd/functionrouter/start_times.go
@@ -10,7 +10,7 @@
 // is silent, a change counts as announced after 4.5 s (docs/QUESTIONS.md); the rest is a margin.
 const maxListingDelay = 5 * time.Second
 
-// maxRememberedStarts limits how many starts are remembered of workers that are not in the list. They are remembered
+// maxRememberedStarts limits how many starts of workers that are not in the list are remembered. They are remembered
 // because a worker that returns to the list with the same start has not restarted. When the limit is exceeded, all of
 // them are forgotten.
 const maxRememberedStarts = 1024
--- a/cmd/functionrouter/start_times_test.go
+++ b/cmd/functionrouter/start_times_test.go
@@ -7,8 +7,9 @@
 	"functionrouter/internal/discovery"
 )
 
-// Checks that a start that the router first sees in a list is neither later than now nor long ago, however much the
-// clocks of two machines, or one clock before and after a step, differ.
+// Checks that a start that the router first sees in a list is not later than now and, if there was a previous answer,
+// not earlier than that answer by more than maxListingDelay. This must hold although the clocks of two machines differ
+// or one clock is stepped.
 func TestStartTimesBoundedByListing(t *testing.T) {
 	const now = 2 * time.Hour
 	wallNow := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
--- a/cmd/functionrouter/webhooks.go
+++ b/cmd/functionrouter/webhooks.go
@@ -37,8 +37,9 @@
 	return nil
 }
 
-// addReceiver enables the webhook frontend: it opens the ledger and adds a listener to the loop. Requests of each class
-// that is not policy.Idempotent count as orders, including classes that are idempotent only with a key.
+// addReceiver enables the webhook frontend: it opens the ledger and adds a listener to the loop. The receiver treats
+// the requests of each class that is not policy.Idempotent as orders, including classes that are idempotent only with a
+// key.
 func (x *extensions) addReceiver(file *webhook.Config, requestRouter webhook.RequestRouter) error {
 	var classes []webhook.Class
 	for i, class := range x.cfg.policy.Classes {
@@ -82,7 +83,8 @@
 		"replayed", c.Replayed, "joined", c.Joined, "ledger_refused", c.LedgerRefused)
 }
 
-// logNoticeCounters logs the counters of the notices by result, and the number of notices that are not delivered yet.
+// logNoticeCounters logs the counters of the notices by result, and the number of notices that have been neither
+// delivered nor given up.
 func logNoticeCounters(c *webhook.SenderCounters, open int) {
 	slog.Info("notice counters", "queued", c.Queued, "dropped", c.Dropped, "delivered", c.Delivered,
 		"retried", c.Retried, "given_up", c.Failed, "open", open)
--- a/internal/ipfix/exporter.go
+++ b/internal/ipfix/exporter.go
@@ -69,9 +69,9 @@
 // New returns an Exporter that sends to c.Collector. It ignores c.Enabled. wallClock returns the export time of
 // messages.
 //
-// dial opens a socket to c.Collector and reports the result to h. It must do so on the event loop's goroutine and only
-// after it has returned, because an earlier report may be lost. If the result is not reported, the Exporter never dials
-// again.
+// dial opens a socket to c.Collector and reports the result to h. The report must be made on the event loop's goroutine
+// and only after dial has returned, because an earlier report may be lost. If the result is not reported, the Exporter
+// never dials again.
 func New(c *Config, wallClock func() time.Time, dial func(h eventloop.DialHandler) Transport) *Exporter {
 	return &Exporter{
 		collector: c.Collector,
@@ -98,8 +98,8 @@
 }
 
 // Process opens the socket or sends the pending records, whichever is due. now is the time on the event loop's clock.
-// Process returns the latest time by which it must be called again. It must also be called after OnOpen and OnClose;
-// the router calls it in each iteration of the event loop.
+// Process returns the time by which it must be called again. It must also be called after OnOpen and OnClose; the
+// router calls it in each turn of the event loop.
 func (e *Exporter) Process(now time.Duration) time.Duration {
 	e.now = now
 	if e.transport == nil {
--- a/internal/ipfix/exporter_test.go
+++ b/internal/ipfix/exporter_test.go
@@ -42,7 +42,7 @@
 					collector.read(t, &transport.Written)
 				}
 				if got := collector.records; fmt.Sprint(got) != fmt.Sprint(added) {
-					t.Fatalf("the collector read %d records, %d were added; the first record read is %v",
+					t.Fatalf("the collector read %d records, want the %d added ones in order; the first one read is %v",
 						len(got), len(added), got[:min(1, len(got))])
 				}
 			},
@@ -75,7 +75,7 @@
 	t.Helper()
 	size := int(written.Bytes()[2])<<8 | int(written.Bytes()[3])
 	if size > maxMessageBytes {
-		t.Fatalf("the message has %d bytes, the limit is %d", size, maxMessageBytes)
+		t.Fatalf("the message has %d bytes, want at most %d", size, maxMessageBytes)
 	}
 	var p netflow.IPFIXPacket
 	err := netflow.DecodeMessageVersion(bytes.NewBuffer(written.Next(size)), c.templates, nil, &p)
@@ -84,7 +84,8 @@
 	}
 	if p.ObservationDomainId != testDomain || p.SequenceNumber != uint32(len(c.records)) ||
 		p.ExportTime != uint32(noon.Unix()) {
-		t.Fatalf("header %+v, want sequence %d", p, len(c.records))
+		t.Fatalf("header %+v, want the domain %d, the sequence number %d and the export time %d",
+			p, testDomain, len(c.records), noon.Unix())
 	}
 	for _, set := range p.FlowSets {
 		data, ok := set.(netflow.DataFlowSet)
--- a/internal/ipfix/message_test.go
+++ b/internal/ipfix/message_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Messages are compared byte for byte, because collectors store records by the templates and the order of their fields.
+// Messages are compared byte for byte, because collectors store records according to the templates and the order of the
+// fields in them.
 func TestMessagesOnTheWire(t *testing.T) {
 	exporter, transport := newTestExporter()
 	now := time.Hour
