--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -6,7 +6,7 @@
 	"functionrouter/policy"
 )
 
-// attempt records one sending of a request to one worker.
+// attempt records one send of a request to one worker.
 type attempt struct {
 	worker policy.WorkerID
 	sentAt time.Duration
@@ -14,8 +14,8 @@
 }
 
 // startAttempt sends a request to a worker. If the request is closed, has reached its deadline or has used up
-// Limits.MaxAttempts, nothing is sent and the attempt ends with policy.NotSent. A request that is not pending is
-// ignored.
+// Limits.MaxAttempts, startAttempt sends nothing and ends the attempt with policy.NotSent. It ignores an action for a
+// request that is not pending.
 func (r *Router) startAttempt(action policy.SendAttempt) {
 	p := r.requests.byID[action.Request]
 	if p == nil {
@@ -50,7 +50,8 @@
 	return p, &p.attempts[id.Number]
 }
 
-// cancelAttempt ends an open attempt with the given outcome without waiting for the worker, which may still run it.
+// cancelAttempt ends an open attempt with the given outcome without waiting for the worker, which may still run the
+// request.
 func (r *Router) cancelAttempt(id AttemptID, outcome policy.Outcome) {
 	if _, a := r.findOpenAttempt(id); a != nil {
 		r.workers.CancelAttempt(a.worker, id)
@@ -58,7 +59,7 @@
 	}
 }
 
-// cancelUnsentAttempts ends those open attempts of a closed request of which no byte has been sent to a worker.
+// cancelUnsentAttempts ends the open attempts of a closed request if no byte of them has been sent to a worker.
 func (r *Router) cancelUnsentAttempts(request policy.RequestID, p *pendingRequest) {
 	for n := range p.attempts {
 		id := AttemptID{Request: request, Number: n}
@@ -69,7 +70,7 @@
 }
 
 // AttemptResult describes how an attempt ended. All fields except Outcome come from the worker's answer and are zero if
-// there was none.
+// the worker did not answer.
 type AttemptResult struct {
 	Outcome        policy.Outcome
 	InstanceStatus policy.InstanceStatus
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -9,7 +9,7 @@
 )
 
 // Checks that a request of a non-idempotent class fails and is not sent again after an attempt that may have run.
-// Otherwise it could run twice.
+// Otherwise the request could run twice.
 func TestNotIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	for _, outcome := range []policy.Outcome{policy.ConnectionReset, policy.Errored, policy.TimedOut} {
 		t.Run(fmt.Sprint(outcome), func(t *testing.T) {
@@ -40,7 +40,8 @@
 	r.AttemptEnded(workers.sent[id][0], AttemptResult{Outcome: policy.Served, InstanceStatus: policy.InstanceWarm})
 	r.Process(testStart + ms)
 	if len(responder.responses) != 0 || r.Counters.ClientCancelled[Thrift] != 1 || r.Counters.Served[Thrift] != 0 {
-		t.Errorf("answers %v, want none; counters %+v", responder.responses, r.Counters)
+		t.Errorf("answers %v, want none; %d requests cancelled, want 1; %d requests served, want 0",
+			responder.responses, r.Counters.ClientCancelled[Thrift], r.Counters.Served[Thrift])
 	}
 	if len(r.requests.byID) != 0 {
 		t.Errorf("%d requests are still in the table, want 0", len(r.requests.byID))
@@ -48,7 +49,7 @@
 }
 
 // Checks that cancelling a request withdraws an attempt of which nothing has been sent. Otherwise a worker would run
-// the request of a client that no longer waits for it.
+// the request although the client has stopped waiting for its answer.
 func TestCancelWithdrawsUnsentAttempt(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	addReadyWorkers(r, 1)
@@ -60,8 +61,8 @@
 	workers.unsent[workers.sent[id][0]] = true
 	r.Cancel(testStart+ms, id, ClientInterrupted)
 	if len(workers.openAttempts) != 0 || r.Counters.AttemptOutcomes[policy.NotSent] != 1 || len(r.requests.byID) != 0 {
-		t.Errorf("%d attempts are open and %d requests in the table, want none; outcomes %v", len(workers.openAttempts), len(r.requests.byID),
-			r.Counters.AttemptOutcomes)
+		t.Errorf("%d attempts are open and %d requests in the table, want none; %d attempts ended with NotSent, want 1",
+			len(workers.openAttempts), len(r.requests.byID), r.Counters.AttemptOutcomes[policy.NotSent])
 	}
 	r.Process(testStart + ms)
 }
@@ -77,7 +78,8 @@
 		r.AttemptEnded(workers.sent[id][0], AttemptResult{Outcome: outcome})
 	}
 	if got := r.Counters.AttemptOutcomes; got[policy.Errored] != 1 || got[policy.Served] != 0 || len(r.events.pending) != 1 {
-		t.Errorf("outcomes %v, events %v", got, r.events.pending)
+		t.Errorf("%d attempts ended with Errored, want 1; %d with Served, want 0; events %v, want one",
+			got[policy.Errored], got[policy.Served], r.events.pending)
 	}
 	if p := r.requests.byID[id]; p.openAttempts != 0 || len(responder.responses) != 0 {
 		t.Errorf("%d attempts are open and the answers are %+v, want none", p.openAttempts, responder.responses)
@@ -107,7 +109,8 @@
 			before := len(workers.sent[id])
 			r.execute(policy.SendAttempt{Request: id, Worker: 1})
 			if len(workers.sent[id]) != before || r.Counters.AttemptOutcomes[policy.NotSent] != 1 {
-				t.Errorf("%d attempts sent, want %d; outcomes %v", len(workers.sent[id]), before, r.Counters.AttemptOutcomes)
+				t.Errorf("%d attempts sent, want %d; %d attempts ended with NotSent, want 1",
+					len(workers.sent[id]), before, r.Counters.AttemptOutcomes[policy.NotSent])
 			}
 		})
 	}
@@ -125,7 +128,8 @@
 		r.SetNow(testStart + test.after)
 		r.fireDueTimers()
 		if got := r.Counters.AttemptOutcomes[policy.TimedOut]; got != test.timedOut || len(workers.openAttempts) != 1-int(got) {
-			t.Errorf("after %v: %d timed out, want %d; %d open", test.after, got, test.timedOut, len(workers.openAttempts))
+			t.Errorf("after %v: %d attempts timed out, want %d; %d attempts open, want %d",
+				test.after, got, test.timedOut, len(workers.openAttempts), 1-test.timedOut)
 		}
 	}
 }
@@ -138,6 +142,6 @@
 	r.execute(policy.SendAttempt{Request: id, Worker: 1})
 	r.execute(policy.RefuseRequest{Request: id, RetryAfter: 20 * ms})
 	if resp := responder.singleResponse(t); resp.Status != Refused || !resp.MayHaveRun || resp.DeadlineExceeded || resp.RetryAfter != 20*ms {
-		t.Errorf("answer %+v", resp)
+		t.Errorf("answer %+v, want status %v, MayHaveRun true, DeadlineExceeded false and RetryAfter %v", resp, Refused, 20*ms)
 	}
 }
--- a/internal/router/control_test.go
+++ b/internal/router/control_test.go
@@ -6,24 +6,27 @@
 	"functionrouter/policy"
 )
 
-// Checks that an unanswered health check and an unanswered load command end at their timeouts, and that later answers
-// are ignored.
+// Checks that an unanswered health check and an unanswered load command end with TimedOut once their timeouts have
+// passed, and that the router ignores answers that arrive afterwards.
 func TestUnansweredControlCallsTimeOut(t *testing.T) {
 	r, workers := newTestRouter(t, 1)
 	r.execute(policy.CheckHealth{Worker: 1})
 	r.execute(policy.LoadInstance{Worker: 1, Function: 2, Instances: 1})
 	r.Process(testStart)
-	r.LoadCommandEnded(2, policy.Served, 1)
+	r.LoadCommandEnded(2, policy.Served, 1) // control calls get the ids 1, 2, ... in the order in which they are sent
 	r.HealthCheckEnded(1, policy.Served, nil)
 	healthChecks, loadCommands := r.Counters.HealthCheckOutcomes, r.Counters.LoadCommandOutcomes
 	if healthChecks[policy.TimedOut] != 1 || loadCommands[policy.TimedOut] != 1 {
-		t.Errorf("timeouts are not counted: health checks %v, load commands %v", healthChecks, loadCommands)
+		t.Errorf("%d health checks and %d load commands timed out, want 1 of each",
+			healthChecks[policy.TimedOut], loadCommands[policy.TimedOut])
 	}
 	if healthChecks[policy.Served]+loadCommands[policy.Served] != 0 {
-		t.Errorf("late answers are counted: health checks %v, load commands %v", healthChecks, loadCommands)
+		t.Errorf("late answers were counted as served: %d health checks and %d load commands, want none",
+			healthChecks[policy.Served], loadCommands[policy.Served])
 	}
 	if len(workers.loadCommands)+len(workers.healthChecks) != 0 {
-		t.Error("the worker pool still waits for answers")
+		t.Errorf("the worker pool still waits for the answers to %d load commands and %d health checks, want none",
+			len(workers.loadCommands), len(workers.healthChecks))
 	}
 }
 
@@ -35,6 +38,6 @@
 	r.LoadCommandEnded(check, policy.Served, 1)
 	r.HealthCheckEnded(command, policy.Served, nil)
 	if len(r.controls.byID) != 2 || !r.events.empty() {
-		t.Errorf("%d control calls pending, want 2; events %v", len(r.controls.byID), r.events.pending)
+		t.Errorf("%d control calls pending, want 2; events %v, want none", len(r.controls.byID), r.events.pending)
 	}
 }
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -5,7 +5,7 @@
 // outcomeCount is the number of policy.Outcome values.
 const outcomeCount = policy.FunctionNotLoaded + 1
 
-// Counters holds the numbers of events since the start of the program. No counter ever decreases.
+// Counters holds the numbers of events since the start of the program. A counter never decreases.
 type Counters struct {
 	// Requests by frontend. Received counts each request when it arrives. Exactly one of Served, Refused, Failed,
 	// ClientCancelled and RefusedAtOnce counts the request when it ends.
@@ -14,8 +14,8 @@
 	Refused            [frontendCount]uint64 // refused by the policy or at the deadline; excludes RefusedAtOnce
 	Failed             [frontendCount]uint64
 	ClientCancelled    [frontendCount]uint64
-	ClientDisconnected [frontendCount]uint64 // the part of ClientCancelled whose connection ended
-	RefusedAtOnce      [frontendCount]uint64 // refused for a limit or a shutdown, before the policy saw them
+	ClientDisconnected [frontendCount]uint64 // requests that ClientCancelled counts and whose client's connection ended
+	RefusedAtOnce      [frontendCount]uint64 // refused because of a limit or a shutdown; the policy gets no event
 
 	// Messages sent to workers.
 	AttemptsSent uint64
--- a/internal/router/deadline.go
+++ b/internal/router/deadline.go
@@ -10,8 +10,8 @@
 // about 1 ms; the rest of the margin covers stalls of the machine. On an overloaded machine, requests spent 46 ms (99th
 // percentile) inside the program, and one answer arrived too late.
 //
-// The margin must leave enough time for the work of a request with a short wait, so it is at most
-// 1/answerMarginDivisor of the wait.
+// If the client waits for less than answerMargin*answerMarginDivisor, the margin is 1/answerMarginDivisor of the wait,
+// so that enough time is left for the work of the request.
 const (
 	answerMargin        = 40 * time.Millisecond
 	answerMarginDivisor = 10
@@ -22,17 +22,17 @@
 	return wait - min(answerMargin, wait/answerMarginDivisor)
 }
 
-// deadlineTolerance is how long before its deadline an unserved request already counts as ended by the deadline
-// (Response.DeadlineExceeded). The policy ends a request answerMarginTicks ticks (policy/requests.go) before the
+// deadlineTolerance is the time before the deadline from which the answer to an unserved request is marked as
+// DeadlineExceeded (see Response). The policy ends a request answerMarginTicks ticks (policy/requests.go) before the
 // deadline, 8 ms with this deployment's settings, so that the answer is not late.
 //
-// The tolerance must be at least this margin of the policy. With a larger margin, or with a tick of more than 5 ms, the
-// answers that the policy gives because of the deadline would not be marked as DeadlineExceeded.
+// The tolerance must be at least as long as these ticks. If answerMarginTicks were larger, or a tick longer than 5 ms,
+// the answers that the policy gives because of the deadline would not be marked as DeadlineExceeded.
 const deadlineTolerance = 10 * time.Millisecond
 
-// enforceDeadline ends a request at its deadline. Its open attempts time out, and the client, if still waiting, gets
-// Refused if it is proven that no attempt ran, and Failed otherwise. The policy normally ends a request earlier, so
-// enforceDeadline answers a request only in these cases:
+// enforceDeadline ends a request at its deadline. The request's open attempts time out. If the request is still open,
+// its client gets Refused if it is proven that no attempt ran, and Failed otherwise. The policy normally ends a request
+// earlier, so enforceDeadline answers a request only in these cases:
 //
 //   - The policy has a fault or the machine stalled.
 //   - BeginShutdown moved the deadline after the request was submitted. The policy does not learn of this.
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -37,16 +37,16 @@
 			r.fire(deadline)
 			r.Process(r.now)
 			if resp := responder.singleResponse(t); resp.Status != test.want || !resp.DeadlineExceeded || resp.RetryAfter != r.limits.RetryAfter {
-				t.Errorf("answer %+v, want status %v", resp, test.want)
+				t.Errorf("answer %+v, want status %v, DeadlineExceeded true and RetryAfter %v", resp, test.want, r.limits.RetryAfter)
 			}
 			if r.Counters.Overdue != 1 || len(workers.openAttempts) != 0 {
-				t.Errorf("%d requests are overdue, want 1; open attempts %v, want none", r.Counters.Overdue, workers.openAttempts)
+				t.Errorf("Counters.Overdue is %d, want 1; open attempts %v, want none", r.Counters.Overdue, workers.openAttempts)
 			}
 		})
 	}
 }
 
-// findTimer returns a scheduled timer of the given kind.
+// findTimer returns a scheduled timer of the given kind. It fails the test if there is none.
 func findTimer(t *testing.T, r *Router, kind timerKind) timer {
 	t.Helper()
 	for _, timer := range r.timers.heap {
@@ -54,7 +54,7 @@
 			return timer
 		}
 	}
-	t.Fatalf("no timer of kind %q is scheduled: %+v", kind, r.timers.heap)
+	t.Fatalf("no timer of kind %q is scheduled; scheduled timers: %+v", kind, r.timers.heap)
 	return timer{}
 }
 
@@ -66,14 +66,14 @@
 	}
 	for _, want := range []uint64{1, 3, 5, 2} {
 		if got, ok := q.popDue(2); !ok || got.token != want {
-			t.Fatalf("got timer %+v, %v, want token %d", got, ok, want)
+			t.Fatalf("popDue(2) returned timer %+v, %v, want the timer with token %d, true", got, ok, want)
 		}
 	}
 	if got, ok := q.popDue(2); ok {
-		t.Errorf("timer %+v fired early", got)
+		t.Errorf("popDue(2) returned timer %+v, want none, because the remaining timers are due at 3", got)
 	}
 	if due, ok := q.nextDue(); !ok || due != 3 {
-		t.Errorf("next timer due at %d, %v, want 3", due, ok)
+		t.Errorf("nextDue returned %d, %v, want 3, true", due, ok)
 	}
 }
 
@@ -104,10 +104,12 @@
 	}
 	resp := responder.singleResponse(t)
 	if resp.Status != Failed || !resp.DeadlineExceeded || !resp.MayHaveRun || r.Counters.Overdue != 0 {
-		t.Errorf("answer %+v, %d requests are overdue", resp, r.Counters.Overdue)
+		t.Errorf("answer %+v, want status %v, DeadlineExceeded true and MayHaveRun true; Counters.Overdue is %d, want 0",
+			resp, Failed, r.Counters.Overdue)
 	}
 	if r.Counters.UnservedByReason[policy.DeadlineExceeded] != 1 {
-		t.Errorf("unserved by reason: %v", r.Counters.UnservedByReason)
+		t.Errorf("%d requests ended unserved with DeadlineExceeded, want 1; counts by reason: %v",
+			r.Counters.UnservedByReason[policy.DeadlineExceeded], r.Counters.UnservedByReason)
 	}
 }
 
@@ -129,7 +131,7 @@
 		Deadline:  testStart + 3*time.Second,
 	})
 	if id == 0 {
-		t.Fatal("the later request was answered at once")
+		t.Fatalf("Submit answered the later request itself: %+v", laterResponder.responses)
 	}
 	if next := r.Process(testStart); next > latest {
 		t.Errorf("Process returned the next call time %v, want at most %v", next, latest)
@@ -144,14 +146,14 @@
 }
 
 // Checks which requests Counters.Overdue counts although neither the policy nor the machine has a fault: an open
-// request whose deadline a shutdown moves, and a request that arrives with no time left. It does not count a request
-// that arrives during the shutdown.
+// request whose deadline a shutdown moves, and a request that arrives with no time left. The counter must not count a
+// request that arrives during the shutdown.
 func TestOverdueCounterWithoutFault(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		wait     time.Duration
 		shutdown func(r *Router, latest time.Duration) // called after the first request is submitted, unless nil
-		want     uint64
+		want     uint64                                // Counters.Overdue
 	}{
 		{"time left", 200 * ms, nil, 0},
 		{"no time left", 0, nil, 1},
@@ -187,11 +189,11 @@
 			}
 			for _, responder := range responders {
 				if resp := responder.singleResponse(t); !resp.DeadlineExceeded {
-					t.Errorf("answer %+v, want DeadlineExceeded", resp)
+					t.Errorf("answer %+v, want DeadlineExceeded true", resp)
 				}
 			}
 			if r.Counters.Overdue != test.want {
-				t.Errorf("%d requests are overdue, want %d", r.Counters.Overdue, test.want)
+				t.Errorf("Counters.Overdue is %d, want %d", r.Counters.Overdue, test.want)
 			}
 		})
 	}
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -28,8 +28,8 @@
 	},
 }
 
-// fakeWorkerPool records attempts, load commands and health checks instead of sending them. The test reports their
-// ends.
+// fakeWorkerPool records attempts, load commands and health checks instead of sending them. The test reports to the
+// router how they end.
 type fakeWorkerPool struct {
 	router       *Router
 	openAttempts map[AttemptID]policy.WorkerID
@@ -95,12 +95,13 @@
 func (r *recordingResponder) singleResponse(tb testing.TB) Response {
 	tb.Helper()
 	if len(r.responses) != 1 {
-		tb.Fatalf("got %d answers, want one: %+v", len(r.responses), r.responses)
+		tb.Fatalf("the request got %d answers, want 1: %+v", len(r.responses), r.responses)
 	}
 	return r.responses[0]
 }
 
-// newTestRouter returns a router with both test classes. All optional capabilities that the policy uses are enabled.
+// newTestRouter returns a router with both test classes. The settings of its policy allow cancellation, health checks,
+// load commands, hedging and Retry-After, and its workers report their load and the status of instances.
 func newTestRouter(t interface{ Fatal(...any) }, seed uint64) (*Router, *fakeWorkerPool) {
 	p, err := policy.New(policy.Config{
 		RouterCount:             1,
@@ -157,7 +158,7 @@
 	r.UpdateEndpoints(update)
 }
 
-// submit submits a request of the given class at testStart, with the class's deadline.
+// submit submits a request of the given class, without an ID, at testStart. The request has the deadline of its class.
 func submit(r *Router, class int) (policy.RequestID, *recordingResponder) {
 	responder := &recordingResponder{}
 	id := r.Submit(testStart, Request{
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -8,8 +8,8 @@
 
 // Submit adds a request to the table and returns its id. The policy gets the request during Process.
 //
-// Submit returns 0 if it has already answered the request itself: with Refused because of a limit or a shutdown, or
-// with Failed because a pending request has the same Request.ID.
+// Submit returns 0 if it has answered the request itself: with Refused because of a limit or a shutdown, or with Failed
+// because a pending request has the same Request.ID.
 func (r *Router) Submit(now time.Duration, req Request) policy.RequestID {
 	r.SetNow(now)
 	if r.admissionStopped || !r.withinLimits(&req) {
@@ -18,7 +18,7 @@
 		return 0
 	}
 	r.Counters.Received[req.Frontend]++
-	if r.requests.hasClientID(req.ID) {
+	if r.requests.hasExternalID(req.ID) {
 		// Workers identify a request by this id. If two pending requests shared an id, a worker could answer one with
 		// the result of the other. Which of the two the client means is unknown, so the later one fails.
 		r.Counters.Failed[req.Frontend]++
@@ -64,8 +64,8 @@
 	req.Responder.Respond(resp)
 }
 
-// Cancel ends a request without an answer because its client no longer waits for one. It does nothing if the request
-// has already ended.
+// Cancel ends a request without an answer because its client has stopped waiting for one. It does nothing if the
+// request has already ended.
 func (r *Router) Cancel(now time.Duration, id policy.RequestID, cause CancelCause) {
 	r.SetNow(now)
 	p := r.requests.findOpen(id)
--- a/internal/router/lifecycle_test.go
+++ b/internal/router/lifecycle_test.go
@@ -17,10 +17,10 @@
 	_, responder := submit(r, notIdempotentClass)
 	r.Process(testStart)
 	if resp := responder.singleResponse(t); resp.Status != Refused || resp.MayHaveRun {
-		t.Errorf("answer %+v", resp)
+		t.Errorf("answer %+v, want status %v and MayHaveRun false", resp, Refused)
 	}
 	if r.OpenRequests() != 0 || len(workers.openAttempts) != 0 {
-		t.Errorf("%d requests and %d attempts open", r.OpenRequests(), len(workers.openAttempts))
+		t.Errorf("%d requests and %d attempts are open, want none", r.OpenRequests(), len(workers.openAttempts))
 	}
 }
 
@@ -50,19 +50,20 @@
 	r.AttemptEnded(workers.sent[first][0], AttemptResult{Outcome: policy.Served, InstanceStatus: policy.InstanceWarm, Body: []byte("done")})
 	r.Process(testStart + ms)
 	if resp := firstResponder.singleResponse(t); string(resp.Body) != "done" || len(workers.sent) != 1 {
-		t.Fatalf("answer %+v, %d requests sent", resp, len(workers.sent))
+		t.Fatalf("answer %+v, want the body \"done\"; %d requests sent, want 1", resp, len(workers.sent))
 	}
-	if kept := len(r.requests.clientIDs) + len(r.requests.byID); kept != 0 {
-		t.Fatalf("the table still has %d entries of ended requests", kept)
+	if kept := len(r.requests.externalIDs) + len(r.requests.byID); kept != 0 {
+		t.Fatalf("the table still has %d entries of ended requests, want none", kept)
 	}
 	if id, _ := submitSameID(Thrift, "again"); id == 0 {
-		t.Error("the id of an ended request can't be used again")
+		t.Error("Submit rejected the id of an ended request, want it to accept the id")
 	}
 }
 
-// Checks that the policy gets the tenant of each request, which it needs to apply quotas. The test sends requests that
-// will miss their latency objective. Of a tenant with quota 0, the policy admits one such request and refuses the next
-// ones. It admits all requests of a tenant with a quota and of no tenant.
+// Checks that the policy gets the tenant of each request, which it needs to apply quotas. The test submits requests
+// that are predicted to miss their latency objective. If the requests belong to a tenant with quota 0, the policy
+// admits the first and refuses the others. If they belong to a tenant with a sufficient quota or to no tenant, the
+// policy admits all of them.
 func TestPolicyReceivesTenant(t *testing.T) {
 	for tenant, want := range map[int]int{0: 1, 1: 5, UnknownTenant: 5} {
 		t.Run(fmt.Sprint(tenant), func(t *testing.T) {
@@ -126,8 +127,8 @@
 	}
 }
 
-// Checks that a request beyond either limit is refused at once, with RetryAfter, and that a further request is accepted
-// after another has ended. The limits bound the memory use of the router.
+// Checks that the router refuses a request beyond either limit at once, with RetryAfter, and that it accepts a further
+// request after an open request has ended. The limits bound the memory use of the router.
 func TestLimitsBoundOpenRequests(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -155,11 +156,12 @@
 				t.Fatalf("requests got the ids %d, %d and %d, want 0 only for the third, which must be refused at once", first, second, third)
 			}
 			if resp := responder.singleResponse(t); resp.Status != Refused || resp.RetryAfter != 50*ms || r.Counters.RefusedAtOnce[Thrift] != 1 {
-				t.Errorf("answer %+v, counters %+v", resp, r.Counters)
+				t.Errorf("answer %+v, want status %v and RetryAfter %v; %d requests refused at once, want 1",
+					resp, Refused, 50*ms, r.Counters.RefusedAtOnce[Thrift])
 			}
 			r.Cancel(testStart, first, ClientInterrupted)
 			if id, _ := submitNext(); id == 0 {
-				t.Error("a request was refused at once although the limits allow it after another request has ended")
+				t.Error("the router refused a request although the limits allow it after an open request has ended")
 			}
 		})
 	}
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -12,9 +12,10 @@
 	"functionrouter/policy"
 )
 
-// TestEachRequestGetsOneCorrectAnswer applies random events to a router and checks it against a model. Each request
-// must get one final answer by its deadline, and the answer must not deny that the request may have run. A request of a
-// non-idempotent class must be neither refused nor sent again once it may have run.
+// TestEachRequestGetsOneCorrectAnswer applies random events to a router and checks it against a model. A request that
+// its client does not cancel must get one final answer by its deadline, and the answer must not deny that the request
+// may have run. A cancelled request must get no answer. A request of a non-idempotent class must be neither refused nor
+// sent again once it may have run. The test does not compare the bodies of the answers.
 func TestEachRequestGetsOneCorrectAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newRouterModel(t)
@@ -37,20 +38,20 @@
 	router       *Router
 	workers      *fakeWorkerPool
 	now          time.Duration
-	submitted    int
+	submitted    int // number of requests submitted
 	requests     map[policy.RequestID]*requestModel
 	reportedEnds map[string]int // number of calls of Config.OnRequestEnd, by Request.ID
 }
 
 // requestModel is the model's state of a request that the router has accepted.
 type requestModel struct {
-	clientID               string
-	responder              *recordingResponder
-	class                  int
-	deadline               time.Duration
-	cancelled              bool
-	mayHaveRun             bool // true if an attempt ended and its outcome does not prove that it never ran
-	attemptsWhenMayHaveRun int  // number of attempts sent when mayHaveRun was last set
+	externalID      string // Request.ID
+	responder       *recordingResponder
+	class           int
+	deadline        time.Duration
+	cancelled       bool
+	mayHaveRun      bool // true if an attempt ended and its outcome does not prove that it never ran
+	attemptsAllowed int  // number of attempts sent when mayHaveRun was last set; a non-idempotent request must not get more
 }
 
 func newRouterModel(t *rapid.T) *routerModel {
@@ -76,9 +77,9 @@
 	req := &requestModel{class: rapid.IntRange(0, 1).Draw(t, "class"), responder: &recordingResponder{}}
 	req.deadline = m.now + time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait"))*ms
 	m.submitted++
-	req.clientID = fmt.Sprintf("%016x", m.submitted)
+	req.externalID = fmt.Sprintf("%016x", m.submitted)
 	id := m.router.Submit(m.now, Request{
-		Responder: req.responder, ID: req.clientID, Class: req.class,
+		Responder: req.responder, ID: req.externalID, Class: req.class,
 		FunctionKey: "00000000000000aa", Function: policy.FunctionID(rapid.IntRange(1, 3).Draw(t, "function")),
 		Concurrency: 1, LoadTime: 500 * ms, Body: make([]byte, rapid.IntRange(0, 4000).Draw(t, "size")),
 		Deadline: req.deadline,
@@ -87,12 +88,12 @@
 		m.requests[id] = req
 		return
 	}
-	// The request exceeded the limits.
+	// Submit has refused the request, because it exceeds the limits.
 	if len(req.responder.responses) != 1 || req.responder.responses[0].Status != Refused {
 		t.Fatalf("the answers to a request that was not added to the table are %v, want one with status Refused", req.responder.responses)
 	}
-	if m.reportedEnds[req.clientID] != 1 {
-		t.Fatalf("the end of a request that was refused at once was reported %d times", m.reportedEnds[req.clientID])
+	if m.reportedEnds[req.externalID] != 1 {
+		t.Fatalf("the end of request %s, which Submit refused, was reported %d times, want 1", req.externalID, m.reportedEnds[req.externalID])
 	}
 }
 
@@ -108,10 +109,10 @@
 	delete(m.workers.openAttempts, id)
 	if req := m.requests[id.Request]; req != nil && !outcome.NeverRan() {
 		req.mayHaveRun = true
-		req.attemptsWhenMayHaveRun = len(m.workers.sent[id.Request])
+		req.attemptsAllowed = len(m.workers.sent[id.Request])
 	}
 	m.router.AttemptEnded(id, AttemptResult{Outcome: outcome, Body: []byte("done")})
-	// A second report of the same attempt must change nothing.
+	// The router must ignore a second report of the same attempt. Otherwise the request could get a second answer.
 	m.router.AttemptEnded(id, AttemptResult{Outcome: policy.Served, Body: []byte("again")})
 }
 
@@ -152,7 +153,7 @@
 	for id, req := range m.requests {
 		m.checkOneAnswerInTime(t, id, req)
 		m.checkNoFurtherAttempt(t, id, req)
-		m.checkAnswerIsCorrect(t, id, req)
+		m.checkStatusAndMayHaveRun(t, id, req)
 		m.checkEndReported(t, id, req)
 		if req.isOpen() {
 			open++
@@ -168,29 +169,32 @@
 func (m *routerModel) checkOneAnswerInTime(t *rapid.T, id policy.RequestID, req *requestModel) {
 	answers := len(req.responder.responses)
 	if answers > 1 || req.cancelled && answers > 0 {
-		t.Fatalf("request %d has %d answers, cancelled: %v", id, answers, req.cancelled)
+		t.Fatalf("request %d (cancelled: %v) has %d answers, want none if it was cancelled and at most 1 otherwise", id, req.cancelled, answers)
 	}
 	if req.isOpen() && m.now >= req.deadline {
-		t.Fatalf("request %d has no answer at its deadline", id)
+		t.Fatalf("request %d has no answer at %v, want one by its deadline %v", id, m.now, req.deadline)
 	}
 }
 
 func (m *routerModel) checkNoFurtherAttempt(t *rapid.T, id policy.RequestID, req *requestModel) {
-	if req.class == notIdempotentClass && req.mayHaveRun && len(m.workers.sent[id]) > req.attemptsWhenMayHaveRun {
-		t.Fatalf("request %d of a non-idempotent class was sent again although it may have run", id)
+	if req.class == notIdempotentClass && req.mayHaveRun && len(m.workers.sent[id]) > req.attemptsAllowed {
+		t.Fatalf("request %d of a non-idempotent class was sent again although it may have run: %d attempts, want at most %d",
+			id, len(m.workers.sent[id]), req.attemptsAllowed)
 	}
 }
 
-func (m *routerModel) checkAnswerIsCorrect(t *rapid.T, id policy.RequestID, req *requestModel) {
+// checkStatusAndMayHaveRun checks that the answer to a request does not deny that the request may have run.
+func (m *routerModel) checkStatusAndMayHaveRun(t *rapid.T, id policy.RequestID, req *requestModel) {
 	if len(req.responder.responses) == 0 {
 		return
 	}
 	resp := req.responder.responses[0]
 	if resp.Status == Refused && req.class == notIdempotentClass && (req.mayHaveRun || resp.MayHaveRun) {
-		t.Fatalf("request %d of a non-idempotent class was refused although it may have run", id)
+		t.Fatalf("request %d of a non-idempotent class was refused although it may have run: answer %+v, model: may have run: %v",
+			id, resp, req.mayHaveRun)
 	}
 	if req.mayHaveRun && !resp.MayHaveRun {
-		t.Fatalf("the answer to request %d says that it has not run, but it may have run", id)
+		t.Fatalf("the answer to request %d has MayHaveRun false, want true: %+v", id, resp)
 	}
 }
 
@@ -199,7 +203,7 @@
 	if req.isOpen() {
 		want = 0
 	}
-	if got := m.reportedEnds[req.clientID]; got != want {
+	if got := m.reportedEnds[req.externalID]; got != want {
 		t.Fatalf("the end of request %d was reported %d times, want %d", id, got, want)
 	}
 }
--- a/internal/router/names_test.go
+++ b/internal/router/names_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Checks the names that appear in log fields and, for request outcomes, in webhook notices.
+// Checks the names of the enumeration values. The names of request outcomes and causes of cancellation appear in log
+// fields, those of request outcomes also in webhook notices.
 func TestEnumsHaveFixedNames(t *testing.T) {
 	for _, test := range []struct {
 		value fmt.Stringer
--- a/internal/router/no_result_log_test.go
+++ b/internal/router/no_result_log_test.go
@@ -18,11 +18,11 @@
 	l.record(testStart+21*ms, p, RequestCancelled, ClientDisconnected.String())
 	want := `requests=1 id=00000000000000a1 class=0 outcome=cancelled cause=client_disconnected age=20ms time_left=30ms attempts=0`
 	if got := log.String(); strings.Count(got, "\n") != 1 || !strings.HasSuffix(got, want+"\n") {
-		t.Errorf("logged %s, want %s", got, want)
+		t.Errorf("logged %q, want one line that ends with %q", got, want)
 	}
 }
 
-// Checks that a request that its client interrupted and a request that the policy refused are not logged.
+// Checks that the router logs neither a request that its client interrupted nor a request that the policy refused.
 func TestNoResultLogOmitsInterruptedAndRefusedRequests(t *testing.T) {
 	log := testsupport.CaptureLog(t)
 	r, _ := newTestRouter(t, 1)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -21,7 +21,7 @@
 // UnknownTenant is the Tenant of a request that names no tenant, or one that is not in the settings.
 const UnknownTenant = -1
 
-// CancelCause is the reason for which the Router cancels a request whose client no longer waits for an answer.
+// CancelCause is the reason for which the Router cancels a request whose client has stopped waiting for an answer.
 type CancelCause uint8
 
 // The causes. Their names appear in the log.
--- a/internal/router/response.go
+++ b/internal/router/response.go
@@ -11,7 +11,7 @@
 	Served Status = iota // served
 	// Refused: the request was not served, and the client can safely retry it.
 	Refused // refused
-	// Failed: the request was not served. It may have run, and a retry may run it again.
+	// Failed: the request was not served, and a retry may run it a second time.
 	Failed // failed
 )
 
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -7,7 +7,7 @@
 	Request // Body and Responder are nil once the request is closed
 
 	attempts               []attempt // indexed by AttemptID.Number
-	openAttempts           int       // attempts that have not ended
+	openAttempts           int       // number of attempts that have not ended
 	endedAttemptMayHaveRun bool      // true if an attempt ended and its outcome does not prove that it never ran
 	closed                 bool      // the request was answered, or cancelled by the client
 }
@@ -27,22 +27,22 @@
 
 // requestTable holds the pending requests.
 type requestTable struct {
-	byID      map[policy.RequestID]*pendingRequest
-	clientIDs map[string]struct{} // the Request.ID of each pending request
-	lastID    policy.RequestID
-	open      int // number of requests that are not closed
-	bodyBytes int // total size of the open requests' bodies
+	byID        map[policy.RequestID]*pendingRequest
+	externalIDs map[string]struct{} // the Request.ID of each pending request
+	lastID      policy.RequestID
+	open        int // number of requests that are not closed
+	bodyBytes   int // total size of the open requests' bodies
 }
 
 func newRequestTable() requestTable {
-	return requestTable{byID: map[policy.RequestID]*pendingRequest{}, clientIDs: map[string]struct{}{}}
+	return requestTable{byID: map[policy.RequestID]*pendingRequest{}, externalIDs: map[string]struct{}{}}
 }
 
 // add stores req as open under a new id.
 func (t *requestTable) add(req Request) policy.RequestID {
 	id := t.nextID()
 	t.byID[id] = &pendingRequest{Request: req}
-	t.clientIDs[req.ID] = struct{}{}
+	t.externalIDs[req.ID] = struct{}{}
 	t.open++
 	t.bodyBytes += len(req.Body)
 	return id
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// hasClientID reports whether a pending request has the given Request.ID.
-func (t *requestTable) hasClientID(id string) bool {
-	_, ok := t.clientIDs[id]
+// hasExternalID reports whether a pending request has the given Request.ID.
+func (t *requestTable) hasExternalID(id string) bool {
+	_, ok := t.externalIDs[id]
 	return ok
 }
 
@@ -91,6 +91,6 @@
 func (t *requestTable) removeIfDone(id policy.RequestID, p *pendingRequest) {
 	if p.closed && p.openAttempts == 0 && t.byID[id] == p {
 		delete(t.byID, id)
-		delete(t.clientIDs, p.ID)
+		delete(t.externalIDs, p.ID)
 	}
 }
--- a/internal/router/workerpool.go
+++ b/internal/router/workerpool.go
@@ -16,8 +16,8 @@
 }
 
 // WorkerPool carries messages to workers. For each call of StartAttempt, LoadInstance and CheckHealth, the pool calls
-// the Router's AttemptEnded, LoadCommandEnded or HealthCheckEnded once, either before the method returns or later. It
-// makes no such call for an attempt or a control call that the Router has cancelled.
+// the Router's AttemptEnded, LoadCommandEnded or HealthCheckEnded once, either before the method returns or later. The
+// pool makes no such call for an attempt or a control call that the Router has cancelled.
 type WorkerPool interface {
 	// StartAttempt sends a request to a worker, which must answer within budget. The pool must not use req after the
 	// method returns, but may keep the body, which does not change.
@@ -25,15 +25,16 @@
 	// CancelUnsent cancels an attempt of which no byte has been sent. It returns false and does nothing if the attempt
 	// has ended or any byte of it may have been sent.
 	CancelUnsent(id AttemptID) bool
-	// CancelAttempt stops waiting for the answer to an attempt. The pool no longer reports the end of the attempt.
+	// CancelAttempt stops waiting for the answer to an attempt. The pool must not report the end of the attempt
+	// afterwards.
 	CancelAttempt(worker policy.WorkerID, id AttemptID)
 	// LoadInstance commands a worker to keep count instances of a function loaded. A count of 0 only asks for the
 	// number of loaded instances.
 	LoadInstance(worker policy.WorkerID, function policy.FunctionID, count int, id ControlID)
 	// CheckHealth sends a health check to a worker, which answers with its load report.
 	CheckHealth(worker policy.WorkerID, id ControlID)
-	// CancelControl stops waiting for the answer to a load command or a health check. The pool no longer reports its
-	// end.
+	// CancelControl stops waiting for the answer to a load command or a health check. The pool must not report the end
+	// of this call afterwards.
 	CancelControl(worker policy.WorkerID, id ControlID)
 	// UnloadInstance commands a worker to unload the idle instances of a function. The worker sends no answer.
 	UnloadInstance(worker policy.WorkerID, function policy.FunctionID)
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -19,14 +19,14 @@
 
 // The traffic of the benchmark, which has a constant rate.
 const (
-	benchmarkFunctions      = 64
-	benchmarkInFlight       = 8
-	benchmarkInterval       = 12500 * time.Microsecond // between two arrivals
-	benchmarkRunTime        = benchmarkInFlight * benchmarkInterval
-	benchmarkDeadline       = 4 * time.Second
-	arrivalsPerHousekeeping = 4
-	benchmarkHousekeeping   = 0 // the token of the housekeeping timer
-	arrivalsBeforeMeasuring = 5000
+	benchmarkFunctions         = 64
+	benchmarkInFlight          = 8
+	benchmarkInterval          = 12500 * time.Microsecond // between two arrivals
+	benchmarkRunTime           = benchmarkInFlight * benchmarkInterval
+	benchmarkDeadline          = 4 * time.Second
+	arrivalsPerHousekeeping    = 4
+	benchmarkHousekeepingToken = 0 // the token of the housekeeping timer
+	arrivalsBeforeMeasuring    = 5000
 )
 
 func benchmarkRequests(b *testing.B, workers int) {
@@ -91,7 +91,7 @@
 		t.answerOldest()
 	}
 	if t.lastRequest%arrivalsPerHousekeeping == 0 {
-		t.actions = t.policy.Handle(t.now, policy.TimerFired{Token: benchmarkHousekeeping}, t.actions[:0])
+		t.actions = t.policy.Handle(t.now, policy.TimerFired{Token: benchmarkHousekeepingToken}, t.actions[:0])
 	}
 }
 
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -217,9 +217,9 @@
 // classes. A request whose client cancels does not count as unserved.
 func TestUnansweredClassMovesToAnotherWorker(t *testing.T) {
 	for _, tc := range []struct {
-		name          string
-		clientCancels bool
-		nextStays     bool
+		name           string
+		clientCancels  bool
+		wantSameWorker bool
 	}{
 		{"no answer by the deadline", false, false},
 		{"the client cancels", true, true},
@@ -247,7 +247,7 @@
 			if got := h.serve(7, 80*ms, InstanceWarm); got != warm {
 				t.Errorf("a request of the class that is served was sent to worker %d, want %d", got, warm)
 			}
-			if _, w := h.arriveAndSend(classNotIdempotent, 7); (w == warm) != tc.nextStays {
+			if _, w := h.arriveAndSend(classNotIdempotent, 7); (w == warm) != tc.wantSameWorker {
 				t.Errorf("the next request was sent to worker %d; worker %d left its request unserved", w, warm)
 			}
 		})
