--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -51,7 +51,7 @@
 	deadline        time.Duration
 	cancelled       bool
 	mayHaveRun      bool // true if an attempt ended and its outcome does not prove that it never ran
-	attemptsAllowed int  // number of attempts sent when mayHaveRun was last set; a non-idempotent request must not get more
+	attemptsAllowed int  // number of attempts sent when mayHaveRun was last set; bounds a non-idempotent request
 }
 
 func newRouterModel(t *rapid.T) *routerModel {
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -45,7 +45,7 @@
 	Tenant          int    // index in the settings, or UnknownTenant
 	FunctionKey     string // the function's key as the client sent it
 	Function        policy.FunctionID
-	MemoryMB        float64       // memory of one instance of the function
+	MemoryMB        float64       // memory of one instance of the function, in MiB
 	Concurrency     float64       // number of requests that one instance runs at a time
 	LoadTime        time.Duration // usual time to load an instance; 0 if not given
 	Body            []byte
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -5,10 +5,10 @@
 // The policy (policy.Policy) makes the routing decisions. The Router queues events for the policy, executes the actions
 // that the policy returns, and keeps track of attempts, control calls, timers and counters.
 //
-// Each request that its client does not cancel gets exactly one final answer: from Submit, if a limit, a shutdown or a
-// duplicate id prevents its admission; otherwise when a worker has served it, when the policy refuses or fails it, when
-// its client closes its side of the connection (see Disconnect), or at its deadline at the latest. A request that its
-// client cancels gets no answer.
+// Each request that its client does not cancel gets exactly one final answer: at once, if a limit, a shutdown or a
+// duplicate id prevents its admission (see Submit and RefuseAtOnce); otherwise when a worker has served it, when the
+// policy refuses or fails it, when its client closes its side of the connection (see Disconnect), or at its deadline at
+// the latest. A request that its client cancels gets no answer.
 //
 // Times are durations since a fixed start that the event loop chooses, and never decrease.
 package router
