--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against load shedding at the wrong workers: a queue of other routers' requests at a worker must cause requests
-// of lower value to be shed at this worker only, and only while the queue lasts.
+// Guards against load shedding at the wrong workers: if other routers' requests queue at one worker, the policy must
+// shed requests of lower value only if it would send them to this worker, and only while the queue lasts.
 func TestShedsOnlyAtWorkerWithQueueOfOtherRouters(t *testing.T) {
 	cfg := testConfig()
 	cfg.RouterCount = 50
@@ -33,7 +33,7 @@
 	}
 	h.now += 30 * time.Second
 	if atBusy := sentOf100(busy, 7); atBusy < 95 {
-		t.Errorf("%d of 100 requests sent after the queue has drained, want at least 95", atBusy)
+		t.Errorf("after the queue has drained, sent %d of 100 requests to the busy worker, want at least 95", atBusy)
 	}
 }
 
@@ -65,19 +65,20 @@
 				}
 				retryAfters[refusal.RetryAfter] = true
 				if tc.allowed != (refusal.RetryAfter > 0) || refusal.RetryAfter > cfg.MaxRetryAfter {
-					t.Fatalf("Retry-After is %v, allowed: %v, limit: %v",
+					t.Fatalf("Retry-After is %v (allowed: %v), want 0 if it is not allowed, otherwise more than 0 and at most %v",
 						refusal.RetryAfter, tc.allowed, cfg.MaxRetryAfter)
 				}
 			}
 			if tc.allowed && len(retryAfters) < 5 {
-				t.Errorf("fewer than 5 different values of Retry-After: %v", retryAfters)
+				t.Errorf("%d different values of Retry-After, want at least 5: %v", len(retryAfters), retryAfters)
 			}
 		})
 	}
 }
 
-// Guards against refusals of a tenant that keeps to its quota: if each of many routers gets only a few of the tenant's
-// requests, random variation of their arrivals must not make them count as beyond the quota.
+// Guards against refusals of requests of a tenant that keeps to its quota: each of many routers gets only a few of the
+// tenant's requests, and because of the random variation of the arrivals, a router could take many of these requests
+// for requests beyond the quota.
 func TestTenantWithinQuotaIsNotOverQuota(t *testing.T) {
 	cfg := testConfig()
 	cfg.RouterCount, cfg.Tenants = 100, []Tenant{{QuotaPerSecond: 200}}
@@ -99,15 +100,15 @@
 		return n
 	}
 	if n := overQuotaOf300(1.6); n > 15 {
-		t.Errorf("at a rate within the quota, %d of 300 requests were refused or counted as beyond it", n)
+		t.Errorf("at a rate within the quota, %d of 300 requests were refused or marked as beyond it, want at most 15", n)
 	}
 	if n := overQuotaOf300(6); n < 120 {
-		t.Errorf("at three times the quota, only %d of 300 requests were refused or counted as beyond it", n)
+		t.Errorf("at three times the quota, %d of 300 requests were refused or marked as beyond it, want at least 120", n)
 	}
 }
 
-// In overload, requests that must wait for a load are shed before requests for a warm function: they are predicted to
-// miss their latency objective.
+// In overload, requests that must wait for a load are shed before requests for a warm function, because the requests
+// that wait are predicted to miss their latency objective.
 func TestShedsLateRequestsFirst(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	h.serve(7, 1100*ms, LoadStarted)
@@ -130,8 +131,8 @@
 	}
 }
 
-// In overload, requests of low value are shed before requests of high value. After the delay is over, all are admitted
-// again.
+// In overload, requests of low value are shed before requests of high value. After answers without a delay, nearly all
+// requests of low value must be sent again.
 func TestShedsLeastValueFirstAndRecovers(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	sentOf100 := func(class int) (sent int) {
@@ -147,7 +148,8 @@
 	h.policy.estimates.standingDelay = nanoseconds(220 * ms)
 	low, high := sentOf100(classIdempotent), sentOf100(classNotIdempotent)
 	if low >= high || low == 0 {
-		t.Errorf("sent %d requests of low value and %d of high value", low, high)
+		t.Errorf("sent %d of 100 requests of low value and %d of 100 of high value, want more of high value and some of low value",
+			low, high)
 	}
 	for range 200 {
 		id, actions := h.arrive(classNotIdempotent, 7)
@@ -156,6 +158,6 @@
 		}
 	}
 	if got := sentOf100(classIdempotent); got < 95 {
-		t.Errorf("only %d of 100 requests sent after the overload", got)
+		t.Errorf("after the overload, sent %d of 100 requests of low value, want at least 95", got)
 	}
 }
--- a/policy/api_test.go
+++ b/policy/api_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Log fields carry the names of the enumeration values, and operators search for them.
+// Log fields contain names of enumeration values, and operators search the log for these names.
 func TestEnumNames(t *testing.T) {
 	for want, value := range map[string]fmt.Stringer{
 		"idempotent":          Idempotent,
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -8,20 +8,20 @@
 	"functionrouter/policy"
 )
 
-// BenchmarkRequest measures the policy's work for one request, from its arrival to its answer, including its part of
-// the housekeeping. The requests are for 64 functions; workers serve a request after 100 ms, and 8 requests are in
-// flight.
+// BenchmarkRequest measures the policy's work for one request, from the arrival of the request to its answer, including
+// one run of the housekeeping for every 4 requests. The requests are for 64 functions; workers serve a request after
+// 100 ms, and 8 requests are in flight.
 func BenchmarkRequest(b *testing.B) {
 	for _, workers := range []int{12, 36, 144, 576} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) { benchmarkRequests(b, workers) })
 	}
 }
 
-// The traffic of the benchmark, which has a constant rate.
+// The parameters of the benchmark's traffic, which has a constant rate.
 const (
 	benchmarkFunctions         = 64
 	benchmarkInFlight          = 8
-	benchmarkInterval          = 12500 * time.Microsecond // between two arrivals
+	benchmarkInterval          = 12500 * time.Microsecond // time between two arrivals
 	benchmarkRunTime           = benchmarkInFlight * benchmarkInterval
 	benchmarkDeadline          = 4 * time.Second
 	arrivalsPerHousekeeping    = 4
@@ -48,7 +48,7 @@
 	now         time.Duration
 	lastRequest policy.RequestID
 	inFlight    []policy.SendAttempt // oldest first
-	actions     []policy.Action      // of the last event; the slice is reused
+	actions     []policy.Action      // returned for the last event; the slice is reused
 }
 
 func newBenchmarkTraffic(b *testing.B, workers int) *benchmarkTraffic {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"functionrouter/policy"
 )
 
-// A router passes events to the policy as they happen, and carries out the actions that the policy returns.
+// A router passes each event to the policy when it happens, and carries out the actions that the policy returns.
 func Example() {
 	cfg := policy.Config{
 		RouterCount: 1, Tick: 2 * time.Millisecond, MaxAttempts: 3, InstanceKeepAlive: 10 * time.Second, OverQuotaWeight: 1,
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// fuzzEvent returns the event that four bytes encode: kind selects its type, and its fields are derived from a, b and
-// c. The data of a GossipReceived event is gossip.
+// fuzzEvent returns the event that four bytes encode: kind selects the event's type, and a, b and c determine its
+// fields. gossip is the Data of a GossipReceived event.
 func fuzzEvent(kind, a, b, c byte, gossip []byte) Event {
 	w, id, fn := WorkerID(a%5), RequestID(b%16), FunctionID(c%4)
 	switch kind % 9 {
@@ -46,7 +46,9 @@
 	}
 }
 
-// targets returns the request and the worker that an action names, 0 if it names none.
+// targets returns the request and the worker that an action names, 0 for each that the action does not name. It ignores
+// the request of a CancelAttempt, which may be finished: the policy cancels the attempts of a request when the request
+// has finished.
 func targets(action Action) (RequestID, WorkerID) {
 	switch a := action.(type) {
 	case SendAttempt:
@@ -63,14 +65,14 @@
 	return 0, 0
 }
 
-// checkTargets fails the test if an action names a request that is finished or unknown, or an unknown worker. It marks
-// the requests that get their final answer as finished in open.
+// checkTargets fails the test if an action names a request that is finished or unknown, or an unknown worker (see
+// targets). For each request that gets its final answer, it sets the entry in open to false.
 func checkTargets(t *testing.T, actions []Action, open map[RequestID]bool, known map[WorkerID]bool) {
 	t.Helper()
 	for _, action := range actions {
 		id, w := targets(action)
 		if id != 0 && !open[id] {
-			t.Fatalf("%T for request %d, which is finished or unknown", action, id)
+			t.Fatalf("%T names request %d, which is finished or unknown", action, id)
 		}
 		if w != 0 && !known[w] {
 			t.Fatalf("%T names unknown worker %d", action, w)
@@ -82,8 +84,8 @@
 	}
 }
 
-// FuzzHandle passes arbitrary events to a policy. The policy must not panic, and no action may name a finished or
-// unknown request, or an unknown worker.
+// FuzzHandle passes arbitrary events to a policy. The policy must not panic, and the actions that checkTargets checks
+// must not name a finished or unknown request, or an unknown worker.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 1, 1, 1, 1, 2, 0, 0, 0, 3, 9, 9, 9})
 	f.Add([]byte{0, 255, 0, 0, 1, 0, 2, 1, 2, 0, 8, 0, 4, 1, 1, 0, 5, 3, 0, 0, 7, 1, 0, 0, 6, 0, 0, 0})
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -6,7 +6,7 @@
 )
 
 // gossipCost passes requests, spread evenly over 20 s, to the policy of one of several routers. It returns the number
-// of health checks and of delivered gossip messages per request.
+// of health checks per request, and the number of gossip messages per request that the other routers receive.
 func gossipCost(t *testing.T, routers, requests int) (healthChecks, deliveries float64) {
 	t.Helper()
 	cfg := testConfig()
@@ -32,7 +32,7 @@
 }
 
 // Guards against a cost of gossip per request that grows with the number of routers, and against health checks of
-// workers that answer.
+// workers that answer their requests.
 func TestGossipAndHealthChecksPerRequestDoNotGrowWithRouters(t *testing.T) {
 	healthChecksWith3, deliveriesWith3 := gossipCost(t, 3, 1000)
 	healthChecksWith100, deliveriesWith100 := gossipCost(t, 100, 250)
@@ -41,13 +41,13 @@
 			healthChecksWith3, healthChecksWith100)
 	}
 	if deliveriesWith3 == 0 || deliveriesWith3 > 2 || deliveriesWith100 == 0 || deliveriesWith100 > 2 {
-		t.Errorf("gossip messages delivered per request: %.2f with 3 routers, %.2f with 100, want at most 2",
+		t.Errorf("gossip messages received per request: %.2f with 3 routers, %.2f with 100, want more than 0 and at most 2",
 			deliveriesWith3, deliveriesWith100)
 	}
 }
 
-// Guards against needless loads after a router's restart: the router then knows only the endpoint list, and must use
-// the instances that other routers announce.
+// Guards against needless loads after a router's restart: the router has only the endpoint list, and must use the
+// instances that other routers announce.
 func TestInstancesLearnedByGossipAreUsed(t *testing.T) {
 	cfg := testConfig()
 	cfg.AllowGossip, cfg.RouterCount = true, 2
@@ -57,7 +57,7 @@
 		sender.now += housekeepingInterval
 		message, ok := firstAction[SendGossip](sender.housekeep())
 		if !ok || len(message.Data) > 256 {
-			t.Fatalf("gossip sent: %v, with %d bytes, want at most 256", ok, len(message.Data))
+			t.Fatalf("gossip sent: %v, with %d bytes, want a message of at most 256 bytes", ok, len(message.Data))
 		}
 		if message.Data[7] != byte(w) || message.Data[15] != byte(f) {
 			t.Fatalf("gossip is %x, want function %d at worker %d", message.Data, f, w)
@@ -69,6 +69,6 @@
 			t.Errorf("function %d is loaded at worker %d, but the request was sent to worker %d", f, w, got)
 		}
 	}
-	// An incomplete last entry is ignored.
+	// An incomplete last entry must not cause a panic.
 	receiver.handle(GossipReceived{Data: []byte("short and odd, not a whole number of entries")})
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// harness passes events to a Policy in place of a router, at clock readings that the test sets.
+// harness passes events to a Policy in place of a router. The test sets the time of each event in now.
 type harness struct {
 	t           *testing.T
 	policy      *Policy
@@ -75,8 +75,8 @@
 	})
 }
 
-// arriveAndSend passes the policy a new request, which it must send at once. It returns the request's id and the
-// worker.
+// arriveAndSend passes the policy a new request and returns the request's id and the worker to which the policy sends
+// it. It fails the test if the policy does not send the request at once.
 func (h *harness) arriveAndSend(class int, f FunctionID) (RequestID, WorkerID) {
 	h.t.Helper()
 	id, actions := h.arrive(class, f)
@@ -88,7 +88,7 @@
 	h.t.Helper()
 	send, ok := firstAction[SendAttempt](actions)
 	if !ok {
-		h.t.Fatalf("no attempt sent: %v", actions)
+		h.t.Fatalf("the policy sent no attempt, want one; actions: %v", actions)
 	}
 	return send.Worker
 }
@@ -106,8 +106,8 @@
 	return h.handle(AttemptEnded{Request: id, Attempt: attempt, Worker: w, Outcome: outcome})
 }
 
-// serve passes the policy a request of classIdempotent and, after the given duration, its answer. It returns the
-// worker.
+// serve passes the policy a request of classIdempotent and, after the given duration, the answer to it. It returns the
+// worker to which the policy sent the request.
 func (h *harness) serve(f FunctionID, duration time.Duration, status InstanceStatus) WorkerID {
 	h.t.Helper()
 	id, w := h.arriveAndSend(classIdempotent, f)
--- a/policy/load_commands_test.go
+++ b/policy/load_commands_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// loadCommandConfig returns settings of workers that answer FunctionNotLoaded and load functions on command.
+// loadCommandConfig returns the settings of a policy whose workers answer FunctionNotLoaded if a function is not
+// loaded, and load functions on command.
 func loadCommandConfig() Config {
 	cfg := testConfig()
 	cfg.MissWhenNotLoaded, cfg.AllowLoadCommands, cfg.InstanceStatusInAnswers = true, true, false
@@ -17,7 +18,8 @@
 	w := h.serve(7, 1100*ms, LoadStarted)
 	h.handle(EndpointUpdate{Endpoints: []Endpoint{{Worker: w, State: Ready, StartedAt: h.now}}})
 	if h.policy.workers[w].instances[7].warmUntil > h.now {
-		t.Error("the function still counts as warm at a restarted worker")
+		t.Errorf("the policy assumes that the function is warm at the restarted worker until %v, want no time after %v",
+			h.policy.workers[w].instances[7].warmUntil, h.now)
 	}
 }
 
@@ -27,12 +29,12 @@
 	actions := h.fail(id, 0, w, FunctionNotLoaded)
 	command, ok := firstAction[LoadInstance](actions)
 	if !ok || command.Worker != w || command.Instances != 1 || hasAction[SendAttempt](actions) {
-		t.Fatalf("want one load command and no attempt after a miss: %v", actions)
+		t.Fatalf("actions after a miss: %v, want a command to worker %d to load 1 instance, and no attempt", actions, w)
 	}
 	h.now += time.Second
 	actions = h.handle(LoadCommandEnded{Worker: w, Function: 7, Outcome: Served, Duration: time.Second, Instances: 1})
 	if retry, ok := firstAction[SendAttempt](actions); !ok || retry.Worker != w {
-		t.Errorf("not sent to worker %d after the load: %v", w, actions)
+		t.Errorf("actions after the load: %v, want an attempt at worker %d", actions, w)
 	}
 }
 
@@ -54,12 +56,12 @@
 		}
 	}
 	if commands != 2 {
-		t.Errorf("%d load commands sent, want the budget of 2", commands)
+		t.Errorf("%d load commands sent, want 2, which the budget allows", commands)
 	}
 }
 
-// While loads fail, a first attempt may still go to a worker at which the function is likely warm, but a retry must not
-// begin a load.
+// While loads fail, the policy may still send a first attempt to a worker at which the function is likely warm, but not
+// a retry that would begin a load.
 func TestLoadBackoffAdmitsLikelyWarmWorkers(t *testing.T) {
 	cfg := testConfig()
 	cfg.RouterCount = 40
@@ -69,12 +71,12 @@
 	id, w := h.arriveAndSend(classIdempotent, 8)
 	actions := h.handle(AttemptEnded{Request: id, Worker: w, Outcome: Errored, InstanceStatus: LoadFailed})
 	if hasAction[SendAttempt](actions) {
-		t.Error("a retry began another load")
+		t.Errorf("actions after a failed load: %v, want no retry, which would begin another load", actions)
 	}
 }
 
 // Guards against overload of a failing store that functions are loaded from: without a backoff, each failed load would
-// cause another one, at every router.
+// cause another load, at every router.
 func TestFailingLoadsBeginOneAtATime(t *testing.T) {
 	h := newHarness(t, testConfig(), 6)
 	loadsBegun := 0
@@ -103,6 +105,6 @@
 	h.policy.waiting = nil
 	h.now += 2 * time.Second
 	h.serve(500, time.Second, LoadStarted)
-	h.serve(501, time.Second, LoadStarted) // one successful load has ended the backoff
+	h.serve(501, time.Second, LoadStarted) // sent at once, because the load of function 500 has ended the backoff
 	h.serve(502, time.Second, LoadStarted)
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// sendToWarmWorker passes the policy a new request for function 7, which it must send to the worker that is warm, and
-// returns the request's id.
+// sendToWarmWorker passes the policy a new request for function 7 and returns the request's id. It fails the test if
+// the policy does not send the request to the worker warm, which has the function loaded.
 func (h *harness) sendToWarmWorker(class int, warm WorkerID) RequestID {
 	h.t.Helper()
 	id, w := h.arriveAndSend(class, 7)
@@ -21,8 +21,9 @@
 	return h.handle(AttemptEnded{Request: id, Worker: w, Outcome: ConnectionReset, Duration: 10 * ms})
 }
 
-// Guards against a load for each request whose connection broke: the policy retries the request once at the worker that
-// has the instance, over another connection. If the retry fails too, the request goes to another worker.
+// Guards against a needless load after each connection reset: the policy must retry the request once at the same
+// worker, which has the function loaded, over another connection. If the retry fails too, the policy must send the
+// request to another worker.
 func TestConnectionResetIsRetriedAtWarmWorker(t *testing.T) {
 	for _, secondOutcome := range []Outcome{ConnectionReset, Unreachable} {
 		t.Run(secondOutcome.String(), func(t *testing.T) {
@@ -31,7 +32,7 @@
 			for range 20 {
 				h.serve(7, 80*ms, InstanceWarm)
 			}
-			firstID, _ := h.arrive(classIdempotent, 7) // its attempt uses the same connection as the next one
+			firstID, _ := h.arrive(classIdempotent, 7) // this attempt uses the same connection as the next one
 			id := h.sendToWarmWorker(classIdempotent, w)
 			h.now += 10 * ms
 			firstActions := h.resetConnection(firstID, w)
@@ -39,24 +40,27 @@
 			countBefore := unserved.count
 			actions := h.resetConnection(id, w)
 			if retry, ok := firstAction[SendAttempt](actions); !ok || retry.Worker != w {
-				t.Fatalf("not retried at the same worker after a reset: %v", actions)
+				t.Fatalf("actions after the first reset of request %d: %v, want a retry at worker %d", id, actions, w)
 			}
 			if !hasAction[CheckHealth](firstActions) || hasAction[CheckHealth](actions) {
-				t.Fatalf("want a health check after the first reset only: %v, then %v", firstActions, actions)
+				t.Fatalf("actions after two resets of one connection: %v, then %v, want a health check after the first reset only",
+					firstActions, actions)
 			}
 			if unserved.count != countBefore {
-				t.Error("one broken connection counts as two failures")
+				t.Errorf("the second reset of one connection changed the failure count from %.2f to %.2f, want no change",
+					countBefore, unserved.count)
 			}
 			actions = h.fail(id, 1, w, secondOutcome)
 			if retry, ok := firstAction[SendAttempt](actions); !ok || retry.Worker == w {
-				t.Errorf("not retried at another worker after the second attempt: %v", actions)
+				t.Errorf("actions after the second attempt: %v, want a retry at another worker than %d", actions, w)
 			}
 		})
 	}
 }
 
-// Guards against the ejection of a healthy worker where health checks are not allowed: a connection that breaks while
-// it carries several attempts counts as one failure and ejects no worker. A refused dial ejects the worker.
+// Guards against the ejection of a healthy worker if the settings do not allow health checks: the policy must take the
+// resets of several attempts at the same time for one broken connection, count one failure and not eject the worker. An
+// attempt that ends with Unreachable must eject the worker.
 func TestConnectionResetCountsOnceWithoutHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.AllowHealthChecks = false
@@ -73,19 +77,20 @@
 		h.resetConnection(id, warm)
 	}
 	if n := w.health.unserved[classNotIdempotent].count; n > countBefore+1 {
-		t.Errorf("one broken connection counts as %.1f failures", n-countBefore)
+		t.Errorf("one broken connection added %.1f failures, want at most 1", n-countBefore)
 	}
 	if h.policy.isEjected(w) {
-		t.Error("the worker is ejected after a broken connection")
+		t.Error("the worker is ejected after a connection reset, want it not to be ejected")
 	}
 	if h.fail(ids[0], 0, warm, Unreachable); !h.policy.isEjected(w) {
-		t.Error("the worker is not ejected although it refuses connections")
+		t.Error("the worker is not ejected although it is unreachable")
 	}
 }
 
-// Guards against the ejection of a healthy worker after a load command whose connection broke: a health check shows
-// whether the worker has failed. Until then the worker is not ejected, and the request that waited for the load may go
-// to it. A worker that is unreachable is ejected, and the request goes to another worker.
+// Guards against the ejection of a healthy worker after a load command whose connection broke: the policy must send a
+// health check, which shows whether the worker has failed. Before the result, the worker must not be ejected, and the
+// policy may send it the request that waited for the load. If the load command ends with Unreachable, the worker must
+// be ejected, and the request must go to another worker.
 func TestConnectionResetOfLoadCommandEjectsNoWorker(t *testing.T) {
 	for _, tc := range []struct {
 		outcome                      Outcome
@@ -100,7 +105,7 @@
 			h := newHarness(t, cfg, 3)
 			id, w := h.arriveAndSend(classIdempotent, 7)
 			if actions := h.fail(id, 0, w, FunctionNotLoaded); !hasAction[LoadInstance](actions) {
-				t.Fatalf("no load command after a miss: %v", actions)
+				t.Fatalf("actions after a miss: %v, want a load command", actions)
 			}
 			actions := h.handle(LoadCommandEnded{Worker: w, Function: 7, Outcome: tc.outcome})
 			if ejected := h.policy.isEjected(h.policy.workers[w]); ejected != tc.wantEjected {
@@ -110,15 +115,15 @@
 				t.Errorf("health check sent: %v, want %v", !tc.wantHealthCheck, tc.wantHealthCheck)
 			}
 			if next := h.sentTo(actions); tc.wantEjected && next == w {
-				t.Error("the request was sent to the ejected worker")
+				t.Errorf("the request was sent to worker %d, which is ejected", next)
 			}
 		})
 	}
 }
 
-// Guards against the ejection of workers after the router's process was paused: timers then fire late, and all answers
-// arrive at once. A request whose final answer is due must be answered when its timer fires, and later requests must
-// still go to the warm worker.
+// Guards against the ejection of workers after a pause of the router's process, in which timers fire late and all
+// answers arrive at the same time. A request whose final answer is due must be answered when its timer fires, and later
+// requests must still go to the warm worker.
 func TestStalledRouterEjectsNoWorker(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	for range 8 {
@@ -134,10 +139,10 @@
 		}
 	}
 	if healthChecks > 4 {
-		t.Errorf("%d health checks of 4 workers in one run of the housekeeping", healthChecks)
+		t.Errorf("%d health checks of 4 workers in one run of the housekeeping, want at most 4", healthChecks)
 	}
 	if actions := h.handle(TimerFired{Token: timer{kind: deadlineTimer, request: dueID}.token()}); !hasAction[FailRequest](actions) {
-		t.Errorf("a request that may have run did not fail when its final answer was due: %v", actions)
+		t.Errorf("actions when the final answer of a request that may have run was due: %v, want a FailRequest", actions)
 	}
 	h.answer(id, warm, InstanceWarm, 100*ms)
 	for _, w := range h.policy.fleet {
@@ -145,7 +150,7 @@
 			h.handle(HealthCheckEnded{Worker: w.id(), Duration: 2 * ms})
 		}
 		if h.policy.isEjected(w) {
-			t.Errorf("worker %d is ejected", w.id())
+			t.Errorf("worker %d is ejected, want no ejected worker", w.id())
 		}
 	}
 	if got := h.serve(7, 100*ms, InstanceWarm); got != warm {
@@ -153,8 +158,9 @@
 	}
 }
 
-// A worker fails the requests of one class and serves those of the others. The requests of the failing class must go to
-// other workers and the others must stay. Later, the worker must no longer be avoided.
+// One worker fails the requests of one class and serves the requests of all other classes. The policy must not send it
+// requests of the failing class, but must still send it the requests of other classes. 30 s later, the policy must
+// prefer this worker again for requests of the failing class, because it has the instance.
 func TestFailuresOfOneClassMoveOnlyThatClass(t *testing.T) {
 	h := newHarness(t, testConfig(), 5)
 	warm := h.serve(7, 1100*ms, LoadStarted)
@@ -165,7 +171,7 @@
 	}
 	_, actions := h.arrive(classKeyed, 7)
 	if s, ok := firstAction[SendAttempt](actions); ok && s.Worker == warm {
-		t.Error("a request of the failing class was sent to the worker that fails it")
+		t.Errorf("a request of the failing class was sent to worker %d, which fails this class", warm)
 	}
 	if got := h.serve(7, 80*ms, InstanceWarm); got != warm {
 		t.Errorf("a request of the class that is served was sent to worker %d, want %d", got, warm)
@@ -179,18 +185,20 @@
 	}
 	_, actions = h.arrive(classKeyed, 7)
 	if s, ok := firstAction[SendAttempt](actions); ok && s.Worker != warm {
-		t.Error("30 s later, a request of the failing class was sent to a worker without an instance")
+		t.Errorf("30 s later, a request of the failing class was sent to worker %d, want worker %d, which has the instance",
+			s.Worker, warm)
 	}
 }
 
-// Guards against failures that count against workers although no worker can serve the request: any client could request
-// functions that do not exist, and each worker in turn would seem to leave requests unserved.
+// Guards against a wrong estimate of the requests that workers leave unserved: a client may request functions that do
+// not exist, and each worker that the policy tries answers with an error. The policy must not record these errors as
+// unserved requests.
 func TestErrorsOfUnknownFunctionsDoNotCountAsUnserved(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	warm := h.serve(7, 80*ms, InstanceWarm)
 	for f := FunctionID(100); f < 110; f++ {
 		id, actions := h.arrive(classIdempotent, f)
-		for attempt := 0; ; attempt++ { // the policy tries one worker after another
+		for attempt := 0; ; attempt++ { // the policy sends each retry to another worker
 			s, ok := firstAction[SendAttempt](actions)
 			if !ok {
 				break
@@ -209,12 +217,12 @@
 	}
 	h.handle(AttemptEnded{Request: id, Worker: warm, Outcome: Errored, Duration: ms})
 	if h.policy.workers[warm].health.unserved[classIdempotent].value(h.now) == 0 {
-		t.Error("an error for a function that was served before does not count as unserved")
+		t.Error("after an error for a function that was served before, the estimated share of unserved requests is 0, want more")
 	}
 }
 
-// Guards against further requests of a class to a worker that accepts them and never answers, while it serves other
-// classes. A request whose client cancels does not count as unserved.
+// Guards against further requests of a class to a worker that accepts the requests of this class without answering
+// them, while it serves other classes. A request that its client cancels must not be recorded as unserved.
 func TestUnansweredClassMovesToAnotherWorker(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
@@ -248,24 +256,27 @@
 				t.Errorf("a request of the class that is served was sent to worker %d, want %d", got, warm)
 			}
 			if _, w := h.arriveAndSend(classNotIdempotent, 7); (w == warm) != tc.wantSameWorker {
-				t.Errorf("the next request was sent to worker %d; worker %d left its request unserved", w, warm)
+				t.Errorf("the next request of the class was sent to worker %d, the unanswered one to worker %d; want the same worker: %v",
+					w, warm, tc.wantSameWorker)
 			}
 		})
 	}
 }
 
-// A connection reset does not prove that the worker's process has ended: a health check must show it.
+// A connection reset does not prove that the worker's process has ended. The policy must send a health check and eject
+// the worker only if the check fails.
 func TestConnectionResetTriggersHealthCheck(t *testing.T) {
 	h := newHarness(t, testConfig(), 5)
 	w := h.serve(7, 1100*ms, LoadStarted)
 	id, _ := h.arrive(classNotIdempotent, 7)
 	actions := h.fail(id, 0, w, ConnectionReset)
 	if check, ok := firstAction[CheckHealth](actions); !ok || check.Worker != w {
-		t.Fatalf("no health check of the worker: %v", actions)
+		t.Fatalf("actions after a connection reset: %v, want a health check of worker %d", actions, w)
 	}
 	h.handle(HealthCheckEnded{Worker: w})
 	if h.policy.isEjected(h.policy.workers[w]) || h.policy.workers[w].instances[7].warmUntil <= h.now {
-		t.Error("the worker answered the health check, but it is ejected or its instance no longer counts as warm")
+		t.Errorf("after an answered health check at %v: worker ejected: %v, instance warm until %v; want no ejection and a warm instance",
+			h.now, h.policy.isEjected(h.policy.workers[w]), h.policy.workers[w].instances[7].warmUntil)
 	}
 	h.now += ms
 	h.handle(HealthCheckEnded{Worker: 999}) // an unknown worker: the event only advances the clock of the policy
@@ -278,8 +289,8 @@
 }
 
 // housekeepUntilCancel runs the housekeeping until an attempt is cancelled, for 3 s at most. Health checks of the
-// silent worker time out; the other workers answer theirs. It reports whether the silent worker was checked, and
-// whether an attempt was cancelled.
+// silent worker time out; the other workers answer their health checks. housekeepUntilCancel reports whether the policy
+// sent the silent worker a health check, and whether it cancelled an attempt.
 func (h *harness) housekeepUntilCancel(silent WorkerID) (checked, cancelled bool) {
 	for range 60 {
 		h.now += housekeepingInterval
@@ -303,22 +314,23 @@
 	return checked, cancelled
 }
 
-// Attempts at a worker that has stopped answering do not end by themselves. A failed health check must eject the worker
-// and cancel the attempts whose requests may be sent to another worker.
+// Attempts at a worker that has stopped answering do not end by themselves. After a failed health check, the policy
+// must eject the worker and cancel those attempts whose requests it may send to another worker.
 func TestSilentWorkerIsEjectedAndItsAttemptsCancelled(t *testing.T) {
 	h := newHarness(t, testConfig(), 4)
 	silent := h.serve(7, 1100*ms, LoadStarted)
 	id := h.sendToWarmWorker(classIdempotent, silent)
 	checked, cancelled := h.housekeepUntilCancel(silent)
 	if !checked || !cancelled {
-		t.Fatalf("health checked: %v, attempt cancelled: %v", checked, cancelled)
+		t.Fatalf("health check sent: %v, attempt cancelled: %v, want both", checked, cancelled)
 	}
 	retry, ok := firstAction[SendAttempt](h.fail(id, 0, silent, Cancelled))
 	if !ok || retry.Worker == silent {
-		t.Errorf("the cancelled request is not retried at another worker: %v, sent: %v", retry, ok)
+		t.Errorf("after the cancelled attempt: retry sent: %v, to worker %d, want a retry at another worker than %d",
+			ok, retry.Worker, silent)
 	}
 	_, actions := h.arrive(classNotIdempotent, 9)
 	if s, ok := firstAction[SendAttempt](actions); ok && s.Worker == silent {
-		t.Error("a request that is not idempotent went to the silent worker")
+		t.Errorf("a new request was sent to worker %d, which is silent and must be ejected", silent)
 	}
 }
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -16,7 +16,7 @@
 	}
 	h.now += 11 * time.Second // longer than the keep-alive
 	if i := h.policy.workers[w].instances[7]; i != nil && h.now < i.warmUntil {
-		t.Error("the instance still counts as warm after its keep-alive time")
+		t.Errorf("the policy assumes the instance to be warm until %v, want no time after %v", i.warmUntil, h.now)
 	}
 }
 
@@ -31,13 +31,14 @@
 	}))
 }
 
-// Guards against needless instances, which cost memory and load the store that functions are loaded from: if the
-// instance at a worker is busy, the request goes to a free instance at another worker, because the first worker would
-// load another instance. The number of requests that were served at the same time counts as the concurrency of the
-// instances, until a miss shows that they are no longer loaded.
+// Guards against needless instances, which cost memory and cause traffic at the store that functions are loaded from:
+// if the instance at a worker is busy, the policy must send the request to a free instance at another worker, because
+// the first worker might load another instance. The policy takes the largest number of requests that a worker has
+// served at the same time as the concurrency of its instances. A miss shows that the function is not loaded and resets
+// this number.
 func TestPrefersInstanceWithFreeConcurrency(t *testing.T) {
 	h := newHarness(t, testConfig(), 2)
-	for _, w := range []WorkerID{1, 2} { // both have an instance; the queueing delay is slightly longer at worker 2
+	for _, w := range []WorkerID{1, 2} { // both have an instance; the queueing delay at worker 2 is longer by 20 ms
 		h.policy.workers[w].instance(7).warmUntil = h.now + 10*time.Second
 		h.policy.workers[w].queue.excessDelay.observe(h.now, float64(w-1)*float64(20*ms))
 	}
@@ -57,7 +58,7 @@
 	}
 	id, w := h.sendWithConcurrency1()
 	if w != 1 {
-		t.Fatalf("sent to worker %d, want 1, which served 2 requests at the same time", w)
+		t.Fatalf("sent to worker %d, want 1, which has served 2 requests at the same time", w)
 	}
 	h.fail(id, 0, 1, FunctionNotLoaded)
 	if n := h.policy.workers[1].instance(7).concurrency; n != 0 {
@@ -65,17 +66,17 @@
 	}
 }
 
-// Guards against loads of one function at several workers: requests that arrive while the preferred worker loads the
-// function must be sent there too.
+// Guards against loads of one function at several workers: the policy must also send the requests that arrive while the
+// preferred worker loads the function to this worker.
 func TestRequestsWaitForLoadUnderWay(t *testing.T) {
 	for routers := 1; routers <= 4; routers++ {
 		cfg := testConfig()
 		cfg.RouterCount = routers
 		h := newHarness(t, cfg, 6)
-		// All 6 workers are busy, so that the function's share of the work requires one worker.
+		// With the work of 6 busy workers as served work, the function's share of the work requires one worker.
 		h.policy.estimates.servedWork = 6 * nanoseconds(rateTimeConstant)
 		sends := map[WorkerID]int{}
-		for range 4 { // as many as an instance runs at the same time
+		for range 4 { // as many requests as one instance runs at the same time
 			_, w := h.arriveAndSend(classIdempotent, 7)
 			sends[w]++
 			h.now += 20 * ms
@@ -86,8 +87,8 @@
 	}
 }
 
-// A popular function must be spread over several workers although each router gets only a few of its requests. A rare
-// function must be loaded at one worker only.
+// The routers must together spread a popular function over several workers, although each router gets only a few of the
+// requests for it. All routers must send the requests for a rare function to the same worker.
 func TestPopularFunctionSpreadsAndRareOneDoesNot(t *testing.T) {
 	cfg := testConfig()
 	cfg.RouterCount = 50
@@ -98,11 +99,11 @@
 		for k := range 30 {
 			f := FunctionID(1000 + k)
 			if k%3 == 0 {
-				f = 7 // a third of all requests, which requires a third of the fleet
+				f = 7 // gets a third of all requests, which requires a third of the fleet
 			}
 			h.now += 300 * ms
 			w := h.serve(f, 30*ms, InstanceWarm)
-			h.policy.workers[w].instances[f].warmUntil = h.now // as at a router that no longer knows of the instance
+			h.policy.workers[w].instances[f].warmUntil = h.now // as at a router to which the instance is unknown
 			if k > 15 && f == 7 {
 				popularWorkers[w] = true
 			}
@@ -111,7 +112,7 @@
 		rareWorkers[h.serve(9, 30*ms, InstanceWarm)] = true
 	}
 	if len(popularWorkers) < 4 || len(popularWorkers) > 14 {
-		t.Errorf("a third of all requests went to %d of 20 workers, want 4 to 14", len(popularWorkers))
+		t.Errorf("the popular function was sent to %d of 20 workers, want 4 to 14", len(popularWorkers))
 	}
 	if len(rareWorkers) != 1 {
 		t.Errorf("a rare function was sent to %d workers, want 1", len(rareWorkers))
@@ -138,11 +139,12 @@
 	return fleet
 }
 
-// play passes each router 24 requests, with pauses of 500 ms, that is 12 s in all. The first request is for function 7,
-// which is requested too rarely for a router to assume that it is still warm. If overloaded is true, the preferred
-// worker rejects the requests for function 7. play returns the share of the first attempts for function 7 that were
-// sent to the preferred worker.
-func (fleet *routerFleet) play(overloaded bool) float64 {
+// passRequests passes each router 24 requests, with a pause of 500 ms before each, which makes 12 s of pauses. The
+// first request is for function 7. The time to the next request for function 7, in the next call of passRequests,
+// exceeds the keep-alive time of an instance, so no router assumes that the function is warm. If overloaded is true,
+// the preferred worker rejects the requests for function 7. passRequests returns the share of the first attempts for
+// function 7 that were sent to the preferred worker.
+func (fleet *routerFleet) passRequests(overloaded bool) float64 {
 	sends, toPreferred := 0, 0
 	for _, h := range fleet.routers {
 		for k := range 24 {
@@ -161,15 +163,15 @@
 					toPreferred++
 				}
 			}
-			fleet.playAttempts(h, id, actions, overloaded && f == 7)
+			fleet.endAttempts(h, id, actions, overloaded && f == 7)
 		}
 	}
 	return float64(toPreferred) / float64(sends)
 }
 
-// playAttempts ends up to three attempts of a request. The worker serves the attempt after 60 ms, unless it is the
-// preferred worker and preferredRejects is true: then it rejects the attempt after 5 ms.
-func (fleet *routerFleet) playAttempts(h *harness, id RequestID, actions []Action, preferredRejects bool) {
+// endAttempts ends up to three attempts of a request. If preferredRejects is true, the preferred worker rejects an
+// attempt after 5 ms. In all other cases, the worker serves the attempt after 60 ms.
+func (fleet *routerFleet) endAttempts(h *harness, id RequestID, actions []Action, preferredRejects bool) {
 	for attempt := range 3 {
 		send, ok := firstAction[SendAttempt](actions)
 		if !ok {
@@ -191,56 +193,57 @@
 	}
 }
 
-// A function's preferred worker rejects requests for overload while the other workers have free capacity. Many routers,
-// which do not see each other's requests, must together reduce its share of the first attempts to a third within 4
-// rounds of play. After the overload, they must use the worker again.
+// A function's preferred worker rejects requests because of overload while the other workers have free capacity. Many
+// routers, which do not see each other's requests, must together reduce the worker's share of the first attempts to at
+// most a third of its earlier share within 4 calls of passRequests. Within 40 calls of passRequests after the overload,
+// the share must reach at least half of its earlier value.
 func TestRequestsLeaveOverloadedWorkerAndReturn(t *testing.T) {
 	fleet := newRouterFleet(t, 60, 20)
 	for range 5 {
-		fleet.play(false)
+		fleet.passRequests(false)
 	}
 	for w := WorkerID(1); w <= 20; w++ {
 		if fleet.sends[w] > fleet.sends[fleet.preferred] {
 			fleet.preferred = w
 		}
 	}
-	shareBefore := fleet.play(false)
+	shareBefore := fleet.passRequests(false)
 	for range 4 {
-		fleet.play(true)
+		fleet.passRequests(true)
 	}
-	shareDuring := fleet.play(true)
+	shareDuring := fleet.passRequests(true)
 	for range 40 {
-		fleet.play(false)
+		fleet.passRequests(false)
 	}
-	shareAfter := fleet.play(false)
+	shareAfter := fleet.passRequests(false)
 	t.Logf("share of first attempts at the preferred worker: %.2f before, %.2f during and %.2f after the overload",
 		shareBefore, shareDuring, shareAfter)
 	if shareDuring > shareBefore/3 {
-		t.Errorf("the overloaded worker gets %.2f of the first attempts, %.2f before the overload",
+		t.Errorf("during the overload, the worker got %.2f of the first attempts, want at most a third of the %.2f before it",
 			shareDuring, shareBefore)
 	}
 	if shareAfter < shareBefore/2 {
-		t.Errorf("after the overload, the worker gets %.2f of the first attempts, %.2f before it",
+		t.Errorf("after the overload, the worker got %.2f of the first attempts, want at least half of the %.2f before it",
 			shareAfter, shareBefore)
 	}
 }
 
-// A worker that rejects a request for overload starts no load for it: the policy must not assume that a load is under
-// way.
+// A worker that rejects a request because of overload starts no load for the request. The policy must not assume that a
+// load is under way.
 func TestOverloadedAnswerStartsNoLoad(t *testing.T) {
 	h := newHarness(t, testConfig(), 3)
 	id, w := h.arriveAndSend(classIdempotent, 7)
 	h.handle(AttemptEnded{Request: id, Worker: w, Outcome: WorkerOverloaded, Duration: ms})
 	worker, r := h.policy.workers[w], h.policy.requests[id]
 	if !h.policy.needsLoad(worker, r) {
-		t.Errorf("a load is assumed to be under way, with %.0f ns left", h.policy.remainingLoadTime(worker, r))
+		t.Errorf("the policy assumes that a load with %.0f ns left is under way, want none", h.policy.remainingLoadTime(worker, r))
 	}
 }
 
-// Guards against the refusal of a request with less time left than a load takes, whose function is likely warm at the
-// preferred worker: it must be sent if the time left is enough without a load.
-func TestShortDeadlineIsSentToLikelyWarmWorker(t *testing.T) {
-	for timeLeft, want := range map[time.Duration]bool{20 * ms: false, 300 * ms: true} { // 20 ms is less than a run
+// Guards against a needless refusal: if a request has less time left than a load takes, but its function is likely warm
+// at the preferred worker, the policy must send the request if the time left is enough without a load.
+func TestRequestWithShortDeadlineIsSentToLikelyWarmWorker(t *testing.T) {
+	for timeLeft, want := range map[time.Duration]bool{20 * ms: false, 300 * ms: true} { // 20 ms is too short for a run
 		t.Run(timeLeft.String(), func(t *testing.T) {
 			cfg := testConfig()
 			cfg.RouterCount = 40
@@ -249,7 +252,7 @@
 			h.policy.lastExploration = h.now
 			actions := h.handle(RequestArrived{Request: 99, Function: 8, LoadTime: time.Second, TimeLeft: timeLeft})
 			if hasAction[SendAttempt](actions) != want {
-				t.Errorf("sent: %v, want %v: %v", !want, want, actions)
+				t.Errorf("sent: %v, want %v; actions: %v", !want, want, actions)
 			}
 		})
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -36,16 +36,16 @@
 	_, actions := h.arrive(classNotIdempotent, 7)
 	timer, ok := firstAction[SetTimer](actions)
 	if !ok || timer.After >= 4*time.Second {
-		t.Fatalf("no timer before the deadline: %v", actions)
+		t.Fatalf("actions for a new request: %v, want a timer before the deadline in 4 s", actions)
 	}
 	h.now += timer.After
 	if actions := h.handle(TimerFired{Token: timer.Token}); !hasAction[FailRequest](actions) {
-		t.Errorf("the request did not fail when its deadline timer fired: %v", actions)
+		t.Errorf("actions when the deadline timer fired: %v, want a FailRequest", actions)
 	}
 }
 
-// rejectAttempts passes the policy a new request and rejects the given number of its attempts for overload. It returns
-// the actions after the last rejection.
+// rejectAttempts passes the policy a new request and rejects the given number of its attempts with WorkerOverloaded. It
+// returns the actions after the last rejection.
 func rejectAttempts(h *harness, attempts int) []Action {
 	h.t.Helper()
 	id, actions := h.arrive(classIdempotent, 7)
@@ -55,19 +55,20 @@
 	return actions
 }
 
-// Guards against requests that wait until their deadline although no worker may take them any more: the policy must
-// answer them at once. In the last case a worker may still be listed, and the request must wait for it.
+// Guards against requests that wait until their deadline although no worker may take them before it: the policy must
+// answer them at once. In the last subtest no worker is listed, and the request must wait until the endpoint list has
+// one. The subtest on paused loads also has a request that must wait, because the pause ends before its deadline.
 func TestRequestIsAnsweredAtOnceIfNoWorkerMayTakeIt(t *testing.T) {
 	t.Run("rejected by all workers", func(t *testing.T) {
 		h := newHarness(t, testConfig(), 3)
 		if actions := rejectAttempts(h, 3); !hasAction[RefuseRequest](actions) {
-			t.Errorf("not refused: %v", actions)
+			t.Errorf("actions after all 3 workers have rejected the request: %v, want a RefuseRequest", actions)
 		}
 	})
 	t.Run("all attempts used", func(t *testing.T) {
 		h := newHarness(t, testConfig(), 9)
 		if actions := rejectAttempts(h, 5); !hasAction[RefuseRequest](actions) {
-			t.Errorf("not refused: %v", actions)
+			t.Errorf("actions after 5 rejected attempts, which MaxAttempts allows: %v, want a RefuseRequest", actions)
 		}
 	})
 	t.Run("dedup window over", func(t *testing.T) {
@@ -75,7 +76,7 @@
 		id, w := h.arriveAndSend(classKeyed, 7)
 		h.now += 1200 * ms
 		if actions := h.fail(id, 0, w, Errored); !hasFinalAnswer(actions) {
-			t.Errorf("no final answer: %v", actions)
+			t.Errorf("actions after an error outside the dedup window: %v, want a final answer", actions)
 		}
 	})
 	t.Run("dedup window over, no worker listed", func(t *testing.T) {
@@ -84,7 +85,7 @@
 		h.setEndpoints()
 		h.now += 1200 * ms
 		if actions := h.fail(id, 0, w, Errored); !hasFinalAnswer(actions) {
-			t.Errorf("no final answer: %v", actions)
+			t.Errorf("actions after an error outside the dedup window: %v, want a final answer", actions)
 		}
 	})
 	t.Run("loads paused for longer than the client waits", testPausedLoads)
@@ -92,12 +93,12 @@
 		h := newHarness(t, testConfig(), 0)
 		id, actions := h.arrive(classIdempotent, 7)
 		if hasFinalAnswer(actions) {
-			t.Fatalf("answered although a worker may still be listed: %v", actions)
+			t.Fatalf("actions while no worker is listed: %v, want no final answer", actions)
 		}
 		h.setEndpoints(Endpoint{Worker: 1, State: Ready})
 		h.now += housekeepingInterval
 		if s, ok := firstAction[SendAttempt](h.housekeep()); !ok || s.Request != id {
-			t.Error("not sent after a worker was listed")
+			t.Errorf("after a worker was listed: attempt sent: %v, for request %d, want an attempt for request %d", ok, s.Request, id)
 		}
 	})
 }
@@ -109,11 +110,11 @@
 	h.policy.cfg.RouterCount = 1
 	actions := h.handle(RequestArrived{Request: 77, Function: 3, LoadTime: time.Second, TimeLeft: 1400 * ms})
 	if !hasFinalAnswer(actions) {
-		t.Errorf("no final answer although the pause is longer than the time left: %v", actions)
+		t.Errorf("actions for a request with less time left than the pause: %v, want a final answer", actions)
 	}
 	actions = h.handle(RequestArrived{Request: 78, Function: 3, LoadTime: time.Second, TimeLeft: 4 * time.Second})
 	if hasFinalAnswer(actions) || hasAction[SendAttempt](actions) {
-		t.Errorf("answered or sent although the pause ends in time: %v", actions)
+		t.Errorf("actions for a request with more time left than the pause: %v, want neither a final answer nor an attempt", actions)
 	}
 }
 
@@ -139,7 +140,7 @@
 		sum := w.queue.slope.sumY + float64(p.classes[classIdempotent].runTime.mean) + p.estimates.loadRatio +
 			float64(p.estimates.standingDelay)
 		if math.IsNaN(sum) || math.IsInf(sum, 0) {
-			t.Errorf("worker %d: the sum of the estimates is %v", w.id(), sum)
+			t.Errorf("worker %d: the sum of the estimates is %v, want a finite number", w.id(), sum)
 		}
 	}
 }
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// ruleChecker fails the test if an action breaks a rule. It shares no code with the policy, so that a fault of the
-// policy is not repeated in the check.
+// ruleChecker fails the test if an action breaks a rule. It does not call the policy's own checks of the rules, so that
+// a fault in them is not repeated here. It relies on one function of the policy: endAttempt sets mayHaveRun with
+// Outcome.NeverRan.
 type ruleChecker struct {
 	t            *testing.T
 	cfg          Config
@@ -26,9 +27,9 @@
 	workers      []WorkerID      // by attempt
 	sentAt       []time.Duration // by attempt
 	inFlight     map[int]bool    // the attempts in flight
-	mayHaveRun   bool
-	mayHaveRunAt time.Duration // send time of the first attempt that may have run
-	answered     bool
+	mayHaveRun   bool            // an attempt has ended and its outcome does not prove that it never ran
+	mayHaveRunAt time.Duration   // send time of the attempt for which mayHaveRun was set
+	answered     bool            // the request has its final answer, or its client has cancelled it
 }
 
 func (c *ruleChecker) check(actions []Action) {
@@ -54,11 +55,13 @@
 	case r.answered:
 		c.t.Fatalf("at %v: request %d sent after its final answer", c.now, a.Request)
 	case c.workerStates[a.Worker] != Ready:
-		c.t.Fatalf("at %v: attempt sent to worker %d, which is %v", c.now, a.Worker, c.workerStates[a.Worker])
+		c.t.Fatalf("at %v: attempt sent to worker %d, which is %v, want ready", c.now, a.Worker, c.workerStates[a.Worker])
 	case mayRunTwice && class.Idempotency == NotIdempotent, len(r.inFlight) > 0 && !c.cfg.AllowHedging:
-		c.t.Fatalf("at %v: request %d sent again although an attempt is in flight or may have run", c.now, a.Request)
+		c.t.Fatalf("at %v: request %d of a class that is %v sent again: an ended attempt may have run: %v; %d attempts in flight; hedging allowed: %v",
+			c.now, a.Request, class.Idempotency, r.mayHaveRun, len(r.inFlight), c.cfg.AllowHedging)
 	case r.mayHaveRun && class.Idempotency == IdempotentWithKey && c.now > r.mayHaveRunAt+class.DedupWindow:
-		c.t.Fatalf("at %v: request %d, with an idempotency key, sent again after the dedup window", c.now, a.Request)
+		c.t.Fatalf("at %v: request %d, with an idempotency key, sent again after the dedup window, which ended at %v",
+			c.now, a.Request, r.mayHaveRunAt+class.DedupWindow)
 	case len(r.workers) >= c.cfg.MaxAttempts:
 		c.t.Fatalf("at %v: request %d sent more than %d times", c.now, a.Request, c.cfg.MaxAttempts)
 	}
@@ -73,22 +76,23 @@
 	repeatMayDoHarm := class.Idempotency == NotIdempotent ||
 		class.Idempotency == IdempotentWithKey && class.DedupScope != DedupFleet
 	if (r.mayHaveRun || len(r.inFlight) > 0) && repeatMayDoHarm {
-		c.t.Fatalf("at %v: request %d refused although it may have run and a repeat may do harm", c.now, a.Request)
+		c.t.Fatalf("at %v: request %d refused although it may have run and a repeat may do harm, want a FailRequest", c.now, a.Request)
 	}
 	c.checkFinalAnswer(r)
 }
 
 func (c *ruleChecker) checkFinalAnswer(r *observedRequest) {
-	// A timer may fire 8 ms late: the longest time between two steps.
+	// A timer may fire 8 ms late, because 8 ms is the longest time between two steps.
 	if r.answered || c.now > r.deadline+8*ms {
-		c.t.Fatalf("at %v: second final answer, or final answer after the deadline", c.now)
+		c.t.Fatalf("final answer at %v: answered or cancelled before: %v, deadline %v; want one answer, at most 8 ms after the deadline",
+			c.now, r.answered, r.deadline)
 	}
 	r.answered = true
 }
 
 func (c *ruleChecker) checkLoadCommand(a LoadInstance) {
 	if c.workerStates[a.Worker] != Ready {
-		c.t.Fatalf("at %v: load command sent to worker %d, which is %v", c.now, a.Worker, c.workerStates[a.Worker])
+		c.t.Fatalf("at %v: load command sent to worker %d, which is %v, want ready", c.now, a.Worker, c.workerStates[a.Worker])
 	}
 	c.loadCommands = append(c.loadCommands, c.now)
 	windowStart := c.now - c.cfg.LoadCommandWindow
@@ -104,12 +108,13 @@
 		}
 	}
 	if float64(commands) > c.cfg.LoadCommandAllowance+c.cfg.LoadCommandsPerRequest*float64(arrivals) {
-		c.t.Fatalf("at %v: %d load commands in a window with %d requests exceed the budget", c.now, commands, arrivals)
+		c.t.Fatalf("at %v: %d load commands in a window with %d requests exceed the budget of %.1f",
+			c.now, commands, arrivals, c.cfg.LoadCommandAllowance+c.cfg.LoadCommandsPerRequest*float64(arrivals))
 	}
 }
 
-// randomHarness passes random events to a Policy in place of a router. The events are possible, but workers drain,
-// disappear and restart often, and attempts end with any outcome.
+// randomHarness passes random events to a Policy in place of a router. Workers drain, disappear and restart often, and
+// attempts end with any outcome. Results of health checks also come from unknown workers and without a health check.
 type randomHarness struct {
 	*ruleChecker
 	rng          *rand.Rand
@@ -119,8 +124,9 @@
 	pendingLoads []LoadInstance // load commands without an answer
 }
 
+// pendingTimer is a timer that the policy has set and that has not fired.
 type pendingTimer struct {
-	at    time.Duration
+	at    time.Duration // when the timer is due
 	token uint64
 }
 
@@ -158,7 +164,7 @@
 	return time.Duration(h.rng.IntN(below)) * ms
 }
 
-// step advances the clock by up to 8 ms, fires the timers that are due, and passes the policy one random event.
+// step advances the clock by up to 8 ms, fires the timers that are due, and passes the policy at most one random event.
 func (h *randomHarness) step() {
 	h.now += h.randomMillis(9)
 	for i := 0; i < len(h.timers); i++ {
@@ -189,7 +195,7 @@
 	}
 }
 
-// updateEndpoints passes the policy a new endpoint list with random states of 6 workers.
+// updateEndpoints passes the policy a new endpoint list of 6 workers with random states and random restarts.
 func (h *randomHarness) updateEndpoints() {
 	update := EndpointUpdate{Kind: FullUpdate}
 	for id := WorkerID(1); id <= 6; id++ {
@@ -219,7 +225,7 @@
 	})
 }
 
-// cancel cancels a random request for its client, unless the request has its final answer.
+// cancel draws a request and cancels it in place of its client. It does nothing if the request has already ended.
 func (h *randomHarness) cancel() {
 	id := 1 + RequestID(h.rng.IntN(int(h.lastRequest)))
 	if r := h.requests[id]; !r.answered {
@@ -228,7 +234,8 @@
 	}
 }
 
-// endAttempt ends the first attempt in flight of one of the latest requests, with a random outcome.
+// endAttempt draws a request that has attempts in flight and ends the first of them with a random outcome. It does
+// nothing if chooseRequestInFlight returns no request.
 func (h *randomHarness) endAttempt() {
 	outcomes := []Outcome{
 		Served, Served, Errored, WorkerOverloaded, TimedOut, Unreachable, ConnectionReset, Cancelled,
@@ -258,7 +265,8 @@
 	}
 }
 
-// chooseRequestInFlight draws one of the latest requests that have an attempt in flight. It returns 0 if it draws none.
+// chooseRequestInFlight goes through the requests that have an attempt in flight, latest first, and returns each with a
+// probability of one third. It returns 0 if it chooses none.
 func (h *randomHarness) chooseRequestInFlight() RequestID {
 	for id := h.lastRequest; id > 0; id-- {
 		if len(h.requests[id].inFlight) > 0 && h.rng.IntN(3) == 0 {
@@ -268,8 +276,9 @@
 	return 0
 }
 
-// finish advances the clock by at least 5 s, to a time after all timers, and fires them. After that every request must
-// have its final answer; the deadlines are moved to the new time, because the timers fire late.
+// finish advances the clock by at least 5 s, to a time at which all timers are due, and fires them. Then each request
+// must have its final answer or be cancelled. Before it fires the timers, finish moves all deadlines to the new time,
+// because the timers fire late.
 func (h *randomHarness) finish() {
 	h.now += 5 * time.Second
 	for _, timer := range h.timers {
@@ -283,11 +292,11 @@
 	}
 	for id, r := range h.requests {
 		if !r.answered {
-			h.t.Fatalf("request %d got no final answer", id)
+			h.t.Fatalf("request %d has no final answer after all timers have fired", id)
 		}
 	}
 	if len(h.policy.waiting) > len(h.requests) {
-		h.t.Fatalf("%d requests wait, but only %d have arrived", len(h.policy.waiting), len(h.requests))
+		h.t.Fatalf("%d requests wait to be placed, want at most the %d that have arrived", len(h.policy.waiting), len(h.requests))
 	}
 }
 
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -6,7 +6,7 @@
 	h := newHarness(t, testConfig(), 1)
 	h.handle(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Draining}}})
 	if _, actions := h.arrive(classIdempotent, 7); hasAction[SendAttempt](actions) {
-		t.Error("sent to a draining worker")
+		t.Errorf("actions for a request while the only worker is draining: %v, want no attempt", actions)
 	}
 }
 
@@ -17,20 +17,21 @@
 			id, w := h.arriveAndSend(classNotIdempotent, 7)
 			actions := h.fail(id, 0, w, o)
 			if hasAction[SendAttempt](actions) || hasAction[RefuseRequest](actions) || !hasAction[FailRequest](actions) {
-				t.Errorf("want a FailRequest and no attempt or refusal: %v", actions)
+				t.Errorf("actions after %v: %v, want a FailRequest and neither an attempt nor a refusal", o, actions)
 			}
 		})
 	}
 }
 
-// emit must enforce the rule itself, whichever part of the policy calls it.
+// emit must drop an attempt that repeats a non-idempotent request which may have run, even if its caller has not
+// checked the rules.
 func TestEmitForbidsNonIdempotentRepeat(t *testing.T) {
 	h := newHarness(t, testConfig(), 2)
 	id, w := h.arriveAndSend(classNotIdempotent, 7)
 	r := h.policy.requests[id]
 	r.attemptsInFlight, r.mayHaveRun = 0, r.attempts[0]
 	if h.policy.emit(SendAttempt{Request: id, Worker: 3 - w}) { // 3 - w is the other worker
-		t.Error("a repeat of a request that is not idempotent was emitted")
+		t.Error("emit accepted a repeat of a non-idempotent request that may have run, want it to drop the action")
 	}
 }
 
@@ -39,7 +40,7 @@
 	id, w := h.arriveAndSend(classNotIdempotent, 7)
 	retry, ok := firstAction[SendAttempt](h.fail(id, 0, w, WorkerOverloaded))
 	if !ok || retry.Worker == w {
-		t.Errorf("not retried at another worker after WorkerOverloaded: %v, sent: %v", retry, ok)
+		t.Errorf("after WorkerOverloaded at worker %d: retry sent: %v, to worker %d, want a retry at another worker", w, ok, retry.Worker)
 	}
 }
 
@@ -52,14 +53,15 @@
 		h.now += 10 * ms
 		retry, ok := firstAction[SendAttempt](h.fail(id, 0, w, Errored))
 		if ok && (retry.Worker == 1) != (w == 1) {
-			t.Fatalf("sent to worker %d, then to worker %d of another zone", w, retry.Worker)
+			t.Fatalf("sent to worker %d, then to worker %d of another zone, want a retry in the same zone or none", w, retry.Worker)
 		}
 		id, actions := h.arrive(classKeyed, 8)
-		send, _ := firstAction[SendAttempt](actions) // none after errors have raised the predicted latency too far
+		// If errors have raised the predicted latency too far, the policy sends no attempt and send is the zero value.
+		send, _ := firstAction[SendAttempt](actions)
 		h.now += 1100 * ms
 		actions = h.fail(id, 0, send.Worker, Errored)
 		if hasAction[SendAttempt](actions) || hasAction[RefuseRequest](actions) {
-			t.Fatal("retried or refused after the dedup window")
+			t.Fatalf("actions after an error outside the dedup window: %v, want neither an attempt nor a refusal", actions)
 		}
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// sendsToFirstWorker passes the policy a request, ends all its attempts with Errored, and returns the number of
-// attempts at worker 1.
+// sendsToFirstWorker passes the policy a request, ends each attempt of the request with Errored, and returns the number
+// of attempts at worker 1.
 func sendsToFirstWorker(h *harness, f FunctionID) (sent int) {
 	id, actions := h.arrive(classIdempotent, f)
 	send, ok := firstAction[SendAttempt](actions)
@@ -20,8 +20,8 @@
 	return sent
 }
 
-// Guards against too many requests to a worker that has just started: requests that the workers do not serve must not
-// count as work that a worker can take.
+// Guards against too many requests to a worker that has just started: the limit of the worker must follow from the work
+// that workers have served, and requests that end with an error must not raise it.
 func TestWarmingWorkerStaysWithinSlowStartLimit(t *testing.T) {
 	h := newHarness(t, testConfig(), 5)
 	for range 200 { // 10 requests per second over 5 workers
@@ -35,17 +35,17 @@
 	for f := FunctionID(1000); f < 1400; f++ {
 		sent += sendsToFirstWorker(h, f)
 	}
-	// A capacity of 0.2 and an overload multiple of 2 allow 0.4 of a worker's mean work: 2.4 of 6 requests in the 3 s
-	// window.
+	// A capacity of 0.2 and an overload multiple of 2 allow 0.4 of a worker's mean work: 2.4 of 6 requests in the
+	// window of 3 s. The router uses slowStartMargin of this limit.
 	if sent < 1 || sent > 3 {
-		t.Errorf("%d attempts at a warming worker, want 1 to 3", sent)
+		t.Errorf("the router sent %d attempts to a warming worker, want 1 to 3", sent)
 	}
 }
 
-// Guards against overload of a worker that has just started by many routers, which do not see each other's requests:
-// the limit of each single router is less than one request.
+// Guards against overload of a worker that has just started if many routers send to it. The routers do not see each
+// other's requests, and the limit of each router is less than one request.
 func TestManyRoutersTogetherDoNotOverloadWarmingWorker(t *testing.T) {
-	const routers, workers, requests = 100, 10, 30 // requests of each router in 10 s
+	const routers, workers, requests = 100, 10, 30 // each router passes this number of requests in 10 s
 	cfg := testConfig()
 	cfg.RouterCount = routers
 	sent := 0
@@ -57,13 +57,13 @@
 			h.now += 33 * ms
 		}
 		h.handle(EndpointUpdate{Endpoints: []Endpoint{{Worker: 1, State: Ready, StartedAt: h.now}}})
-		for f := FunctionID(1000); f < 1009; f++ { // 3 s of requests for functions that are loaded nowhere
+		for f := FunctionID(1000); f < 1009; f++ { // 3 s of requests for functions that no worker has loaded
 			h.now += 333 * ms
 			sent += sendsToFirstWorker(h, f)
 		}
 	}
-	// A worker serves 30 requests per second. At 0.2 to 0.44 of its capacity and an overload multiple of 2, 36 to 79
-	// requests are allowed in 3 s.
+	// A worker serves 30 requests per second. With 0.2 to 0.44 of its capacity and an overload multiple of 2, it may
+	// get 36 to 79 requests in 3 s.
 	if sent < 8 || sent > 60 {
 		t.Errorf("all routers together sent %d attempts to a warming worker within 3 s, want 8 to 60", sent)
 	}
--- a/policy/timers_test.go
+++ b/policy/timers_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against a timer that is taken for another one: the token that the router returns must identify the timer that
-// was set.
+// Guards against a token that is decoded as another timer: the token that the router passes back in TimerFired must
+// identify the timer that the policy set.
 func TestTimerTokensRoundTrip(t *testing.T) {
 	for _, want := range []timer{
 		{kind: housekeepingTimer},
@@ -13,10 +13,10 @@
 		{kind: deadlineTimer, request: ^RequestID(0)},
 	} {
 		if got, ok := timerForToken(want.token()); !ok || got != want {
-			t.Errorf("timer %+v has token %d, which is taken for %+v (found: %v)", want, want.token(), got, ok)
+			t.Errorf("timer %+v has token %d, which is decoded as %+v, %v, want the same timer, true", want, want.token(), got, ok)
 		}
 	}
 	if got, ok := timerForToken(deadlineTokenOffset - 1); ok {
-		t.Errorf("an unknown token is taken for %+v", got)
+		t.Errorf("an unknown token is decoded as %+v, want no timer", got)
 	}
 }
