--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -21,7 +21,7 @@
 // UnknownTenant is the Tenant of a request that names no tenant, or one that is not in the settings.
 const UnknownTenant = -1
 
-// CancelCause is the reason for which the Router cancels a request whose client no longer waits for an answer.
+// CancelCause is the reason for which the Router cancels a request whose client has stopped waiting for an answer.
 type CancelCause uint8
 
 // The causes. Their names appear in the log.
@@ -45,7 +45,7 @@
 	Tenant          int    // index in the settings, or UnknownTenant
 	FunctionKey     string // the function's key as the client sent it
 	Function        policy.FunctionID
-	MemoryMB        float64       // memory of one instance of the function
+	MemoryMB        float64       // memory of one instance of the function, in MiB
 	Concurrency     float64       // number of requests that one instance runs at a time
 	LoadTime        time.Duration // usual time to load an instance; 0 if not given
 	Body            []byte
