--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Action is something for the router to do. Only the types of this package are actions. The policy currently
-// does not emit UnloadInstance, FetchEndpoints, CloseIdleConnections and LogLine; the simulator's protocol
-// has messages for them.
+// Action is something for the router to do. Only the types of this package are actions. The policy emits no
+// UnloadInstance, FetchEndpoints, CloseIdleConnections or LogLine; the simulator's protocol has messages for
+// them.
 type Action interface{ action() }
 
 // SendAttempt sends a request to a worker. The attempts of a request are numbered from 0 in the order in
-// which they are sent. Timeout is currently always 0.
+// which they are sent. The policy always sets Timeout to 0.
 type SendAttempt struct {
 	Request RequestID
 	Worker  WorkerID
-	Timeout time.Duration // of the attempt; 0: until the client gives up
+	Timeout time.Duration // time limit of the attempt; 0: the time until the client gives up
 }
 
 // CancelAttempt cancels an attempt in flight; its AttemptEnded still follows.
@@ -54,8 +54,8 @@
 	Reason  UnservedReason
 }
 
-// LoadInstance commands a worker to hold a number of instances of a function. With 0 instances it only asks
-// how many the worker holds.
+// LoadInstance commands a worker to hold a number of instances of a function. If Instances is 0, the command
+// only asks how many instances the worker holds.
 type LoadInstance struct {
 	Worker    WorkerID
 	Function  FunctionID
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,27 +3,32 @@
 import "time"
 
 const (
-	// The ratios of the delay to the latency objective at which load shedding begins. With higher values,
-	// queueing uses up the objective; with lower values, requests are shed that would be served in time.
-	shedStart           = 0.5
-	shedStartLowerValue = 0.25 // where the settings have a class of higher value
-	shedStartEarliest   = 0.15 // for requests beyond their quota, or predicted to miss their objective
+	// The ratios of delay to latency objective at which load shedding begins; shouldShed defines the delay.
+	// With higher values, queueing uses up the objective; with lower values, requests are shed that would be
+	// served in time.
+	shedStart = 0.5
+	// For a class if another class has more than minValueDensityRatio times its value density.
+	shedStartLowerValue = 0.25
+	// For requests beyond their quota, or predicted to miss their objective. For requests beyond their quota,
+	// it is multiplied by OverQuotaWeight.
+	shedStartLateOrOverQuota = 0.15
 
-	// shedSlope is the increase of the probability of shedding per unit of that ratio: the probability grows
-	// from 0 at the start to 1 when the delay is longer by half an objective.
+	// shedSlope is the increase of the shedding probability per unit of the ratio of delay to latency
+	// objective: a delay that is longer by half an objective raises the probability by 1. maxShedProbability
+	// limits it.
 	shedSlope = 2
 
-	// maxShedChance bounds the probability of shedding: the requests that are still served show when the
-	// delay is over.
-	maxShedChance = 0.9
+	// maxShedProbability limits the shedding probability, so that some requests are still served: their
+	// answers show when the delay is over.
+	maxShedProbability = 0.9
 
-	// minValueDensityRatio is the factor by which a class's ratio of value to work must exceed that of
-	// another class for the other class to be shed first. With a higher factor, classes of nearly the same
-	// value share the shedding; with a lower factor, the noise of an estimate decides which class is shed.
+	// minValueDensityRatio is the factor by which a class's value density must exceed that of another class
+	// for the other class to be shed first. With a higher factor, classes of clearly different value share
+	// the shedding; with a lower factor, the noise of an estimate decides which class is shed first.
 	minValueDensityRatio = 1.5
 
 	// explorationInterval is the shortest time between two requests that are admitted although they are
-	// predicted to miss their deadlines, or would be shed. With a longer interval, a wrong estimate lasts
+	// predicted to miss their deadlines or would be shed. With a longer interval, a wrong estimate lasts
 	// longer; with a shorter interval, more requests are late.
 	explorationInterval = time.Second
 )
@@ -31,11 +36,13 @@
 // admit reports whether the router sends r to chosen, the worker with the lowest score. If it does not, admit
 // ends r unserved at once, for one of these reasons:
 //
-//   - The chosen worker is predicted to miss r's deadline. Another worker may be predicted to meet it: the
-//     preferred worker's bonus always counts in the score, but in the latency only if the function is likely
-//     warm at that worker.
+//   - The chosen worker is predicted to miss r's deadline. Another candidate may be predicted to meet it,
+//     because scores are not latencies: the score of the preferred worker is always reduced by the bonus
+//     that lowestScore describes. For this check, its latency is reduced by the predicted load time, but
+//     only if the function is likely warm there.
 //   - r is beyond its tenant's quota, and even the lowest score misses r's latency objective.
-//   - Load is shed. A retry is not shed, because work has already been done for its request.
+//   - r is shed because of overload; see shouldShed. A retry is not shed, whatever the outcomes of the
+//     earlier attempts were, because a worker may already have done work for r.
 //
 // At most once per explorationInterval, a request is admitted although it is predicted to miss its deadline
 // or would be shed, so that its answer can correct a wrong estimate. shouldShed draws its random number
@@ -75,30 +82,35 @@
 }
 
 // shouldShed draws at random whether r is shed in overload. drainTime is the time after which the delay is
-// predicted to be below the threshold of shedding. While most answers are delayed too long, serving every
-// request makes all of them late, so a growing part of the requests is shed:
+// predicted to be below the shedding threshold, start * objective. While most answers are delayed too long,
+// serving every request makes all of them late, so the policy sheds a part of the requests that grows with
+// the delay:
 //
-//	chance = min(shedSlope * (delay/objective - start), maxShedChance)
+//	probability = min(shedSlope * (delay/objective - start), maxShedProbability)
 //
-//	delay      the longer of the standing delay of the workers that this router uses, and the excess delay
-//	           of w's queue times otherRoutersShare; the share is 0 for a single router, since its own
-//	           requests cause the excess
-//	objective  the shortest of r's latency objective and the objectives of the classes whose ratio of value
-//	           to work is more than minValueDensityRatio times that of r's class
-//	start      the ratio at which shedding begins, by the first case that applies: shedStartEarliest times
-//	           OverQuotaWeight for a request beyond its tenant's quota; shedStartEarliest for a request
-//	           whose predicted latency misses its objective; shedStartLowerValue if a class with such a
-//	           higher ratio of value to work exists; else shedStart
+//	delay      the longer of two delays: the standing delay of the workers that this router uses, and the
+//	           part of the excess queueing delay at w that is attributed to other routers. That part is the
+//	           excess times otherRoutersShare: 0 for a single router, which causes the whole excess itself.
+//	objective  the shortest of r's latency objective and those of all classes of higher value
+//	start      the ratio at which shedding begins, by the first case that applies:
+//	           1. shedStartLateOrOverQuota * OverQuotaWeight if r is beyond its tenant's quota
+//	           2. shedStartLateOrOverQuota if r's predicted latency misses r's latency objective
+//	           3. shedStartLowerValue if there is a class of higher value
+//	           4. shedStart
 //
-// The function draws once per call, whatever the chance: skipping a draw would change all later draws.
+// A class is of higher value if its value density is more than minValueDensityRatio times that of r's class.
+//
+// shouldShed draws one random number per call, whatever the probability: skipping a draw would change all
+// later draws.
 func (p *Policy) shouldShed(r *request, w *worker, latency nanoseconds) (shed bool, drainTime nanoseconds) {
 	start, objective := p.shedThreshold(r, latency)
 	delay := max(p.estimates.standingDelay, nanoseconds(p.otherRoutersShare())*w.queue.excess(p.now))
-	chance := min(shedSlope*(float64(delay/objective)-start), maxShedChance)
-	return p.rng.Float64() < chance, delay - nanoseconds(start)*objective
+	probability := min(shedSlope*(float64(delay/objective)-start), maxShedProbability)
+	return p.rng.Float64() < probability, delay - nanoseconds(start)*objective
 }
 
-// shedThreshold returns the ratio of the delay to an objective above which r may be shed, and that objective.
+// shedThreshold returns the start and the objective in the formula of shouldShed: r may be shed if the delay
+// is longer than start * objective.
 func (p *Policy) shedThreshold(r *request, latency nanoseconds) (start float64, objective nanoseconds) {
 	start = shedStart
 	objective = p.objective(r)
@@ -113,14 +125,15 @@
 	missesObjective := latency > p.objective(r)
 	switch {
 	case r.overQuota:
-		start = shedStartEarliest * p.cfg.OverQuotaWeight
+		start = shedStartLateOrOverQuota * p.cfg.OverQuotaWeight
 	case missesObjective:
-		start = shedStartEarliest
+		start = shedStartLateOrOverQuota
 	}
 	return start, objective
 }
 
-// valueDensity is the ratio of the value of a class's requests to the work that they take.
+// valueDensity is the value of a class's requests per unit of their work. If WeightByWork is set, the value
+// of a request grows with its work, and PriorityWeight already is the value per unit of work.
 func (p *Policy) valueDensity(c *class) float64 {
 	if p.cfg.WeightByWork {
 		return c.settings.PriorityWeight
@@ -128,5 +141,6 @@
 	return c.settings.PriorityWeight / max(float64(c.runTime.mean), 1)
 }
 
-// otherRoutersShare is the part of the fleet's traffic that the other routers carry.
+// otherRoutersShare is the part of the fleet's traffic that the other routers carry if all routers carry
+// equal parts.
 func (p *Policy) otherRoutersShare() float64 { return 1 - 1/float64(p.cfg.RouterCount) }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -11,7 +11,7 @@
 	worker          *worker
 	instance        *instance
 	sentAt          time.Duration
-	expectedLatency time.Duration // the predicted latency when it was sent
+	expectedLatency time.Duration // latency that was predicted when it was sent
 	number          int           // position among the request's attempts, from 0
 	inFlightBefore  int           // this router's attempts in flight at the worker when it was sent
 	wasCold         bool          // the function was not assumed warm at the worker: absent or still loading
@@ -23,8 +23,8 @@
 // expectedWarm reports whether the prediction assumed that the attempt does not have to wait for a load.
 func (a *attempt) expectedWarm() bool { return !a.wasCold || a.likelyWarm }
 
-// sendAttempt sends r to a worker and records the attempt. If a rule forbids the attempt, sendAttempt changes
-// nothing; this does not happen, because place has just checked the same rules.
+// sendAttempt sends r to a worker and records the attempt. If a rule forbids the attempt, sendAttempt sends
+// and records nothing; this does not happen, because place has just checked the same rules.
 //
 // The order of the steps matters: the remaining load time is read before the attempt is in flight, because an
 // attempt in flight makes its instance count as warm. The quota is charged and inFlightBefore is read before
@@ -57,8 +57,8 @@
 }
 
 // recordAwaitedLoad records the load that a begins or awaits, if its function was not warm. A load that is
-// under way keeps its expected end. While loads fail, an attempt that begins or awaits a load restarts the
-// pause before the next load.
+// under way keeps its expected end. If loads have failed and the pause after the last failure has ended, the
+// attempt begins another pause of the same length.
 func (p *Policy) recordAwaitedLoad(a *attempt, loadTime nanoseconds) {
 	if !a.wasCold {
 		return
@@ -71,7 +71,7 @@
 	}
 }
 
-// cancelAttempt cancels an attempt in flight where the settings allow it. Its AttemptEnded still comes.
+// cancelAttempt cancels an attempt in flight if the settings allow it. An AttemptEnded event still follows.
 func (p *Policy) cancelAttempt(a *attempt) {
 	if !a.cancelled {
 		a.cancelled = p.emit(CancelAttempt{Request: a.request.id(), Attempt: a.number})
@@ -119,8 +119,8 @@
 	if !outcome.NeverRan() && r.mayHaveRun == nil {
 		r.mayHaveRun = a
 	}
-	// A reset may affect a single connection only: the worker, which has the instance, is tried once more
-	// over another connection.
+	// A reset may affect a single connection only. The worker, which may have the function loaded, is
+	// therefore tried once more over another connection.
 	firstReset := outcome == ConnectionReset && a.number == 0
 	if !firstReset {
 		r.triedWorkers = append(r.triedWorkers, a.worker)
--- a/policy/classes.go
+++ b/policy/classes.go
@@ -1,14 +1,15 @@
 package policy
 
-// class is a class of requests with the estimates that the answers to its requests have given.
+// class holds the settings of a class of requests and the estimates from the answers to its requests.
 type class struct {
 	settings   Class
 	runTime    runTimeEstimate
 	actualWork nanoseconds // decaying sum of the run times of requests with a work hint
-	hintedWork nanoseconds // decaying sum of their hints; equal to actualWork at first: hints count as exact
+	hintedWork nanoseconds // decaying sum of their hints; at first as large as actualWork
 }
 
-// newClass returns a class whose estimates are derived from its latency objective until answers arrive.
+// newClass returns a class whose estimates are derived from its latency objective until answers arrive. Work
+// hints are assumed to be exact at first.
 func newClass(settings Class) class {
 	mean := initialRunTimeShare * nanoseconds(settings.LatencyObjective)
 	return class{
--- a/policy/config.go
+++ b/policy/config.go
@@ -9,8 +9,8 @@
 const (
 	// Idempotent requests may run any number of times.
 	Idempotent Idempotency = iota // idempotent
-	// IdempotentWithKey requests are safe to repeat at workers in the DedupScope, which drop repeats within
-	// the DedupWindow.
+	// IdempotentWithKey requests may run again, within the DedupWindow, at the workers that share the
+	// DedupScope of the earlier attempt's worker: these workers drop repeats.
 	IdempotentWithKey // idempotent_with_key
 	// NotIdempotent requests must not run twice.
 	NotIdempotent // not_idempotent
@@ -34,7 +34,7 @@
 	LatencyObjective time.Duration // an answer within this time earns the full PriorityWeight
 	Deadline         time.Duration // time after which a client gives up
 	Idempotency      Idempotency
-	DedupScope       DedupScope    // for IdempotentWithKey
+	DedupScope       DedupScope    // for IdempotentWithKey: which workers share their keys
 	DedupWindow      time.Duration // for IdempotentWithKey: how long workers remember a key
 	Streamed         bool          // the response is streamed
 	PriorityWeight   float64       // value of an answer within the objective, relative to other classes
@@ -50,18 +50,20 @@
 }
 
 // Config holds a router's settings. [New] rejects invalid values of classes, times, shares and budgets with a
-// [*ConfigError]. A setting that New does not check has no invalid values, or is bounded where it is used.
+// [*ConfigError]. New does not check Class.PriorityWeight and OverQuotaWeight, and the policy uses them
+// without bounds: the caller must set finite values that are not negative. Every other setting that New does
+// not check has no invalid values, is bounded where it is used, or is not read.
 //
-// The policy currently does not read AllowHedging, Class.Deadline, Class.LateWeight, Class.ObjectiveStretch,
-// Class.Streamed, ConcurrencyInAnswers, DrainGrace, InlineLoadReports, LoadCommandTimeout and Zone. The
-// router reads some of them.
+// The policy does not read AllowHedging, Class.LateWeight, Class.ObjectiveStretch, Class.Streamed,
+// ConcurrencyInAnswers, DrainGrace, InlineLoadReports, LoadCommandTimeout and Zone, and it reads
+// Class.Deadline only to check it. The router reads some of these settings.
 type Config struct {
 	RouterCount  int // routers that share the fleet, this one included; values below 1 count as 1
 	Zone         int // zone of this router
 	Classes      []Class
 	Tenants      []Tenant
 	WeightByWork bool          // the value of a request grows with its work
-	Tick         time.Duration // shortest time between two events with different times
+	Tick         time.Duration // resolution of the clock: different readings differ by at least this time
 
 	RequiresSubscription bool     // endpoint updates come only after Subscribe or FetchEndpoints
 	LoadReportFields     []string // names of the values of a load report, in their order
@@ -74,28 +76,31 @@
 	AllowHedging      bool // two attempts of a request may be in flight at the same time
 	AllowRetryAfter   bool // clients receive RefuseRequest.RetryAfter
 	MaxRetryAfter     time.Duration
-	OverQuotaWeight   float64 // factor on the value of a request beyond its tenant's quota; 1 if unused
+	// OverQuotaWeight is a factor on the delay at which the policy begins to shed requests beyond their
+	// tenant's quota. It has no effect if it is 1. If it is 0, these requests are shed at any delay above 0,
+	// so callers that do not use the factor must set it to 1.
+	OverQuotaWeight float64
 
-	ImplicitListAge   time.Duration // without a subscription, a list entry of this age counts as known
-	SlowStartCapacity float64       // smallest share of its capacity that a worker has at its start, 0 to 1
-	SlowStartDuration time.Duration // time after which a worker has its full capacity
+	ImplicitListAge   time.Duration // age from which the router should know any entry of the endpoint list
+	SlowStartCapacity float64       // least capacity of a new process, as a share of full capacity, 0 to 1
+	SlowStartDuration time.Duration // time from a process's start until the worker has its full capacity
 	OverloadMultiple  float64       // a warming worker fails above this multiple of its capacity
-	OverloadWindow    time.Duration // window over which the load of a warming worker counts
-	DrainGrace        time.Duration
+	OverloadWindow    time.Duration // window over which the work sent to a warming worker is summed
+	DrainGrace        time.Duration // time that a draining worker gets to finish its requests
 
 	MissWhenNotLoaded       bool          // workers answer FunctionNotLoaded instead of loading the function
 	AllowLoadCommands       bool          // LoadInstance and UnloadInstance are available
 	InstanceStatusInAnswers bool          // answers carry an InstanceStatus
-	ConcurrencyInAnswers    bool          // answers carry AttemptEnded.FunctionConcurrency
+	ConcurrencyInAnswers    bool          // answers carry the number of the function's requests at the worker
 	InstanceKeepAlive       time.Duration // shortest time that a worker keeps an idle instance
-	LoadCommandTimeout      time.Duration // a load command without an answer ends as TimedOut after this
+	LoadCommandTimeout      time.Duration // time after which an unanswered load command ends with TimedOut
 	LoadCommandWindow       time.Duration // window of the load command budget; 0: no budget
 	LoadCommandAllowance    float64       // load commands per window that are always allowed
 	LoadCommandsPerRequest  float64       // additional load commands per request that arrived in the window
 }
 
-// ConfigError reports a setting that a Policy cannot work with. If several settings are invalid, it reports
-// the first one.
+// ConfigError reports a setting that a Policy cannot work with. If several settings are invalid, New reports
+// only the first one that it finds.
 type ConfigError struct {
 	Field  string // path of the field in Config, such as "Classes[1].Deadline"
 	Reason string // what is wrong with its value
--- a/policy/config_check.go
+++ b/policy/config_check.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// noUpperBound is the upper bound of a setting that need only be finite.
+// noUpperBound marks a setting that may have any finite value of at least 0.
 const noUpperBound = math.MaxFloat64
 
 // validate returns a [*ConfigError] for the first setting that a Policy cannot work with.
@@ -42,8 +42,7 @@
 	}
 }
 
-// validateNumbers checks the settings that must be finite and not negative, and the shares, which must be at
-// most 1.
+// validateNumbers checks that all numbers are finite and not negative, and SlowStartCapacity is at most 1.
 func validateNumbers(cfg *Config) error {
 	return cmp.Or(
 		validateNumber("MaxAttempts", cfg.MaxAttempts, noUpperBound),
@@ -66,7 +65,7 @@
 	case number >= 0 && number <= upperBound: // false for NaN
 		return nil
 	case math.IsNaN(number):
-		return &ConfigError{field, "NaN is not a number"}
+		return &ConfigError{field, "NaN is not a finite number"}
 	case upperBound < noUpperBound:
 		return &ConfigError{field, fmt.Sprintf("%v is not between 0 and %v", value, upperBound)}
 	case number < 0:
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// resubscribeDivisor is the part of ImplicitListAge after which a lost subscription is renewed. An endpoint
-// that was listed ImplicitListAge ago counts as known to this router, whether or not the router received the
-// update, so the renewal must come well before that. With a higher divisor, the router calls the directory
-// more often.
+// A lost subscription is renewed after ImplicitListAge divided by resubscribeDivisor. The router should know
+// an endpoint that was listed ImplicitListAge ago, whether or not it received the update, so the renewal must
+// come well before that. With a higher divisor, the router calls the directory more often.
 const resubscribeDivisor = 8
 
 // worker is what the policy knows and estimates about one worker.
@@ -34,7 +33,7 @@
 	return w.endpoint.State == Gone && len(w.inFlight) == 0 && w.loadCommands == 0
 }
 
-// endpointsUpdated applies an update of the endpoint list, or renews the subscription after a failure.
+// endpointsUpdated applies an update of the endpoint list, or sets a timer to resubscribe after a failure.
 func (p *Policy) endpointsUpdated(update EndpointUpdate) {
 	if update.Kind == UpdateFailed {
 		p.subscribed = false
@@ -74,8 +73,8 @@
 	}
 }
 
-// endpointUpdated applies one entry of the endpoint list. If the worker's process is new, what was learned of
-// an earlier process is dropped.
+// endpointUpdated applies one entry of the endpoint list. If the worker's process is new, endpointUpdated
+// drops what was learned of the earlier process.
 func (p *Policy) endpointUpdated(e Endpoint) {
 	w, known := p.workers[e.Worker]
 	if !known {
@@ -89,16 +88,17 @@
 	w.endpoint = e
 }
 
-// resetWorker drops what was learned of an earlier process of w, and begins the slow start of the one started
-// at startedAt. Attempts in flight and load commands stay until they end, and an attempt in flight still
-// makes its instance count as warm. lastAnswer and the recent sends of an earlier slow start stay too.
+// resetWorker drops what was learned of the earlier process of w, and begins the slow start of the process
+// that started at startedAt. Attempts in flight and load commands stay until they end, and an attempt in
+// flight still makes its instance count as warm. lastAnswer and the recent sends of an earlier slow start
+// stay too.
 func (p *Policy) resetWorker(w *worker, startedAt time.Duration) {
 	for _, i := range w.instances {
 		i.markNotLoaded()
 	}
 	w.queue = queueEstimate{}
 	w.health.unserved = make([]decayingMean, len(p.classes))
-	w.health.consecutiveFailures = 0
+	w.health.consecutiveEjections = 0
 	w.health.ejectedUntil = 0
 	w.slowStart.startedAt = startedAt
 	w.slowStart.roundingDraw = p.rng.Float64()
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -7,9 +7,15 @@
 )
 
 const (
-	// outlierClip bounds the effect of one observation: it counts as at most this multiple of the expected
-	// value. With a higher multiple, one stalled answer distorts an estimate; with a lower multiple, a real
-	// increase is learned slowly.
+	// outlierClip bounds the effect of one observation on an estimate. A run time counts as at most this
+	// multiple of the expected run time. A delay counts as at most this multiple of the latency objective or,
+	// in the slope of the queueing delay, of the expected run time and delay together. With a higher
+	// multiple, one stalled answer distorts an estimate; with a lower multiple, a real increase is learned
+	// slowly.
+	//
+	// outlierClip is also the multiple of the predicted latency beyond which an attempt without an answer can
+	// count as unserved, and the number of run times that is assumed as the delay at a worker that rejects a
+	// request for overload.
 	outlierClip = 3
 
 	// initialRunTimeShare is the run time that is assumed until answers arrive, as a share of the latency
@@ -18,17 +24,18 @@
 
 	// runTimePrior is the weight, in answers, of the class's run time in the estimate for a function. With a
 	// higher value, a run time that differs from the class's is learned late; with a lower value, the first
-	// answers of a function dominate its estimate.
+	// answers of a function dominate its estimate. It is also the initial weight, in answers, of the
+	// assumption that work hints are exact.
 	runTimePrior = 5
 
 	// runTimeWindow is the number of answers over which a mean run time is averaged. With a higher value, a
 	// change is learned late; with a lower value, the mean follows random variation.
 	runTimeWindow = 30
 
-	// ratioRetention is the factor by which a ratio decays its sums at each observation, and by which a
-	// function's saturation decays at each answer in time. The sums cover about 1/(1-0.97), that is 33,
-	// observations. With a higher value, a change is learned late; with a lower value, the ratio follows
-	// random variation.
+	// ratioRetention is the factor by which a ratioEstimator multiplies its sums at each observation, and by
+	// which a function's saturation is multiplied at each answer that meets the latency objective. The sums
+	// cover about 1/(1-0.97), that is 33, observations. With a higher value, a change is learned late; with a
+	// lower value, the ratio follows random variation.
 	ratioRetention = 0.97
 
 	// delayTimeConstant is the time in which a decaying mean decays by the factor e. It applies to the excess
@@ -38,7 +45,8 @@
 	delayTimeConstant = 3 * time.Second
 
 	// fullDecayObservations is the number of observations below which a decaying mean decays more slowly, in
-	// proportion to their number: where few answers arrive, no newer ones replace them.
+	// proportion to their number. If few answers arrive, no newer answers replace the older ones soon, so the
+	// older ones must keep their weight for longer.
 	fullDecayObservations = 6
 
 	// maxReportedQueue bounds the queue length that is accepted from a load report, in requests.
@@ -119,28 +127,30 @@
 // queueEstimate predicts the queueing delay at one worker; see Policy.queueingDelay.
 type queueEstimate struct {
 	slope       ratioEstimator // nanoseconds of delay per request that this router has in flight
-	excessDelay decayingMean   // nanoseconds of delay that other routers' requests add
+	excessDelay decayingMean   // nanoseconds of delay beyond that prediction; see excess
 }
 
-// excess is the delay that other routers' requests add. It is negative if the delay predicted for this
-// router's own requests is too long.
+// excess is the queueing delay beyond the delay that the slope predicts for this router's requests in flight.
+// The delay that other routers' requests add is part of it. It is negative if the predicted delay is too
+// long.
 func (q *queueEstimate) excess(now time.Duration) nanoseconds {
 	return nanoseconds(q.excessDelay.value(now))
 }
 
-// observeExcess records the part of a delay that this router's own requests do not explain.
+// observeExcess records one observation of the excess delay. An answer shows its delay beyond the prediction;
+// a load report or a rejection for overload counts with the whole delay that is derived from it.
 func (q *queueEstimate) observeExcess(now time.Duration, delay nanoseconds) {
 	q.excessDelay.observe(now, float64(delay))
 }
 
-// fleetEstimates are the estimates that the answers of all workers have given together.
+// fleetEstimates holds the estimates that apply to all workers together.
 type fleetEstimates struct {
 	queueSlope     ratioEstimator // nanoseconds of queueing delay per request of this router in flight
 	delayPerQueued ratioEstimator // nanoseconds of queueing delay per queued request in load reports
 	queueField     int            // index of the queue length in a load report; -1: not reported
 	standingDelay  nanoseconds    // the delay that most answers of warm instances exceed
 	loadRatio      float64        // ratio of the real load time to the hinted one
-	servedWork     nanoseconds    // run time of this router's served requests, decaying over rateTimeConstant
+	servedWork     nanoseconds    // work of this router's served requests; see decayServedWork
 }
 
 func newFleetEstimates(loadReportFields []string) fleetEstimates {
@@ -155,7 +165,8 @@
 	return clamp(report[e.queueField], -1, maxReportedQueue)
 }
 
-// decayServedWork decays the served work; it is called once per sweepInterval.
+// decayServedWork reduces the served work by a tenth, which is sweepInterval/rateTimeConstant. It is called
+// once per sweepInterval. Each served request adds the mean run time of its class to the served work.
 func (e *fleetEstimates) decayServedWork() {
 	e.servedWork -= e.servedWork * nanoseconds(sweepInterval) / nanoseconds(rateTimeConstant)
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// RequestID identifies a request. A router must not reuse an id while the policy may still hold the request:
-// until the request's final answer or cancellation, and the ends of all its attempts.
+// RequestID identifies a request. A router may use an id again only after the request has its final answer or
+// is cancelled, and all its attempts have ended.
 type RequestID uint32
 
 // WorkerID identifies a worker. It survives a restart of the worker's process.
 type WorkerID uint64
 
-// FunctionID identifies a function (a model) that workers load on demand.
+// FunctionID identifies a function, such as a machine-learning model, that workers load on demand.
 type FunctionID uint64
 
 // WorkerState is the state of a worker according to the endpoint list.
@@ -17,7 +17,7 @@
 
 // The worker states.
 const (
-	// Gone: the worker is no longer listed.
+	// Gone: the worker has been removed from the endpoint list.
 	Gone WorkerState = iota // gone
 	// Ready: the worker takes requests.
 	Ready // ready
@@ -32,7 +32,7 @@
 	Zone      int
 	Cell      int
 	Weight    float64       // size relative to other workers; 0: unknown
-	StartedAt time.Duration // clock time of the last start of the worker's process; 0: long ago
+	StartedAt time.Duration // time when the worker's process started, on the router's clock; 0: unknown
 }
 
 // EndpointUpdateKind is the kind of an [EndpointUpdate].
@@ -64,23 +64,24 @@
 type RequestArrived struct {
 	Request     RequestID
 	Class       int // index into Config.Classes
-	Tenant      int // index into Config.Tenants; out of range: none
+	Tenant      int // index into Config.Tenants; an index out of range means no tenant
 	Function    FunctionID
 	Concurrency float64       // requests that one instance runs at the same time
 	MemoryMB    float64       // memory of one instance, in MiB; the policy does not read it
 	LoadTime    time.Duration // usual time of a load; 0: unknown
-	WorkHint    time.Duration // hint of the request's run time; 0: none
+	WorkHint    time.Duration // run time that the client expects for the request; 0: no hint
 	TimeLeft    time.Duration // time until the client gives up
 	IsRepeat    bool          // the client has sent the request before; the policy does not read it
 }
 
-// ClientCancelled says that the client has left; the request no longer needs an answer.
+// ClientCancelled says that a request needs no answer, because its client has withdrawn it or has
+// disconnected.
 type ClientCancelled struct{ Request RequestID }
 
 // TimerFired says that a timer set by SetTimer has expired.
 type TimerFired struct{ Token uint64 }
 
-// HealthCheckEnded is the result of a CheckHealth. Any answer shows that the worker is reachable, even an
+// HealthCheckEnded is the result of a health check. Any answer shows that the worker is reachable, even an
 // answer that reports bad health. Only TimedOut, Unreachable and ConnectionReset count as failures.
 type HealthCheckEnded struct {
 	Worker     WorkerID
@@ -91,17 +92,17 @@
 
 // GossipReceived is a message from another router.
 type GossipReceived struct {
-	From int
+	From int // index of the router that sent the message; the policy does not read it
 	Data []byte
 }
 
-// LoadCommandEnded is the result of a LoadInstance.
+// LoadCommandEnded is the result of a load command, which is a LoadInstance action.
 type LoadCommandEnded struct {
 	Worker    WorkerID
 	Function  FunctionID
 	Outcome   Outcome
 	Duration  time.Duration
-	Instances int // number of instances that are loaded at the worker
+	Instances int // instances of the function that the worker holds; the policy does not read it
 }
 
 // ResponseStarted says that the response of a streamed request has begun to reach the client.
@@ -110,16 +111,19 @@
 	Attempt int
 }
 
-// AttemptEnded is the result of a SendAttempt.
+// AttemptEnded is the result of an attempt, which a SendAttempt action starts.
 type AttemptEnded struct {
-	Request             RequestID
-	Attempt             int
-	Worker              WorkerID
-	Outcome             Outcome
-	InstanceStatus      InstanceStatus
-	FunctionConcurrency int // requests of the function at the worker, with Config.ConcurrencyInAnswers
-	// RequestClosed says that the request no longer needs an answer: the client has its final answer or has
-	// cancelled. It must be true if the outcome is Served; otherwise the policy places the request again.
+	Request        RequestID
+	Attempt        int
+	Worker         WorkerID
+	Outcome        Outcome
+	InstanceStatus InstanceStatus
+	// FunctionConcurrency is the number of requests for the function at the worker, if
+	// Config.ConcurrencyInAnswers is set. The policy does not read it.
+	FunctionConcurrency int
+	// RequestClosed says that the request needs no answer, because its client has the final answer or has
+	// cancelled the request. It must be true if the outcome is Served: if it is false, the policy may send
+	// the request again, whatever the outcome.
 	RequestClosed bool
 	Duration      time.Duration
 	LoadReport    []float64 // in the order of Config.LoadReportFields; empty if the answer carried none
--- a/policy/functions.go
+++ b/policy/functions.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// rateTimeConstant is the time over which rates are averaged: the rate of a function's requests, which decays
-// by the factor e in this time, and the rate of served work, which loses a tenth at each sweep. With a longer
-// time, a function that has become popular gets its replicas late; with a shorter time, a router that sees
-// few requests takes random variation for a rate.
+// rateTimeConstant is the time over which two rates are averaged: the rate of a function's requests decays by
+// the factor e in this time, and the served work loses a tenth at each sweep. With a longer time, a function
+// that has become popular gets its replicas late; with a shorter time, a router that sees few requests treats
+// random variation as a change of the rate.
 const rateTimeConstant = 10 * time.Second
 
-// function is what this router's requests for one function have shown.
+// function holds what the policy has learned about one function from this router's requests.
 type function struct {
 	id             FunctionID
-	loadTime       time.Duration // usual time of a load, from the latest request's hint
+	loadTime       time.Duration // usual time of a load, as stated by the latest request
 	lastRequest    time.Duration // time of the latest request
 	runTime        runTimeEstimate
 	served         bool    // some worker has served the function
-	saturation     float64 // wanted replicas beyond the first, from answers that were late or overloaded
-	recentRequests float64 // decays over rateTimeConstant; excludes a request during its first placement
+	saturation     float64 // replicas wanted beyond the first because of late answers and rejections
+	recentRequests float64 // number of requests; decays over rateTimeConstant; see recordFunctionRequest
 }
 
-// recordFunctionRequest returns the function of a request. It decays the function's rate to now and records
-// the request's time and load hint. recentRequests grows only after the request has been placed.
+// recordFunctionRequest returns the function of a request. It decays recentRequests to now and records the
+// time and the load time of the request. The request itself is added to recentRequests after it has been
+// placed.
 func (p *Policy) recordFunctionRequest(e RequestArrived) *function {
 	c := &p.classes[e.Class]
 	f := p.functions[e.Function]
@@ -40,8 +41,8 @@
 	return f
 }
 
-// recordSaturation counts an answer that was late or overloaded although the function was loaded: one more
-// replica is needed. maxSaturation bounds the count.
+// recordSaturation counts a late answer or a rejection for overload although the function was loaded: one
+// more replica is needed. maxSaturation bounds the count.
 func (f *function) recordSaturation(maxSaturation int) {
 	f.saturation = min(f.saturation+1, float64(maxSaturation))
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -11,7 +11,7 @@
 	// function that the worker has loaded. The other routers read this format.
 	gossipEntrySize = 16
 
-	// gossipMaxEntries bounds the entries of a message; the latest entries are kept.
+	// gossipMaxEntries is the largest number of entries in a message; the latest entries are kept.
 	gossipMaxEntries = 16
 
 	// gossipBudgetPerRequest is the number of message receivers that one request adds to the budget,
@@ -19,17 +19,17 @@
 	// are sent less often.
 	gossipBudgetPerRequest = 2
 
-	// gossipValidityPercent is the part of the keep-alive time for which an announced instance is assumed to
-	// be loaded. The rest allows for the age of the message.
+	// gossipValidityPercent is the percentage of the keep-alive time for which an announced instance is
+	// assumed to be loaded. The rest allows for the age of the message.
 	gossipValidityPercent = 90
 
-	// announceDivisor is the part of the keep-alive time after which a loaded instance is announced again.
+	// A loaded instance is announced again after the keep-alive time divided by announceDivisor.
 	announceDivisor = 4
 )
 
 // gossipOutbox collects the entries of the next message to the other routers.
 type gossipOutbox struct {
-	entries []byte  // of loaded instances, oldest first
+	entries []byte  // encoded entries of loaded instances, oldest first
 	budget  float64 // number of receivers that messages may be sent to
 }
 
@@ -63,9 +63,9 @@
 	}
 }
 
-// gossipReceived records the functions that another router announces as loaded at workers. They are assumed
-// loaded for a little less than the keep-alive time. Entries of workers that are not ready at this router,
-// and an incomplete last entry, are ignored.
+// gossipReceived records the functions that another router announces as loaded at workers. The policy assumes
+// them loaded for a little less than the keep-alive time. It ignores entries of workers that are not ready
+// according to its own endpoint list, and an incomplete last entry.
 func (p *Policy) gossipReceived(entries []byte) {
 	for ; len(entries) >= gossipEntrySize; entries = entries[gossipEntrySize:] {
 		workerID := WorkerID(binary.BigEndian.Uint64(entries))
--- a/policy/instances.go
+++ b/policy/instances.go
@@ -5,13 +5,13 @@
 // instance is the assumed state of one function at one worker: loaded, being loaded, or neither.
 type instance struct {
 	worker             *worker
-	warmUntil          time.Duration // the function is assumed loaded until then
+	warmUntil          time.Duration // until when the function is assumed loaded
 	announcedAt        time.Duration // when the other routers were last told that it is loaded
 	loadEndsAt         time.Duration // expected end of a load under way; 0: no load is under way
-	inFlight           int           // this router's attempts
+	inFlight           int           // this router's attempts in flight
 	concurrency        int           // largest number of this router's requests served at the same time
 	loadCommandPending bool          // this router's load command has no answer yet
-	waiting            []*request    // requests that wait for that answer
+	waiting            []*request    // requests that wait for the answer to that command
 }
 
 // markNotLoaded records that the function is neither loaded nor being loaded.
@@ -21,7 +21,8 @@
 	i.concurrency = 0
 }
 
-// isUnused reports whether the entry may be deleted at now, because it holds no information.
+// isUnused reports whether the entry may be deleted at now: no attempt is in flight, no load command is
+// pending, and warmUntil and loadEndsAt have passed.
 func (i *instance) isUnused(now time.Duration) bool {
 	return i.inFlight == 0 && !i.loadCommandPending && now > i.warmUntil && now > i.loadEndsAt
 }
@@ -34,8 +35,9 @@
 // soon shows that it is not loaded.
 func (i *instance) isWarm(now time.Duration) bool { return now < i.warmUntil || i.inFlight > 0 }
 
-// isBusy reports whether one more request would exceed the number that the instances are known to run at the
-// same time: what the request says of one instance, or what was seen served.
+// isBusy reports whether one more request would exceed the number of requests that the instances can run at
+// the same time. That number is assumed to be the larger of the concurrency that the request states for one
+// instance and the largest number of requests that were served at the same time.
 func (i *instance) isBusy(instanceConcurrency float64) bool {
 	return float64(i.inFlight) >= max(instanceConcurrency, 1, float64(i.concurrency))
 }
--- a/policy/learning.go
+++ b/policy/learning.go
@@ -6,9 +6,9 @@
 	// a higher value, queueing counts as run time.
 	minRunTimeShare = 0.25
 
-	// loadWaitShare is the share of a load time by which an answer must be late to show that it waited for a
-	// load, where answers do not say so. With a higher value, loads count as queueing; with a lower value,
-	// queueing counts as loads.
+	// If answers do not report loads, an answer counts as delayed by a load if it is later than predicted by
+	// more than loadWaitShare of a load time. With a higher value, loads count as queueing; with a lower
+	// value, queueing counts as loads.
 	loadWaitShare = 0.5
 
 	// The standing delay follows an increase slowly, over about 20 answers, and a decrease quickly, over 4.
@@ -22,7 +22,7 @@
 	// a slowdown of the store that functions are loaded from is noticed late.
 	loadRatioGain = 0.2
 
-	// The bounds of the ratio that one load can show.
+	// The bounds of the ratio that is learned from one load.
 	minLoadRatio = 0.2
 	maxLoadRatio = 10
 )
@@ -41,10 +41,10 @@
 		p.recordWorkerAnswered(a.worker)
 		p.learnFromRejection(a, e)
 	case Cancelled, TimedOut:
-		// The attempt counts as unserved if the worker had all of the request's time, no load was expected,
-		// and the attempt took far longer than predicted. An early cancellation by the client or the router
-		// proves nothing. The attempt counts for its request's class only: the worker may serve other classes
-		// well.
+		// The attempt counts as unserved if the request's time has run out, the function was assumed warm,
+		// and the attempt took far longer than predicted. An earlier cancellation by the client or the router
+		// proves nothing about the worker. Only the request's class is affected, because the worker may serve
+		// other classes well.
 		farBeyondPrediction := e.Duration > outlierClip*a.expectedLatency
 		if !a.wasCold && p.outOfTime(a.request) && farBeyondPrediction {
 			p.recordUnserved(a, 1)
@@ -61,30 +61,30 @@
 	a.worker.health.unserved[a.request.arrived.Class].observe(p.now, unserved)
 }
 
-// learnFromAnswer learns from an answer with a result where the function is loaded, and how long loads,
-// queueing and runs take.
+// learnFromAnswer updates the estimates from the answer of a served attempt. The answer shows that the
+// function is loaded at the worker, and how long loads, queueing and runs take.
 func (p *Policy) learnFromAnswer(a *attempt, e AttemptEnded) {
 	r := a.request
-	p.observeLoadReport(a.worker, e.LoadReport) // first: the queueing delay predicted below includes it
+	p.observeLoadReport(a.worker, e.LoadReport) // before the queueing delay is predicted from it
 	latency := nanoseconds(e.Duration)
 	runTime := p.predictedRunTime(r)
 	queueing := p.queueingDelay(a.worker, a.inFlightBefore)
 	waitedForLoad := p.waitedForLoad(e, runTime+queueing, r.function)
 	p.learnInstance(a)
 	p.learnLateness(a, e, latency-runTime)
-	unexpectedlyWarm := a.wasCold && p.cfg.MissWhenNotLoaded // an answer means that the function was loaded
+	unexpectedlyWarm := a.wasCold && p.cfg.MissWhenNotLoaded // Served: it must have been loaded
 	if waitedForLoad || unexpectedlyWarm {
 		if p.startedLoad(a, e, waitedForLoad) {
 			p.loadSucceeded(latency-runTime-queueing, r.function)
 		}
-		return // the time includes more than queueing and a run at a worker in the assumed state
+		return // the latency includes a load, or the instance was not in the state that was assumed
 	}
 	p.learnQueueing(a, e, runTime, queueing)
 	p.learnRunTime(r, max(latency-queueing, latency*minRunTimeShare), runTime)
 }
 
-// waitedForLoad reports whether an answer waited for a load. Where answers do not say so, it compares the
-// answer's time with the time expected of a warm instance.
+// waitedForLoad reports whether an answer waited for a load. If answers do not report loads, it compares the
+// latency with expected, the latency that is expected of a warm instance.
 func (p *Policy) waitedForLoad(e AttemptEnded, expected nanoseconds, f *function) bool {
 	if p.cfg.InstanceStatusInAnswers || p.cfg.MissWhenNotLoaded {
 		return e.InstanceStatus == LoadStarted || e.InstanceStatus == LoadAwaited
@@ -92,7 +92,7 @@
 	return nanoseconds(e.Duration) > expected+p.predictedLoadTime(f)*loadWaitShare
 }
 
-// startedLoad reports whether an answered attempt started the load itself, so that its time includes the
+// startedLoad reports whether an answered attempt started a load itself, so that its latency includes the
 // whole load.
 func (p *Policy) startedLoad(a *attempt, e AttemptEnded, waitedForLoad bool) bool {
 	if e.InstanceStatus == InstanceUnknown {
@@ -101,8 +101,8 @@
 	return e.InstanceStatus == LoadStarted
 }
 
-// learnInstance records that the function is loaded at the worker, and how many requests the worker serves at
-// the same time.
+// learnInstance records that the function is loaded at the worker, and updates the largest number of this
+// router's requests that the worker has served at the same time.
 func (p *Policy) learnInstance(a *attempt) {
 	i := a.instance
 	i.warmUntil = p.now + p.cfg.InstanceKeepAlive
@@ -111,12 +111,13 @@
 	p.announce(i, a.request.function)
 }
 
-// learnLateness learns whether answers without a load are late. It updates the standing delay, which covers
-// all workers, and the saturation of the function's replicas. delay is the answer's time beyond the run time.
+// learnLateness updates the standing delay, which covers all workers, and the saturation of the function's
+// replicas. delay is the answer's latency without the predicted run time. An answer that includes a load does
+// not raise either of them.
 func (p *Policy) learnLateness(a *attempt, e AttemptEnded, delay nanoseconds) {
 	f := a.request.function
 	objective := p.classOf(a.request).settings.LatencyObjective
-	// Where answers do not report loads, an answer that was slowed by a load counts here too.
+	// If answers do not report loads, an answer that was delayed by a load counts as one without a load.
 	withoutLoad := e.InstanceStatus == InstanceUnknown || e.InstanceStatus == InstanceWarm
 	if !a.wasCold && withoutLoad {
 		p.observeStandingDelay(delay, outlierClip*nanoseconds(objective))
@@ -138,7 +139,7 @@
 }
 
 // learnQueueing learns how long requests queue at the worker: the delay per request of this router in flight,
-// and the excess delay beyond it.
+// and the excess delay. queueing is the predicted delay.
 func (p *Policy) learnQueueing(a *attempt, e AttemptEnded, runTime, queueing nanoseconds) {
 	queue := &a.worker.queue
 	inFlight := float64(a.inFlightBefore)
@@ -154,8 +155,9 @@
 	}
 }
 
-// observeLoadReport counts a load report as one answer with the delay of the queue length that it reports. A
-// report belongs to no class; the objective of the first class bounds the delay.
+// observeLoadReport predicts a delay from the queue length in a load report, and records it as one
+// observation of the excess delay at w. A report belongs to no class, so the objective of the first class
+// bounds the delay.
 func (p *Policy) observeLoadReport(w *worker, report []float64) {
 	queued := p.estimates.reportedQueue(report)
 	if queued < 0 {
@@ -188,7 +190,7 @@
 	switch {
 	case e.InstanceStatus == LoadFailed:
 		p.loadBackoff.extend(p.now, 1)
-	case e.Outcome == Errored && a.request.function.served: // otherwise the request may cause the error
+	case e.Outcome == Errored && a.request.function.served: // else the request itself may cause the error
 		p.recordUnserved(a, 1)
 	case e.Outcome == WorkerOverloaded && a.expectedWarm():
 		p.learnFromOverload(a, e)
@@ -196,7 +198,7 @@
 }
 
 // learnFromOverload learns that the worker has no capacity left for a function that it has loaded: one more
-// replica is needed, and the delay at the worker counts as a multiple of the run time.
+// replica is needed, and the delay at the worker is at least outlierClip run times.
 func (p *Policy) learnFromOverload(a *attempt, e AttemptEnded) {
 	queue := &a.worker.queue
 	a.request.function.recordSaturation(p.readyWorkers)
@@ -204,10 +206,12 @@
 	queue.observeExcess(p.now, max(outlierClip*p.predictedRunTime(a.request), queue.excess(p.now)))
 }
 
-// learnFromReset treats the first reset at a clock reading as a broken connection; other attempts on that
-// connection end at the same reading and are not counted. A health check shows whether the worker failed.
-// Where health checks are not allowed, the next dial shows it, and any request to the worker dials. (There, a
-// load command's reset ejects the worker, because possibly no request follows.)
+// learnFromReset counts a connection reset as a failure and checks the worker's health. It ignores a reset
+// while a health check is pending. It also ignores further resets at the same clock reading, because all
+// attempts on a broken connection end at the same reading. The health check shows whether the worker failed.
+// If health checks are not allowed, the next attempt at the worker shows it, because that attempt opens a new
+// connection. (In this case, learnFromLoadCommand ejects the worker after the reset of a load command,
+// because there may be no next attempt.)
 func (p *Policy) learnFromReset(a *attempt) {
 	w := a.worker
 	if w.health.checkPending || w.health.lastReset == p.now {
--- a/policy/load_backoff.go
+++ b/policy/load_backoff.go
@@ -13,9 +13,9 @@
 	maxLoadPauseDoublings = 5
 )
 
-// loadBackoff slows down loads while they fail, at any worker: they begin one at a time with growing pauses,
-// to reduce the load on the store that functions are loaded from. A failed load counts once for each answer
-// that reports it.
+// loadBackoff slows down loads while loads fail, at any worker: loads then begin one at a time with growing
+// pauses, to reduce the load on the store that functions are loaded from. A failed load counts once for each
+// answer that reports it.
 type loadBackoff struct {
 	failures int           // answers that reported a failed load since a load last succeeded
 	until    time.Duration // no load may begin before this time
@@ -27,7 +27,7 @@
 // pauseEnded reports whether loads have failed and the pause is over, so that one load may begin at now.
 func (b *loadBackoff) pauseEnded(now time.Duration) bool { return b.failures > 0 && now >= b.until }
 
-// extend counts further failures and begins the pause that corresponds to all failures counted so far.
+// extend adds failures, which may be 0, and begins the pause that corresponds to the sum.
 func (b *loadBackoff) extend(now time.Duration, failures int) {
 	b.failures += failures
 	b.until = now + loadPauseUnit<<min(b.failures, maxLoadPauseDoublings)
--- a/policy/load_commands.go
+++ b/policy/load_commands.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// allowsAnother reports whether one more load command at now stays within the budget. A request counts if it
-// arrived after the start of the window; a command also counts at the start itself. In the edge case the
-// budget is therefore the smaller one.
+// allowsAnother reports whether one more load command at now stays within the budget. A command sent exactly
+// at the start of the window counts, but a request that arrived exactly then does not, so the budget is kept
+// under either definition of the window.
 func (b *loadCommandBudget) allowsAnother(now time.Duration) bool {
 	if b.window <= 0 {
 		return true
@@ -134,8 +134,8 @@
 	case Unreachable:
 		p.eject(w)
 	case ConnectionReset:
-		// A reset may affect a single connection only. A health check shows whether the worker failed, where
-		// health checks are allowed.
+		// A reset may affect a single connection only. A health check shows whether the worker failed. If
+		// health checks are not allowed, the worker is ejected.
 		if !w.health.checkPending && !p.checkHealth(w) {
 			p.eject(w)
 		}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -9,7 +9,7 @@
 	Served Outcome = iota // served
 	// Errored: the worker answered with an error.
 	Errored // errored
-	// WorkerOverloaded: the worker rejected the request before looking at it.
+	// WorkerOverloaded: the worker rejected the request without running it, for example because of overload.
 	WorkerOverloaded // worker_overloaded
 	// TimedOut: no answer arrived in time.
 	TimedOut // timed_out
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// firstEjectionTime is the duration of the first ejection; each further failure in a row doubles it. With
-	// a longer time, a recovered worker stays idle; with a shorter time, a failed one is tried often.
+	// firstEjectionTime is the duration of the first ejection; each further ejection in a row doubles it.
+	// With a longer time, a recovered worker stays idle; with a shorter time, a failed one is tried often.
 	firstEjectionTime = time.Second
 
 	// maxEjectionTime bounds the duration of an ejection: a recovered worker is noticed after at most this
@@ -19,8 +19,8 @@
 	maxEjectionDoublings = 10
 
 	// minHealthCheckInterval is the shortest time between two health checks of a silent worker. With a
-	// shorter time, a slow worker is checked without need; with a longer time, a failed worker keeps its
-	// attempts.
+	// shorter time, a slow worker is checked without need; with a longer time, attempts stay longer at a
+	// failed worker.
 	minHealthCheckInterval = 4 * housekeepingInterval
 
 	// cancelTicks is the largest number of ticks until a cancelled attempt's request is sent elsewhere: one
@@ -36,13 +36,13 @@
 
 // health is what the policy knows about whether a worker serves requests.
 type health struct {
-	lastAnswer          time.Duration // when the worker last answered anything
-	lastHealthCheck     time.Duration // when its health was last checked
-	checkPending        bool          // that health check has no result yet
-	lastReset           time.Duration // when a connection to it last broke during an attempt
-	consecutiveFailures int           // ejections since it last answered
-	ejectedUntil        time.Duration
-	unserved            []decayingMean // by class: the share of attempts that the worker left unserved
+	lastAnswer           time.Duration // when the worker last answered anything
+	lastHealthCheck      time.Duration // when its health was last checked
+	checkPending         bool          // the latest health check has no result yet
+	lastReset            time.Duration // when a connection to it last broke during an attempt
+	consecutiveEjections int           // ejections since it last answered
+	ejectedUntil         time.Duration
+	unserved             []decayingMean // by class: the share of attempts that the worker left unserved
 }
 
 // silentSince is when w last answered anything or, if that is later, when its oldest attempt in flight was
@@ -52,7 +52,7 @@
 // recordWorkerAnswered records that w has answered, which ends an ejection.
 func (p *Policy) recordWorkerAnswered(w *worker) {
 	w.health.lastAnswer = p.now
-	w.health.consecutiveFailures = 0
+	w.health.consecutiveEjections = 0
 	w.health.ejectedUntil = 0
 }
 
@@ -63,16 +63,16 @@
 	if p.now < h.ejectedUntil {
 		return
 	}
-	doublings := min(h.consecutiveFailures, maxEjectionDoublings)
+	doublings := min(h.consecutiveEjections, maxEjectionDoublings)
 	h.ejectedUntil = p.now + min(firstEjectionTime<<doublings, maxEjectionTime)
-	h.consecutiveFailures++
+	h.consecutiveEjections++
 }
 
-// isEjected reports whether w takes no requests because it is ejected. It must answer a health check first.
-// Where health checks are not allowed, its ejection time must be over; then one trial attempt at a time may
-// be sent to it.
+// isEjected reports whether w takes no requests because it is ejected. If health checks are allowed, w stays
+// ejected until it answers a health check or anything else. If they are not allowed, w may get one trial
+// attempt at a time once its ejection time is over.
 func (p *Policy) isEjected(w *worker) bool {
-	if w.health.consecutiveFailures == 0 {
+	if w.health.consecutiveEjections == 0 {
 		return false
 	}
 	return p.cfg.AllowHealthChecks || p.now < w.health.ejectedUntil || len(w.inFlight) > 0
@@ -103,11 +103,11 @@
 
 // ejectionExpired reports whether w's ejection time is over, so that a health check may end the ejection.
 func (p *Policy) ejectionExpired(w *worker) bool {
-	return w.health.consecutiveFailures > 0 && p.now >= w.health.ejectedUntil
+	return w.health.consecutiveEjections > 0 && p.now >= w.health.ejectedUntil
 }
 
 // checkHealth sends w a health check, and reports whether the settings allowed it. The time of the check is
-// recorded even if they did not, so that a silent worker is not considered more often.
+// recorded even if they did not, so that isSilent does not report w again within minHealthCheckInterval.
 func (p *Policy) checkHealth(w *worker) bool {
 	w.health.checkPending = p.emit(CheckHealth{Worker: w.id()})
 	w.health.lastHealthCheck = p.now
@@ -115,8 +115,8 @@
 }
 
 // healthCheckEnded handles the result of a health check. If the check failed and the worker has answered
-// nothing since it was sent, the worker is ejected, and its attempts are cancelled if their requests may go
-// elsewhere.
+// nothing since the check was sent, the worker is ejected, and those of its attempts are cancelled whose
+// requests may be sent elsewhere.
 func (p *Policy) healthCheckEnded(e HealthCheckEnded) {
 	w := p.workers[e.Worker]
 	if w == nil {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -9,14 +9,14 @@
 // target is a worker that a request may be sent to.
 type target struct {
 	worker     *worker
-	score      nanoseconds // lowest score of all candidates; this worker's may be up to a tick higher
+	score      nanoseconds // lowest score of all candidates; this worker's own may be up to a tick higher
 	latency    nanoseconds // predicted latency at this worker
-	likelyWarm bool        // cold for this router, but another router has probably had the function loaded
+	likelyWarm bool        // the function is probably loaded here, but without this router's knowledge
 }
 
 // place sends r to the worker with the lowest score, makes it wait, or ends it unserved:
 //
-//  1. The candidates are the workers that the rules allow and that have not failed r before.
+//  1. The candidates are the workers that the rules allow, that are not ejected, and that have not failed r.
 //  2. The preferred worker is the one that should load r's function if the function must be loaded.
 //  3. While loads fail, workers at which r would start a load are removed from the candidates.
 //  4. If a candidate is left, admission decides whether r is sent to the one with the lowest score.
@@ -49,8 +49,8 @@
 	})
 }
 
-// withoutNewLoads removes the candidates at which r would start a load. The preferred worker remains for a
-// first attempt if another router has probably had the function loaded there.
+// withoutNewLoads removes the candidates at which r would start a load. For a first attempt, the preferred
+// worker remains if the function is probably loaded there.
 func (p *Policy) withoutNewLoads(r *request, candidates []*worker, preference preference) []*worker {
 	isRetry := len(r.attempts) > 0
 	return slices.DeleteFunc(candidates, func(w *worker) bool {
@@ -58,7 +58,8 @@
 	})
 }
 
-// waitOrRefuse makes r wait if a worker may take it in time, at earliest or later; otherwise it refuses r.
+// waitOrRefuse makes r wait if a worker may take it at earliest or later and there will be enough time to run
+// it. Otherwise it refuses r.
 func (p *Policy) waitOrRefuse(r *request, earliest time.Duration) {
 	enoughTime := nanoseconds(r.deadline-earliest) > p.predictedRunTime(r)
 	if enoughTime && p.mayBePlacedLater(r) {
@@ -79,11 +80,12 @@
 	})
 }
 
-// lowestScore returns the candidate with the lowest score. The preferred worker's score is lower by the load
-// that it may not need. Scores that differ by at most a tick, which the clock can't distinguish, are a tie,
-// which is drawn at random.
+// lowestScore returns the candidate with the lowest score. The score of a worker is the predicted latency
+// there. For the preferred worker, it is reduced by a bonus: the predicted load time, times the probability
+// that the function is already loaded there. All scores within a tick of the lowest are a tie, because the
+// clock cannot distinguish them; one of the tied candidates is drawn at random.
 func (p *Policy) lowestScore(r *request, candidates []*worker, preference preference) target {
-	bonus := nanoseconds(preference.warmChance) * p.predictedLoadTime(r.function)
+	bonus := nanoseconds(preference.warmProbability) * p.predictedLoadTime(r.function)
 	scores := make([]nanoseconds, len(candidates))
 	lowest := nanoseconds(math.Inf(1))
 	for i, w := range candidates {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -11,8 +11,8 @@
 	// housekeepingInterval is the time between two runs of the periodic work. It bounds how late a waiting
 	// request, a silent worker or a pending gossip message is noticed: it is far below any latency objective,
 	// and the work is cheap. A shorter interval costs more processor time; a longer interval adds latency. It
-	// is also the shortest Retry-After and the shortest wait before a new subscription, and the unit of the
-	// pauses between health checks and between loads that fail.
+	// is also the shortest Retry-After before its random reduction, the shortest wait before a new
+	// subscription, and the unit of the pauses between health checks and between loads that fail.
 	housekeepingInterval = 50 * time.Millisecond
 
 	// sweepInterval is the time between two sweeps, which decay the served work and delete unused entries.
@@ -20,8 +20,8 @@
 
 	// functionRetention is how long the policy keeps a function after its last request. It bounds the memory
 	// for functions that are requested only once; a function that is requested again later starts from the
-	// estimates of its class. It must exceed LoadCommandTimeout, because the result of a load command is
-	// ignored when its function is no longer kept.
+	// estimates of its class. It must exceed LoadCommandTimeout, because the policy ignores the result of a
+	// load command for a function that it has deleted.
 	functionRetention = 2 * time.Minute
 
 	// rngStream is the second half of the random generator's seed. Any fixed number works; it is the same at
@@ -141,7 +141,7 @@
 	}
 }
 
-// sweep decays the served work and deletes the workers, instances and functions that are no longer used.
+// sweep decays the served work and deletes the unused workers, instances and functions.
 func (p *Policy) sweep() {
 	p.lastSweep = p.now
 	p.estimates.decayServedWork()
--- a/policy/prediction.go
+++ b/policy/prediction.go
@@ -8,7 +8,7 @@
 	// determine the slope.
 	fleetSlopePrior = 8
 
-	// extraInstanceShare is the share of a load time that is added to the latency of a request where all
+	// extraInstanceShare is the share of a load time that is added to the latency of a request if all
 	// instances at a worker are busy: the worker may load another instance, or make the request wait. With a
 	// higher value, requests go to workers that must load the function; with a lower value, busy workers load
 	// further instances.
@@ -26,14 +26,15 @@
 //	   the running batch and computes its latency; this router sees its own requests only and estimates the
 //	   delay from answers: see queueingDelay.
 //	R  the run time of r, the paper's estimated computation latency: see predictedRunTime.
-//	L  the time until the function is loaded at w, 0 if it is. Not in the paper, whose cost ignores where a
-//	   template is held: see loadTimeLeft.
-//	U  the share of attempts of r's class that w has left unserved, times the time that r has left. Not in
-//	   the paper: a request that is not served loses the rest of its time.
+//	L  the time until the function is loaded at w, 0 if it is loaded: see loadTimeLeft. The paper does not
+//	   have this term: its cost ignores where a template is held.
+//	U  the share of attempts of r's class that w has left unserved, times the time that r has left. The
+//	   paper does not have this term: a request that is not served loses the rest of its time.
 //	X  extraInstanceShare of a load time if the instances at w are all busy, because w may load another
-//	   instance. Not in the paper.
-//	O  how much longer than predicted w's oldest attempt has been in flight without any answer from w. Not
-//	   in the paper: an answer that is overdue by some time is expected to take as much time again.
+//	   instance. The paper does not have this term.
+//	O  how much longer than predicted w's oldest attempt has been in flight without any answer from w. The
+//	   paper does not have this term: an answer that is overdue by some time is expected to take as much
+//	   time again.
 func (p *Policy) predictLatency(w *worker, r *request) nanoseconds {
 	i := w.instances[r.function.id]
 	latency := p.queueingDelay(w, len(w.inFlight)) +
@@ -58,9 +59,9 @@
 //	excess(w) = max(0, mean of the recent delays beyond slope(w) * n and of one constant 0)
 //
 // The sums decay with each answer (see ratioEstimator). The slope is that of a line through the origin,
-// fitted to the answers of w and, as prior, to those of the fleet: a worker without answers counts as
-// average. The excess is the delay that other routers' requests add at w; load reports and rejections for
-// overload also contribute to it.
+// fitted to the answers of w and, as prior, to those of the fleet: a worker without answers gets the slope of
+// the fleet. The excess includes the delay that other routers' requests add at w; load reports and rejections
+// for overload also contribute to it.
 func (p *Policy) queueingDelay(w *worker, inFlight int) nanoseconds {
 	delays := w.queue.slope.sumY + p.estimates.queueSlope.predict(fleetSlopePrior)
 	slope := max(0, delays) / (w.queue.slope.sumX + fleetSlopePrior)
@@ -71,7 +72,9 @@
 // of real to hinted run times. Otherwise it combines the means of r's class and function, in which the class
 // has the weight of runTimePrior answers:
 //
-//	(runTimePrior * class mean + n * function mean) / (runTimePrior + n), n answers, at most runTimeWindow
+//	(runTimePrior * class mean + n * function mean) / (runTimePrior + n)
+//
+// n is the number of answers for the function, at most runTimeWindow.
 func (p *Policy) predictedRunTime(r *request) nanoseconds {
 	c := p.classOf(r)
 	f := &r.function.runTime
@@ -87,8 +90,8 @@
 	return nanoseconds(p.estimates.loadRatio * float64(f.loadTime))
 }
 
-// remainingLoadTime predicts the time until r's function is loaded at w if r is sent there; 0 if it is
-// loaded.
+// remainingLoadTime predicts the time until r's function is loaded at w if r is sent there. It is 0 if the
+// function is already loaded.
 func (p *Policy) remainingLoadTime(w *worker, r *request) nanoseconds {
 	return p.loadTimeLeft(w.instances[r.function.id], r.function)
 }
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -3,29 +3,30 @@
 import "math"
 
 const (
-	// likelyWarmChance is the probability from which an instance is assumed loaded where a wrong assumption
-	// costs little: an attempt at a worker that must load the function after all.
-	likelyWarmChance = 0.5
+	// likelyWarmProbability is the lowest probability at which the policy assumes that an instance is loaded.
+	// It applies only to decisions in which a wrong assumption costs little: an attempt at a worker that must
+	// load the function.
+	likelyWarmProbability = 0.5
 
-	// lostInstanceChance is multiplied by the number of routers plus one to give the lowest probability that
-	// the preferred worker has the function loaded without this router's knowledge. The one is added because
-	// even a single router may have lost track of an instance.
-	lostInstanceChance = 0.2
+	// lostInstanceProbability is multiplied by the number of routers plus one to give the lowest probability
+	// that the preferred worker has the function loaded without this router's knowledge. The one is added
+	// because even a single router may have lost track of an instance.
+	lostInstanceProbability = 0.2
 
 	// replicaKeyShift puts the index of a replica into the top 16 bits of its key.
 	replicaKeyShift = 48
 )
 
-// preference is the worker at which a request's function should be loaded.
+// preference says at which worker a request's function should be loaded.
 type preference struct {
-	worker     *worker // nil: no candidate would start a load
-	warmChance float64 // probability that another router has had the function loaded there, 0 to 1
+	worker          *worker // nil: no candidate would start a load
+	warmProbability float64 // probability that the function is loaded there unknown to this router, 0 to 1
 }
 
-// isLikelyWarm reports whether w is the preferred worker and the function is probably loaded there for
-// another router.
+// isLikelyWarm reports whether w is the preferred worker and the function is probably loaded there, without
+// this router's knowledge.
 func (p preference) isLikelyWarm(w *worker) bool {
-	return w == p.worker && p.warmChance >= likelyWarmChance
+	return w == p.worker && p.warmProbability >= likelyWarmProbability
 }
 
 // preferredWorker returns the worker at which r's function should be loaded: of the candidates that would
@@ -33,39 +34,40 @@
 // rendezvous hashing (highest random weight), which gives the same order at all routers.
 func (p *Policy) preferredWorker(r *request, candidates []*worker) preference {
 	key, replicas := p.replica(r)
-	var first, firstToLoad *worker
-	var firstWeight, firstToLoadWeight uint64
+	var first, preferred *worker
+	var firstWeight, preferredWeight uint64
 	for _, w := range candidates {
 		weight := rendezvousWeight(key, w.id())
 		if first == nil || weight > firstWeight {
 			first = w
 			firstWeight = weight
 		}
-		if (firstToLoad == nil || weight > firstToLoadWeight) && p.needsLoad(w, r) {
-			firstToLoad = w
-			firstToLoadWeight = weight
+		if (preferred == nil || weight > preferredWeight) && p.needsLoad(w, r) {
+			preferred = w
+			preferredWeight = weight
 		}
 	}
-	return preference{worker: firstToLoad, warmChance: p.warmChance(r, first, firstToLoad, replicas)}
+	return preference{worker: preferred, warmProbability: p.warmProbability(r, first, preferred, replicas)}
 }
 
-// warmChance is the probability that the function is loaded at the preferred worker for other routers. If
-// that worker ranks first of all candidates, the other routers that use the same replica send their requests
-// for the function there too. Each router is assumed to send as many as this router, and each keeps the
-// function warm:
+// warmProbability is the probability that the function is loaded at the preferred worker without this
+// router's knowledge. If that worker ranks first of all candidates, the other routers that use the same
+// replica send their requests for the function there too. Each router is assumed to send as many as this
+// router, and each keeps the function warm:
 //
-//	chance = max(floor, 1 - exp(-others * InstanceKeepAlive / rateTimeConstant))
+//	probability = max(floor, 1 - exp(-others * InstanceKeepAlive / rateTimeConstant))
 //
 //	others  requests in rateTimeConstant from the other routers that use the same replica:
 //	        recentRequests * (RouterCount - 1) / replicas
-//	floor   min(likelyWarmChance, lostInstanceChance * (RouterCount + 1)): 0.4 for a single router, and
-//	        likelyWarmChance for two or more. With two or more, isLikelyWarm holds for the preferred worker,
-//	        except in the case below.
+//	floor   min(likelyWarmProbability, lostInstanceProbability * (RouterCount + 1)): 0.4 for a single
+//	        router, and likelyWarmProbability for two or more. With two or more, isLikelyWarm holds for the
+//	        preferred worker, unless the candidate that ranks first is loading the function.
 //
-// If the candidate that ranks first is loading the function, the other routers' requests wait there, and the
-// probability elsewhere is 0.
-func (p *Policy) warmChance(r *request, first, preferred *worker, replicas int) float64 {
-	floor := min(likelyWarmChance, lostInstanceChance*float64(p.cfg.RouterCount+1))
+// If the preferred worker does not rank first, the candidate that ranks first has the function loaded or is
+// loading it. If it has the function loaded, the probability at the preferred worker is floor. If it is
+// loading the function, the other routers' requests wait there, and the probability is 0.
+func (p *Policy) warmProbability(r *request, first, preferred *worker, replicas int) float64 {
+	floor := min(likelyWarmProbability, lostInstanceProbability*float64(p.cfg.RouterCount+1))
 	if preferred != nil && preferred == first {
 		others := r.function.recentRequests * float64(p.cfg.RouterCount-1) / float64(replicas)
 		return max(floor, 1-math.Exp(-others*float64(p.cfg.InstanceKeepAlive)/float64(rateTimeConstant)))
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -22,7 +22,7 @@
 //	waiting to be placed  in Policy.waiting: no worker may take it now
 //	waiting for a load    in instance.waiting: a load command has no answer yet
 //	in flight             attemptsInFlight is 1
-//	finished              it needs no answer, but an attempt has not ended: the worker may still run it
+//	finished              it needs no answer, but an attempt is in flight: the worker may still run it
 //
 // It is deleted once it is finished and no attempt is in flight.
 type request struct {
@@ -33,10 +33,10 @@
 	attempts         []*attempt   // in the order in which they were sent
 	attemptsInFlight int
 	mayHaveRun       *attempt  // the first attempt that may have run; nil: none
-	triedWorkers     []*worker // workers that rejected or failed it
+	triedWorkers     []*worker // workers that the policy does not try again; see recordAttemptEnd
 	overQuota        bool      // its tenant's quota was used up when it arrived
 	responseStarted  bool      // part of the response has reached the client
-	finished         bool      // it has its final answer, or no longer needs one
+	finished         bool      // it has its final answer or needs none
 }
 
 func (r *request) id() RequestID { return r.arrived.Request }
@@ -83,7 +83,7 @@
 	}
 }
 
-// clientCancelled ends a request that no longer needs an answer.
+// clientCancelled closes a request that needs no answer because its client has cancelled it.
 func (p *Policy) clientCancelled(e ClientCancelled) {
 	if r := p.requests[e.Request]; r != nil {
 		p.closeRequest(r)
@@ -98,8 +98,8 @@
 	}
 }
 
-// endUnserved gives r its final answer without a result at once: a refusal, which emit turns into a failure
-// unless a repeat is harmless. wait is the time after which a retry has a better chance, 0 if that is not
+// endUnserved ends r at once without a result: with a refusal, which emit turns into a failure unless a
+// repeat is harmless. wait is the time after which a retry is more likely to be served, 0 if that is not
 // known. The Retry-After is drawn even if r already has its answer, because skipping a draw would change all
 // later draws.
 func (p *Policy) endUnserved(r *request, wait nanoseconds, reason UnservedReason) {
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// emit appends an action to the answer if the rules allow it, and reports whether they did. Every action
-// passes through emit, so that a fault elsewhere in the package cannot break a rule. A caller changes its own
-// state only if the action was emitted:
+// emit passes an action to the router if the rules allow it, and reports whether they did. Every action
+// passes through emit, so that a fault elsewhere in the package cannot break a rule. A caller whose state
+// depends on the action changes this state only if the action was emitted. emit applies these steps:
 //
-//  1. An action that the settings or the rules forbid is dropped.
-//  2. A load command is charged to its budget.
-//  3. A refusal of a request whose repeat may do harm becomes a failure. It counts as emitted.
+//  1. It drops an action that the settings or the rules forbid.
+//  2. It charges a load command to the budget, unless the command only asks for the number of instances.
+//  3. It turns a refusal of a request whose repeat may do harm into a failure, and reports it as emitted.
 func (p *Policy) emit(action Action) (emitted bool) {
 	if !p.allowed(action) {
 		return false
@@ -24,7 +24,7 @@
 }
 
 // allowed reports whether the settings and the rules allow an action now. It changes no state, except that it
-// drops entries that have left their time windows. Actions without a rule are allowed.
+// drops recorded sends and arrivals that have left their time windows. Actions without a rule are allowed.
 func (p *Policy) allowed(action Action) bool {
 	switch a := action.(type) {
 	case SendAttempt:
@@ -47,9 +47,10 @@
 	}
 }
 
-// sendAllowed reports whether r may be sent to w now. The worker must be ready, the deadline must not have
-// passed, the rules on repeats and on slow start must be met, and no attempt may be in flight, because hedged
-// requests are not used.
+// sendAllowed reports whether r may be sent to w now. r must not be finished, no part of the response may
+// have reached the client, the worker must be ready, the deadline must not have passed, and the rules on
+// repeats and on slow start must be met. No attempt may be in flight, because the policy does not use hedged
+// requests.
 func (p *Policy) sendAllowed(r *request, w *worker) bool {
 	answered := r.finished || r.responseStarted
 	if answered || r.attemptsInFlight > 0 {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// slowStartMargin is the share of a warming worker's budget that this router uses. The rest allows for the
-// errors of the other routers' estimates and for random variation. With a higher value, the requests of all
-// routers together can make a worker fail that has just started; with a lower value, the worker stays idle.
+// slowStartMargin is the share of the calculated limit for a warming worker that this router uses. The rest
+// allows for the errors of the other routers' estimates and for random variation. With a higher value, the
+// requests of all routers together can make a worker that has just started fail; with a lower value, the
+// worker stays idle.
 const slowStartMargin = 0.7
 
 // slowStart is the state of a worker whose process has just started and therefore has less capacity.
 type slowStart struct {
-	startedAt    time.Duration // start of its process; 0: long ago
+	startedAt    time.Duration // start of its process; 0: unknown, it has its full capacity
 	roundingDraw float64       // part of a request, 0 to 1, drawn at each start; see slowStartAdmits
-	recentSends  []*attempt    // this router's attempts in OverloadWindow; older ones until the next check
+	recentSends  []*attempt    // this router's attempts within OverloadWindow; recentWork drops older ones
 }
 
-// warmingCapacity is the smallest share of its full capacity that w has now: it rises linearly from
-// SlowStartCapacity at its start to 1 after SlowStartDuration.
+// warmingCapacity is the least capacity that w has now, as a share of its full capacity. It rises linearly
+// from SlowStartCapacity at the start of w's process to 1 after SlowStartDuration.
 func (p *Policy) warmingCapacity(w *worker) float64 {
 	startedAt := w.slowStart.startedAt
 	if startedAt == 0 || p.cfg.SlowStartDuration <= 0 {
@@ -30,15 +31,18 @@
 
 // slowStartAdmits reports whether w's slow start allows a request of a class to be sent to w. A warming
 // worker fails if all routers together send it too much, and the routers do not see each other's requests.
-// Each router takes the work that a worker serves for it on average as its part of a worker's capacity, and
-// sends a warming worker no more than this part of the worker's current capacity:
+// Each router takes the work that a worker serves for it on average as its own part of a worker's capacity.
+// It limits the work that it sends to a warming worker in proportion to this part and to the worker's current
+// capacity:
 //
 //	sent + next * (1 - draw)  <=  slowStartMargin * OverloadMultiple * capacity * mean
 //
-//	sent      work of this router's attempts at w within OverloadWindow, by the run times of their classes
-//	next      work of this request
-//	draw      a random part of a request, drawn once at each start of w: it rounds the limit at random, so
-//	          that routers which may each send less than one request send the right number together
+//	sent      work of this router's attempts at w within OverloadWindow, by the mean run times of their
+//	          classes
+//	next      work of this request, by the mean run time of its class
+//	draw      roundingDraw, a random part of a request that is drawn once at each start of w. It rounds the
+//	          limit at random, so that routers which may each send less than one request send the right
+//	          number together.
 //	capacity  warmingCapacity of w, a share of its full capacity
 //	mean      the work that one worker serves for this router on average in OverloadWindow
 //
@@ -50,13 +54,13 @@
 		return true
 	}
 	sent := p.recentWork(w, p.now-window)
-	counted := p.classes[class].runTime.mean * nanoseconds(1-w.slowStart.roundingDraw)
+	roundedNext := p.classes[class].runTime.mean * nanoseconds(1-w.slowStart.roundingDraw)
 	factor := nanoseconds(slowStartMargin * p.cfg.OverloadMultiple * capacity)
-	return sent+counted <= factor*p.meanWorkPerWorker(window)
+	return sent+roundedNext <= factor*p.meanWorkPerWorker(window)
 }
 
-// recentWork is the work of this router's attempts at a warming worker since earliest; older attempts are
-// dropped from the list.
+// recentWork is the work of this router's attempts that were sent to a warming worker at earliest or later.
+// It drops older attempts from the list.
 func (p *Policy) recentWork(w *worker, earliest time.Duration) nanoseconds {
 	s := &w.slowStart
 	s.recentSends = slices.DeleteFunc(s.recentSends, func(a *attempt) bool { return a.sentAt < earliest })
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// timerForToken returns the timer with a token, or false if no timer has it.
+// timerForToken returns the timer that a token identifies, or false if there is none.
 func timerForToken(token uint64) (t timer, ok bool) {
 	switch {
 	case token == housekeepingToken:
