--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -15,8 +15,8 @@
 	number          int           // position among the request's attempts, from 0
 	inFlightBefore  int           // this router's attempts in flight at the worker when it was sent
 	wasCold         bool          // the function was not assumed warm at the worker: absent or still loading
-	likelyWarm      bool          // the function was cold for this router but probably loaded for another one
-	cancelled       bool          // the router has cancelled it; its AttemptEnded may still follow
+	likelyWarm      bool          // the function was probably loaded without this router's knowledge
+	cancelled       bool          // the router has cancelled it
 	ended           bool
 }
 
@@ -79,8 +79,8 @@
 }
 
 // attemptEnded removes an attempt from the attempts in flight, updates the estimates from its result, and
-// decides what happens to its request next. Results of unknown attempts and of attempts that have already
-// ended are ignored.
+// decides what happens to its request next. It ignores results of unknown attempts and of attempts that have
+// already ended.
 //
 // The order of the steps matters: learnFromOutcome reads how many attempts are left in flight, and it may
 // clear the load state of the instance, which continueAfter may set again with a load command.
--- a/policy/config.go
+++ b/policy/config.go
@@ -69,13 +69,13 @@
 	LoadReportFields     []string // names of the values of a load report, in their order
 	InlineLoadReports    bool     // load reports come with answers as well as with health checks
 
-	MaxAttempts       int  // per request; 0: unlimited
-	AllowCancel       bool // CancelAttempt is available
-	AllowHealthChecks bool // CheckHealth is available
-	AllowGossip       bool // SendGossip is available
-	AllowHedging      bool // two attempts of a request may be in flight at the same time
-	AllowRetryAfter   bool // clients receive RefuseRequest.RetryAfter
-	MaxRetryAfter     time.Duration
+	MaxAttempts       int           // per request; 0: unlimited
+	AllowCancel       bool          // CancelAttempt is available
+	AllowHealthChecks bool          // CheckHealth is available
+	AllowGossip       bool          // SendGossip is available
+	AllowHedging      bool          // two attempts of a request may be in flight at the same time
+	AllowRetryAfter   bool          // clients receive RefuseRequest.RetryAfter
+	MaxRetryAfter     time.Duration // largest RefuseRequest.RetryAfter; 0: clients receive none
 	// OverQuotaWeight is a factor on the delay at which the policy begins to shed requests beyond their
 	// tenant's quota. It has no effect if it is 1. If it is 0, these requests are shed at any delay above 0,
 	// so callers that do not use the factor must set it to 1.
@@ -94,7 +94,7 @@
 	ConcurrencyInAnswers    bool          // answers carry the number of the function's requests at the worker
 	InstanceKeepAlive       time.Duration // shortest time that a worker keeps an idle instance
 	LoadCommandTimeout      time.Duration // time after which an unanswered load command ends with TimedOut
-	LoadCommandWindow       time.Duration // window of the load command budget; 0: no budget
+	LoadCommandWindow       time.Duration // window of the load command budget; 0: load commands are unlimited
 	LoadCommandAllowance    float64       // load commands per window that are always allowed
 	LoadCommandsPerRequest  float64       // additional load commands per request that arrived in the window
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -31,7 +31,7 @@
 //   - slow_start.go: the limit on the requests that all routers together send to a worker that has just
 //     started.
 //   - load_commands.go, load_backoff.go: if workers do not load functions by themselves, the router sends
-//     them load commands within a budget. While loads fail, they begin one at a time with growing pauses.
+//     them load commands within a budget. While loads fail, loads begin one at a time with growing pauses.
 //   - gossip.go: routers tell each other which instances are loaded, if the settings allow it.
 //   - endpoints.go, classes.go, functions.go, instances.go: the state that is kept for a worker, for a class
 //     of requests, for a function, and for a function at a worker.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -3,11 +3,11 @@
 import "time"
 
 // A lost subscription is renewed after ImplicitListAge divided by resubscribeDivisor. The router should know
-// an endpoint that was listed ImplicitListAge ago, whether or not it received the update, so the renewal must
-// come well before that. With a higher divisor, the router calls the directory more often.
+// an endpoint that was listed ImplicitListAge ago, whether or not the router received the update, so the
+// renewal must come well before that. With a higher divisor, the router calls the directory more often.
 const resubscribeDivisor = 8
 
-// worker is what the policy knows and estimates about one worker.
+// worker holds what the policy knows and estimates about one worker.
 type worker struct {
 	endpoint     Endpoint      // as last listed
 	inFlight     []*attempt    // this router's attempts, in the order in which they were sent
--- a/policy/functions.go
+++ b/policy/functions.go
@@ -14,10 +14,10 @@
 // function holds what the policy has learned about one function from this router's requests.
 type function struct {
 	id             FunctionID
-	loadTime       time.Duration // usual time of a load, as stated by the latest request
+	loadTime       time.Duration // usual time of a load, hinted by the latest request
 	lastRequest    time.Duration // time of the latest request
 	runTime        runTimeEstimate
-	served         bool    // some worker has served the function
+	served         bool    // a worker has served a request for the function
 	saturation     float64 // replicas wanted beyond the first because of late answers and rejections
 	recentRequests float64 // number of requests; decays over rateTimeConstant; see recordFunctionRequest
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -23,7 +23,7 @@
 	// assumed to be loaded. The rest allows for the age of the message.
 	gossipValidityPercent = 90
 
-	// A loaded instance is announced again after the keep-alive time divided by announceDivisor.
+	// A loaded instance is announced again only after the keep-alive time divided by announceDivisor.
 	announceDivisor = 4
 )
 
--- a/policy/learning.go
+++ b/policy/learning.go
@@ -1,7 +1,7 @@
 package policy
 
 const (
-	// minRunTimeShare is the smallest share of an answer's time that counts as run time, whatever queueing
+	// minRunTimeShare is the smallest share of an answer's latency that counts as run time, whatever queueing
 	// delay is predicted. Without it, a predicted delay that is too long would reduce the run time to 0. With
 	// a higher value, queueing counts as run time.
 	minRunTimeShare = 0.25
@@ -72,7 +72,8 @@
 	waitedForLoad := p.waitedForLoad(e, runTime+queueing, r.function)
 	p.learnInstance(a)
 	p.learnLateness(a, e, latency-runTime)
-	unexpectedlyWarm := a.wasCold && p.cfg.MissWhenNotLoaded // Served: it must have been loaded
+	// If MissWhenNotLoaded is set, a worker serves an attempt only if the function is already loaded.
+	unexpectedlyWarm := a.wasCold && p.cfg.MissWhenNotLoaded
 	if waitedForLoad || unexpectedlyWarm {
 		if p.startedLoad(a, e, waitedForLoad) {
 			p.loadSucceeded(latency-runTime-queueing, r.function)
--- a/policy/load_backoff.go
+++ b/policy/load_backoff.go
@@ -18,10 +18,10 @@
 // answer that reports it.
 type loadBackoff struct {
 	failures int           // answers that reported a failed load since a load last succeeded
-	until    time.Duration // no load may begin before this time
+	until    time.Duration // end of the latest pause
 }
 
-// isActive reports whether no load may begin at now.
+// isActive reports whether a pause lasts at now. place then avoids new loads; see withoutNewLoads.
 func (b *loadBackoff) isActive(now time.Duration) bool { return now < b.until }
 
 // pauseEnded reports whether loads have failed and the pause is over, so that one load may begin at now.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -10,8 +10,8 @@
 	// With a longer time, a recovered worker stays idle; with a shorter time, a failed one is tried often.
 	firstEjectionTime = time.Second
 
-	// maxEjectionTime bounds the duration of an ejection: a recovered worker is noticed after at most this
-	// time.
+	// maxEjectionTime is the longest duration of an ejection; after it, the policy checks or tries the worker
+	// again, so that it notices a recovered worker.
 	maxEjectionTime = 8 * time.Second
 
 	// maxEjectionDoublings keeps the doubled time from overflowing. maxEjectionTime is reached with fewer
@@ -34,7 +34,7 @@
 	silenceFactor = 2
 )
 
-// health is what the policy knows about whether a worker serves requests.
+// health holds what the policy knows about whether a worker serves requests.
 type health struct {
 	lastAnswer           time.Duration // when the worker last answered anything
 	lastHealthCheck      time.Duration // when its health was last checked
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -70,7 +70,8 @@
 }
 
 // mayBePlacedLater reports whether a worker that cannot take r now may take it later: a worker that is
-// ejected or warming up or, if no worker is ready, one that is not listed yet.
+// ejected or warming up, one that must load the function after the pause between loads or, if no worker is
+// ready, one that is not listed yet.
 func (p *Policy) mayBePlacedLater(r *request) bool {
 	if p.readyWorkers == 0 && p.attemptAllowed(r, nil) {
 		return true
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -132,7 +132,7 @@
 }
 
 // placeWaiting tries again to place the requests that no worker could take. A request that still finds no
-// worker continues to wait if there is enough time, or is refused.
+// worker continues to wait if there is enough time; otherwise it is refused.
 func (p *Policy) placeWaiting() {
 	waiting := p.waiting
 	p.waiting = nil
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -4,8 +4,8 @@
 
 const (
 	// likelyWarmProbability is the lowest probability at which the policy assumes that an instance is loaded.
-	// It applies only to decisions in which a wrong assumption costs little: an attempt at a worker that must
-	// load the function.
+	// The policy makes this assumption only if an error costs little: an attempt at a worker that must load
+	// the function.
 	likelyWarmProbability = 0.5
 
 	// lostInstanceProbability is multiplied by the number of routers plus one to give the lowest probability
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -52,7 +52,7 @@
 // timeLeft returns the time until r's client gives up.
 func (p *Policy) timeLeft(r *request) nanoseconds { return nanoseconds(r.deadline - p.now) }
 
-// answerMargin is how long before its deadline a request gets its final answer.
+// answerMargin is the time between the latest time for a request's final answer and the request's deadline.
 func (p *Policy) answerMargin() time.Duration { return answerMarginTicks * p.cfg.Tick }
 
 // outOfTime reports whether r's final answer is due.
@@ -109,8 +109,9 @@
 	}
 }
 
-// retryAfter returns the time after which the client should retry: wait, limited by the settings, less a
-// random part. It is 0 if the settings do not allow a Retry-After.
+// retryAfter returns the time after which the client should retry: wait, limited to the range from
+// housekeepingInterval to MaxRetryAfter, less a random part. It is 0 if the settings do not allow a
+// Retry-After.
 func (p *Policy) retryAfter(wait nanoseconds) time.Duration {
 	maxWait := nanoseconds(p.cfg.MaxRetryAfter)
 	if !p.cfg.AllowRetryAfter || maxWait <= 0 {
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -85,8 +85,8 @@
 }
 
 // repeatIsHarmless reports whether the client may repeat r, whichever worker the repeat reaches: either
-// nothing ran, or a repeat has no effect anywhere. DedupWindow, the time for which workers remember a key, is
-// not considered.
+// nothing ran, or a repeat does no harm at any worker. DedupWindow, the time for which workers remember a
+// key, is not considered.
 func (p *Policy) repeatIsHarmless(r *request) bool {
 	neverRan := r.mayHaveRun == nil && r.attemptsInFlight == 0
 	settings := &p.classOf(r).settings
