--- a/example/toy/answer_test.go
+++ b/example/toy/answer_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// replyHeaderDigits are the hexadecimal digits of a reply's first bytes: the version, the method's name execute and the
-// sequence number 1.
+// replyHeaderDigits are the hexadecimal digits of a reply's first bytes: the version, the method's name "execute" and
+// the sequence ID 1.
 const replyHeaderDigits = "80010002 00000007 65786563757465 00000001"
 
 // answerTests are replies of the router and the text that is printed for each.
--- a/example/toy/call.go
+++ b/example/toy/call.go
@@ -25,7 +25,8 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // the answer has arrived, or another error is returned
+	// An error of Close has no effect: the answer has arrived, or sendCall returns another error.
+	defer func() { _ = conn.Close() }()
 	if _, err := conn.Write(encodeExecuteFrame(callFields(), callBody)); err != nil {
 		return err
 	}
--- a/example/toy/directory.go
+++ b/example/toy/directory.go
@@ -25,8 +25,8 @@
 	dnsRecordTTL = 1 // seconds
 )
 
-// listSerial is the serial number of the list of workers, which never changes here. It equals that of the list in
-// example/config.json, so a router with that file accepts the responses and changes nothing.
+// listSerial is the serial number of the list of workers, which never changes here. The list in example/config.json has
+// the same serial number, so a router with that file accepts the responses and does not change its list.
 const listSerial = 1
 
 // dnsSection identifies a section of a DNS message by the offset of its record count in the header.
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -4,7 +4,7 @@
 //	toy try       serve as the directory and the workers, send one call, print the answer and exit
 //	toy           serve as the directory and the workers
 //	toy call      send one call by Thrift and print the answer
-//	toy hook ID   send one repair-order as a signed webhook with that webhook-id
+//	toy hook ID   send one request of the class "repair-order" as a signed webhook with that webhook-id
 //
 // Run it in the root of the repository, next to a router with EDGE_CONFIG=example/config.json; either may be started
 // first. For "toy hook", the router also needs FUNCTIONROUTER_WEBHOOK=example/webhook.toml. The command is not a
--- a/example/toy/resp.go
+++ b/example/toy/resp.go
@@ -51,8 +51,8 @@
 		return 0, err
 	}
 	if line[0] != typeByte || len(line) > maxRESPLineBytes {
-		return 0, fmt.Errorf("RESP line %q does not begin with %q or exceeds %d bytes",
-			line, typeByte, maxRESPLineBytes)
+		return 0, fmt.Errorf("RESP line %q has %d bytes: want at most %d bytes and %q as the first one",
+			line, len(line), maxRESPLineBytes, typeByte)
 	}
 	return strconv.Atoi(strings.TrimSpace(line[1:]))
 }
--- a/example/toy/thrift.go
+++ b/example/toy/thrift.go
@@ -28,7 +28,8 @@
 // errMalformedAnswer is returned, alone or wrapped, for a frame that decodeAnswer can't decode.
 var errMalformedAnswer = errors.New("malformed answer")
 
-// answerStatuses maps the ID of the result's field that is set to a status: 0 is Answer, 1 is Backoff and 2 is Lost.
+// answerStatuses contains the status for each field ID that a result can have: 0 for an Answer, 1 for a Backoff and 2
+// for a Lost.
 var answerStatuses = []string{"served", "refused", "failed"}
 
 // field is an entry in the map of fields of a call or an answer.
@@ -43,7 +44,7 @@
 	b := make([]byte, thriftFrameHeaderBytes)
 	b = binary.BigEndian.AppendUint32(b, thriftVersionCall)
 	b = appendThriftString(b, "execute")
-	b = binary.BigEndian.AppendUint32(b, 1) // the sequence number
+	b = binary.BigEndian.AppendUint32(b, 1) // the sequence ID
 	b = append(b, thriftTypeMap, 0, 1, thriftTypeString, thriftTypeString)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)))
 	for _, f := range fields {
@@ -84,7 +85,7 @@
 		return answer{}, fmt.Errorf("%w: version %#x is not that of a reply", errMalformedAnswer, version)
 	}
 	d.readBytes()  // the method's name
-	d.readUint32() // the sequence number
+	d.readUint32() // the sequence ID
 	valueType, id := d.readFieldHeader()
 	if valueType != thriftTypeStruct || int(id) >= len(answerStatuses) {
 		return answer{}, fmt.Errorf("%w: the result has type %d and field ID %d, want type %d and an ID below %d",
--- a/example/toy/webhook.go
+++ b/example/toy/webhook.go
@@ -19,8 +19,8 @@
 	webhookKeyPrefix = "whsec_"
 )
 
-// sendWebhook sends a repair-order as a webhook with the given webhook-id. It prints the status, the body and the
-// Retry-After header of the response.
+// sendWebhook sends a request of the class "repair-order" as a webhook with the given webhook-id. It prints the status,
+// the body and the Retry-After header of the response.
 func sendWebhook(id string) error {
 	secret, err := readWebhookKey()
 	if err != nil {
@@ -34,7 +34,8 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // the body has been read, or another error is returned
+	// An error of Close has no effect: the whole body has been read, or sendWebhook returns the error of the read.
+	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	fmt.Printf("%s %q %s\n", response.Status, body, response.Header.Get("Retry-After"))
 	return err
--- a/example/toy/worker.go
+++ b/example/toy/worker.go
@@ -15,7 +15,7 @@
 			return err
 		}
 		go func() {
-			defer func() { _ = conn.Close() }() // an error has no effect: the connection is no longer used
+			defer func() { _ = conn.Close() }() // an error has no effect: the connection is not used afterwards
 			if err := serveRequests(conn, listener.Addr().String()); err != nil {
 				log.Printf("%s: %v", listener.Addr(), err)
 			}
--- a/internal/frontend/fieldvalue/hexid_test.go
+++ b/internal/frontend/fieldvalue/hexid_test.go
@@ -12,7 +12,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.Uint64().Draw(t, "n")
 		if got, ok := ParseHexID(fmt.Sprintf("%016x", n)); !ok || got != n {
-			t.Fatalf("ParseHexID(%016x) = %x, %v", n, got, ok)
+			t.Fatalf("ParseHexID(%016x) = %x, %v; want the same number and true", n, got, ok)
 		}
 		text := rapid.StringN(0, 20, 20).Draw(t, "text")
 		if got, ok := ParseHexID(text); ok && fmt.Sprintf("%016x", got) != text {
--- a/internal/frontend/thrift/call.go
+++ b/internal/frontend/thrift/call.go
@@ -11,7 +11,7 @@
 
 // maxOpenCalls is the maximum number of open calls on one connection. The router refuses the requests of further calls,
 // so that a client that sends hundreds of calls at once leaves capacity for other clients. Clients keep at most 32
-// calls open. A call stops counting when its reply is written, even if the client has not read the reply yet.
+// calls open. A call counts towards the limit until its reply is written, even if the client has not read the reply.
 const maxOpenCalls = 64
 
 // maxSequenceID is the highest sequence ID that a client may use. On the wire, a sequence ID is a signed 32-bit number.
@@ -71,8 +71,8 @@
 	}
 }
 
-// handleInterrupt cancels the request of the call that the client no longer waits for. It ignores an interrupt of a
-// call that is not open, because the reply may have been sent before the interrupt arrived. The interrupt itself gets
+// handleInterrupt cancels the request of the call that the client has stopped waiting for. It ignores an interrupt of
+// a call that is not open, because the reply may have been sent before the interrupt arrived. The interrupt itself gets
 // no reply, even if the client sent it as a call instead of a oneway message.
 func (c *connection) handleInterrupt(d *decoder) error {
 	var sequenceID uint32
--- a/internal/frontend/thrift/connection.go
+++ b/internal/frontend/thrift/connection.go
@@ -34,7 +34,7 @@
 	partialFrame     []byte           // the received beginning of an incomplete frame, with its header
 	framesReceived   int              // number of complete frames
 	openCalls        map[uint32]*call // by sequence ID
-	lastSequenceID   uint32           // of the latest execute call; the IDs of calls of other methods are not checked
+	lastSequenceID   uint32           // ID of the latest execute call; IDs of calls of other methods are not checked
 	stoppedReceiving bool             // received bytes are ignored
 }
 
@@ -103,8 +103,8 @@
 	c.transport.CloseAfterFlush()
 }
 
-// OnEndOfInput has the router end the requests of all open calls as refused or failed, so that every open call gets a
-// reply: a client that has half-closed the connection may still read.
+// OnEndOfInput makes the router answer the requests of all open calls as refused or failed and then cancel them. Every
+// open call gets a reply, because a client that has half-closed the connection may still read.
 func (c *connection) OnEndOfInput() {
 	c.stopReceiving()
 	server := c.server
@@ -113,7 +113,7 @@
 	}
 }
 
-// OnClose cancels the requests of all open calls, because the client can no longer receive replies.
+// OnClose cancels the requests of all open calls, because no reply can be sent on a closed connection.
 func (c *connection) OnClose(error) {
 	c.stopReceiving()
 	for _, open := range c.openCallsBySequenceID() {
--- a/internal/frontend/thrift/connection_test.go
+++ b/internal/frontend/thrift/connection_test.go
@@ -39,18 +39,21 @@
 	}
 	if len(requests.submitted) != maxOpenCalls || requests.refused != calls-maxOpenCalls || transport.Closed ||
 		len(c.openCalls) != maxOpenCalls {
-		t.Fatalf("%d requests submitted, %d refused, %d calls open, connection closed: %v",
-			len(requests.submitted), requests.refused, len(c.openCalls), transport.Closed)
+		t.Fatalf("%d requests submitted, want %d; %d refused, want %d; %d calls open, want %d; connection closed: %v, want false",
+			len(requests.submitted), maxOpenCalls, requests.refused, calls-maxOpenCalls, len(c.openCalls), maxOpenCalls,
+			transport.Closed)
 	}
 	for i := range uint32(calls - maxOpenCalls) {
 		if sequenceID, field := readReply(t, transport); sequenceID != maxOpenCalls+1+i || field != resultBackoffField {
-			t.Fatalf("the reply to sequence ID %d has result field %d", sequenceID, field)
+			t.Fatalf("the reply to sequence ID %d has result field %d, want field %d and sequence ID %d",
+				sequenceID, field, resultBackoffField, maxOpenCalls+1+i)
 		}
 	}
 	requests.submitted[0].Responder.Respond(router.Response{})
 	c.OnData(executeFrame(calls+1, "", validFields...))
 	if len(requests.submitted) != maxOpenCalls+1 {
-		t.Error("after a reply to an open call, the next call was not submitted")
+		t.Errorf("%d requests submitted after a reply to an open call and another call, want %d",
+			len(requests.submitted), maxOpenCalls+1)
 	}
 }
 
@@ -89,6 +92,6 @@
 	c.OnData(read)
 	clear(read)
 	if string(requests.submitted[0].Body) != "small" {
-		t.Error("the submitted body points into the read buffer")
+		t.Errorf("the submitted body is %q after the read buffer was cleared, want \"small\"", requests.submitted[0].Body)
 	}
 }
--- a/internal/frontend/thrift/decoder.go
+++ b/internal/frontend/thrift/decoder.go
@@ -31,7 +31,7 @@
 	maxMethodNameBytes = 64   // the reply to a call of an unknown method repeats the name
 	maxRequestFields   = 64   // entries in the map of a request, which is allocated before the entries are decoded
 	maxNesting         = 8    // structs and containers around a value; skip recurses once for each
-	maxElements        = 1024 // in a skipped map, set or list, whose count is not compared with the message's length
+	maxElements        = 1024 // elements of a skipped container, whose count is not compared with the message's length
 )
 
 // decoder decodes values from the front of a message in place: the byte slices that it returns point into the message.
@@ -52,7 +52,7 @@
 // next returns the next n bytes. If n is negative or fewer than n bytes remain, it records a failure and returns nil.
 func (d *decoder) next(n int) []byte {
 	if n < 0 || n > len(d.remaining) {
-		d.fail(errTruncated)
+		d.fail(fmt.Errorf("%w: the next value has length %d, %d bytes remain", errTruncated, n, len(d.remaining)))
 		return nil
 	}
 	b := d.remaining[:n:n]
--- a/internal/frontend/thrift/doc.go
+++ b/internal/frontend/thrift/doc.go
@@ -37,20 +37,22 @@
 //
 // An interrupt cancels the request of an open call, and the close of the connection cancels the requests of all its
 // open calls. A cancelled call gets no reply. If the client half-closes the connection or violates the protocol, the
-// router ends the requests of the open calls as refused or failed, and every open call gets a reply.
+// router answers the requests of all open calls as refused or failed, so every open call gets a reply. It counts these
+// requests as cancelled (router.RequestCancelled); see router.Router.Disconnect.
 //
 // # Errors
 //
 // A request with an invalid field is not passed to the router, so the router neither counts nor logs it. The reply is a
-// Lost with the name of the field. The Lost for a request that the router reports as failed has no fields. The reply to
-// a call of an unknown method is a TApplicationException. The server closes the connection of a client that violates
-// the protocol; every error of this kind wraps errProtocol (errors.go).
+// Lost whose map contains the name of the field. If the router answers a request as failed, the reply is a Lost with an
+// empty map. The reply to a call of an unknown method is a TApplicationException. The server closes the connection of a
+// client that violates the protocol; the error that describes the violation wraps errProtocol (errors.go).
 //
 // # Units, ownership, concurrency
 //
-// Times on the wire are in milliseconds: the client's wait and load time, and Backoff's "after", which is rounded up.
-// In the code they are time.Durations, and points in time are durations on the event loop's clock. A request's deadline
-// is earlier than the end of the client's wait, so that the reply arrives in time; see router.AnswerBudget.
+// Times on the wire are in milliseconds: how long the client waits, how long the function takes to load, and Backoff's
+// "after", which is rounded up. In the code they are time.Durations, and points in time are durations on the event
+// loop's clock. A request's deadline is earlier than the end of the client's wait, so that the reply arrives in time;
+// see router.AnswerBudget.
 //
 // The bytes that OnData receives belong to the event loop. The connection keeps no reference to them: it copies a
 // request's body and the beginning of an incomplete frame. Neither this package nor the Transport changes a buffer
@@ -61,6 +63,6 @@
 // # Encoding
 //
 // The encoding follows the Apache Thrift specification ("Thrift Remote Procedure Call" for messages and framing,
-// "Thrift Binary protocol encoding" for values). It is written by hand rather than generated from the IDL, so that the
-// decoder works in place and within fixed limits on any message.
+// "Thrift Binary protocol encoding" for values). The code is written by hand rather than generated from the IDL, so
+// that the decoder works in place and within fixed limits for every message.
 package thrift
--- a/internal/frontend/thrift/errors.go
+++ b/internal/frontend/thrift/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// errProtocol is wrapped by every error because of which the server closes a client's connection.
+// errProtocol is wrapped by every error that makes the server close a client's connection.
 var errProtocol = errors.New("protocol violation")
 
 // The protocol violations. Most are returned wrapped together with the received value, so compare them with errors.Is.
--- a/internal/frontend/thrift/fuzz_test.go
+++ b/internal/frontend/thrift/fuzz_test.go
@@ -21,7 +21,8 @@
 			rest = rest[size:]
 		}
 		if len(c.partialFrame) > maxFrameBytes+frameHeaderBytes+int(pieceSize)+1 {
-			t.Errorf("%d bytes of an incomplete frame are buffered", len(c.partialFrame))
+			t.Errorf("%d bytes of an incomplete frame are buffered, want at most %d",
+				len(c.partialFrame), maxFrameBytes+frameHeaderBytes+int(pieceSize)+1)
 		}
 		if endsInput {
 			c.OnEndOfInput()
@@ -32,7 +33,7 @@
 			r.Responder.Respond(router.Response{Status: router.Failed}) // too late: the connection is closed
 		}
 		if c.HasOpenRequests() || transport.Written.Len() != before {
-			t.Errorf("open requests: %v, want false; %d bytes written after the close",
+			t.Errorf("open requests: %v, want false; %d bytes written after the close, want 0",
 				c.HasOpenRequests(), transport.Written.Len()-before)
 		}
 	})
--- a/internal/frontend/thrift/harness_test.go
+++ b/internal/frontend/thrift/harness_test.go
@@ -73,7 +73,7 @@
 	fieldProperties, "memory_mb:512;lanes:2;load_ms:640",
 }
 
-// fieldsWith returns a copy of validFields with the value at the index position replaced.
+// fieldsWith returns a copy of validFields that contains value at the index position.
 func fieldsWith(position int, value string) []string {
 	fields := slices.Clone(validFields)
 	fields[position] = value
--- a/internal/frontend/thrift/model_test.go
+++ b/internal/frontend/thrift/model_test.go
@@ -72,7 +72,8 @@
 	if r.Class != 1 || r.ID != "9b1f03aa5c7e2d41" || r.Function != 0x7f3a9c21e0b4d655 || string(r.Body) != "body" ||
 		r.Concurrency != 2 || r.MemoryMB != 512 || r.LoadTime != 640*time.Millisecond ||
 		r.Deadline != testNow+1460*time.Millisecond {
-		t.Fatalf("submitted %+v", r)
+		t.Fatalf("submitted %+v, want the fields of validFields, the body \"body\" and the deadline %v",
+			r, testNow+1460*time.Millisecond)
 	}
 }
 
@@ -116,14 +117,16 @@
 	m.lastSequenceID++
 	m.feed(t, executeFrame(m.lastSequenceID, "", fieldsWith(position, "nonsense")...))
 	if got, field := readReply(t, m.transport); got != m.lastSequenceID || field != resultLostField {
-		t.Fatalf("the reply to sequence ID %d has result field %d", got, field)
+		t.Fatalf("the reply to sequence ID %d has result field %d, want field %d and sequence ID %d",
+			got, field, resultLostField, m.lastSequenceID)
 	}
 }
 
 func (m *connectionModel) check(t *rapid.T) {
 	m.feed(t, checkFrame(7))
 	if got, field := readReply(t, m.transport); got != 7 || field != resultSuccessField {
-		t.Fatalf("the reply to sequence ID %d has result field %d", got, field)
+		t.Fatalf("the reply to sequence ID %d has result field %d, want field %d and sequence ID 7",
+			got, field, resultSuccessField)
 	}
 }
 
@@ -131,7 +134,7 @@
 // when the model has none, or the reverse.
 func (m *connectionModel) checkInvariants(t *rapid.T) {
 	if m.transport.Written.Len() > 0 || m.transport.Closed || m.connection.HasOpenRequests() != (len(m.open) > 0) {
-		t.Fatalf("wrote %x, want nothing; connection closed: %v, want false; open requests: %v, %d calls are open",
+		t.Fatalf("wrote %x, want nothing; connection closed: %v, want false; open requests: %v, want true only for open calls: %d",
 			m.transport.Written.Bytes(), m.transport.Closed, m.connection.HasOpenRequests(), len(m.open))
 	}
 }
--- a/internal/frontend/thrift/reply.go
+++ b/internal/frontend/thrift/reply.go
@@ -17,7 +17,7 @@
 	answerBodyField      = 1
 	answerFieldsField    = 2
 	answerGoodField      = 3
-	exceptionFieldsField = 1 // of both exceptions
+	exceptionFieldsField = 1 // the map in a Backoff or a Lost
 )
 
 // The names in the maps of Backoff and Lost.
@@ -44,8 +44,8 @@
 	tail = appendStringMap(tail)
 	tail = appendFieldHeader(tail, answerGoodField, typeBool)
 	tail = appendBool(tail, good)
-	tail = append(tail, byte(typeStop)) // of the Answer
-	tail = append(tail, byte(typeStop)) // of the result
+	tail = append(tail, byte(typeStop)) // ends the Answer
+	tail = append(tail, byte(typeStop)) // ends the result
 
 	head = appendHeaders(make([]byte, 0, replyCapacity), messageReply, method, sequenceID)
 	head = appendFieldHeader(head, resultSuccessField, typeStruct)
@@ -62,21 +62,21 @@
 	return encodeException(sequenceID, resultBackoffField, backoffAfter, strconv.FormatInt(int64(roundedUp), 10))
 }
 
-// encodeLost returns the frame of a Lost in reply to an execute call. Its fields are given as alternating names and
-// values.
+// encodeLost returns the frame of a Lost in reply to an execute call. The entries of its map are given as alternating
+// names and values.
 func encodeLost(sequenceID uint32, namesAndValues ...string) []byte {
 	return encodeException(sequenceID, resultLostField, namesAndValues...)
 }
 
 // encodeException returns the frame of an exception that execute declares. resultField is the field ID of the exception
-// in the result. The exception's fields are given as alternating names and values.
+// in the result. The entries of the exception's map are given as alternating names and values.
 func encodeException(sequenceID uint32, resultField uint16, namesAndValues ...string) []byte {
 	frame := appendHeaders(make([]byte, 0, replyCapacity), messageReply, methodExecute, sequenceID)
 	frame = appendFieldHeader(frame, resultField, typeStruct)
 	frame = appendFieldHeader(frame, exceptionFieldsField, typeMap)
 	frame = appendStringMap(frame, namesAndValues...)
-	frame = append(frame, byte(typeStop)) // of the exception
-	frame = append(frame, byte(typeStop)) // of the result
+	frame = append(frame, byte(typeStop)) // ends the exception
+	frame = append(frame, byte(typeStop)) // ends the result
 	setFrameLength(frame, 0)
 	return frame
 }
--- a/internal/frontend/thrift/request.go
+++ b/internal/frontend/thrift/request.go
@@ -24,7 +24,7 @@
 
 // The names of the properties in fieldProperties on the wire.
 const (
-	propertyMemory      = "memory_mb" // of one instance, in MiB
+	propertyMemory      = "memory_mb" // memory of one instance, in MiB
 	propertyConcurrency = "lanes"     // requests that one instance runs at a time
 	propertyLoadTime    = "load_ms"   // usual time for loading an instance, in milliseconds
 )
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// parseProperty sets the field of the request that corresponds to a property. It ignores an unknown property, but the
-// value must also be a finite number that is not negative.
+// parseProperty sets the field of the request that corresponds to a property. It ignores an unknown property whose
+// value is a finite number that is not negative; an unknown property with any other value is an error.
 func parseProperty(name, number string, request *router.Request) (err error) {
 	switch name {
 	case propertyMemory:
--- a/internal/frontend/thrift/request_test.go
+++ b/internal/frontend/thrift/request_test.go
@@ -55,16 +55,17 @@
 				c, requests, transport := newTestConnection()
 				c.OnData(executeFrame(1, "", fieldsWith(test.position, value)...))
 				if _, field := readReply(t, transport); len(requests.submitted) != 0 || field != resultLostField {
-					t.Errorf("%d requests submitted, want 0; result field %d", len(requests.submitted), field)
+					t.Errorf("%d requests submitted, want 0; result field %d, want %d",
+						len(requests.submitted), field, resultLostField)
 				}
 			})
 		}
 	}
 }
 
-// Guards against a margin that uses up most of a short wait, so that a request whose work takes nearly the whole wait
-// could not be served. The margin is the time that the deadline leaves for the reply to reach the client: 40 ms, but at
-// most a tenth of the wait.
+// A request's deadline is earlier than the end of the client's wait by a margin in which the reply reaches the client:
+// 40 ms, but at most a tenth of the wait. Guards against a margin that uses up most of a short wait: a request whose
+// work takes nearly the whole wait could not be served.
 func TestAnswerMarginIsSmallForShortWaits(t *testing.T) {
 	for _, test := range []struct {
 		wait string
--- a/internal/frontend/thrift/server.go
+++ b/internal/frontend/thrift/server.go
@@ -23,10 +23,10 @@
 	Submit(now time.Duration, r router.Request) policy.RequestID
 	// RefuseAtOnce refuses a request without routing it. The request's Responder is called before RefuseAtOnce returns.
 	RefuseAtOnce(now time.Duration, r router.Request)
-	// Cancel cancels an open request whose client no longer waits for the answer. Its Responder is not called.
+	// Cancel cancels an open request whose client has stopped waiting for the answer. Its Responder is not called.
 	Cancel(now time.Duration, id policy.RequestID, cause router.CancelCause)
-	// Disconnect ends an open request as refused or failed, because its client will send nothing more. The request's
-	// Responder is called before Disconnect returns.
+	// Disconnect answers an open request as refused or failed and then cancels it, because its client will send nothing
+	// more. The request's Responder is called before Disconnect returns.
 	Disconnect(now time.Duration, id policy.RequestID)
 }
 
--- a/internal/frontend/thrift/violation_test.go
+++ b/internal/frontend/thrift/violation_test.go
@@ -25,7 +25,7 @@
 		}
 		c.OnData(b)
 		if len(requests.submitted) > 1 || transport.Closed && c.partialFrame != nil {
-			t.Fatalf("%d requests submitted, connection closed: %v, %d bytes buffered",
+			t.Fatalf("%d requests submitted, want at most 1; connection closed: %v; %d bytes buffered, want 0 if it is closed",
 				len(requests.submitted), transport.Closed, len(c.partialFrame))
 		}
 	}))
@@ -57,7 +57,7 @@
 // Guards against a protocol violation that is not detected, or that is reported as a different one. Each error must
 // also wrap errProtocol.
 func TestViolationsReturnTheMatchingError(t *testing.T) {
-	arguments := func(b ...byte) []byte { // of an execute call
+	arguments := func(b ...byte) []byte { // returns the frame of an execute call with these encoded arguments
 		return closeFrame(append(appendHeaders(nil, messageCall, methodExecute, 1), b...))
 	}
 	badVersion := executeFrame(1, "", validFields...)
@@ -122,7 +122,7 @@
 		name       string
 		at         time.Duration
 		violations int
-		wantCount  string
+		wantCount  string // text in the log line; empty if nothing must be logged
 	}{
 		{"first violation", testNow, 1, "count=1 "},
 		{"violations one second later", testNow + time.Second, 3, ""},
@@ -138,7 +138,7 @@
 			wantLine := step.wantCount != ""
 			if strings.Contains(got, "frontend=thrift") != wantLine || !strings.Contains(got, step.wantCount) ||
 				strings.Count(got, "\n") > 1 {
-				t.Errorf("logged %q, want %q", got, step.wantCount)
+				t.Errorf("logged %q, want one line with %q, or no line if that text is empty", got, step.wantCount)
 			}
 		})
 	}
