--- a/internal/frontend/webhook/attempt.go
+++ b/internal/frontend/webhook/attempt.go
@@ -31,7 +31,7 @@
 	ended     bool          // the result has been reported to the Sender; later events are ignored
 }
 
-// OnOpen sends the notice, signed with the time of this attempt. If the dial has failed, it ends the attempt.
+// OnOpen sends the notice, signed with the time of this attempt. If the dial has failed, OnOpen ends the attempt.
 func (a *attempt) OnOpen(err error) {
 	if err != nil {
 		a.finish(0, err)
--- a/internal/frontend/webhook/config.go
+++ b/internal/frontend/webhook/config.go
@@ -44,13 +44,14 @@
 type SenderConfig struct {
 	Enabled bool   `toml:"enabled"`
 	URL     string `toml:"url"` // http://HOST/PATH
-	// Connect is the HOST:PORT to connect to in place of the URL's. It may be empty and is not checked.
+	// Connect is the HOST:PORT to connect to. If it is empty, the Sender connects to the host and port of URL. Connect
+	// is not checked.
 	Connect  string        `toml:"connect"`
 	Key      string        `toml:"key"`      // path of the key file
 	Queue    int           `toml:"queue"`    // maximum number of open notices, in-flight attempts included
 	Attempts int           `toml:"attempts"` // maximum number of attempts per notice
 	Backoff  time.Duration `toml:"backoff"`  // upper bound of the delay before the second attempt; see retryDelay
-	Timeout  time.Duration `toml:"timeout"`  // of an attempt, including its dial
+	Timeout  time.Duration `toml:"timeout"`  // maximum duration of an attempt, including its dial
 }
 
 // KeyConfig names a key file and the time at which its key is retired.
@@ -73,8 +74,9 @@
 	// the request would run again.
 	minDedupeInTolerances = signatureValidityInTolerances
 
-	// A first delivery of an order is refused if less than signatureValidityInTolerances of the retention are left; see
-	// isWithinRetention. With this minimum, a client has two tolerances after the event to make the first delivery.
+	// A first delivery of an order is refused if less than signatureValidityInTolerances tolerances of the retention
+	// are left; see isWithinRetention. With this minimum, a client has two tolerances after the event to make the first
+	// delivery.
 	minRetentionInTolerances = 4
 
 	maxSenderQueue    = 1 << 16 // notices
@@ -100,7 +102,7 @@
 
 func (e *settingError) Unwrap() error { return e.reason }
 
-// ReadConfig reads and checks the webhook file at path. It does not read the key files and the ledger. Its errors name
+// ReadConfig reads and checks the webhook file at path. It reads neither the key files nor the ledger. Its errors name
 // the file. If a setting is rejected, the error wraps a *settingError; if the file can't be read, it wraps an
 // *fs.PathError.
 func ReadConfig(path string) (*Config, error) {
@@ -153,7 +155,7 @@
 	return nil
 }
 
-// check checks the receiver's settings. It does not read the key files and the ledger; NewReceiver reads them.
+// check checks the receiver's settings. It reads neither the key files nor the ledger; NewReceiver reads them.
 func (r *ReceiverConfig) check() error {
 	if _, err := netip.ParseAddrPort(r.Listen); err != nil {
 		return &settingError{"receiver.listen", err}
--- a/internal/frontend/webhook/config_test.go
+++ b/internal/frontend/webhook/config_test.go
@@ -14,7 +14,7 @@
 	)
 	for name, test := range map[string]struct {
 		text    string
-		setting string // that the settingError names; empty if the error is one of the TOML decoder
+		setting string // the setting that a settingError must name; empty: the error must be that of the TOML decoder
 	}{
 		"wrong type":        {"receiver.enabled = 3", ""},
 		"unknown setting":   {"[receiver]\nfoo = 1", "receiver.foo"},
@@ -41,14 +41,15 @@
 			}
 			var settingErr *settingError
 			if errors.As(err, &settingErr) != (test.setting != "") || settingErr != nil && settingErr.setting != test.setting {
-				t.Errorf("error %v, want one that names the setting %q", err, test.setting)
+				t.Errorf("error %v, want a settingError for %q, or the TOML decoder's error if that name is empty", err, test.setting)
 			}
 		})
 	}
 }
 
 func TestConfigChecksOnlyEnabledSections(t *testing.T) {
-	if _, err := parseConfig("f", "[receiver]\nlisten = \"nowhere\"\n[sender]\nurl = \":\""); err != nil {
-		t.Error(err)
+	const text = "[receiver]\nlisten = \"nowhere\"\n[sender]\nurl = \":\""
+	if _, err := parseConfig("f", text); err != nil {
+		t.Errorf("error %v for %q, want none because neither section is enabled", err, text)
 	}
 }
--- a/internal/frontend/webhook/connection.go
+++ b/internal/frontend/webhook/connection.go
@@ -3,11 +3,11 @@
 import "net/netip"
 
 // maxDiscardedBytes is the number of bytes that a connection receives and discards after an HTTP request that could not
-// be parsed. A client that sends more has its connection closed.
+// be parsed. If the client sends more, the connection is closed.
 const maxDiscardedBytes = 256 << 10
 
-// connection is a client's connection and the event loop's handler of it. It handles one HTTP request at a time;
-// pipelined requests wait in buffered. A closed connection stays in delivery.waiting until the outcome is known.
+// connection is the event loop's handler of a client's connection. It handles one HTTP request at a time; pipelined
+// HTTP requests wait in buffered. A closed connection stays in delivery.waiting until the outcome is known.
 type connection struct {
 	receiver   *Receiver
 	transport  Transport
@@ -20,13 +20,14 @@
 	awaitingResponse   bool // a complete HTTP request has not been responded to yet
 	closeAfterResponse bool // the next response is the last one
 	finished           bool // further input is discarded, and nothing more is written
-	discardedBytes     int  // received after finished was set
+	discardedBytes     int  // number of bytes received after finished was set
 }
 
 // HasOpenRequests reports whether a complete HTTP request has not been responded to yet.
 func (c *connection) HasOpenRequests() bool { return c.awaitingResponse }
 
-// MessageProgress returns how many complete HTTP requests have been received and whether a part of another one has.
+// MessageProgress returns the number of complete HTTP requests that have been received, and whether a part of another
+// one has been received.
 // After finish it always reports a partial HTTP request, so that the event loop closes the connection after its message
 // timeout, which is shorter than its timeout for idle connections.
 func (c *connection) MessageProgress() (complete int, partial bool) {
@@ -83,7 +84,7 @@
 }
 
 // readHead parses the head of the next HTTP request. If the client waits for 100 Continue before it sends the body,
-// readHead writes it. It returns false if the head is incomplete or was refused.
+// readHead writes this interim response. It returns false if the head is incomplete or was refused.
 func (c *connection) readHead() bool {
 	head, size, err := parseRequestHead(c.buffered)
 	if err != nil {
--- a/internal/frontend/webhook/connection_test.go
+++ b/internal/frontend/webhook/connection_test.go
@@ -30,9 +30,9 @@
 	return status, kept
 }
 
-// Checks a connection against a model: the deliveries reach the router regardless of how their bytes are split. Each is
-// answered once and in sequence, with the status that its outcome maps to. The request of a webhook-id is submitted
-// once; after a refusal of a request that never ran, the next delivery submits it again.
+// Checks a connection against a model. Each request reaches the router regardless of how the bytes of its delivery are
+// split. Each delivery is answered once and in sequence, with the status that its outcome maps to. The request of a
+// webhook-id is submitted once; after a refusal of a request that never ran, the next delivery submits it again.
 func TestConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		requests := &fakeRouter{}
@@ -40,7 +40,7 @@
 		receiver, _ := newTestReceiver(t, requests, "")
 		c := receiver.newConnection(transport, netip.AddrPort{})
 		var want []int
-		replayed := map[string]int{} // status of the kept outcome, by webhook-id
+		keptStatuses := map[string]int{} // status of the kept outcome, by webhook-id
 		t.Repeat(map[string]func(*rapid.T){
 			"deliver": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
@@ -49,15 +49,16 @@
 					c.OnData(bytes.Clone(b[:n]))
 					b = b[n:]
 				}
-				if status, ok := replayed[id]; ok {
+				if status, ok := keptStatuses[id]; ok {
 					want = append(want, status)
 					if c.HasOpenRequests() {
-						t.Fatal("the request of a redelivery was submitted to the router")
+						t.Fatal("the redelivery has no response yet, want the kept outcome")
 					}
 					return
 				}
 				if !c.HasOpenRequests() || string(requests.requests[len(requests.requests)-1].Body) != id {
-					t.Fatal("the request did not reach the router")
+					t.Fatalf("open requests %v, want true; %d requests submitted, want the last one with the body %q",
+						c.HasOpenRequests(), len(requests.requests), id)
 				}
 				answer := router.Response{
 					Status:           router.Status(rapid.IntRange(0, 2).Draw(t, "status")),
@@ -66,14 +67,15 @@
 				}
 				status, kept := expectedStatus(answer)
 				if kept {
-					replayed[id] = status
+					keptStatuses[id] = status
 				}
 				want = append(want, status)
 				requests.requests[len(requests.requests)-1].Responder.Respond(answer)
 			},
 			"": func(t *rapid.T) {
 				if got := statuses(t, transport); !slices.Equal(got, want) || c.HasOpenRequests() || transport.Closed {
-					t.Fatalf("statuses %v, want %v; open requests %v, closed %v", got, want, c.HasOpenRequests(), transport.Closed)
+					t.Fatalf("statuses %v, want %v; open requests %v and closed %v, want false for both",
+						got, want, c.HasOpenRequests(), transport.Closed)
 				}
 			},
 		})
--- a/internal/frontend/webhook/deduplication.go
+++ b/internal/frontend/webhook/deduplication.go
@@ -26,12 +26,12 @@
 	id        string    // the webhook-id
 	digest    string    // of the payload, see payloadDigest
 	isOrder   bool      // the request must never run twice, and the ledger records it
-	eventTime time.Time // start of an order's retention
+	eventTime time.Time // the retention of an order starts at this time
 
 	waiting []*connection // connections that wait for the outcome while the request is pending
 
 	completed   bool          // the request has ended, and the fields below are set
-	completedAt time.Duration // on the event loop's clock; 0 if the ledger had the outcome
+	completedAt time.Duration // on the event loop's clock; 0 for an order that was restored from the ledger
 	outcome     response
 }
 
@@ -52,9 +52,9 @@
 	return e
 }
 
-// respondToWaiting answers all connections that wait for the delivery, in the sequence of their arrival, and handles
-// the HTTP requests that each has received in the meantime. The caller must have kept the outcome or removed the
-// delivery before, because the next HTTP request on such a connection may have the same webhook-id.
+// respondToWaiting answers all connections that wait for the delivery, in the sequence in which they started to wait,
+// and handles the HTTP requests that each connection has received in the meantime. The caller must first keep the
+// outcome or remove the delivery, because the next HTTP request on such a connection may have the same webhook-id.
 func (d *delivery) respondToWaiting(r response) {
 	waiting := d.waiting
 	d.waiting = nil
--- a/internal/frontend/webhook/doc.go
+++ b/internal/frontend/webhook/doc.go
@@ -46,7 +46,8 @@
 //     ledger remove the order. A first delivery with an expired or nearly expired event is refused with 400, so that
 //     the order does not run again; see Receiver.isWithinRetention.
 //
-// If the queue of the ledger's writer is full, an "ended" or "freed" entry is dropped and logged. It counts as lost.
+// If the queue of the ledger's writer is full, an "ended" or "freed" entry is dropped, and a warning is logged. The
+// effect is the same as if a crash had lost the entry.
 //
 // The outcomes of requests that are not orders and the notices that have not been delivered are kept in memory only.
 // Both are lost when the process ends.
@@ -54,8 +55,10 @@
 // # Errors
 //
 // Each reason to refuse an HTTP request is a sentinel error, which statusOf maps to the status of the response. The
-// exception is an order that the ledger could not record: it is answered with 503. A refused HTTP request has no
-// effect, and no worker receives any part of it. A setting that can't be used is reported as a *settingError.
+// exception is an order that the ledger could not record: it is answered with 503. No worker receives any part of a
+// refused HTTP request. Its only effects are the response, the counters and the log, except that the "begun" entry of
+// an order may be on the disk although its write or sync has failed. A setting that can't be used is reported as a
+// *settingError.
 //
 // # Units, ownership, goroutine
 //
@@ -68,6 +71,6 @@
 // Neither this package nor a Transport modifies the bytes of such a buffer.
 //
 // All methods of a Receiver and a Sender must be called on the event loop's goroutine. The only other goroutine is the
-// ledger's writer, which NewReceiver starts and Receiver.Close ends; it calls ReceiverOptions.WallClock and
+// ledger's writer, which NewReceiver starts and Receiver.Close ends. The writer calls ReceiverOptions.WallClock and
 // ReceiverOptions.RunOnLoop.
 package webhook
--- a/internal/frontend/webhook/endtoend_test.go
+++ b/internal/frontend/webhook/endtoend_test.go
@@ -23,7 +23,8 @@
 }
 
 // drawDeliveries returns deliveries of a number of orders. Each order has a delivery that is signed at noon, one to
-// three that are signed later, one whose webhook-id was tampered with and one that is signed with a retired key.
+// three redeliveries that are signed up to 99 seconds later, a delivery whose webhook-id was tampered with, and a
+// delivery that is signed with a retired key.
 func drawDeliveries(rng *rand.Rand, orders int) (all []sentDelivery) {
 	for i := range orders {
 		order := fmt.Sprintf("order-%d", i)
@@ -58,7 +59,8 @@
 				sent := all[i]
 				status, body, err := s.deliver(sent.request)
 				if err != nil || status != sent.wantStatus || status == http.StatusOK && body != "done "+sent.requestBody {
-					t.Errorf("delivery of %s: status %d, body %q, want status %d; error %v", sent.requestBody, status, body, sent.wantStatus, err)
+					t.Errorf("delivery of %s: status %d, body %q, want status %d, and with 200 the body %q; error %v",
+						sent.requestBody, status, body, sent.wantStatus, "done "+sent.requestBody, err)
 				}
 			}
 		})
@@ -114,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }() // the test reads until the server has closed the connection
+	defer func() { _ = c.Close() }() // an error has no effect: the connection is not used afterwards
 	request := signedDelivery(retiredSecret, "m", noon, requestPayload("repair-order", "x", noon))
 	if _, err := c.Write(bytes.Replace(request, []byte("Host:"), []byte("Connection: close\r\nHost:"), 1)); err != nil {
 		t.Fatal(err)
--- a/internal/frontend/webhook/harness_test.go
+++ b/internal/frontend/webhook/harness_test.go
@@ -35,10 +35,10 @@
 )
 
 const (
-	testFunctionKey   = "7f3a9c21e0b4d655"
-	testReplayBytes   = 16 << 20
-	testLedgerBytes   = 1 << 20
-	testSocketTimeout = 20 * time.Second
+	testFunctionKey    = "7f3a9c21e0b4d655"
+	testMaxReplayBytes = 16 << 20
+	testMaxLedgerBytes = 1 << 20
+	testSocketTimeout  = 20 * time.Second
 )
 
 // noonClock is the wall clock of all tests; it always returns noon.
@@ -53,10 +53,10 @@
 		}
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
-			tb.Fatalf("%v in %q", err, transport.Written.String())
+			tb.Fatalf("reading the head of a response: %v; written bytes: %q", err, transport.Written.String())
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			tb.Fatalf("%v in %q", err, transport.Written.String())
+			tb.Fatalf("reading the body of a response: %v; written bytes: %q", err, transport.Written.String())
 		}
 		codes = append(codes, r.StatusCode)
 	}
@@ -89,7 +89,7 @@
 		File:           testConfig(tb, ledgerPath),
 		Router:         requests,
 		Classes:        testClasses,
-		MaxReplayBytes: testReplayBytes,
+		MaxReplayBytes: testMaxReplayBytes,
 		Now:            func() time.Duration { return time.Hour },
 		WallClock:      noonClock,
 		RunOnLoop:      func(f func()) { loopCalls <- f },
@@ -105,7 +105,7 @@
 func closeReceiver(tb rapid.TB, r *Receiver) {
 	tb.Helper()
 	if err := r.Close(); err != nil {
-		tb.Errorf("Receiver.Close failed: %v", err)
+		tb.Errorf("error of Receiver.Close is %v, want none", err)
 	}
 }
 
--- a/internal/frontend/webhook/http_request_test.go
+++ b/internal/frontend/webhook/http_request_test.go
@@ -17,7 +17,8 @@
 		t.Errorf("method %q and target %q, want POST and /hooks", head.method, head.target)
 	}
 	if head.contentLength != 12 || !head.closeRequested || !head.expectsContinue {
-		t.Errorf("contentLength, closeRequested or expectsContinue is wrong: %+v", head)
+		t.Errorf("contentLength %d, closeRequested %v, expectsContinue %v, want 12, true and true",
+			head.contentLength, head.closeRequested, head.expectsContinue)
 	}
 	if value, count := head.field("host"); string(value) != "hooks.example.org" || count != 1 {
 		t.Errorf("%d Host fields, want 1; the last is %q, want hooks.example.org", count, value)
@@ -66,7 +67,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, size, err := parseRequestHead([]byte(test.head))
 			if !errors.Is(err, test.want) || size != 0 {
-				t.Errorf("error %v, want %v; size %d", err, test.want, size)
+				t.Errorf("error %v, want %v; size %d, want 0", err, test.want, size)
 			}
 			if got := statusOf(err); got != test.status {
 				t.Errorf("status %d, want %d", got, test.status)
--- a/internal/frontend/webhook/ledger.go
+++ b/internal/frontend/webhook/ledger.go
@@ -12,18 +12,18 @@
 // Errors of the ledger when it is opened or when it records an order.
 var (
 	errLedgerInUse   = errors.New("ledger is in use")
-	errLedgerFull    = errors.New("ledger is full") // the file or the writer's queue
+	errLedgerFull    = errors.New("ledger is full") // the wrapping error says whether the file or the queue is full
 	errLedgerFailed  = errors.New("ledger does not record any more entries after a failed write, sync or compaction")
 	errLedgerDamaged = errors.New("damaged")
 )
 
 const (
 	// ledgerQueueLength is the maximum number of entries that wait for the writer. While the queue is full, orders are
-	// refused, and the entries of ended and released orders are dropped.
+	// refused. The entry of an order that ends, or that is released because it never ran, is dropped.
 	ledgerQueueLength = 256
 
-	// compactionInterval is the minimum time between a compaction, including the one at the start, and the compaction
-	// of a full ledger. It limits how often the file is rewritten.
+	// compactionInterval limits how often the file is rewritten. A full ledger is compacted only if the last compaction
+	// is at least this long ago. The compaction at the start of the program also counts as one.
 	compactionInterval = time.Minute
 
 	// ledgerFileMode prevents other users from reading the outcomes of orders.
@@ -31,8 +31,10 @@
 )
 
 // ledger is the write-ahead log of orders, which must never run twice, not even after a restart. An order's "begun"
-// entry is on the disk before the order is sent to a worker. Therefore an order without an entry has never been sent,
-// and an order whose last entry is "begun" may have run.
+// entry is on the disk before the order is sent to a worker. Therefore an order whose last entry is "begun" may have
+// run. If an order has no entry, it was never sent to a worker, or a compaction has removed its entries because the
+// order was released (it never ran) or has expired. The Receiver refuses expired orders; see
+// Receiver.isWithinRetention.
 //
 // One goroutine, the writer, owns the file from the end of openLedger until it closes writerDone. The event loop's
 // goroutine only adds entries to the queue, so a slow disk does not delay other requests. A single queue for all
@@ -41,7 +43,8 @@
 	queue      chan pendingWrite
 	writerDone chan struct{} // closed when the writer has written the last entry
 
-	// Only the writer uses the fields below after openLedger has returned. It also calls wallClock.
+	// The fields below need no lock: openLedger sets them before it starts the writer, the writer uses them, and close
+	// uses file and lockFile after the writer has ended.
 	path           string
 	maxBytes       int64 // size limit of the file
 	retention      time.Duration
@@ -50,14 +53,14 @@
 	lockFile       *os.File
 	size           int64 // size of file in bytes
 	lastCompaction time.Time
-	failed         bool // a write, sync or compaction failed: the file's content is unknown, no more is written
+	failed         bool // a write, sync or compaction failed: the file's content is unknown, and no entry is written
 }
 
 // pendingWrite is an entry in the writer's queue.
 type pendingWrite struct {
 	entry ledgerEntry
-	// onDurable is called on the writer's goroutine, with nil when the entry has been synced, or with the error. It
-	// must not block. An entry whose onDurable is nil is written without a sync.
+	// onDurable is called on the writer's goroutine: with nil after the entry has been synced, or with the error of the
+	// failed write or sync. It must not block. An entry whose onDurable is nil is written without a sync.
 	onDurable func(error)
 }
 
@@ -103,25 +106,26 @@
 	return lockFile, nil
 }
 
-// recordStart records that an order is about to run; it sets the entry's state to orderBegun. onDurable is called once:
-// on the writer's goroutine, with nil when the entry is on the disk or with the error, which has been logged. If the
-// queue is full, recordStart itself calls onDurable with errLedgerFull before it returns; this error is not logged.
+// recordStart records that an order is about to run; it sets the entry's state to orderBegun. onDurable is called once.
+// The writer calls it on its goroutine: with nil after the entry has been synced, or with the error of the failed write
+// or sync, which the writer has logged. If the queue is full, recordStart itself calls onDurable before it returns,
+// with an error that wraps errLedgerFull; this error is not logged.
 func (l *ledger) recordStart(e ledgerEntry, onDurable func(error)) {
 	e.State = orderBegun
 	select {
 	case l.queue <- pendingWrite{entry: e, onDurable: onDurable}:
 	default:
-		onDurable(errLedgerFull)
+		onDurable(fmt.Errorf("%w: %d entries wait for the writer", errLedgerFull, ledgerQueueLength))
 	}
 }
 
-// recordEnd records without a sync that an order has ended or was released. If the queue is full, the entry is dropped
-// and this is logged. If the entry is lost, the order counts after a restart as one that may have run, and never runs
-// again.
+// recordEnd records without a sync that an order has ended or was released. If the queue is full, recordEnd drops the
+// entry and logs a warning. If the entry is dropped or a crash loses it, the order counts after a restart as one that
+// may have run, and it never runs again.
 func (l *ledger) recordEnd(e ledgerEntry) {
 	select {
 	case l.queue <- pendingWrite{entry: e}:
-	default:
+	default: // the queue is full
 		slog.Warn("ledger entry dropped", "webhook_id", e.ID, "state", string(e.State))
 	}
 }
@@ -155,7 +159,7 @@
 
 // writeBatch appends the entries to the file, syncs the file if one of them must be durable, and then calls each
 // onDurable. This sequence ensures that no order runs before its entry is on the disk. Errors are logged. A failed sync
-// fails all entries of the batch and all later entries.
+// fails all entries of the batch, including those that were written, and all later entries.
 func (l *ledger) writeBatch(batch []pendingWrite) {
 	errs := make([]error, len(batch))
 	mustSync := false
@@ -175,6 +179,7 @@
 	}
 	for i, w := range batch {
 		if errs[i] != nil {
+			// The entry may also have been written but not synced; the error says what failed.
 			slog.Error("ledger entry not written", "webhook_id", w.entry.ID, "error", errs[i])
 		}
 		if w.onDurable != nil {
@@ -200,22 +205,24 @@
 	return nil
 }
 
-// ensureSpace makes sure that the file may grow by the needed bytes, and compacts a full file for this purpose. It
-// returns errLedgerFull if the compacted file is still too large, or if compactionInterval has not passed since the
-// last compaction.
+// ensureSpace makes sure that the file may grow by the needed bytes, and compacts a full file for this purpose. Its
+// error wraps errLedgerFull if the compacted file is still too large, or if compactionInterval has not passed since the
+// last compaction. It returns the error of a compaction that fails.
 func (l *ledger) ensureSpace(needed int64) error {
 	if l.size+needed <= l.maxBytes {
 		return nil
 	}
 	if l.wallClock().Sub(l.lastCompaction) < compactionInterval {
-		return errLedgerFull
+		return fmt.Errorf("%w: the file has %d bytes, the entry %d, limit %d; the last compaction is less than %v ago",
+			errLedgerFull, l.size, needed, l.maxBytes, compactionInterval)
 	}
 	if _, err := l.compact(); err != nil {
 		l.failed = true
 		return err
 	}
 	if l.size+needed > l.maxBytes {
-		return errLedgerFull
+		return fmt.Errorf("%w: the file has %d bytes after a compaction, the entry %d, limit %d",
+			errLedgerFull, l.size, needed, l.maxBytes)
 	}
 	return nil
 }
--- a/internal/frontend/webhook/ledger_entry.go
+++ b/internal/frontend/webhook/ledger_entry.go
@@ -71,9 +71,10 @@
 	return e, nil
 }
 
-// readEntries calls visit for the entry of each line. It ignores an incomplete last line, which was never synced: if
-// its order was begun, it was not sent to a worker; if its order had ended or was released, it still counts as begun.
-// Any other damage is an error, because it is unknown which orders ran. Errors name the line but not the file.
+// readEntries calls visit for the entry of each line. It ignores an incomplete last line, which was never synced. The
+// order of an incomplete "begun" entry was not sent to a worker. The order of an incomplete "ended" or "freed" entry
+// counts as begun. Any other damage is an error, because it is unknown which orders ran. Errors name the line but not
+// the file.
 func readEntries(r io.Reader, visit func(ledgerEntry)) error {
 	lines := bufio.NewReaderSize(r, maxLedgerLine)
 	for number := 1; ; number++ {
--- a/internal/frontend/webhook/ledger_file.go
+++ b/internal/frontend/webhook/ledger_file.go
@@ -9,8 +9,8 @@
 
 // compact replaces the file with one that holds only the last entry of each order, and no entries of orders that have
 // expired or were released. It returns the retained entries in the sequence in which their webhook-ids first occur in
-// the old file. After an error the file at the ledger's path may be the old one or the new one, while l.file is still
-// the old one. l.file must not be written after an error.
+// the old file. After an error, the file at the ledger's path may be the old one or the new one. l.file is the old one
+// then, or nil during openLedger, and must not be written to.
 func (l *ledger) compact() ([]ledgerEntry, error) {
 	entries, err := readLastEntries(l.path)
 	if err != nil {
@@ -63,8 +63,8 @@
 }
 
 // replaceFile replaces the file at path with one that holds text. It returns the new file, open for writing at its end.
-// After a crash, the file at path is either the old one or the new one. If replaceFile fails after the rename, it is
-// the new one.
+// After a crash, the file at path is either the old one or the new one. If replaceFile fails after the rename, the file
+// at path is the new one.
 func replaceFile(path string, text []byte) (*os.File, error) {
 	file, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, ledgerFileMode)
 	if err != nil {
--- a/internal/frontend/webhook/ledger_format_test.go
+++ b/internal/frontend/webhook/ledger_format_test.go
@@ -57,7 +57,7 @@
 	for _, name := range []string{"appended.ledger", "compacted.ledger"} {
 		t.Run(name, func(t *testing.T) {
 			path := copyTestdata(t, name)
-			l, entries, err := openLedger(path, testLedgerBytes, 72*time.Hour, noonClock)
+			l, entries, err := openLedger(path, testMaxLedgerBytes, 72*time.Hour, noonClock)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -86,7 +86,7 @@
 
 func TestLinesAreAppendedInTheStoredForm(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	l, _, err := openLedger(path, testLedgerBytes, 72*time.Hour, noonClock)
+	l, _, err := openLedger(path, testMaxLedgerBytes, 72*time.Hour, noonClock)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/webhook/ledger_test.go
+++ b/internal/frontend/webhook/ledger_test.go
@@ -21,7 +21,7 @@
 
 // open opens the ledger and returns its entries by webhook-id.
 func (m *ledgerModel) open(t *rapid.T) map[string]ledgerEntry {
-	l, entries, err := openLedger(m.path, testLedgerBytes, time.Hour, noonClock)
+	l, entries, err := openLedger(m.path, testMaxLedgerBytes, time.Hour, noonClock)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	if _, err := m.ledger.file.Write(torn[:rapid.IntRange(0, len(torn)-1).Draw(t, "cut")]); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := openLedger(m.path, testLedgerBytes, time.Hour, noonClock); !errors.Is(err, errLedgerInUse) {
+	if _, _, err := openLedger(m.path, testMaxLedgerBytes, time.Hour, noonClock); !errors.Is(err, errLedgerInUse) {
 		t.Fatalf("opening a ledger that is in use: error %v, want %v", err, errLedgerInUse)
 	}
 	m.close(t)
@@ -99,7 +99,7 @@
 	})
 }
 
-// An order that the ledger can't record is refused with 503 and not submitted to the router, and so is the next order.
+// After a fault of the ledger, every order is refused with 503 and is not submitted to the router, not only the first.
 func TestOrdersAreRefusedIfTheLedgerCannotWrite(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger") // shared by all cases: a failure must not affect the next start
 	for _, test := range []struct {
@@ -131,7 +131,7 @@
 				t.Errorf("%d orders counted as refused, want 2", got)
 			}
 			if err := receiver.Close(); (err == nil) != test.closeSucceeds {
-				t.Errorf("error of Receiver.Close is %v, want success %v", err, test.closeSucceeds)
+				t.Errorf("error of Receiver.Close is %v, want no error: %v", err, test.closeSucceeds)
 			}
 		})
 	}
@@ -146,7 +146,7 @@
 	}
 	open := func(t *testing.T) *ledger {
 		t.Helper()
-		l, _, err := openLedger(filepath.Join(t.TempDir(), "ledger"), testLedgerBytes, time.Hour, noonClock)
+		l, _, err := openLedger(filepath.Join(t.TempDir(), "ledger"), testMaxLedgerBytes, time.Hour, noonClock)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -156,7 +156,7 @@
 		l := open(t)
 		l.maxBytes = 10
 		if err := write(t, l); !errors.Is(err, errLedgerFull) {
-			t.Error(err)
+			t.Errorf("error %v, want %v", err, errLedgerFull)
 		}
 		if err := l.close(); err != nil {
 			t.Error(err)
@@ -168,13 +168,13 @@
 			t.Fatal(err)
 		}
 		if err := write(t, l); err == nil || errors.Is(err, errLedgerFailed) {
-			t.Errorf("error of the failed write is %v, want that of the file", err)
+			t.Errorf("error of the failed write is %v, want the error of the file, not %v", err, errLedgerFailed)
 		}
 		if err := write(t, l); !errors.Is(err, errLedgerFailed) {
 			t.Errorf("error of the next write is %v, want %v", err, errLedgerFailed)
 		}
 		if err := l.close(); err == nil {
-			t.Error("close returned no error for a file that can't be synced")
+			t.Error("close returned no error, want one because the file can't be synced")
 		}
 	})
 }
@@ -183,7 +183,7 @@
 // entry, without waiting for the writer.
 func TestLedgerQueueIsBounded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	l, _, err := openLedger(path, testLedgerBytes, time.Hour, noonClock)
+	l, _, err := openLedger(path, testMaxLedgerBytes, time.Hour, noonClock)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -226,9 +226,9 @@
 		"empty JSON text":      "00000000 \n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, _, err := openLedger(writeFile(t, text), testLedgerBytes, time.Hour, noonClock)
+			_, _, err := openLedger(writeFile(t, text), testMaxLedgerBytes, time.Hour, noonClock)
 			if !errors.Is(err, errLedgerDamaged) {
-				t.Errorf("error %v, want %v", err, errLedgerDamaged)
+				t.Errorf("error %v for the text %q, want %v", err, text, errLedgerDamaged)
 			}
 		})
 	}
--- a/internal/frontend/webhook/notice.go
+++ b/internal/frontend/webhook/notice.go
@@ -25,7 +25,7 @@
 
 // noticeData identifies the order that a notice reports.
 type noticeData struct {
-	RequestID   string `json:"id"`                   // router.Request.ID
+	RequestID   string `json:"id"`                   // the request ID, router.Request.ID
 	WebhookID   string `json:"webhook_id,omitempty"` // of the order's deliveries; empty if the order did not arrive by webhook
 	FunctionKey string `json:"key"`
 }
--- a/internal/frontend/webhook/noticereceiver_test.go
+++ b/internal/frontend/webhook/noticereceiver_test.go
@@ -42,7 +42,7 @@
 			t.Error(err)
 		}
 		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
-			t.Error(err)
+			t.Errorf("error of Serve is %v, want %v", err, http.ErrServerClosed)
 		}
 	})
 	return n
@@ -55,7 +55,8 @@
 	var p noticePayload
 	if err != nil || json.Unmarshal(body, &p) != nil || r.Host != "hooks.example.org" ||
 		r.Header.Get(signatureField) != sign(activeSecret, id, r.Header.Get(timestampField), body) {
-		t.Errorf("invalid notice: header %v, body %s, error %v", r.Header, body, err)
+		t.Errorf("notice for host %q with header %v, body %s, error %v; want host hooks.example.org, a JSON body and its signature",
+			r.Host, r.Header, body, err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/frontend/webhook/payload.go
+++ b/internal/frontend/webhook/payload.go
@@ -22,7 +22,7 @@
 
 // Reasons to refuse a payload.
 var (
-	errNotJSON             = errors.New("payload can't be decoded")
+	errMalformedPayload    = errors.New("payload can't be decoded")
 	errUnknownType         = errors.New("type is not " + payloadType)
 	errUnknownClass        = errors.New("unknown class")
 	errRequestBodyTooLarge = errors.New("body is too long")
@@ -45,7 +45,7 @@
 	Class       string  `json:"class"`
 	FunctionKey string  `json:"key"`
 	WaitMs      float64 `json:"wait_ms"`   // how long the client waits, in milliseconds; 0 means the class's MaxWait
-	MemoryMB    float64 `json:"memory_mb"` // of one instance, in MiB
+	MemoryMB    float64 `json:"memory_mb"` // memory of one instance, in MiB
 	Concurrency float64 `json:"lanes"`     // number of requests that one instance runs concurrently
 	LoadMs      float64 `json:"load_ms"`   // usual time to load an instance, in milliseconds; 0 means unknown
 	Body        []byte  `json:"body"`      // base64 in the JSON
@@ -59,11 +59,11 @@
 }
 
 // parsePayload converts a payload whose signature has been verified into a request. It does not retain body. Its errors
-// wrap one of the errors above; an error that wraps errNotJSON also wraps the error of the JSON decoder.
+// wrap one of the errors above; an error that wraps errMalformedPayload also wraps the error of the JSON decoder.
 func (r *Receiver) parsePayload(body []byte) (deliveredRequest, error) {
 	var p payload
 	if err := json.Unmarshal(body, &p); err != nil {
-		return deliveredRequest{}, fmt.Errorf("%w: %w", errNotJSON, err)
+		return deliveredRequest{}, fmt.Errorf("%w: %w", errMalformedPayload, err)
 	}
 	class, known := r.classIndexes[p.Data.Class]
 	switch {
@@ -79,8 +79,10 @@
 		return deliveredRequest{}, fmt.Errorf("%w: %.64q", errMalformedKey, p.Data.FunctionKey)
 	}
 	if !p.Data.isInRange() {
-		return deliveredRequest{}, fmt.Errorf("%w: %v, %v, %v, %v", errValueOutOfRange,
-			p.Data.WaitMs, p.Data.MemoryMB, p.Data.Concurrency, p.Data.LoadMs)
+		return deliveredRequest{}, fmt.Errorf("%w: wait_ms %v (0 to %d), memory_mb %v (0 to %d), "+
+			"lanes %v (0 to %d), load_ms %v (0 to %d)", errValueOutOfRange,
+			p.Data.WaitMs, fieldvalue.MaxWaitMs, p.Data.MemoryMB, fieldvalue.MaxMemoryMB,
+			p.Data.Concurrency, fieldvalue.MaxConcurrency, p.Data.LoadMs, fieldvalue.MaxLoadMs)
 	}
 	isOrder := r.classes[class].CarriesOrders
 	if isOrder && !r.isWithinRetention(p.Timestamp) {
--- a/internal/frontend/webhook/receiver.go
+++ b/internal/frontend/webhook/receiver.go
@@ -30,8 +30,8 @@
 // deliveries that were refused with errOverloaded are only counted in Deliveries.
 type Counters struct {
 	Deliveries    uint64 // HTTP requests with the path and method of deliveries
-	Unauthorized  uint64 // part of Deliveries: without a valid signature
-	Malformed     uint64 // can't be parsed, or have another path, another method or an invalid payload
+	Unauthorized  uint64 // part of Deliveries: without a valid signature, or with a timestamp out of tolerance
+	Malformed     uint64 // not parsable, another path or method, invalid payload, or webhook-id of another payload
 	Replayed      uint64 // part of Deliveries: redeliveries answered with the kept outcome
 	Joined        uint64 // part of Deliveries: redeliveries that waited for the outcome of a pending request
 	LedgerRefused uint64 // part of Deliveries: orders refused because the ledger is missing or could not record them
@@ -86,7 +86,7 @@
 	return r, nil
 }
 
-// openLedger opens the ledger, if the settings name one, and restores the deliveries that it records.
+// openLedger opens the ledger, if the settings name one, and restores the orders that it contains.
 func (r *Receiver) openLedger() error {
 	settings := &r.settings.Ledger
 	if settings.Path == "" {
@@ -225,10 +225,10 @@
 	})
 }
 
-// handleRecorded submits an order that the ledger has recorded. If err says that the ledger could not record the order,
-// handleRecorded refuses it, and its next delivery is a first delivery.
+// handleRecorded submits an order that the ledger has recorded. If err is not nil, the ledger could not record the
+// order: handleRecorded refuses the order, and the next delivery of its webhook-id is a first delivery.
 func (r *Receiver) handleRecorded(d *delivery, request router.Request, err error) {
-	if err != nil { // the ledger has logged err, except errLedgerFull of a full queue
+	if err != nil { // the ledger has logged err, unless its queue was full
 		r.Counters.LedgerRefused++
 		r.deliveries.remove(d)
 		d.respondToWaiting(response{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter})
--- a/internal/frontend/webhook/receiver_test.go
+++ b/internal/frontend/webhook/receiver_test.go
@@ -147,13 +147,15 @@
 
 	receiver.Sweep(expiry)
 	if receiver.deliveries.find("completed") == nil || receiver.deliveries.bodyBytes != len("done") {
-		t.Errorf("the outcome was forgotten at its expiry, want after it: %+v", receiver.deliveries)
+		t.Errorf("at the expiry: outcome remembered %v, want true; %d bytes of bodies, want %d",
+			receiver.deliveries.find("completed") != nil, receiver.deliveries.bodyBytes, len("done"))
 	}
 	receiver.Sweep(expiry + 1)
 	if receiver.deliveries.find("completed") != nil || receiver.deliveries.bodyBytes != 0 {
-		t.Errorf("the outcome is still remembered after its expiry: %+v", receiver.deliveries)
+		t.Errorf("after the expiry: outcome remembered %v, want false; %d bytes of bodies, want 0",
+			receiver.deliveries.find("completed") != nil, receiver.deliveries.bodyBytes)
 	}
 	if receiver.deliveries.find("pending") == nil {
-		t.Error("a pending delivery was forgotten")
+		t.Error("a pending delivery was forgotten, want it kept until it completes")
 	}
 }
--- a/internal/frontend/webhook/response_test.go
+++ b/internal/frontend/webhook/response_test.go
@@ -28,7 +28,7 @@
 			valid, &router.Response{Status: router.Refused, RetryAfter: 2100 * time.Millisecond},
 			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 3\r\n\r\n",
 		},
-		"refused without advice": {
+		"refused without a retry delay": {
 			valid, &router.Response{Status: router.Refused},
 			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n",
 		},
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -19,7 +19,7 @@
 	// idleInterval is the maximum time until the next call of Process.
 	idleInterval = time.Hour
 
-	// defaultPort is the port of an http URL that names none.
+	// defaultPort is the port, with its colon, of an http URL without a port.
 	defaultPort = ":80"
 )
 
@@ -51,7 +51,7 @@
 // SenderCounters counts notices by what happened to them. Each notice that was queued is delivered, failed or open.
 type SenderCounters struct {
 	Queued    uint64
-	Dropped   uint64 // not queued, because too many notices were open
+	Dropped   uint64 // not queued, because too many notices were open or the payload could not be encoded
 	Delivered uint64 // accepted by the receiver of notices
 	Retried   uint64 // failed attempts that are followed by another attempt
 	Failed    uint64 // notices whose last attempt failed
@@ -84,9 +84,9 @@
 	return &Sender{settings: settings, url: target, address: address, secret: secret, dial: dial, wallClock: wallClock}, nil
 }
 
-// Notify queues a notice of an order's outcome. If too many notices are open, it drops and counts the notice. The
-// caller decides which requests are orders; r may come from any frontend and is not retained. now is the time on the
-// event loop's clock. The next call of Process starts the first attempt.
+// Notify queues a notice of an order's outcome. If SenderConfig.Queue notices are open, Notify drops and counts the
+// notice. The caller decides which requests are orders; r may come from any frontend and is not retained. now is the
+// time on the event loop's clock. A later call of Process starts the first attempt.
 func (s *Sender) Notify(now time.Duration, r *router.Request, outcome router.RequestOutcome) {
 	s.now = max(s.now, now)
 	if s.OpenNotices() >= s.settings.Queue {
--- a/internal/frontend/webhook/sender_test.go
+++ b/internal/frontend/webhook/sender_test.go
@@ -103,7 +103,7 @@
 	}
 	c.handler.OnClose(nil)
 	if !c.Closed {
-		t.Error("the sender did not close the connection")
+		t.Errorf("after the reply %q the connection is open, want it closed by the sender", text)
 	}
 }
 
@@ -129,7 +129,7 @@
 		now = max(next, now+10*time.Minute)
 	}
 	if want := (SenderCounters{Queued: 2, Dropped: 1, Delivered: 1, Retried: 4, Failed: 1}); s.Counters != want || len(attempts) != 2 {
-		t.Errorf("counters %+v, want %+v; attempts %v", s.Counters, want, attempts)
+		t.Errorf("counters %+v, want %+v; attempts by webhook-id %v, want those of two notices", s.Counters, want, attempts)
 	}
 	for id, n := range attempts {
 		if n != 3 {
@@ -206,7 +206,7 @@
 	for failed, want := range map[int]time.Duration{1: time.Second, 2: 4 * time.Second, 3: 16 * time.Second, 5: 256 * time.Second, 6: maxBackoff, 20: maxBackoff} {
 		for range 100 {
 			if got := retryDelay(time.Second, failed); got < want/2 || got > want {
-				t.Errorf("delay after %d attempts is %v, want %v to %v", failed, got, want/2, want)
+				t.Errorf("delay after %d failed attempts is %v, want %v to %v", failed, got, want/2, want)
 			}
 		}
 	}
--- a/internal/frontend/webhook/signature.go
+++ b/internal/frontend/webhook/signature.go
@@ -25,7 +25,7 @@
 const (
 	maxSignatures  = 16      // per delivery; each is compared with the signature of each active key
 	maxIDBytes     = 128     // size of a webhook-id, which is kept in memory and in the ledger
-	maxUnixSeconds = 1 << 40 // of a timestamp; no valid timestamp comes near it
+	maxUnixSeconds = 1 << 40 // maximum of a timestamp; no valid timestamp comes near it
 )
 
 // Names of the header fields that the specification defines.
@@ -108,11 +108,13 @@
 	timestamp, timestampCount := head.field(timestampField)
 	signatureList, signatureListCount := head.field(signatureField)
 	if idCount != 1 || timestampCount != 1 || signatureListCount != 1 {
-		return nil, errMalformedSignature
+		return nil, fmt.Errorf("%w: %d %s fields, %d %s fields and %d %s fields, want one of each",
+			errMalformedSignature, idCount, idField, timestampCount, timestampField, signatureListCount, signatureField)
 	}
 	// If IDs could contain dots, two different deliveries could have the same signed text; see authenticationCode.
 	if len(id) == 0 || len(id) > maxIDBytes || bytes.IndexByte(id, '.') >= 0 {
-		return nil, errMalformedSignature
+		return nil, fmt.Errorf("%w: %s %.64q has %d bytes, want 1 to %d bytes without a dot",
+			errMalformedSignature, idField, id, len(id), maxIDBytes)
 	}
 	sentAt, err := parseTimestamp(string(timestamp))
 	if err != nil {
@@ -120,7 +122,7 @@
 	}
 	signatures := bytes.Fields(signatureList)
 	if len(signatures) > maxSignatures {
-		return nil, errMalformedSignature
+		return nil, fmt.Errorf("%w: %d signatures, maximum %d", errMalformedSignature, len(signatures), maxSignatures)
 	}
 	return &signedHeaders{id: string(id), timestamp: string(timestamp), sentAt: sentAt, signatures: signatures}, nil
 }
@@ -129,7 +131,8 @@
 func parseTimestamp(text string) (time.Time, error) {
 	seconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || seconds < 0 || seconds > maxUnixSeconds || strconv.FormatInt(seconds, 10) != text {
-		return time.Time{}, errMalformedSignature
+		return time.Time{}, fmt.Errorf("%w: %s %.64q is not a whole number from 0 to %d without sign and leading zeros",
+			errMalformedSignature, timestampField, text, int64(maxUnixSeconds))
 	}
 	return time.Unix(seconds, 0), nil
 }
@@ -158,8 +161,8 @@
 }
 
 // verifySignature returns the webhook-id of a delivery that was signed with an active key and whose timestamp differs
-// from now by tolerance at most. For any other delivery its error is the first that applies of errMalformedSignature,
-// errNoMatchingKey and errStaleTimestamp.
+// from now by tolerance at most. For any other delivery the error wraps the first of these that applies:
+// errMalformedSignature, errNoMatchingKey, errStaleTimestamp.
 func verifySignature(head *requestHead, body []byte, keys []signingKey, now time.Time, tolerance time.Duration) (id string, err error) {
 	headers, err := parseSignedHeaders(head)
 	if err != nil {
@@ -169,7 +172,8 @@
 		return "", errNoMatchingKey
 	}
 	if age := now.Sub(headers.sentAt); age > tolerance || age < -tolerance {
-		return "", errStaleTimestamp
+		return "", fmt.Errorf("%w: %s is %s, the current time is %d, tolerance %v",
+			errStaleTimestamp, timestampField, headers.timestamp, now.Unix(), tolerance)
 	}
 	return headers.id, nil
 }
--- a/internal/frontend/webhook/testserver_test.go
+++ b/internal/frontend/webhook/testserver_test.go
@@ -105,8 +105,8 @@
 	return workers
 }
 
-// startServer starts a server that sends notices to noticeAddress, or no notices if it is empty. The workers count the
-// runs of each request body in runs, which may be read after the server has stopped.
+// startServer starts a server that sends notices to noticeAddress, or no notices if noticeAddress is empty. The workers
+// count the runs of each request body in runs, which may be read after the server has stopped.
 func startServer(t *testing.T, ledgerPath, noticeAddress string, runs map[string]int) *testServer {
 	t.Helper()
 	s := &testServer{
@@ -123,7 +123,7 @@
 		File:           testConfig(t, ledgerPath),
 		Router:         s.router,
 		Classes:        testClasses,
-		MaxReplayBytes: testReplayBytes,
+		MaxReplayBytes: testMaxReplayBytes,
 		Now:            s.loop.Now,
 		WallClock:      noonClock,
 		RunOnLoop:      s.loop.Post,
@@ -185,7 +185,7 @@
 	if err != nil {
 		return 0, "", err
 	}
-	defer func() { _ = c.Close() }() // the response has been read, or another error is returned
+	defer func() { _ = c.Close() }() // an error has no effect: the connection is not used afterwards
 	if _, err := c.Write(b); err != nil {
 		return 0, "", err
 	}
--- a/internal/frontend/webhook/transport.go
+++ b/internal/frontend/webhook/transport.go
@@ -1,7 +1,7 @@
 package webhook
 
-// Transport is a connection to a peer. *eventloop.Conn implements it. The only method of the connection's handler that
-// its methods may call before they return is HasOpenRequests.
+// Transport is a connection to a peer. *eventloop.Conn implements it. Before they return, its methods may call only one
+// method of the connection's handler: HasOpenRequests.
 type Transport interface {
 	// Write queues bufs for sending, one after the other. Neither the caller nor the Transport may modify their bytes
 	// afterwards. The caller may write the same buffers again, also to another Transport.
