--- a/internal/frontend/thrift/harness_test.go
+++ b/internal/frontend/thrift/harness_test.go
@@ -19,7 +19,7 @@
 // fakeRouter is a RequestRouter that records its calls. The ID of a submitted request is its index in submitted plus 1.
 type fakeRouter struct {
 	submitted []router.Request
-	cancelled []policy.RequestID // by Cancel or Disconnect
+	cancelled []policy.RequestID // requests that Cancel or Disconnect ended
 	refused   int                // number of requests that RefuseAtOnce refused
 }
 
@@ -131,7 +131,7 @@
 		err = d.structFields(func(id uint16, _ valueType) bool { resultField = id; return false })
 	}
 	if err != nil {
-		t.Fatalf("wrote %x, which does not decode: %v", b, err)
+		t.Fatalf("wrote %x, which does not decode (error %v), want a valid message", b, err)
 	}
 	transport.Written.Next(end)
 	return header.sequenceID, resultField
--- a/internal/frontend/thrift/reply.go
+++ b/internal/frontend/thrift/reply.go
@@ -22,7 +22,7 @@
 
 // The names in the maps of Backoff and Lost.
 const (
-	backoffAfter = "after"  // how long the client should wait before a retry, in whole milliseconds; 0: no advice
+	backoffAfter = "after"  // how long the client should wait before a retry, in whole milliseconds; 0 if not specified
 	lostReason   = "reason" // the name of the request's invalid field; absent if the request failed in the router
 )
 
--- a/internal/frontend/thrift/reply_test.go
+++ b/internal/frontend/thrift/reply_test.go
@@ -74,7 +74,7 @@
 			"0100",
 	},
 	{
-		"unknown one-way method",
+		"unknown oneway method",
 		func(c *connection, _ *fakeRouter) { c.OnData(emptyFrame(messageOneway, "other", 7)) }, "",
 	},
 	{
--- a/internal/frontend/thrift/request.go
+++ b/internal/frontend/thrift/request.go
@@ -25,7 +25,7 @@
 // The names of the properties in fieldProperties on the wire.
 const (
 	propertyMemory      = "memory_mb" // memory of one instance, in MiB
-	propertyConcurrency = "lanes"     // requests that one instance runs at a time
+	propertyConcurrency = "lanes"     // number of requests that one instance runs concurrently
 	propertyLoadTime    = "load_ms"   // usual time for loading an instance, in milliseconds
 )
 
--- a/internal/frontend/thrift/server.go
+++ b/internal/frontend/thrift/server.go
@@ -89,7 +89,8 @@
 	return indexes
 }
 
-// Accept returns the handler of a connection that a client has opened. The event loop owns both.
+// Accept returns the handler of a connection that a client has opened. The event loop owns the connection and the
+// handler.
 func (s *Server) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
 	return s.newConnection(c, c.RemoteAddr())
 }
--- a/internal/frontend/thrift/violation_test.go
+++ b/internal/frontend/thrift/violation_test.go
@@ -40,7 +40,7 @@
 			c, _, transport := newTestConnection()
 			c.OnData(test.frame)
 			if !transport.Closed {
-				t.Error("the connection was not closed")
+				t.Error("the connection is open after the input, want it closed")
 			}
 		})
 	}
--- a/internal/frontend/webhook/connection.go
+++ b/internal/frontend/webhook/connection.go
@@ -14,7 +14,7 @@
 	clientAddr netip.AddrPort
 
 	buffered             []byte       // bytes received and not yet handled
-	head                 *requestHead // of the HTTP request whose body is still incomplete
+	head                 *requestHead // head of the HTTP request whose body is incomplete; otherwise nil
 	httpRequestsReceived int          // number of complete HTTP requests
 
 	awaitingResponse   bool // a complete HTTP request has not been responded to yet
@@ -68,7 +68,7 @@
 	c.head = nil
 }
 
-// handleBuffered handles the complete HTTP requests in buffered. It stops after the first whose response is still
+// handleBuffered handles the complete HTTP requests in buffered. It stops after the first one whose response is
 // pending.
 func (c *connection) handleBuffered() {
 	for !c.awaitingResponse && !c.finished && len(c.buffered) > 0 {
@@ -105,7 +105,7 @@
 }
 
 // takeHTTPRequest removes the first HTTP request, which must be complete, from the connection and marks it as awaiting
-// its response. The returned head and body point into the old buffer, which is not modified any more.
+// its response. The returned head and body point into the old buffer, which is not modified afterwards.
 func (c *connection) takeHTTPRequest() (head *requestHead, body []byte) {
 	head = c.head
 	body = c.buffered[:head.contentLength:head.contentLength]
--- a/internal/frontend/webhook/connection_test.go
+++ b/internal/frontend/webhook/connection_test.go
@@ -92,7 +92,7 @@
 		c.OnData([]byte("\n"))
 		c.OnData(make([]byte, maxDiscardedBytes))
 		if transport.Closed {
-			t.Error("connection closed before the limit was exceeded")
+			t.Error("connection closed at the limit, want it open until the limit is exceeded")
 		}
 		c.OnData([]byte("x"))
 		if got := statuses(t, transport); !transport.Closed || !slices.Equal(got, []int{http.StatusBadRequest}) {
@@ -106,7 +106,7 @@
 		c.OnData(signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", "x", noon)))
 		c.OnData(make([]byte, maxHeadBytes+maxHTTPBodyBytes))
 		if transport.Closed {
-			t.Error("connection closed before the limit was exceeded")
+			t.Error("connection closed at the limit, want it open until the limit is exceeded")
 		}
 		c.OnData([]byte("x"))
 		if got := statuses(t, transport); !transport.Closed || len(got) > 0 {
--- a/internal/frontend/webhook/deduplication.go
+++ b/internal/frontend/webhook/deduplication.go
@@ -24,7 +24,7 @@
 // delivery is the state of a webhook-id. Either its request is pending, or its outcome is kept for redeliveries.
 type delivery struct {
 	id        string    // the webhook-id
-	digest    string    // of the payload, see payloadDigest
+	digest    string    // digest of the payload; see payloadDigest
 	isOrder   bool      // the request must never run twice, and the ledger records it
 	eventTime time.Time // the retention of an order starts at this time
 
--- a/internal/frontend/webhook/ledger_entry.go
+++ b/internal/frontend/webhook/ledger_entry.go
@@ -27,7 +27,7 @@
 type ledgerEntry struct {
 	ID        string     `json:"id"`  // the delivery's webhook-id
 	EventTime time.Time  `json:"at"`  // time of the order's event on the clock of its sender
-	Digest    string     `json:"sum"` // of the payload, see payloadDigest
+	Digest    string     `json:"sum"` // digest of the payload; see payloadDigest
 	State     orderState `json:"state"`
 	Status    int        `json:"status,omitempty"` // HTTP status of the response, once the order has ended
 	Body      []byte     `json:"body,omitempty"`   // body of the response
--- a/internal/frontend/webhook/ledger_test.go
+++ b/internal/frontend/webhook/ledger_test.go
@@ -159,7 +159,7 @@
 			t.Errorf("error %v, want %v", err, errLedgerFull)
 		}
 		if err := l.close(); err != nil {
-			t.Error(err)
+			t.Errorf("error of close is %v, want none", err)
 		}
 	})
 	t.Run("after a failed write", func(t *testing.T) {
--- a/internal/frontend/webhook/notice.go
+++ b/internal/frontend/webhook/notice.go
@@ -26,7 +26,7 @@
 // noticeData identifies the order that a notice reports.
 type noticeData struct {
 	RequestID   string `json:"id"`                   // the request ID, router.Request.ID
-	WebhookID   string `json:"webhook_id,omitempty"` // of the order's deliveries; empty if the order did not arrive by webhook
+	WebhookID   string `json:"webhook_id,omitempty"` // the order's webhook-id; empty for an order of another frontend
 	FunctionKey string `json:"key"`
 }
 
--- a/internal/frontend/webhook/noticereceiver_test.go
+++ b/internal/frontend/webhook/noticereceiver_test.go
@@ -39,7 +39,7 @@
 	go func() { served <- server.Serve(listener) }()
 	t.Cleanup(func() {
 		if err := server.Close(); err != nil {
-			t.Error(err)
+			t.Errorf("error of Close is %v, want none", err)
 		}
 		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
 			t.Errorf("error of Serve is %v, want %v", err, http.ErrServerClosed)
--- a/internal/frontend/webhook/receiver.go
+++ b/internal/frontend/webhook/receiver.go
@@ -31,7 +31,7 @@
 type Counters struct {
 	Deliveries    uint64 // HTTP requests with the path and method of deliveries
 	Unauthorized  uint64 // part of Deliveries: without a valid signature, or with a timestamp out of tolerance
-	Malformed     uint64 // not parsable, another path or method, invalid payload, or webhook-id of another payload
+	Malformed     uint64 // can't be parsed; wrong path or method, invalid payload or webhook-id of another payload
 	Replayed      uint64 // part of Deliveries: redeliveries answered with the kept outcome
 	Joined        uint64 // part of Deliveries: redeliveries that waited for the outcome of a pending request
 	LedgerRefused uint64 // part of Deliveries: orders refused because the ledger is missing or could not record them
@@ -47,7 +47,7 @@
 	wallClock      func() time.Time
 	runOnLoop      func(func()) // runs a function on the event loop's goroutine
 	keys           []signingKey
-	ledger         *ledger // nil if the settings name none: orders are refused
+	ledger         *ledger // nil if the settings name no ledger; orders are refused then
 	deliveries     *deduplicator
 	nextRefusalLog time.Duration // the earliest time of the next log line about a refused delivery
 
--- a/internal/frontend/webhook/sender.go
+++ b/internal/frontend/webhook/sender.go
@@ -112,10 +112,10 @@
 // Process starts the attempts that are due and ends those that have exceeded their timeout. now is the time on the
 // event loop's clock.
 //
-// It returns the time at which it must be called again at the latest: that of the next known start or timeout. It must
-// also be called after Notify and after the end of an attempt, including an attempt that Process itself has ended,
-// because the returned time does not take the retry into account. The program calls it in each iteration of the event
-// loop.
+// It returns the time at which it must be called again at the latest: the next known start or timeout, but not later
+// than idleInterval from now. It must also be called after Notify and after the end of an attempt, including an attempt
+// that Process itself has ended, because the returned time does not take the retry into account. The program calls it
+// in each iteration of the event loop.
 func (s *Sender) Process(now time.Duration) time.Duration {
 	s.now = max(s.now, now)
 	nextStart := s.startAttempts(now)
--- a/internal/frontend/webhook/signature.go
+++ b/internal/frontend/webhook/signature.go
@@ -23,7 +23,7 @@
 
 // Limits of this program on the signature headers of a delivery.
 const (
-	maxSignatures  = 16      // per delivery; each is compared with the signature of each active key
+	maxSignatures  = 16      // signatures per delivery; each is compared with the signature of each active key
 	maxIDBytes     = 128     // size of a webhook-id, which is kept in memory and in the ledger
 	maxUnixSeconds = 1 << 40 // maximum of a timestamp; no valid timestamp comes near it
 )
