--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -32,7 +32,7 @@
 // functionKey identifies the function that is called. Any 16 lower-case hexadecimal digits are valid.
 const functionKey = "7f3a9c21e0b4d655"
 
-// errUsage is returned for arguments that toy does not know.
+// errUsage is returned for an unknown command and for a hook command without exactly one ID.
 var errUsage = errors.New("usage: toy [try | call | hook ID]")
 
 func main() {
@@ -42,8 +42,8 @@
 	}
 }
 
-// run executes the command that args name. It returns errUsage if the command is unknown or has the wrong number of
-// arguments.
+// run executes the command that args name. It returns errUsage if the command is unknown or if hook does not have
+// exactly one argument. Arguments of try and call are ignored.
 func run(args []string) error {
 	switch {
 	case len(args) == 0:
--- a/internal/frontend/webhook/config.go
+++ b/internal/frontend/webhook/config.go
@@ -113,7 +113,8 @@
 	return parseConfig(path, string(text))
 }
 
-// defaultConfig returns the settings of an empty file. deploy/webhook.toml lists the same values with descriptions.
+// defaultConfig returns the settings of an empty file. deploy/webhook.toml lists the same values with descriptions; its
+// receiver.listen and sender.url are examples, because these two settings have no default.
 func defaultConfig() *Config {
 	return &Config{
 		Receiver: ReceiverConfig{
--- a/internal/frontend/webhook/ledger.go
+++ b/internal/frontend/webhook/ledger.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// ledgerQueueLength is the maximum number of entries that wait for the writer. While the queue is full, orders are
-	// refused. The entry of an order that ends, or that is released because it never ran, is dropped.
+	// ledgerQueueLength is the maximum number of entries that wait for the writer. While the queue is full, new orders
+	// are refused, and the entry of an order that ends, or that is released because it never ran, is dropped.
 	ledgerQueueLength = 256
 
 	// compactionInterval limits how often the file is rewritten. A full ledger is compacted only if the last compaction
@@ -43,8 +43,8 @@
 	queue      chan pendingWrite
 	writerDone chan struct{} // closed when the writer has written the last entry
 
-	// The fields below need no lock: openLedger sets them before it starts the writer, the writer uses them, and close
-	// uses file and lockFile after the writer has ended.
+	// The fields below need no mutex: openLedger sets them before it starts the writer, only the writer uses them while
+	// it runs, and close uses file and lockFile after the writer has ended.
 	path           string
 	maxBytes       int64 // size limit of the file
 	retention      time.Duration
