--- a/internal/frontend/thrift/harness_test.go
+++ b/internal/frontend/thrift/harness_test.go
@@ -19,7 +19,7 @@
 // fakeRouter is a RequestRouter that records its calls. The ID of a submitted request is its index in submitted plus 1.
 type fakeRouter struct {
 	submitted []router.Request
-	cancelled []policy.RequestID // by Cancel or Disconnect
+	cancelled []policy.RequestID // requests that Cancel or Disconnect ended
 	refused   int                // number of requests that RefuseAtOnce refused
 }
 
@@ -73,7 +73,7 @@
 	fieldProperties, "memory_mb:512;lanes:2;load_ms:640",
 }
 
-// fieldsWith returns a copy of validFields with the value at the index position replaced.
+// fieldsWith returns a copy of validFields that contains value at the index position.
 func fieldsWith(position int, value string) []string {
 	fields := slices.Clone(validFields)
 	fields[position] = value
@@ -131,7 +131,7 @@
 		err = d.structFields(func(id uint16, _ valueType) bool { resultField = id; return false })
 	}
 	if err != nil {
-		t.Fatalf("wrote %x, which does not decode: %v", b, err)
+		t.Fatalf("wrote %x, which does not decode (error %v), want a valid message", b, err)
 	}
 	transport.Written.Next(end)
 	return header.sequenceID, resultField
