--- a/example/toy/resp.go
+++ b/example/toy/resp.go
@@ -51,7 +51,7 @@
 		return 0, err
 	}
 	if line[0] != typeByte || len(line) > maxRESPLineBytes {
-		return 0, fmt.Errorf("RESP line %q has %d bytes: want at most %d bytes and %q as the first one",
+		return 0, fmt.Errorf("malformed RESP line %q (%d bytes), want at most %d bytes and %q as the first byte",
 			line, len(line), maxRESPLineBytes, typeByte)
 	}
 	return strconv.Atoi(strings.TrimSpace(line[1:]))
--- a/internal/frontend/webhook/config_test.go
+++ b/internal/frontend/webhook/config_test.go
@@ -41,7 +41,8 @@
 			}
 			var settingErr *settingError
 			if errors.As(err, &settingErr) != (test.setting != "") || settingErr != nil && settingErr.setting != test.setting {
-				t.Errorf("error %v, want a settingError for %q, or the TOML decoder's error if that name is empty", err, test.setting)
+				t.Errorf("error %v is a settingError: %v, want %v (false: an error of the TOML decoder); setting that it must name: %q",
+					err, settingErr != nil, test.setting != "", test.setting)
 			}
 		})
 	}
--- a/internal/frontend/webhook/connection.go
+++ b/internal/frontend/webhook/connection.go
@@ -27,9 +27,8 @@
 func (c *connection) HasOpenRequests() bool { return c.awaitingResponse }
 
 // MessageProgress returns the number of complete HTTP requests that have been received, and whether a part of another
-// one has been received.
-// After finish it always reports a partial HTTP request, so that the event loop closes the connection after its message
-// timeout, which is shorter than its timeout for idle connections.
+// one has been received. After finish it always reports a partial HTTP request, so that the event loop closes the
+// connection after its message timeout, which is shorter than its timeout for idle connections.
 func (c *connection) MessageProgress() (complete int, partial bool) {
 	return c.httpRequestsReceived, c.finished || c.head != nil || len(c.buffered) > 0
 }
--- a/internal/frontend/webhook/ledger.go
+++ b/internal/frontend/webhook/ledger.go
@@ -59,8 +59,10 @@
 // pendingWrite is an entry in the writer's queue.
 type pendingWrite struct {
 	entry ledgerEntry
-	// onDurable is called on the writer's goroutine: with nil after the entry has been synced, or with the error of the
-	// failed write or sync. It must not block. An entry whose onDurable is nil is written without a sync.
+	// onDurable is called on the writer's goroutine: with nil after the entry has been synced, or otherwise with an
+	// error. This is the error of the failed write, sync or compaction, errLedgerFailed for an entry after such a
+	// failure, or an error that wraps errLedgerFull because the file is full. onDurable must not block. An entry whose
+	// onDurable is nil is written without a sync.
 	onDurable func(error)
 }
 
@@ -107,9 +109,9 @@
 }
 
 // recordStart records that an order is about to run; it sets the entry's state to orderBegun. onDurable is called once.
-// The writer calls it on its goroutine: with nil after the entry has been synced, or with the error of the failed write
-// or sync, which the writer has logged. If the queue is full, recordStart itself calls onDurable before it returns,
-// with an error that wraps errLedgerFull; this error is not logged.
+// The writer calls it on its goroutine: with nil after the entry has been synced, or with an error that the writer has
+// logged; pendingWrite.onDurable lists these errors. If the queue is full, recordStart itself calls onDurable before it
+// returns, with an error that wraps errLedgerFull and that is not logged.
 func (l *ledger) recordStart(e ledgerEntry, onDurable func(error)) {
 	e.State = orderBegun
 	select {
