--- a/internal/backend/keep_alive.go
+++ b/internal/backend/keep_alive.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// The pool closes a connection that the network has cut off about 0.5 s after its oldest attempt in flight was sent or
-// its last complete answer arrived, whichever is later. The time is the sum of keepAliveAfter, keepAliveTimeout and two
-// SweepIntervals, because a sweep detects the end of each duration up to one SweepInterval late. The pool closes the
-// connection only if the worker answers on another connection.
+// If the network has cut off a connection, the pool closes the connection 0.4 s to 0.5 s after its oldest attempt in
+// flight was sent or its last complete answer arrived, whichever is later. The lower bound is the sum of keepAliveAfter
+// and keepAliveTimeout. The upper bound adds two SweepIntervals, because a sweep detects the end of each duration up to
+// one SweepInterval late. The pool closes the connection only if the worker answers on another connection; if that
+// answer arrives later, the pool closes the connection later.
 const (
 	// keepAliveAfter is how long a connection with attempts in flight may go without a complete answer. After that the
 	// pool sends a keep-alive check over the connection and prefers other connections until an answer arrives.
@@ -37,19 +38,19 @@
 // awaitsAnswer reports whether a keep-alive check was sent and no complete answer has arrived since then.
 func (k *keepAlive) awaitsAnswer() bool { return k.checkSentAt > 0 }
 
-// checkKeepAlive sends a keep-alive check over a connection that has received no complete answer for keepAliveAfter,
-// and closes the connection if the check is unanswered for keepAliveTimeout while the worker answers on another
-// connection. A connection that the network has cut off stays open without delivering data, while other connections to
-// the same worker may work; the worker remains usable. A connection without attempts in flight is neither checked nor
-// closed here. An incomplete answer does not postpone the keep-alive check.
-func (c *connection) checkKeepAlive() {
+// checkResponsiveness sends a keep-alive check over a connection that has received no complete answer for
+// keepAliveAfter, and closes the connection if the check is unanswered for keepAliveTimeout while the worker answers on
+// another connection. A connection that the network has cut off stays open without delivering data, while other
+// connections to the same worker may work; the worker remains usable. A connection without attempts in flight is
+// neither checked nor closed here. An incomplete answer does not postpone the keep-alive check.
+func (c *connection) checkResponsiveness() {
 	now := c.pool.now
 	oldest := c.oldestAttemptSentAt()
 	if oldest == 0 || now-max(oldest, c.keepAlive.lastAnswerAt) <= keepAliveAfter {
 		return
 	}
 	if !c.keepAlive.awaitsAnswer() {
-		c.sendKeepAlive()
+		c.sendKeepAliveCheck()
 		return
 	}
 	checkSentAt := c.keepAlive.checkSentAt
@@ -58,7 +59,7 @@
 	}
 }
 
-// oldestAttemptSentAt returns when the oldest attempt in flight was written, or 0 if there is none.
+// oldestAttemptSentAt returns when the oldest attempt in flight was sent, or 0 if there is none.
 func (c *connection) oldestAttemptSentAt() time.Duration {
 	oldest := time.Duration(0)
 	for _, call := range c.pending {
@@ -69,9 +70,9 @@
 	return oldest
 }
 
-// sendKeepAlive sends a keep-alive check over c. From then until an answer arrives, Pool.preferenceFor returns at most
-// unresponsive for c.
-func (c *connection) sendKeepAlive() {
+// sendKeepAliveCheck sends a keep-alive check over c. From then until a complete answer arrives, Pool.preferenceFor
+// returns unresponsive for c, or notEligible for a call that c must not carry.
+func (c *connection) sendKeepAliveCheck() {
 	c.keepAlive.checkSentAt = c.pool.now
 	c.pool.keepAlivesSent++
 	c.send(newKeepAliveCall(c.pool.keepAlivesSent))
--- a/internal/backend/keep_alive_test.go
+++ b/internal/backend/keep_alive_test.go
@@ -9,10 +9,12 @@
 	"functionrouter/policy"
 )
 
-// Guards against using a connection that the network has cut off. Such a connection looks open to the router but
-// delivers no answers, although its worker is healthy. The pool must send no further calls over the connection, close
-// it and end its pending calls. If the worker answers on no connection, the pool must keep all connections open: the
-// policy determines by health checks whether the worker is healthy.
+// The pool must not keep using a connection that the network has cut off. Such a connection looks open to the router
+// but delivers no answers, although its worker is healthy. If the limits on connections allow it, the pool must dial
+// another connection for the next call instead of sending the call over the unresponsive connection. After an answer on
+// the other connection, the pool must close the unresponsive connection and end its pending calls. If the worker
+// answers on no connection, the pool must keep all connections open: the policy determines by health checks whether the
+// worker is healthy.
 func TestUnresponsiveConnectionIsClosedIfWorkerAnswersOnAnother(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -63,7 +65,8 @@
 		t.Errorf("unresponsive connection closed: %v, want %v", unresponsive.Closed, healthy)
 	}
 	if err := logged.lastError("worker connection closed"); errors.Is(err, errUnresponsiveConnection) != healthy {
-		t.Errorf("logged error %v; want %q: %v", err, errUnresponsiveConnection, healthy)
+		t.Errorf("the close of the connection logged the error %v; this error is %q: %v, want %v",
+			err, errUnresponsiveConnection, !healthy, healthy)
 	}
 	unresponsive.handler.OnClose(nil)
 	if ended := p.recorder.attempts[a]; len(ended) != 1 || ended[0] != policy.ConnectionReset {
--- a/internal/backend/sweep.go
+++ b/internal/backend/sweep.go
@@ -48,7 +48,7 @@
 	case c.partial.hasStalled(p.now):
 		c.closeWithError(errStalledAnswer)
 	default:
-		c.checkKeepAlive()
+		c.checkResponsiveness()
 	}
 }
 
