--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -11,15 +11,16 @@
 	"functionrouter/internal/testsupport"
 )
 
-// The list of an answer with a higher serial is reported with all attributes of its workers.
+// If the serial of an answer is higher than that of the client's list, the list of the answer must be reported with all
+// attributes of its workers.
 func TestNewerListIsReported(t *testing.T) {
 	c := newTestClient(t)
 	c.receiveTwoWorkers()
 }
 
-// answersKeepingList are answers after which the client must keep its list, which has serial 4. The answer with an
+// unusableOrOlderAnswers are answers after which the client must keep its list, which has serial 4. The answer with an
 // older list is usable; all other answers are unusable.
-var answersKeepingList = []struct {
+var unusableOrOlderAnswers = []struct {
 	name    string
 	message func(c *testClient) []byte
 }{
@@ -30,7 +31,7 @@
 		c.socket.OnData(buildResponse(id, 4, 0, 1))
 		return buildResponse(id, 9, 0)
 	}},
-	{"truncated", func(c *testClient) []byte {
+	{"truncation flag (TC) set", func(c *testClient) []byte {
 		b := buildResponse(c.sendQuery(), 9, 0)
 		b[2] |= flagTruncated >> 8
 		return b
@@ -40,12 +41,12 @@
 		b[3] |= 2
 		return b
 	}},
-	{"query instead of a response", func(c *testClient) []byte {
+	{"query instead of an answer", func(c *testClient) []byte {
 		b := buildResponse(c.sendQuery(), 9, 0)
 		b[2] &^= flagResponse >> 8
 		return b
 	}},
-	{"response to a question for another name", func(c *testClient) []byte {
+	{"answer to a question for another name", func(c *testClient) []byte {
 		b := buildResponse(c.sendQuery(), 9, 0)
 		b[13] = 'x'
 		return b
@@ -58,8 +59,8 @@
 	}},
 }
 
-func TestAnswersThatKeepTheList(t *testing.T) {
-	for _, test := range answersKeepingList {
+func TestListIsKeptAfterUnusableOrOlderAnswer(t *testing.T) {
+	for _, test := range unusableOrOlderAnswers {
 		t.Run(test.name, func(t *testing.T) {
 			c := newTestClient(t)
 			want := c.receiveTwoWorkers()
@@ -67,7 +68,7 @@
 			c.wantReported(want)
 		})
 	}
-	t.Run("cut short at any byte", func(t *testing.T) {
+	t.Run("message cut short at any byte", func(t *testing.T) {
 		c := newTestClient(t)
 		want := c.receiveTwoWorkers()
 		completeLength := len(buildResponse(0, 9, 0))
@@ -79,15 +80,15 @@
 			}
 		}
 	})
-	t.Run("newer list after all these answers", func(t *testing.T) {
+	t.Run("newer list after unusable and older answers", func(t *testing.T) {
 		c := newTestClient(t)
 		want := c.receiveTwoWorkers()
-		for _, test := range answersKeepingList {
+		for _, test := range unusableOrOlderAnswers {
 			c.socket.OnData(test.message(c))
 			c.wantReported(want)
 		}
 		if c.socket.OnData(buildResponse(c.sendQuery(), 5, 0)); len(c.reported) != 1 {
-			t.Errorf("list %v, want one worker", c.reported)
+			t.Errorf("after the answer with the newer list the reported list is %v, want one worker", c.reported)
 		}
 	})
 }
@@ -189,7 +190,7 @@
 		t.Errorf("after an answer with an older list the serial is %d, want 3", c.list.serial)
 	}
 	if currentSocket.OnData(buildResponse(c.sendQuery(), 4, 0, 0)); len(c.reported) != 2 {
-		t.Errorf("list %v, want two workers", c.reported)
+		t.Errorf("after the new directory's answer with a newer list the reported list is %v, want two workers", c.reported)
 	}
 
 	dialCount := len(c.addresses)
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -13,9 +13,9 @@
 )
 
 // TestEachRequestGetsOneCorrectAnswer applies random events to a router and checks it against a model. A request that
-// its client does not cancel must get one final answer by its deadline, and the answer must not deny that the request
-// may have run. A cancelled request must get no answer. A request of a non-idempotent class must be neither refused nor
-// sent again once it may have run. The test does not compare the bodies of the answers.
+// its client does not cancel must get one final answer by its deadline, and MayHaveRun must be true in the answer if
+// the request may have run. A cancelled request must get no answer. A request of a non-idempotent class must be neither
+// refused nor sent again once it may have run. The test does not compare the bodies of the answers.
 func TestEachRequestGetsOneCorrectAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newRouterModel(t)
@@ -45,13 +45,15 @@
 
 // requestModel is the model's state of a request that the router has accepted.
 type requestModel struct {
-	externalID      string // Request.ID
-	responder       *recordingResponder
-	class           int
-	deadline        time.Duration
-	cancelled       bool
-	mayHaveRun      bool // true if an attempt ended and its outcome does not prove that it never ran
-	attemptsAllowed int  // number of attempts sent when mayHaveRun was last set; bounds a non-idempotent request
+	externalID string // Request.ID
+	responder  *recordingResponder
+	class      int
+	deadline   time.Duration
+	cancelled  bool
+	mayHaveRun bool // true if an attempt ended and its outcome does not prove that it never ran
+	// attemptsAllowed is the number of attempts sent when mayHaveRun was last set to true. Once mayHaveRun is true, it
+	// is the maximum number of attempts of a request of a non-idempotent class.
+	attemptsAllowed int
 }
 
 func newRouterModel(t *rapid.T) *routerModel {
@@ -90,7 +92,8 @@
 	}
 	// Submit has refused the request, because it exceeds the limits.
 	if len(req.responder.responses) != 1 || req.responder.responses[0].Status != Refused {
-		t.Fatalf("the answers to a request that was not added to the table are %v, want one with status Refused", req.responder.responses)
+		t.Fatalf("Submit returned no id for request %s, and the answers to it are %v, want one with status Refused",
+			req.externalID, req.responder.responses)
 	}
 	if m.reportedEnds[req.externalID] != 1 {
 		t.Fatalf("the end of request %s, which Submit refused, was reported %d times, want 1", req.externalID, m.reportedEnds[req.externalID])
@@ -117,19 +120,19 @@
 }
 
 func (m *routerModel) endLoadCommand(t *rapid.T) {
-	control, ok := drawKey(t, m.workers.loadCommands)
+	commandID, ok := drawKey(t, m.workers.loadCommands)
 	if !ok {
 		return
 	}
-	delete(m.workers.loadCommands, control)
+	delete(m.workers.loadCommands, commandID)
 	outcomes := []policy.Outcome{policy.Served, policy.WorkerOverloaded, policy.Errored}
-	m.router.LoadCommandEnded(control, rapid.SampledFrom(outcomes).Draw(t, "outcome"), 1)
+	m.router.LoadCommandEnded(commandID, rapid.SampledFrom(outcomes).Draw(t, "outcome"), 1)
 }
 
 func (m *routerModel) endHealthCheck(t *rapid.T) {
-	if control, ok := drawKey(t, m.workers.healthChecks); ok {
-		delete(m.workers.healthChecks, control)
-		m.router.HealthCheckEnded(control, policy.Served, []float64{1})
+	if checkID, ok := drawKey(t, m.workers.healthChecks); ok {
+		delete(m.workers.healthChecks, checkID)
+		m.router.HealthCheckEnded(checkID, policy.Served, []float64{1})
 	}
 }
 
@@ -183,15 +186,17 @@
 	}
 }
 
-// checkStatusAndMayHaveRun checks that the answer to a request does not deny that the request may have run.
+// checkStatusAndMayHaveRun checks that MayHaveRun is true in the answer to a request that may have run according to the
+// model. It also checks that a request of a non-idempotent class is not refused if it may have run according to the
+// answer or to the model.
 func (m *routerModel) checkStatusAndMayHaveRun(t *rapid.T, id policy.RequestID, req *requestModel) {
 	if len(req.responder.responses) == 0 {
 		return
 	}
 	resp := req.responder.responses[0]
 	if resp.Status == Refused && req.class == notIdempotentClass && (req.mayHaveRun || resp.MayHaveRun) {
-		t.Fatalf("request %d of a non-idempotent class got %+v, want no refusal, because it may have run (according to the model: %v)",
-			id, resp, req.mayHaveRun)
+		t.Fatalf("request %d of a non-idempotent class got %+v, want no refusal, because it may have run "+
+			"(according to the answer: %v, according to the model: %v)", id, resp, resp.MayHaveRun, req.mayHaveRun)
 	}
 	if req.mayHaveRun && !resp.MayHaveRun {
 		t.Fatalf("the answer to request %d has MayHaveRun false, want true: %+v", id, resp)
