--- a/policy/admission.go
+++ b/policy/admission.go
@@ -52,7 +52,7 @@
 	if chosen.likelyWarm {
 		latency -= p.remainingLoadTime(chosen.worker, r)
 	}
-	shed, drainTime := p.shouldShed(r, chosen.worker, latency)
+	shed, recoveryTime := p.shouldShed(r, chosen.worker, latency)
 	missesDeadline := latency > p.timeLeft(r)
 	lateBeyondQuota := r.overQuota && chosen.score > p.objective(r)
 	tooLate := missesDeadline || lateBeyondQuota
@@ -67,7 +67,7 @@
 	if tooLate {
 		reason = PredictedTooLate
 	}
-	p.endUnserved(r, drainTime, reason)
+	p.endUnserved(r, recoveryTime, reason)
 	return false
 }
 
@@ -102,7 +102,7 @@
 //
 // shouldShed draws one random number per call, whatever the probability: skipping a draw would change all
 // later draws.
-func (p *Policy) shouldShed(r *request, w *worker, latency nanoseconds) (shed bool, drainTime nanoseconds) {
+func (p *Policy) shouldShed(r *request, w *worker, latency nanoseconds) (shed bool, recoveryTime nanoseconds) {
 	start, objective := p.shedThreshold(r, latency)
 	delay := max(p.estimates.standingDelay, nanoseconds(p.otherRoutersShare())*w.queue.excess(p.now))
 	probability := min(shedSlope*(float64(delay/objective)-start), maxShedProbability)
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -91,25 +91,25 @@
 // constant observation of 0, so that the mean falls to 0 when no more observations arrive.
 type decayingMean struct {
 	sum       float64
-	count     float64
+	weight     float64
 	updatedAt time.Duration // time of the latest observation, to which sum and count belong
 }
 
 // retention is the share of its weight that an observation has kept since m.updatedAt.
 func (m *decayingMean) retention(now time.Duration) float64 {
 	return math.Exp(-float64(now-m.updatedAt) / float64(delayTimeConstant) *
-		min(1, max(1, m.count)/fullDecayObservations))
+		min(1, max(1, m.weight)/fullDecayObservations))
 }
 
 func (m *decayingMean) value(now time.Duration) float64 {
 	retained := m.retention(now)
-	return m.sum * retained / (m.count*retained + 1)
+	return m.sum * retained / (m.weight*retained + 1)
 }
 
 func (m *decayingMean) observe(now time.Duration, v float64) {
 	retained := m.retention(now)
 	m.sum = m.sum*retained + v
-	m.count = m.count*retained + 1
+	m.weight = m.weight*retained + 1
 	m.updatedAt = now
 }
 
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -37,7 +37,7 @@
 			h.now += 10 * ms
 			firstActions := h.resetConnection(firstID, w)
 			unserved := &h.policy.workers[w].health.unserved[classIdempotent]
-			countBefore := unserved.count
+			countBefore := unserved.weight
 			actions := h.resetConnection(id, w)
 			if retry, ok := firstAction[SendAttempt](actions); !ok || retry.Worker != w {
 				t.Fatalf("actions after the first reset of request %d: %v, want a retry at worker %d", id, actions, w)
@@ -46,9 +46,9 @@
 				t.Fatalf("actions after two resets of one connection: %v, then %v, want a health check after the first reset only",
 					firstActions, actions)
 			}
-			if unserved.count != countBefore {
+			if unserved.weight != countBefore {
 				t.Errorf("the second reset of one connection changed the failure count from %.2f to %.2f, want no change",
-					countBefore, unserved.count)
+					countBefore, unserved.weight)
 			}
 			actions = h.fail(id, 1, w, secondOutcome)
 			if retry, ok := firstAction[SendAttempt](actions); !ok || retry.Worker == w {
@@ -72,11 +72,11 @@
 	}
 	h.now += 10 * ms
 	w := h.policy.workers[warm]
-	countBefore := w.health.unserved[classNotIdempotent].count
+	countBefore := w.health.unserved[classNotIdempotent].weight
 	for _, id := range ids[1:] {
 		h.resetConnection(id, warm)
 	}
-	if n := w.health.unserved[classNotIdempotent].count; n > countBefore+1 {
+	if n := w.health.unserved[classNotIdempotent].weight; n > countBefore+1 {
 		t.Errorf("one broken connection added %.1f failures, want at most 1", n-countBefore)
 	}
 	if h.policy.isEjected(w) {
