--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Action is something for the router to do. Only the types of this package are actions. The policy emits no
+// Action is an instruction to the router. Only the types of this package are actions. The policy emits no
 // UnloadInstance, FetchEndpoints, CloseIdleConnections or LogLine; the simulator's protocol has messages for
 // them.
 type Action interface{ action() }
@@ -26,9 +26,9 @@
 
 // The reasons to end a request without a result.
 const (
-	// DeadlineExceeded: the request's time ran out.
+	// DeadlineExceeded: no time was left to serve the request.
 	DeadlineExceeded UnservedReason = iota // deadline_exceeded
-	// NoWorkerAvailable: no worker may take the request, or none may take it soon enough.
+	// NoWorkerAvailable: no worker may take the request, or none may take it in time.
 	NoWorkerAvailable // no_worker_available
 	// PredictedTooLate: the request was predicted to miss its deadline at the worker with the lowest score
 	// or, for a request beyond its tenant's quota, its latency objective.
@@ -40,11 +40,11 @@
 	UnservedReasonCount = iota
 )
 
-// RefuseRequest is a final answer. It promises that the request did no work, or that repeating the request is
-// harmless.
+// RefuseRequest is a final answer. It promises that no worker ran the request, or that repeating the request
+// is harmless.
 type RefuseRequest struct {
 	Request    RequestID
-	RetryAfter time.Duration // advised time until the client tries again; 0: no advice
+	RetryAfter time.Duration // time after which the client should try again; 0: not stated
 	Reason     UnservedReason
 }
 
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,19 +3,21 @@
 import "time"
 
 const (
-	// The ratios of delay to latency objective at which load shedding begins; shouldShed defines the delay.
-	// With higher values, queueing uses up the objective; with lower values, requests are shed that would be
-	// served in time.
+	// shedStart is the ratio of delay to latency objective at which load shedding begins; shouldShed defines
+	// the delay. The next two constants replace shedStart for some requests. With higher values of the three,
+	// queueing uses up the objective; with lower values, requests are shed that would be served in time.
 	shedStart = 0.5
-	// For a class if another class has more than minValueDensityRatio times its value density.
+	// shedStartLowerValue replaces shedStart for requests of a class whose value density another class
+	// exceeds by more than the factor minValueDensityRatio.
 	shedStartLowerValue = 0.25
-	// For requests beyond their quota, or predicted to miss their objective. For requests beyond their quota,
-	// it is multiplied by OverQuotaWeight.
+	// shedStartLateOrOverQuota replaces shedStart and shedStartLowerValue for requests that are predicted to
+	// miss their latency objective or are beyond their tenant's quota. If a request is beyond the quota, the
+	// ratio is shedStartLateOrOverQuota times OverQuotaWeight.
 	shedStartLateOrOverQuota = 0.15
 
 	// shedSlope is the increase of the shedding probability per unit of the ratio of delay to latency
 	// objective: a delay that is longer by half an objective raises the probability by 1. maxShedProbability
-	// limits it.
+	// limits the probability.
 	shedSlope = 2
 
 	// maxShedProbability limits the shedding probability, so that some requests are still served: their
@@ -23,8 +25,8 @@
 	maxShedProbability = 0.9
 
 	// minValueDensityRatio is the factor by which a class's value density must exceed that of another class
-	// for the other class to be shed first. With a higher factor, classes of clearly different value share
-	// the shedding; with a lower factor, the noise of an estimate decides which class is shed first.
+	// for the other class to be shed first. With a higher factor, classes of clearly different value are shed
+	// alike; with a lower factor, the noise of an estimate decides which class is shed first.
 	minValueDensityRatio = 1.5
 
 	// explorationInterval is the shortest time between two requests that are admitted although they are
@@ -36,17 +38,20 @@
 // admit reports whether the router sends r to chosen, the worker with the lowest score. If it does not, admit
 // ends r unserved at once, for one of these reasons:
 //
-//   - The chosen worker is predicted to miss r's deadline. Another candidate may be predicted to meet it,
-//     because scores are not latencies: the score of the preferred worker is always reduced by the bonus
-//     that lowestScore describes. For this check, its latency is reduced by the predicted load time, but
-//     only if the function is likely warm there.
-//   - r is beyond its tenant's quota, and even the lowest score misses r's latency objective.
+//   - The predicted latency at the chosen worker is longer than the time until r's deadline. Another
+//     candidate may have a shorter predicted latency, because scores are not latencies: the score of the
+//     preferred worker is always reduced by the bonus that lowestScore describes.
+//   - r is beyond its tenant's quota, and even the lowest score exceeds r's latency objective.
 //   - r is shed because of overload; see shouldShed. A retry is not shed, whatever the outcomes of the
 //     earlier attempts were, because a worker may already have done work for r.
 //
+// If the function is likely warm at the chosen worker, admit subtracts the predicted load time from the
+// predicted latency there. It uses the reduced latency for the check of the deadline and passes it to
+// shouldShed.
+//
 // At most once per explorationInterval, a request is admitted although it is predicted to miss its deadline
-// or would be shed, so that its answer can correct a wrong estimate. shouldShed draws its random number
-// whether or not the result is used.
+// or would be shed, so that its answer can correct a wrong estimate. admit calls shouldShed, which draws a
+// random number, whether or not it uses the result.
 func (p *Policy) admit(r *request, chosen target) bool {
 	latency := chosen.latency
 	if chosen.likelyWarm {
@@ -81,10 +86,10 @@
 	return true
 }
 
-// shouldShed draws at random whether r is shed in overload. drainTime is the time after which the delay is
-// predicted to be below the shedding threshold, start * objective. While most answers are delayed too long,
-// serving every request makes all of them late, so the policy sheds a part of the requests that grows with
-// the delay:
+// shouldShed draws at random whether r is shed in overload. recoveryTime is the predicted time until the
+// delay has fallen to the shedding threshold, start * objective; it is negative if the delay is below the
+// threshold. While most answers are delayed too long, serving every request makes all of them late, so the
+// policy sheds a part of the requests that grows with the delay:
 //
 //	probability = min(shedSlope * (delay/objective - start), maxShedProbability)
 //
@@ -132,8 +137,9 @@
 	return start, objective
 }
 
-// valueDensity is the value of a class's requests per unit of their work. If WeightByWork is set, the value
-// of a request grows with its work, and PriorityWeight already is the value per unit of work.
+// valueDensity is the value of a class's requests per unit of their work. If WeightByWork is set,
+// PriorityWeight already is the value per unit of work. Otherwise, PriorityWeight is the value of a request,
+// and valueDensity divides it by the mean run time of the class.
 func (p *Policy) valueDensity(c *class) float64 {
 	if p.cfg.WeightByWork {
 		return c.settings.PriorityWeight
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -11,12 +11,12 @@
 	worker          *worker
 	instance        *instance
 	sentAt          time.Duration
-	expectedLatency time.Duration // latency that was predicted when it was sent
+	expectedLatency time.Duration // latency that was predicted when the attempt was sent
 	number          int           // position among the request's attempts, from 0
-	inFlightBefore  int           // this router's attempts in flight at the worker when it was sent
-	wasCold         bool          // the function was not assumed warm at the worker: absent or still loading
+	inFlightBefore  int           // this router's attempts in flight at the worker before this one was sent
+	wasCold         bool          // the function was assumed to be absent from the worker or still loading
 	likelyWarm      bool          // the function was probably loaded without this router's knowledge
-	cancelled       bool          // the router has cancelled it
+	cancelled       bool          // the router has cancelled the attempt
 	ended           bool
 }
 
@@ -56,9 +56,10 @@
 	p.recordAwaitedLoad(a, loadTime)
 }
 
-// recordAwaitedLoad records the load that a begins or awaits, if its function was not warm. A load that is
-// under way keeps its expected end. If loads have failed and the pause after the last failure has ended, the
-// attempt begins another pause of the same length.
+// recordAwaitedLoad records the load that a begins or awaits. It does nothing if the function was assumed
+// warm when a was sent. A load that is under way keeps its expected end. If MissWhenNotLoaded is set,
+// attempts begin no loads, and recordAwaitedLoad records none. If loads have failed and the pause after the
+// last failure has ended, recordAwaitedLoad begins another pause of the same length.
 func (p *Policy) recordAwaitedLoad(a *attempt, loadTime nanoseconds) {
 	if !a.wasCold {
 		return
@@ -100,7 +101,7 @@
 	p.deleteIfComplete(r)
 }
 
-// openAttempt returns the attempt that e reports on, or nil if there is none that has not ended.
+// openAttempt returns the attempt that e reports on, or nil if that attempt is unknown or has already ended.
 func (p *Policy) openAttempt(e AttemptEnded) *attempt {
 	r := p.requests[e.Request]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
@@ -109,7 +110,8 @@
 	return r.attempts[e.Attempt]
 }
 
-// recordAttemptEnd removes a from the attempts in flight, and records whether its request may have run.
+// recordAttemptEnd removes a from the attempts in flight, and records whether its request may have run and
+// whether the policy may try the worker again for the request.
 func (p *Policy) recordAttemptEnd(a *attempt, outcome Outcome) {
 	r := a.request
 	a.ended = true
@@ -127,8 +129,8 @@
 	}
 }
 
-// continueAfter decides what happens to the request of an ended attempt next: it waits for a load, ends
-// unserved or is placed again.
+// continueAfter decides what happens to the request of an ended attempt next: the request waits for a load,
+// ends unserved or is placed again. A finished request stays as it is.
 func (p *Policy) continueAfter(a *attempt, outcome Outcome) {
 	r := a.request
 	if r.finished || r.attemptsInFlight > 0 {
--- a/policy/classes.go
+++ b/policy/classes.go
@@ -5,7 +5,7 @@
 	settings   Class
 	runTime    runTimeEstimate
 	actualWork nanoseconds // decaying sum of the run times of requests with a work hint
-	hintedWork nanoseconds // decaying sum of their hints; at first as large as actualWork
+	hintedWork nanoseconds // decaying sum of the hints of these requests; initially equal to actualWork
 }
 
 // newClass returns a class whose estimates are derived from its latency objective until answers arrive. Work
--- a/policy/config.go
+++ b/policy/config.go
@@ -9,8 +9,8 @@
 const (
 	// Idempotent requests may run any number of times.
 	Idempotent Idempotency = iota // idempotent
-	// IdempotentWithKey requests may run again, within the DedupWindow, at the workers that share the
-	// DedupScope of the earlier attempt's worker: these workers drop repeats.
+	// IdempotentWithKey requests may be sent again, within the DedupWindow, to the workers that share the
+	// DedupScope of the earlier attempt's worker: these workers recognize the key and do not run a repeat.
 	IdempotentWithKey // idempotent_with_key
 	// NotIdempotent requests must not run twice.
 	NotIdempotent // not_idempotent
@@ -29,9 +29,10 @@
 	DedupCell // cell
 )
 
-// Class describes a class of requests.
+// Class describes a class of requests. The work of a request, which some settings refer to, is defined in the
+// section Units of the package documentation.
 type Class struct {
-	LatencyObjective time.Duration // an answer within this time earns the full PriorityWeight
+	LatencyObjective time.Duration // an answer within this time has the value PriorityWeight
 	Deadline         time.Duration // time after which a client gives up
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for IdempotentWithKey: which workers share their keys
@@ -39,59 +40,79 @@
 	Streamed         bool          // the response is streamed
 	PriorityWeight   float64       // value of an answer within the objective, relative to other classes
 	LateWeight       float64       // value of an answer after the objective
-	// ObjectiveStretch lengthens LatencyObjective by this multiple of the request's own work; 0 means that
-	// the objective is not lengthened.
+	// ObjectiveStretch lengthens the LatencyObjective of a request by this multiple of the request's work; 0
+	// means that the objective is not lengthened.
 	ObjectiveStretch float64
 }
 
-// Tenant is a customer with a share of the service.
+// Tenant is a customer whose rate of requests has a quota.
 type Tenant struct {
-	QuotaPerSecond float64 // requests per second within its quota, over all routers
+	// QuotaPerSecond is the quota in requests per second, summed over all routers. The policy may refuse
+	// requests beyond the quota at lower delays than other requests; see OverQuotaWeight.
+	QuotaPerSecond float64
 }
 
-// Config holds a router's settings. [New] rejects invalid values of classes, times, shares and budgets with a
-// [*ConfigError]. New does not check Class.PriorityWeight and OverQuotaWeight, and the policy uses them
-// without bounds: the caller must set finite values that are not negative. Every other setting that New does
-// not check has no invalid values, is bounded where it is used, or is not read.
+// Config holds a router's settings. [New] returns a [*ConfigError] in these cases:
+//
+//   - Classes is empty, or a class has an invalid LatencyObjective, Deadline, Idempotency, DedupScope or
+//     DedupWindow.
+//   - MaxAttempts, Tick, SlowStartCapacity, SlowStartDuration, OverloadMultiple, OverloadWindow,
+//     InstanceKeepAlive, LoadCommandWindow, LoadCommandAllowance or LoadCommandsPerRequest is negative or not
+//     finite, or SlowStartCapacity is above 1.
+//
+// New does not check Class.PriorityWeight and OverQuotaWeight, and the policy uses them without bounds: the
+// caller must set finite values that are not negative. Every other setting that New does not check has no
+// invalid values, is bounded where it is used, or is not read.
 //
 // The policy does not read AllowHedging, Class.LateWeight, Class.ObjectiveStretch, Class.Streamed,
 // ConcurrencyInAnswers, DrainGrace, InlineLoadReports, LoadCommandTimeout and Zone, and it reads
-// Class.Deadline only to check it. The router reads some of these settings.
+// Class.Deadline only to check it. The program cmd/functionrouter reads two of these settings: Class.Deadline
+// and LoadCommandTimeout.
 type Config struct {
 	RouterCount  int // routers that share the fleet, this one included; values below 1 count as 1
 	Zone         int // zone of this router
 	Classes      []Class
 	Tenants      []Tenant
-	WeightByWork bool          // the value of a request grows with its work
+	WeightByWork bool          // PriorityWeight is the value per unit of work instead of per request
 	Tick         time.Duration // resolution of the clock: different readings differ by at least this time
 
 	RequiresSubscription bool     // endpoint updates come only after Subscribe or FetchEndpoints
 	LoadReportFields     []string // names of the values of a load report, in their order
 	InlineLoadReports    bool     // load reports come with answers as well as with health checks
 
-	MaxAttempts       int           // per request; 0: unlimited
+	MaxAttempts       int           // attempts per request; 0: unlimited
 	AllowCancel       bool          // CancelAttempt is available
 	AllowHealthChecks bool          // CheckHealth is available
 	AllowGossip       bool          // SendGossip is available
 	AllowHedging      bool          // two attempts of a request may be in flight at the same time
 	AllowRetryAfter   bool          // clients receive RefuseRequest.RetryAfter
 	MaxRetryAfter     time.Duration // largest RefuseRequest.RetryAfter; 0: clients receive none
-	// OverQuotaWeight is a factor on the delay at which the policy begins to shed requests beyond their
-	// tenant's quota. It has no effect if it is 1. If it is 0, these requests are shed at any delay above 0,
-	// so callers that do not use the factor must set it to 1.
+	// OverQuotaWeight is not a weight but a factor: it multiplies the delay at which the policy begins to
+	// shed requests beyond their tenant's quota. A factor of 1 does not change that delay. With a factor of
+	// 0, shedding begins at any delay above 0: a first attempt is shed with a probability of twice the ratio
+	// of the delay to the latency objective, at most 0.9, and a retry is never shed. Callers that do not use
+	// the factor must set it to 1.
 	OverQuotaWeight float64
 
-	ImplicitListAge   time.Duration // age from which the router should know any entry of the endpoint list
-	SlowStartCapacity float64       // least capacity of a new process, as a share of full capacity, 0 to 1
+	// ImplicitListAge is the age from which a router without a subscription is assumed to know an entry of
+	// the endpoint list: an entry that was listed at least this long ago, whether or not the router received
+	// the update. The policy renews a lost subscription well before that age.
+	ImplicitListAge   time.Duration
+	SlowStartCapacity float64       // least share of the full capacity when a process starts, 0 to 1
 	SlowStartDuration time.Duration // time from a process's start until the worker has its full capacity
-	OverloadMultiple  float64       // a warming worker fails above this multiple of its capacity
-	OverloadWindow    time.Duration // window over which the work sent to a warming worker is summed
-	DrainGrace        time.Duration // time that a draining worker gets to finish its requests
+	// OverloadMultiple determines when a worker that is warming up fails: when all routers together send it,
+	// within OverloadWindow, more work than this multiple of what its capacity can serve in that time. If
+	// OverloadMultiple or OverloadWindow is 0, the policy does not limit the work for such a worker.
+	OverloadMultiple float64
+	OverloadWindow   time.Duration // time over which the work sent to a worker that is warming up is summed
+	// DrainGrace is the time within which the router must stop sending to a worker after it has learned that
+	// the worker is draining or gone.
+	DrainGrace time.Duration
 
 	MissWhenNotLoaded       bool          // workers answer FunctionNotLoaded instead of loading the function
 	AllowLoadCommands       bool          // LoadInstance and UnloadInstance are available
 	InstanceStatusInAnswers bool          // answers carry an InstanceStatus
-	ConcurrencyInAnswers    bool          // answers carry the number of the function's requests at the worker
+	ConcurrencyInAnswers    bool          // answers carry AttemptEnded.FunctionConcurrency
 	InstanceKeepAlive       time.Duration // shortest time that a worker keeps an idle instance
 	LoadCommandTimeout      time.Duration // time after which an unanswered load command ends with TimedOut
 	LoadCommandWindow       time.Duration // window of the load command budget; 0: load commands are unlimited
--- a/policy/config_check.go
+++ b/policy/config_check.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// noUpperBound marks a setting that may have any finite value of at least 0.
+// noUpperBound is the upper bound of a setting that may have any finite value of at least 0.
 const noUpperBound = math.MaxFloat64
 
 // validate returns a [*ConfigError] for the first setting that a Policy cannot work with.
@@ -42,7 +42,9 @@
 	}
 }
 
-// validateNumbers checks that all numbers are finite and not negative, and SlowStartCapacity is at most 1.
+// validateNumbers returns a [*ConfigError] for the first of the settings below that is negative or not finite
+// or, for SlowStartCapacity, above 1. It does not check RouterCount, MaxRetryAfter, ImplicitListAge,
+// DrainGrace, LoadCommandTimeout, OverQuotaWeight and the quotas of the tenants; see [Config].
 func validateNumbers(cfg *Config) error {
 	return cmp.Or(
 		validateNumber("MaxAttempts", cfg.MaxAttempts, noUpperBound),
@@ -58,7 +60,7 @@
 	)
 }
 
-// validateNumber returns a [*ConfigError] unless the value of a field is between 0 and upperBound.
+// validateNumber returns a [*ConfigError] unless the value of a field is at least 0 and at most upperBound.
 func validateNumber[T int | float64 | time.Duration](field string, value T, upperBound float64) error {
 	number := float64(value)
 	switch {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// A lost subscription is renewed after ImplicitListAge divided by resubscribeDivisor. The router should know
-// an endpoint that was listed ImplicitListAge ago, whether or not the router received the update, so the
-// renewal must come well before that. With a higher divisor, the router calls the directory more often.
+// A lost subscription is renewed after ImplicitListAge divided by resubscribeDivisor, but not before
+// housekeepingInterval has passed. A router without a subscription is assumed to know an endpoint that was
+// listed at least ImplicitListAge ago, whether or not the router received the update, so the renewal must
+// come well before that age. With a higher divisor, the router calls the directory more often.
 const resubscribeDivisor = 8
 
 // worker holds what the policy knows and estimates about one worker.
@@ -28,7 +29,8 @@
 	return w.instances[f]
 }
 
-// isUnused reports whether the policy may delete its entry of w.
+// isUnused reports whether the policy may delete its entry of w: w is gone, and no attempt or load command of
+// this router is open there.
 func (w *worker) isUnused() bool {
 	return w.endpoint.State == Gone && len(w.inFlight) == 0 && w.loadCommands == 0
 }
@@ -74,7 +76,7 @@
 }
 
 // endpointUpdated applies one entry of the endpoint list. If the worker's process is new, endpointUpdated
-// drops what was learned of the earlier process.
+// drops what was learned about the earlier process.
 func (p *Policy) endpointUpdated(e Endpoint) {
 	w, known := p.workers[e.Worker]
 	if !known {
@@ -88,10 +90,10 @@
 	w.endpoint = e
 }
 
-// resetWorker drops what was learned of the earlier process of w, and begins the slow start of the process
+// resetWorker drops what was learned about the earlier process of w, and begins the slow start of the process
 // that started at startedAt. Attempts in flight and load commands stay until they end, and an attempt in
-// flight still makes its instance count as warm. lastAnswer and the recent sends of an earlier slow start
-// stay too.
+// flight still makes its instance count as warm. lastAnswer, the state and times of health checks and resets,
+// and the recent sends of an earlier slow start stay too.
 func (p *Policy) resetWorker(w *worker, startedAt time.Duration) {
 	for _, i := range w.instances {
 		i.markNotLoaded()
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// outlierClip bounds the effect of one observation on an estimate. A run time counts as at most this
-	// multiple of the expected run time. A delay counts as at most this multiple of the latency objective or,
-	// in the slope of the queueing delay, of the expected run time and delay together. With a higher
-	// multiple, one stalled answer distorts an estimate; with a lower multiple, a real increase is learned
-	// slowly.
+	// outlierClip bounds the effect of one observation on an estimate. A run time counts as at most
+	// outlierClip times the expected run time. A delay counts as at most outlierClip times the latency
+	// objective. For the delay per request in flight (queueEstimate.slope), a delay counts as at most
+	// outlierClip times the sum of the expected run time and the expected queueing delay. With a higher
+	// value, one stalled answer distorts an estimate; with a lower value, a real increase is learned slowly.
 	//
-	// outlierClip is also the multiple of the predicted latency beyond which an attempt without an answer can
-	// count as unserved, and the number of run times that is assumed as the delay at a worker that rejects a
-	// request for overload.
+	// The policy uses outlierClip for two other limits. An attempt without an answer can count as unserved
+	// only if it took longer than outlierClip times its predicted latency. If a worker rejects a request for
+	// overload, the policy assumes a delay of at least outlierClip run times at that worker.
 	outlierClip = 3
 
 	// initialRunTimeShare is the run time that is assumed until answers arrive, as a share of the latency
@@ -38,18 +38,21 @@
 	// lower value, the ratio follows random variation.
 	ratioRetention = 0.97
 
-	// delayTimeConstant is the time in which a decaying mean decays by the factor e. It applies to the excess
-	// delay at a worker, since a queue drains in about that time, and to the share of attempts that the
-	// worker leaves unserved. With a longer time, a worker is still avoided after its delay is over; with a
-	// shorter time, the result of a few answers decays before the next answers arrive.
+	// delayTimeConstant is the time in which the weights of the observations in a decayingMean fall by the
+	// factor e, if their sum is at least fullDecayObservations. The mean itself falls by less, because it
+	// includes a constant observation of 0. The time applies to the excess delay at a worker, since a queue
+	// becomes empty in about that time, and to the share of attempts that the worker leaves unserved. With a
+	// longer time, a worker is still avoided after its delay is over; with a shorter time, the result of a
+	// few answers decays before the next answers arrive.
 	delayTimeConstant = 3 * time.Second
 
-	// fullDecayObservations is the number of observations below which a decaying mean decays more slowly, in
-	// proportion to their number. If few answers arrive, no newer answers replace the older ones soon, so the
-	// older ones must keep their weight for longer.
+	// fullDecayObservations is the sum of the weights below which the weights in a decayingMean fall more
+	// slowly, in proportion to their sum; a sum below 1 counts as 1. If few answers arrive, no newer answers
+	// replace the older ones soon, so the older ones must keep their weight for longer.
 	fullDecayObservations = 6
 
-	// maxReportedQueue bounds the queue length that is accepted from a load report, in requests.
+	// maxReportedQueue is the largest queue length that is used from a load report, in requests. A longer
+	// queue counts as one of this length.
 	maxReportedQueue = 1000
 
 	// loadReportQueueField is the name of the queue length in Config.LoadReportFields.
@@ -88,14 +91,14 @@
 func (e *ratioEstimator) predict(x float64) float64 { return x * e.sumY / max(e.sumX, 1) }
 
 // decayingMean is the mean of recent observations, whose weights decay over delayTimeConstant, and of one
-// constant observation of 0, so that the mean falls to 0 when no more observations arrive.
+// observation of 0, whose weight is always 1, so that the mean falls to 0 when no more observations arrive.
 type decayingMean struct {
-	sum       float64
-	weight     float64
-	updatedAt time.Duration // time of the latest observation, to which sum and count belong
+	sum       float64       // weighted sum of the observations, as of updatedAt
+	weight    float64       // sum of the weights of the observations, as of updatedAt
+	updatedAt time.Duration // time of the latest observation
 }
 
-// retention is the share of its weight that an observation has kept since m.updatedAt.
+// retention is the share of its weight at m.updatedAt that an observation still has at now.
 func (m *decayingMean) retention(now time.Duration) float64 {
 	return math.Exp(-float64(now-m.updatedAt) / float64(delayTimeConstant) *
 		min(1, max(1, m.weight)/fullDecayObservations))
@@ -127,7 +130,7 @@
 // queueEstimate predicts the queueing delay at one worker; see Policy.queueingDelay.
 type queueEstimate struct {
 	slope       ratioEstimator // nanoseconds of delay per request that this router has in flight
-	excessDelay decayingMean   // nanoseconds of delay beyond that prediction; see excess
+	excessDelay decayingMean   // nanoseconds of delay beyond the delay that slope predicts; see excess
 }
 
 // excess is the queueing delay beyond the delay that the slope predicts for this router's requests in flight.
@@ -137,8 +140,9 @@
 	return nanoseconds(q.excessDelay.value(now))
 }
 
-// observeExcess records one observation of the excess delay. An answer shows its delay beyond the prediction;
-// a load report or a rejection for overload counts with the whole delay that is derived from it.
+// observeExcess records one observation of the excess delay. After an answer, the observation is the delay of
+// the answer less the delay that is predicted for this router's requests in flight. After a load report or a
+// rejection for overload, the observation is the whole delay that the policy derives from it.
 func (q *queueEstimate) observeExcess(now time.Duration, delay nanoseconds) {
 	q.excessDelay.observe(now, float64(delay))
 }
@@ -149,7 +153,7 @@
 	delayPerQueued ratioEstimator // nanoseconds of queueing delay per queued request in load reports
 	queueField     int            // index of the queue length in a load report; -1: not reported
 	standingDelay  nanoseconds    // the delay that most answers of warm instances exceed
-	loadRatio      float64        // ratio of the real load time to the hinted one
+	loadRatio      float64        // ratio of the real load time to the hint, RequestArrived.LoadTime
 	servedWork     nanoseconds    // work of this router's served requests; see decayServedWork
 }
 
@@ -157,7 +161,8 @@
 	return fleetEstimates{loadRatio: 1, queueField: slices.Index(loadReportFields, loadReportQueueField)}
 }
 
-// reportedQueue returns the queue length in a load report, or a negative number if the report has none.
+// reportedQueue returns the queue length in a load report, or a negative number if the report has no valid
+// one.
 func (e *fleetEstimates) reportedQueue(report []float64) float64 {
 	if e.queueField < 0 || e.queueField >= len(report) {
 		return -1
--- a/policy/events.go
+++ b/policy/events.go
@@ -9,7 +9,7 @@
 // WorkerID identifies a worker. It survives a restart of the worker's process.
 type WorkerID uint64
 
-// FunctionID identifies a function, such as a machine-learning model, that workers load on demand.
+// FunctionID identifies a function. Each request runs one function, and workers load functions on demand.
 type FunctionID uint64
 
 // WorkerState is the state of a worker according to the endpoint list.
@@ -31,7 +31,7 @@
 	State     WorkerState
 	Zone      int
 	Cell      int
-	Weight    float64       // size relative to other workers; 0: unknown
+	Weight    float64       // weight relative to other workers; 0: unknown; the policy does not read it
 	StartedAt time.Duration // time when the worker's process started, on the router's clock; 0: unknown
 }
 
@@ -44,7 +44,8 @@
 	IncrementalUpdate EndpointUpdateKind = iota // incremental
 	// FullUpdate holds the whole list; workers that are missing from it are gone.
 	FullUpdate // full
-	// CachedUpdate holds the whole list as last known, which may be out of date.
+	// CachedUpdate holds a stored copy of the whole list, which may be out of date; workers that are missing
+	// from it are gone.
 	CachedUpdate // cached
 	// UpdateFailed: a fetch failed or the subscription broke. The update has no entries.
 	UpdateFailed // failed
@@ -53,7 +54,8 @@
 // Event is something that happened at the router. Only the types of this package are events.
 type Event interface{ event() }
 
-// EndpointUpdate says what changed in the endpoint list, or what it holds as a whole.
+// EndpointUpdate reports changed entries of the endpoint list, the whole endpoint list, or a failure to
+// obtain the list.
 type EndpointUpdate struct {
 	Kind      EndpointUpdateKind
 	Endpoints []Endpoint
@@ -66,16 +68,16 @@
 	Class       int // index into Config.Classes
 	Tenant      int // index into Config.Tenants; an index out of range means no tenant
 	Function    FunctionID
-	Concurrency float64       // requests that one instance runs at the same time
+	Concurrency float64       // number of requests that one instance can run at the same time
 	MemoryMB    float64       // memory of one instance, in MiB; the policy does not read it
-	LoadTime    time.Duration // usual time of a load; 0: unknown
-	WorkHint    time.Duration // run time that the client expects for the request; 0: no hint
+	LoadTime    time.Duration // hint: usual duration of a load of the function; 0: no hint
+	WorkHint    time.Duration // hint: work (run time) that the client expects for the request; 0: no hint
 	TimeLeft    time.Duration // time until the client gives up
 	IsRepeat    bool          // the client has sent the request before; the policy does not read it
 }
 
-// ClientCancelled says that a request needs no answer, because its client has withdrawn it or has
-// disconnected.
+// ClientCancelled says that a request needs no answer from the policy: its client has cancelled it or has
+// disconnected, or the router has answered it at the deadline without the policy.
 type ClientCancelled struct{ Request RequestID }
 
 // TimerFired says that a timer set by SetTimer has expired.
@@ -87,7 +89,7 @@
 	Worker     WorkerID
 	Outcome    Outcome
 	Duration   time.Duration
-	LoadReport []float64 // in the order of Config.LoadReportFields; empty if the answer carried none
+	LoadReport []float64 // in the order of Config.LoadReportFields; empty if the answer had no load report
 }
 
 // GossipReceived is a message from another router.
@@ -118,15 +120,16 @@
 	Worker         WorkerID
 	Outcome        Outcome
 	InstanceStatus InstanceStatus
-	// FunctionConcurrency is the number of requests for the function at the worker, if
-	// Config.ConcurrencyInAnswers is set. The policy does not read it.
+	// FunctionConcurrency is the current number of requests for the function at the worker, if
+	// Config.ConcurrencyInAnswers is set. (RequestArrived.Concurrency is the number that one instance can
+	// run.) The policy does not read FunctionConcurrency.
 	FunctionConcurrency int
-	// RequestClosed says that the request needs no answer, because its client has the final answer or has
-	// cancelled the request. It must be true if the outcome is Served: if it is false, the policy may send
-	// the request again, whatever the outcome.
+	// RequestClosed says that the request needs no answer, because its client has the final answer, has
+	// cancelled the request or has disconnected. RequestClosed must be true if the outcome is Served: if it
+	// is false, the policy may send the request again, whatever the outcome.
 	RequestClosed bool
 	Duration      time.Duration
-	LoadReport    []float64 // in the order of Config.LoadReportFields; empty if the answer carried none
+	LoadReport    []float64 // in the order of Config.LoadReportFields; empty if the answer had no load report
 }
 
 func (EndpointUpdate) event()   {}
--- a/policy/functions.go
+++ b/policy/functions.go
@@ -14,7 +14,7 @@
 // function holds what the policy has learned about one function from this router's requests.
 type function struct {
 	id             FunctionID
-	loadTime       time.Duration // usual time of a load, hinted by the latest request
+	loadTime       time.Duration // usual duration of a load, as hinted by the latest request
 	lastRequest    time.Duration // time of the latest request
 	runTime        runTimeEstimate
 	served         bool    // a worker has served a request for the function
@@ -36,13 +36,13 @@
 	f.lastRequest = p.now
 	f.loadTime = e.LoadTime
 	if unknown := f.loadTime <= 0 || f.loadTime > longestPlausibleTime; unknown {
-		f.loadTime = c.settings.LatencyObjective // the time that a whole answer may take
+		f.loadTime = c.settings.LatencyObjective // assumed to be as long as a whole answer may take
 	}
 	return f
 }
 
-// recordSaturation counts a late answer or a rejection for overload although the function was loaded: one
-// more replica is needed. maxSaturation bounds the count.
+// recordSaturation counts a late answer, or a rejection for overload, of a worker that was expected to have
+// the function loaded: one more replica is needed. maxSaturation bounds the count.
 func (f *function) recordSaturation(maxSaturation int) {
 	f.saturation = min(f.saturation+1, float64(maxSaturation))
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -8,7 +8,7 @@
 
 const (
 	// gossipEntrySize is the size of a gossip entry in bytes: the big-endian ids of a worker and of a
-	// function that the worker has loaded. The other routers read this format.
+	// function that the worker has loaded. All routers use this format.
 	gossipEntrySize = 16
 
 	// gossipMaxEntries is the largest number of entries in a message; the latest entries are kept.
@@ -33,12 +33,14 @@
 	budget  float64 // number of receivers that messages may be sent to
 }
 
-// addBudget adds the budget of one request. The budget is at most one message to all routers.
+// addBudget adds the budget of one request. The budget is at most the number of routers, which is enough for
+// one message to all other routers.
 func (g *gossipOutbox) addBudget(routers int) {
 	g.budget = min(g.budget+gossipBudgetPerRequest, float64(routers))
 }
 
-// announce adds to the next message that f is loaded at i's worker, unless this was announced recently.
+// announce adds an entry to the next message: f is loaded at i's worker. It does nothing if the settings do
+// not allow gossip, if there is no other router, or if the same entry was added recently.
 func (p *Policy) announce(i *instance, f *function) {
 	hasPeers := p.cfg.AllowGossip && p.cfg.RouterCount > 1
 	if !hasPeers || p.now-i.announcedAt <= p.cfg.InstanceKeepAlive/announceDivisor {
--- a/policy/instances.go
+++ b/policy/instances.go
@@ -6,8 +6,8 @@
 type instance struct {
 	worker             *worker
 	warmUntil          time.Duration // until when the function is assumed loaded
-	announcedAt        time.Duration // when the other routers were last told that it is loaded
-	loadEndsAt         time.Duration // expected end of a load under way; 0: no load is under way
+	announcedAt        time.Duration // when announce last added the instance to the gossip
+	loadEndsAt         time.Duration // expected end of the load under way; 0: no load is under way
 	inFlight           int           // this router's attempts in flight
 	concurrency        int           // largest number of this router's requests served at the same time
 	loadCommandPending bool          // this router's load command has no answer yet
@@ -35,9 +35,9 @@
 // soon shows that it is not loaded.
 func (i *instance) isWarm(now time.Duration) bool { return now < i.warmUntil || i.inFlight > 0 }
 
-// isBusy reports whether one more request would exceed the number of requests that the instances can run at
-// the same time. That number is assumed to be the larger of the concurrency that the request states for one
-// instance and the largest number of requests that were served at the same time.
+// isBusy reports whether one more request would exceed the number of requests that the worker's instances of
+// the function can run at the same time. That number is assumed to be the larger of the concurrency that the
+// request states for one instance and the largest number of requests that were served at the same time.
 func (i *instance) isBusy(instanceConcurrency float64) bool {
 	return float64(i.inFlight) >= max(instanceConcurrency, 1, float64(i.concurrency))
 }
--- a/policy/learning.go
+++ b/policy/learning.go
@@ -41,10 +41,10 @@
 		p.recordWorkerAnswered(a.worker)
 		p.learnFromRejection(a, e)
 	case Cancelled, TimedOut:
-		// The attempt counts as unserved if the request's time has run out, the function was assumed warm,
-		// and the attempt took far longer than predicted. An earlier cancellation by the client or the router
-		// proves nothing about the worker. Only the request's class is affected, because the worker may serve
-		// other classes well.
+		// The attempt counts as unserved if the request's final answer is due, the function was assumed warm,
+		// and the attempt took far longer than predicted. A cancellation by the client or the router before
+		// the final answer is due proves nothing about the worker. Only the estimate for the request's class
+		// changes, because the worker may serve other classes well.
 		farBeyondPrediction := e.Duration > outlierClip*a.expectedLatency
 		if !a.wasCold && p.outOfTime(a.request) && farBeyondPrediction {
 			p.recordUnserved(a, 1)
@@ -113,12 +113,12 @@
 }
 
 // learnLateness updates the standing delay, which covers all workers, and the saturation of the function's
-// replicas. delay is the answer's latency without the predicted run time. An answer that includes a load does
-// not raise either of them.
+// replicas. delay is the answer's latency without the predicted run time. An answer that reports a load
+// raises neither of them.
 func (p *Policy) learnLateness(a *attempt, e AttemptEnded, delay nanoseconds) {
 	f := a.request.function
 	objective := p.classOf(a.request).settings.LatencyObjective
-	// If answers do not report loads, an answer that was delayed by a load counts as one without a load.
+	// If answers do not report loads, every answer counts as one without a load.
 	withoutLoad := e.InstanceStatus == InstanceUnknown || e.InstanceStatus == InstanceWarm
 	if !a.wasCold && withoutLoad {
 		p.observeStandingDelay(delay, outlierClip*nanoseconds(objective))
@@ -140,7 +140,7 @@
 }
 
 // learnQueueing learns how long requests queue at the worker: the delay per request of this router in flight,
-// and the excess delay. queueing is the predicted delay.
+// and the excess delay. runTime and queueing are the predicted run time and queueing delay.
 func (p *Policy) learnQueueing(a *attempt, e AttemptEnded, runTime, queueing nanoseconds) {
 	queue := &a.worker.queue
 	inFlight := float64(a.inFlightBefore)
@@ -180,7 +180,7 @@
 	c.runTime.observe(runTime)
 }
 
-// learnFromRejection learns from an answer without a result.
+// learnFromRejection updates the estimates from an answer without a result: an error, a rejection or a miss.
 func (p *Policy) learnFromRejection(a *attempt, e AttemptEnded) {
 	i := a.instance
 	if e.Outcome == FunctionNotLoaded || e.InstanceStatus == LoadFailed {
@@ -191,7 +191,7 @@
 	switch {
 	case e.InstanceStatus == LoadFailed:
 		p.loadBackoff.extend(p.now, 1)
-	case e.Outcome == Errored && a.request.function.served: // else the request itself may cause the error
+	case e.Outcome == Errored && a.request.function.served: // otherwise, the request may cause the error
 		p.recordUnserved(a, 1)
 	case e.Outcome == WorkerOverloaded && a.expectedWarm():
 		p.learnFromOverload(a, e)
--- a/policy/load_backoff.go
+++ b/policy/load_backoff.go
@@ -13,9 +13,9 @@
 	maxLoadPauseDoublings = 5
 )
 
-// loadBackoff slows down loads while loads fail, at any worker: loads then begin one at a time with growing
-// pauses, to reduce the load on the store that functions are loaded from. A failed load counts once for each
-// answer that reports it.
+// loadBackoff slows down the loads at all workers while loads fail at any worker: loads then begin one at a
+// time with growing pauses, to reduce the load on the store that functions are loaded from. A failed load
+// counts once for each answer that reports it.
 type loadBackoff struct {
 	failures int           // answers that reported a failed load since a load last succeeded
 	until    time.Duration // end of the latest pause
--- a/policy/load_commands.go
+++ b/policy/load_commands.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// allowsAnother reports whether one more load command at now stays within the budget. A command sent exactly
-// at the start of the window counts, but a request that arrived exactly then does not, so the budget is kept
-// under either definition of the window.
+// allowsAnother reports whether one more load command at now stays within the budget. It counts a command
+// that was sent exactly at the start of the window, but not a request that arrived exactly then, so the
+// budget is kept whether or not the start belongs to the window.
 func (b *loadCommandBudget) allowsAnother(now time.Duration) bool {
 	if b.window <= 0 {
 		return true
@@ -73,7 +73,8 @@
 }
 
 // waitForLoad makes r wait for a load at i's worker, which lacks r's function. It commands the load unless a
-// command is pending. It returns false if the rules or the budget forbid the command.
+// command is pending. It returns false if the rules or the budget forbid the command. Otherwise, r may be
+// sent to this worker again after the load, although an attempt there has failed.
 func (p *Policy) waitForLoad(r *request, i *instance) bool {
 	if !i.loadCommandPending && !p.commandLoad(i, r.function) {
 		return false
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -23,8 +23,9 @@
 	// failed worker.
 	minHealthCheckInterval = 4 * housekeepingInterval
 
-	// cancelTicks is the largest number of ticks until a cancelled attempt's request is sent elsewhere: one
-	// until the attempt's end is known, and one until the next attempt is at its worker.
+	// cancelTicks is the largest number of ticks from the cancellation of an attempt to the arrival of the
+	// next attempt at its worker: one tick until the policy learns that the cancelled attempt has ended, and
+	// one until the next attempt is at its worker.
 	cancelTicks = 2
 
 	// silenceFactor determines when a worker with attempts in flight counts as silent: when it has not
@@ -37,7 +38,7 @@
 // health holds what the policy knows about whether a worker serves requests.
 type health struct {
 	lastAnswer           time.Duration // when the worker last answered anything
-	lastHealthCheck      time.Duration // when its health was last checked
+	lastHealthCheck      time.Duration // when the policy last sent or tried to send a health check
 	checkPending         bool          // the latest health check has no result yet
 	lastReset            time.Duration // when a connection to it last broke during an attempt
 	consecutiveEjections int           // ejections since it last answered
@@ -56,8 +57,8 @@
 	w.health.ejectedUntil = 0
 }
 
-// eject keeps requests away from w for a time. Each further ejection in a row lasts longer, up to
-// maxEjectionTime. A failure during an ejection has no effect.
+// eject ejects w for a time, in which w gets no requests. Each further ejection in a row lasts longer, up to
+// maxEjectionTime. eject has no effect before the time of an earlier ejection is over.
 func (p *Policy) eject(w *worker) {
 	h := &w.health
 	if p.now < h.ejectedUntil {
@@ -115,8 +116,8 @@
 }
 
 // healthCheckEnded handles the result of a health check. If the check failed and the worker has answered
-// nothing since the check was sent, the worker is ejected, and those of its attempts are cancelled whose
-// requests may be sent elsewhere.
+// nothing since the check was sent, healthCheckEnded ejects the worker and cancels those of its attempts
+// whose requests may be sent elsewhere.
 func (p *Policy) healthCheckEnded(e HealthCheckEnded) {
 	w := p.workers[e.Worker]
 	if w == nil {
@@ -136,9 +137,9 @@
 }
 
 // cancelRepeatableAttempts cancels the attempts at w whose requests may be sent elsewhere once the attempts
-// have ended. It decides by the class and the attempt's own age only: the rules may still forbid the repeat,
-// because the attempts are used up, because of the DedupScope, or because of an earlier attempt that may have
-// run.
+// have ended. It checks only the request's class and the age of the attempt. The rules may still forbid the
+// repeat because MaxAttempts is reached, because the next worker does not share the DedupScope, or because of
+// an earlier attempt that may have run.
 func (p *Policy) cancelRepeatableAttempts(w *worker) {
 	repeatedAt := p.now + cancelTicks*p.cfg.Tick
 	for _, a := range slices.Clone(w.inFlight) {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -9,7 +9,7 @@
 // target is a worker that a request may be sent to.
 type target struct {
 	worker     *worker
-	score      nanoseconds // lowest score of all candidates; this worker's own may be up to a tick higher
+	score      nanoseconds // lowest score of all candidates; this worker's score may be up to a tick higher
 	latency    nanoseconds // predicted latency at this worker
 	likelyWarm bool        // the function is probably loaded here, but without this router's knowledge
 }
@@ -18,7 +18,8 @@
 //
 //  1. The candidates are the workers that the rules allow, that are not ejected, and that have not failed r.
 //  2. The preferred worker is the one that should load r's function if the function must be loaded.
-//  3. While loads fail, workers at which r would start a load are removed from the candidates.
+//  3. While loadBackoff is active, most workers at which r would start a load are removed from the
+//     candidates; see withoutNewLoads.
 //  4. If a candidate is left, admission decides whether r is sent to the one with the lowest score.
 //  5. If none is left, r waits if a worker may take it in time; otherwise it is refused.
 func (p *Policy) place(r *request) {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -9,10 +9,11 @@
 
 const (
 	// housekeepingInterval is the time between two runs of the periodic work. It bounds how late a waiting
-	// request, a silent worker or a pending gossip message is noticed: it is far below any latency objective,
-	// and the work is cheap. A shorter interval costs more processor time; a longer interval adds latency. It
-	// is also the shortest Retry-After before its random reduction, the shortest wait before a new
-	// subscription, and the unit of the pauses between health checks and between loads that fail.
+	// request, a silent worker or a pending gossip message is noticed. The interval is far below any latency
+	// objective, and the periodic work is cheap. A shorter interval costs more processor time; a longer
+	// interval adds latency. housekeepingInterval is also the shortest Retry-After before its random
+	// reduction, the shortest wait before a new subscription, and the unit of the pauses between health
+	// checks and between loads while loads fail.
 	housekeepingInterval = 50 * time.Millisecond
 
 	// sweepInterval is the time between two sweeps, which decay the served work and delete unused entries.
--- a/policy/quotas.go
+++ b/policy/quotas.go
@@ -10,8 +10,8 @@
 	maxQuotaPerSecond = 1e9
 
 	// quotaBurstDeviations is the number of standard deviations of a second's arrivals that a bucket holds in
-	// addition to a second's tokens, so that random variation does not put a tenant that keeps to its quota
-	// beyond it.
+	// addition to a second's tokens, so that requests of a tenant that keeps to its quota do not count as
+	// beyond the quota because of random variation.
 	quotaBurstDeviations = 3
 )
 
@@ -37,7 +37,7 @@
 }
 
 // assignQuota links a new request to the quota of its tenant, refills the quota to now, and records whether
-// the request is beyond it.
+// the request is beyond the quota. A request of an unknown tenant has no quota.
 func (p *Policy) assignQuota(r *request) {
 	tenant := r.arrived.Tenant
 	if tenant < 0 || tenant >= len(p.quotas) {
@@ -48,9 +48,10 @@
 	r.overQuota = r.quota.tokens < 1
 }
 
-// chargeQuota takes a token for r's first attempt, if r was within its quota on arrival. The token is not
-// taken on arrival, because a refused request that the client sends again is the same request and would be
-// charged twice. If several requests arrive before the first of them is charged, the tokens may fall below 0.
+// chargeQuota takes a token for r's first attempt, if r was within its tenant's quota on arrival. The token
+// is not taken on arrival, because a refused request that the client sends again is the same request and
+// would be charged twice. If several requests arrive before the first of them is charged, the tokens may fall
+// below 0.
 func chargeQuota(r *request) {
 	firstAttempt := len(r.attempts) == 0
 	if firstAttempt && r.quota != nil && !r.overQuota {
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -19,8 +19,10 @@
 
 // preference says at which worker a request's function should be loaded.
 type preference struct {
-	worker          *worker // nil: no candidate would start a load
-	warmProbability float64 // probability that the function is loaded there unknown to this router, 0 to 1
+	worker *worker // nil: every candidate has the function loaded or is loading it
+	// warmProbability is the probability, 0 to 1, that the function is loaded at worker without this router's
+	// knowledge.
+	warmProbability float64
 }
 
 // isLikelyWarm reports whether w is the preferred worker and the function is probably loaded there, without
@@ -29,9 +31,9 @@
 	return w == p.worker && p.warmProbability >= likelyWarmProbability
 }
 
-// preferredWorker returns the worker at which r's function should be loaded: of the candidates that would
-// start a load, the one that ranks first for this router's replica of the function. Workers are ranked by
-// rendezvous hashing (highest random weight), which gives the same order at all routers.
+// preferredWorker returns the worker at which r's function should be loaded: of the candidates at which r
+// would start a load, the one that ranks first for this router's replica of the function. Workers are ranked
+// by rendezvous hashing (highest random weight), which gives the same order at all routers.
 func (p *Policy) preferredWorker(r *request, candidates []*worker) preference {
 	key, replicas := p.replica(r)
 	var first, preferred *worker
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -12,8 +12,8 @@
 	// may pass until the timer fires, and one until the answer has left the router.
 	answerMarginTicks = 2
 
-	// retryJitter is the part of a Retry-After that is drawn at random. With a higher value, some clients
-	// retry too early; with a lower value, clients that were refused together retry together.
+	// retryJitter is the largest share by which a Retry-After is reduced at random. With a higher value, some
+	// clients retry too early; with a lower value, clients that were refused together retry together.
 	retryJitter = 0.5
 )
 
@@ -29,7 +29,7 @@
 	arrived          RequestArrived // as received, with a TimeLeft of at least 0
 	function         *function
 	deadline         time.Duration
-	quota            *tokenBucket // quota of its tenant; nil: the tenant has none
+	quota            *tokenBucket // quota of its tenant; nil: the tenant is unknown
 	attempts         []*attempt   // in the order in which they were sent
 	attemptsInFlight int
 	mayHaveRun       *attempt  // the first attempt that may have run; nil: none
@@ -83,7 +83,7 @@
 	}
 }
 
-// clientCancelled closes a request that needs no answer because its client has cancelled it.
+// clientCancelled closes a request that needs no answer from the policy; see ClientCancelled.
 func (p *Policy) clientCancelled(e ClientCancelled) {
 	if r := p.requests[e.Request]; r != nil {
 		p.closeRequest(r)
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -71,8 +71,8 @@
 	return r.mayHaveRun == nil || p.repeatAllowed(r, w)
 }
 
-// repeatAllowed reports whether r, which may have run, may run again at w. A nil w stands for a worker that
-// is not listed yet.
+// repeatAllowed reports whether r, which may have run, may be sent again to w. A nil w stands for a worker
+// that is not listed yet.
 func (p *Policy) repeatAllowed(r *request, w *worker) bool {
 	settings := &p.classOf(r).settings
 	earlierAttempt := r.mayHaveRun
@@ -94,8 +94,8 @@
 	return neverRan || settings.Idempotency == Idempotent || detectedEverywhere
 }
 
-// repeatableAt reports whether a request that was sent at sentAt may run again at repeatedAt, at a worker
-// that knows its idempotency key.
+// repeatableAt reports whether a request that was sent at sentAt may be sent again to arrive at repeatedAt,
+// at a worker that shares the DedupScope of the earlier attempt's worker.
 func (c *Class) repeatableAt(repeatedAt, sentAt time.Duration) bool {
 	switch c.Idempotency {
 	case Idempotent:
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -8,12 +8,12 @@
 // slowStartMargin is the share of the calculated limit for a warming worker that this router uses. The rest
 // allows for the errors of the other routers' estimates and for random variation. With a higher value, the
 // requests of all routers together can make a worker that has just started fail; with a lower value, the
-// worker stays idle.
+// worker's capacity stays unused.
 const slowStartMargin = 0.7
 
 // slowStart is the state of a worker whose process has just started and therefore has less capacity.
 type slowStart struct {
-	startedAt    time.Duration // start of its process; 0: unknown, it has its full capacity
+	startedAt    time.Duration // start of the process; 0: unknown, and full capacity is assumed
 	roundingDraw float64       // part of a request, 0 to 1, drawn at each start; see slowStartAdmits
 	recentSends  []*attempt    // this router's attempts within OverloadWindow; recentWork drops older ones
 }
@@ -46,7 +46,8 @@
 //	capacity  warmingCapacity of w, a share of its full capacity
 //	mean      the work that one worker serves for this router on average in OverloadWindow
 //
-// A router that has served nothing recently sends nothing to a warming worker.
+// A router whose requests were not served recently sends nothing to a warming worker. There is no limit if
+// OverloadWindow or OverloadMultiple is 0.
 func (p *Policy) slowStartAdmits(w *worker, class int) bool {
 	window := p.cfg.OverloadWindow
 	capacity := p.warmingCapacity(w)
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// setTimer asks the router for a TimerFired event of t after a time.
+// setTimer asks the router for a TimerFired event with the token of t after the given time.
 func (p *Policy) setTimer(after time.Duration, t timer) {
 	p.emit(SetTimer{After: after, Token: t.token()})
 }
