--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -9,9 +9,10 @@
 const (
 	// outlierClip bounds the effect of one observation on an estimate. A run time counts as at most
 	// outlierClip times the expected run time. A delay counts as at most outlierClip times the latency
-	// objective. For the delay per request in flight (queueEstimate.slope), a delay counts as at most
-	// outlierClip times the sum of the expected run time and the expected queueing delay. With a higher
-	// value, one stalled answer distorts an estimate; with a lower value, a real increase is learned slowly.
+	// objective. For the delay per request (queueEstimate.slope, and queueSlope and delayPerQueued in
+	// fleetEstimates), a delay counts as at most outlierClip times the sum of the predicted run time and the
+	// predicted queueing delay. With a higher value, one stalled answer distorts an estimate; with a lower
+	// value, a real increase is learned slowly.
 	//
 	// The policy uses outlierClip for two other limits. An attempt without an answer can count as unserved
 	// only if it took longer than outlierClip times its predicted latency. If a worker rejects a request for
