--- a/policy/admission.go
+++ b/policy/admission.go
@@ -107,7 +107,9 @@
 //
 // shouldShed draws one random number per call, whatever the probability: skipping a draw would change all
 // later draws.
-func (p *Policy) shouldShed(r *request, w *worker, latency nanoseconds) (shed bool, recoveryTime nanoseconds) {
+func (p *Policy) shouldShed(
+	r *request, w *worker, latency nanoseconds,
+) (shed bool, recoveryTime nanoseconds) {
 	start, objective := p.shedThreshold(r, latency)
 	delay := max(p.estimates.standingDelay, nanoseconds(p.otherRoutersShare())*w.queue.excess(p.now))
 	probability := min(shedSlope*(float64(delay/objective)-start), maxShedProbability)
