--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,8 +7,8 @@
 	// the delay. The next two constants replace shedStart for some requests. With higher values of the three,
 	// queueing uses up the objective; with lower values, requests are shed that would be served in time.
 	shedStart = 0.5
-	// shedStartLowerValue replaces shedStart for requests of a class whose value density another class
-	// exceeds by more than the factor minValueDensityRatio.
+	// shedStartLowerValue replaces shedStart for a request if the value density of another class is more than
+	// minValueDensityRatio times that of the request's class.
 	shedStartLowerValue = 0.25
 	// shedStartLateOrOverQuota replaces shedStart and shedStartLowerValue for requests that are predicted to
 	// miss their latency objective or are beyond their tenant's quota. If a request is beyond the quota, the
@@ -35,12 +35,14 @@
 	explorationInterval = time.Second
 )
 
-// admit reports whether the router sends r to chosen, the worker with the lowest score. If it does not, admit
-// ends r unserved at once, for one of these reasons:
+// admit reports whether the router sends r to chosen, the result of lowestScore: a worker that is drawn from
+// the candidates whose scores are at most one Tick above the lowest score. If the router does not send r,
+// admit ends r unserved at once, for one of these reasons:
 //
 //   - The predicted latency at the chosen worker is longer than the time until r's deadline. Another
-//     candidate may have a shorter predicted latency, because scores are not latencies: the score of the
-//     preferred worker is always reduced by the bonus that lowestScore describes.
+//     candidate may have a shorter predicted latency, for two reasons: scores are not latencies, because the
+//     score of the preferred worker is always reduced by the bonus that lowestScore describes; and the scores
+//     of the candidates that the chosen worker is drawn from may differ by up to one Tick.
 //   - r is beyond its tenant's quota, and even the lowest score exceeds r's latency objective.
 //   - r is shed because of overload; see shouldShed. A retry is not shed, whatever the outcomes of the
 //     earlier attempts were, because a worker may already have done work for r.
@@ -49,9 +51,11 @@
 // predicted latency there. It uses the reduced latency for the check of the deadline and passes it to
 // shouldShed.
 //
-// At most once per explorationInterval, a request is admitted although it is predicted to miss its deadline
-// or would be shed, so that its answer can correct a wrong estimate. admit calls shouldShed, which draws a
-// random number, whether or not it uses the result.
+// At most once per explorationInterval, a request that is not beyond its tenant's quota is admitted although
+// it is predicted to miss its deadline or would be shed, so that its answer can correct a wrong estimate.
+//
+// admit always calls shouldShed, even if the result does not affect whether r is admitted. The reason is that
+// shouldShed draws a random number, and skipping a draw would change all later draws.
 func (p *Policy) admit(r *request, chosen target) bool {
 	latency := chosen.latency
 	if chosen.likelyWarm {
@@ -86,16 +90,15 @@
 	return true
 }
 
-// shouldShed draws at random whether r is shed in overload. recoveryTime is the predicted time until the
-// delay has fallen to the shedding threshold, start * objective; it is negative if the delay is below the
-// threshold. While most answers are delayed too long, serving every request makes all of them late, so the
-// policy sheds a part of the requests that grows with the delay:
+// shouldShed draws at random whether r is shed in overload. While most answers are delayed too long, serving
+// every request makes all of them late, so the policy sheds a part of the requests that grows with the delay:
 //
 //	probability = min(shedSlope * (delay/objective - start), maxShedProbability)
 //
-//	delay      the longer of two delays: the standing delay of the workers that this router uses, and the
-//	           part of the excess queueing delay at w that is attributed to other routers. That part is the
-//	           excess times otherRoutersShare: 0 for a single router, which causes the whole excess itself.
+//	delay      the longer of two delays: the standing delay of the workers that this router uses (see
+//	           fleetEstimates.standingDelay), and the part of the excess queueing delay at w (see
+//	           queueEstimate.excess) that is attributed to other routers. That part is the excess times
+//	           otherRoutersShare: 0 for a single router, which causes the whole excess itself.
 //	objective  the shortest of r's latency objective and those of all classes of higher value
 //	start      the ratio at which shedding begins, by the first case that applies:
 //	           1. shedStartLateOrOverQuota * OverQuotaWeight if r is beyond its tenant's quota
@@ -105,6 +108,9 @@
 //
 // A class is of higher value if its value density is more than minValueDensityRatio times that of r's class.
 //
+// The shedding threshold is start * objective. recoveryTime is the predicted time until the delay has fallen
+// to the threshold; it is negative if the delay is below the threshold.
+//
 // shouldShed draws one random number per call, whatever the probability: skipping a draw would change all
 // later draws.
 func (p *Policy) shouldShed(
--- a/policy/config.go
+++ b/policy/config.go
@@ -40,8 +40,9 @@
 	Streamed         bool          // the response is streamed
 	PriorityWeight   float64       // value of an answer within the objective, relative to other classes
 	LateWeight       float64       // value of an answer after the objective
-	// ObjectiveStretch lengthens the LatencyObjective of a request by this multiple of the request's work; 0
-	// means that the objective is not lengthened.
+	// ObjectiveStretch is the multiple of a request's work by which the request's objective is longer than
+	// LatencyObjective; 0 means that the objective is not lengthened. The policy does not read
+	// ObjectiveStretch: it uses LatencyObjective unchanged.
 	ObjectiveStretch float64
 }
 
@@ -87,22 +88,24 @@
 	AllowHedging      bool          // two attempts of a request may be in flight at the same time
 	AllowRetryAfter   bool          // clients receive RefuseRequest.RetryAfter
 	MaxRetryAfter     time.Duration // largest RefuseRequest.RetryAfter; 0: clients receive none
-	// OverQuotaWeight is not a weight but a factor: it multiplies the delay at which the policy begins to
-	// shed requests beyond their tenant's quota. A factor of 1 does not change that delay. With a factor of
-	// 0, shedding begins at any delay above 0: a first attempt is shed with a probability of twice the ratio
-	// of the delay to the latency objective, at most 0.9, and a retry is never shed. Callers that do not use
-	// the factor must set it to 1.
+	// OverQuotaWeight is not a weight but a factor: it multiplies the shedding threshold, which is the delay
+	// above which the policy sheds requests beyond their tenant's quota. The comment of Policy.shouldShed
+	// defines this delay, and the objective that the delay is divided by. A factor of 1 does not change the
+	// threshold. With a factor of 0, shedding begins at any delay above 0: a first attempt is shed with a
+	// probability of twice the ratio of the delay to that objective, at most 0.9, and a retry is never shed.
+	// Callers that do not use the factor must set it to 1.
 	OverQuotaWeight float64
 
 	// ImplicitListAge is the age from which a router without a subscription is assumed to know an entry of
 	// the endpoint list: an entry that was listed at least this long ago, whether or not the router received
 	// the update. The policy renews a lost subscription well before that age.
 	ImplicitListAge   time.Duration
-	SlowStartCapacity float64       // least share of the full capacity when a process starts, 0 to 1
+	SlowStartCapacity float64       // share of full capacity that a worker's process starts with, 0 to 1
 	SlowStartDuration time.Duration // time from a process's start until the worker has its full capacity
-	// OverloadMultiple determines when a worker that is warming up fails: when all routers together send it,
-	// within OverloadWindow, more work than this multiple of what its capacity can serve in that time. If
-	// OverloadMultiple or OverloadWindow is 0, the policy does not limit the work for such a worker.
+	// OverloadMultiple determines how much work a worker can get while it is warming up. The worker fails if
+	// the work that all routers together send it within OverloadWindow exceeds OverloadMultiple times the
+	// work that its capacity can serve in that time. If OverloadMultiple or OverloadWindow is 0, the policy
+	// does not limit the work for such a worker.
 	OverloadMultiple float64
 	OverloadWindow   time.Duration // time over which the work sent to a worker that is warming up is summed
 	// DrainGrace is the time within which the router must stop sending to a worker after it has learned that
--- a/policy/config_check.go
+++ b/policy/config_check.go
@@ -23,8 +23,9 @@
 	return validateNumbers(cfg)
 }
 
-// firstFault returns the first field of c with an invalid value, and what is wrong with the value. It returns
-// empty strings if all times are in range and all enumerations have known values.
+// firstFault returns a field of c with an invalid value, and what is wrong with the value. If several fields
+// are invalid, it returns the one that comes first in its switch. It returns empty strings if all times are
+// in range and all enumerations have known values.
 func (c *Class) firstFault() (field, reason string) {
 	switch {
 	case c.LatencyObjective <= 0:
@@ -43,8 +44,8 @@
 }
 
 // validateNumbers returns a [*ConfigError] for the first of the settings below that is negative or not finite
-// or, for SlowStartCapacity, above 1. It does not check RouterCount, MaxRetryAfter, ImplicitListAge,
-// DrainGrace, LoadCommandTimeout, OverQuotaWeight and the quotas of the tenants; see [Config].
+// or, for SlowStartCapacity, above 1. The comment of [Config] explains why New does not check the other
+// settings.
 func validateNumbers(cfg *Config) error {
 	return cmp.Or(
 		validateNumber("MaxAttempts", cfg.MaxAttempts, noUpperBound),
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -8,15 +8,21 @@
 
 const (
 	// outlierClip bounds the effect of one observation on an estimate. A run time counts as at most
-	// outlierClip times the expected run time. A delay counts as at most outlierClip times the latency
-	// objective. For the delay per request (queueEstimate.slope, and queueSlope and delayPerQueued in
-	// fleetEstimates), a delay counts as at most outlierClip times the sum of the predicted run time and the
-	// predicted queueing delay. With a higher value, one stalled answer distorts an estimate; with a lower
-	// value, a real increase is learned slowly.
+	// outlierClip times the expected run time. The bound of a delay that is observed in an answer or a load
+	// report depends on the estimate:
 	//
-	// The policy uses outlierClip for two other limits. An attempt without an answer can count as unserved
-	// only if it took longer than outlierClip times its predicted latency. If a worker rejects a request for
-	// overload, the policy assumes a delay of at least outlierClip run times at that worker.
+	//   - In fleetEstimates.standingDelay and queueEstimate.excessDelay, the delay counts as at most
+	//     outlierClip times the latency objective.
+	//   - In the estimates of the delay per request, which are queueEstimate.slope, fleetEstimates.queueSlope
+	//     and fleetEstimates.delayPerQueued, it counts as at most outlierClip times the sum of the predicted
+	//     run time and the predicted queueing delay.
+	//
+	// With a higher value, one stalled answer distorts an estimate; with a lower value, a real increase is
+	// learned slowly.
+	//
+	// The policy uses outlierClip for two other limits. An attempt that was cancelled or timed out can count
+	// as unserved only if it took longer than outlierClip times its predicted latency. If a worker rejects a
+	// request for overload, the policy assumes a delay of at least outlierClip run times at that worker.
 	outlierClip = 3
 
 	// initialRunTimeShare is the run time that is assumed until answers arrive, as a share of the latency
@@ -24,32 +30,34 @@
 	initialRunTimeShare = 0.25
 
 	// runTimePrior is the weight, in answers, of the class's run time in the estimate for a function. With a
-	// higher value, a run time that differs from the class's is learned late; with a lower value, the first
+	// higher value, a run time that differs from the class's is learned slowly; with a lower value, the first
 	// answers of a function dominate its estimate. It is also the initial weight, in answers, of the
 	// assumption that work hints are exact.
 	runTimePrior = 5
 
 	// runTimeWindow is the number of answers over which a mean run time is averaged. With a higher value, a
-	// change is learned late; with a lower value, the mean follows random variation.
+	// change is learned slowly; with a lower value, the mean follows random variation.
 	runTimeWindow = 30
 
 	// ratioRetention is the factor by which a ratioEstimator multiplies its sums at each observation, and by
-	// which a function's saturation is multiplied at each answer that meets the latency objective. The sums
-	// cover about 1/(1-0.97), that is 33, observations. With a higher value, a change is learned late; with a
+	// which function.saturation is multiplied at each answer that meets the latency objective. The sums cover
+	// about 1/(1-0.97), that is 33, observations. With a higher value, a change is learned slowly; with a
 	// lower value, the ratio follows random variation.
 	ratioRetention = 0.97
 
-	// delayTimeConstant is the time in which the weights of the observations in a decayingMean fall by the
-	// factor e, if their sum is at least fullDecayObservations. The mean itself falls by less, because it
-	// includes a constant observation of 0. The time applies to the excess delay at a worker, since a queue
-	// becomes empty in about that time, and to the share of attempts that the worker leaves unserved. With a
-	// longer time, a worker is still avoided after its delay is over; with a shorter time, the result of a
-	// few answers decays before the next answers arrive.
+	// delayTimeConstant is the time constant of a decayingMean, a type that is defined below. In this time,
+	// the weights of the observations fall by the factor e, if the sum of the weights is at least
+	// fullDecayObservations. The mean itself falls by less, because it also includes an observation of 0
+	// whose weight is constant. The time applies to the excess delay at a worker, since a queue becomes empty
+	// in about that time, and to the share of attempts that the worker leaves unserved. With a longer time, a
+	// worker is still avoided after its delay is over; with a shorter time, the result of a few answers
+	// decays before the next answers arrive.
 	delayTimeConstant = 3 * time.Second
 
-	// fullDecayObservations is the sum of the weights below which the weights in a decayingMean fall more
-	// slowly, in proportion to their sum; a sum below 1 counts as 1. If few answers arrive, no newer answers
-	// replace the older ones soon, so the older ones must keep their weight for longer.
+	// fullDecayObservations is the sum of weights from which a decayingMean decays at its full rate, which
+	// delayTimeConstant determines. If the weights of the observations add up to less, the rate of decay is
+	// lower, in proportion to the sum of the weights; a sum below 1 counts as 1. If few answers arrive, no
+	// newer answers replace the older ones soon, so the older ones must keep their weight for longer.
 	fullDecayObservations = 6
 
 	// maxReportedQueue is the largest queue length that is used from a load report, in requests. A longer
@@ -87,8 +95,8 @@
 	e.sumY = e.sumY*ratioRetention + y
 }
 
-// predict returns the y predicted for x. While the sum of the observed x is below 1, the predicted slope is
-// smaller than the fitted one.
+// predict returns the y predicted for x. While sumX is below 1, the predicted slope is smaller than the
+// fitted one. Since sumX decays with each observation, it can fall below 1 again after it has reached 1.
 func (e *ratioEstimator) predict(x float64) float64 { return x * e.sumY / max(e.sumX, 1) }
 
 // decayingMean is the mean of recent observations, whose weights decay over delayTimeConstant, and of one
@@ -142,8 +150,10 @@
 }
 
 // observeExcess records one observation of the excess delay. After an answer, the observation is the delay of
-// the answer less the delay that is predicted for this router's requests in flight. After a load report or a
-// rejection for overload, the observation is the whole delay that the policy derives from it.
+// the answer less the delay that is predicted for this router's requests in flight. After a load report, the
+// observation is the whole delay that is predicted from the reported queue length; see observeLoadReport.
+// After a rejection for overload, the observation is outlierClip times the predicted run time or the current
+// excess, whichever is longer; see learnFromOverload.
 func (q *queueEstimate) observeExcess(now time.Duration, delay nanoseconds) {
 	q.excessDelay.observe(now, float64(delay))
 }
