--- a/example/toy/resp.go
+++ b/example/toy/resp.go
@@ -8,10 +8,11 @@
 	"strings"
 )
 
-// maxRESPLineBytes limits a line that gives a count or a length: the type byte, five digits and the line break.
+// maxRESPLineBytes limits a line that gives a count or a length in RESP, the Redis serialization protocol. The limit
+// allows for the type byte, five digits and the line break.
 const maxRESPLineBytes = 8
 
-// writeArray writes words as a RESP array of bulk strings.
+// writeArray writes words as an array of bulk strings in RESP, the Redis serialization protocol.
 func writeArray(w io.Writer, words ...string) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "*%d\r\n", len(words))
@@ -22,7 +23,7 @@
 	return err
 }
 
-// readArray reads a RESP array of bulk strings.
+// readArray reads an array of bulk strings in RESP, the Redis serialization protocol.
 func readArray(r *bufio.Reader) ([]string, error) {
 	count, err := readNumber(r, '*')
 	if err != nil {
--- a/internal/backend/keep_alive.go
+++ b/internal/backend/keep_alive.go
@@ -5,11 +5,13 @@
 	"time"
 )
 
-// If the network has cut off a connection, the pool closes the connection 0.4 s to 0.5 s after its oldest attempt in
-// flight was sent or its last complete answer arrived, whichever is later. The lower bound is the sum of keepAliveAfter
-// and keepAliveTimeout. The upper bound adds two SweepIntervals, because a sweep detects the end of each duration up to
-// one SweepInterval late. The pool closes the connection only if the worker answers on another connection; if that
-// answer arrives later, the pool closes the connection later.
+// If a keep-alive check is unanswered because the network has cut off the connection, the pool closes this connection
+// only if the worker has answered, on another connection, a call that was sent after the check. If that answer arrives
+// before keepAliveTimeout has passed since the check, the pool closes the cut-off connection 0.4 s to 0.5 s after its
+// oldest attempt in flight was sent or its last complete answer arrived, whichever is later. The lower bound is the sum
+// of keepAliveAfter and keepAliveTimeout. The upper bound adds two SweepIntervals, because a sweep detects the end of
+// each duration up to one SweepInterval late. If the answer on the other connection arrives later, the pool closes the
+// cut-off connection in the first sweep after that answer.
 const (
 	// keepAliveAfter is how long a connection with attempts in flight may go without a complete answer. After that the
 	// pool sends a keep-alive check over the connection and prefers other connections until an answer arrives.
@@ -30,9 +32,9 @@
 // because it shows that the connection works. The call itself stays in connection.pending until the answer with the
 // call's own wire ID arrives.
 type keepAlive struct {
-	lastAnswerAt           time.Duration // when the last complete answer arrived
-	latestAnsweredSendTime time.Duration // latest send time among the answered calls
-	checkSentAt            time.Duration // when the unanswered keep-alive check was sent; 0 if there is none
+	lastAnswerAt             time.Duration // when the last complete answer arrived
+	latestSendOfAnsweredCall time.Duration // latest send time among the answered calls of the connection
+	checkSentAt              time.Duration // when the unanswered keep-alive check was sent; 0 if there is none
 }
 
 // awaitsAnswer reports whether a keep-alive check was sent and no complete answer has arrived since then.
--- a/internal/backend/keep_alive_test.go
+++ b/internal/backend/keep_alive_test.go
@@ -65,8 +65,7 @@
 		t.Errorf("unresponsive connection closed: %v, want %v", unresponsive.Closed, healthy)
 	}
 	if err := logged.lastError("worker connection closed"); errors.Is(err, errUnresponsiveConnection) != healthy {
-		t.Errorf("the close of the connection logged the error %v; this error is %q: %v, want %v",
-			err, errUnresponsiveConnection, !healthy, healthy)
+		t.Errorf("logged error %v, want error %q: %v", err, errUnresponsiveConnection, healthy)
 	}
 	unresponsive.handler.OnClose(nil)
 	if ended := p.recorder.attempts[a]; len(ended) != 1 || ended[0] != policy.ConnectionReset {
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -113,7 +113,7 @@
 	}
 	c.release(call)
 	c.lastUsedAt = c.pool.now
-	c.keepAlive.latestAnsweredSendTime = max(c.keepAlive.latestAnsweredSendTime, call.sentAt)
+	c.keepAlive.latestSendOfAnsweredCall = max(c.keepAlive.latestSendOfAnsweredCall, call.sentAt)
 	c.pool.endAnswered(call, outcome, a)
 	return nil
 }
--- a/internal/backend/worker.go
+++ b/internal/backend/worker.go
@@ -42,5 +42,5 @@
 // answeredCallSentAfter reports whether the worker has answered, on any of its present connections, a call that was
 // sent after t.
 func (w *worker) answeredCallSentAfter(t time.Duration) bool {
-	return slices.ContainsFunc(w.connections, func(c *connection) bool { return c.keepAlive.latestAnsweredSendTime > t })
+	return slices.ContainsFunc(w.connections, func(c *connection) bool { return c.keepAlive.latestSendOfAnsweredCall > t })
 }
--- a/internal/frontend/thrift/doc.go
+++ b/internal/frontend/thrift/doc.go
@@ -12,6 +12,10 @@
 //	  Answer check(1: bool unused)
 //	}
 //
+// A client calls check to ask whether it should send requests to this router (Config.Ready); the router ignores the
+// argument. In the reply to check, good is true if the client should send requests, and body is empty. In an Answer to
+// execute, good is always true. In every Answer, the map is empty.
+//
 // # Terms
 //
 // A call is the invocation of a method on the wire. Its connection and its sequence ID identify it. A request is the
@@ -50,9 +54,9 @@
 // # Units, ownership, concurrency
 //
 // Times on the wire are in milliseconds: how long the client waits, how long the function takes to load, and Backoff's
-// "after", which is rounded up. In the code they are time.Durations, and points in time are durations on the event
-// loop's clock. A request's deadline is earlier than the end of the client's wait, so that the reply arrives in time;
-// see router.AnswerBudget.
+// "after", which is rounded up. In the code they are time.Durations. Points in time are readings of the event loop's
+// clock, which are time.Durations too. A request's deadline is earlier than the end of the client's wait, so that the
+// reply arrives in time; see router.AnswerBudget.
 //
 // The bytes that OnData receives belong to the event loop. The connection keeps no reference to them: it copies a
 // request's body and the beginning of an incomplete frame. Neither this package nor the Transport changes a buffer
--- a/internal/frontend/webhook/config_test.go
+++ b/internal/frontend/webhook/config_test.go
@@ -14,7 +14,7 @@
 	)
 	for name, test := range map[string]struct {
 		text    string
-		setting string // the setting that a settingError must name; empty: the error must be that of the TOML decoder
+		setting string // the setting that the settingError must name; empty: the error must not be a settingError
 	}{
 		"wrong type":        {"receiver.enabled = 3", ""},
 		"unknown setting":   {"[receiver]\nfoo = 1", "receiver.foo"},
@@ -37,12 +37,12 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := parseConfig("f", test.text)
 			if err == nil || !strings.HasPrefix(err.Error(), "webhook file f: ") {
-				t.Fatalf("error %v for %q, want one that names the file", err, test.text)
+				t.Fatalf("error %v for %q, want one that begins with \"webhook file f: \"", err, test.text)
 			}
 			var settingErr *settingError
 			if errors.As(err, &settingErr) != (test.setting != "") || settingErr != nil && settingErr.setting != test.setting {
-				t.Errorf("error %v is a settingError: %v, want %v (false: an error of the TOML decoder); setting that it must name: %q",
-					err, settingErr != nil, test.setting != "", test.setting)
+				t.Errorf("error %v (a settingError: %v), want a settingError for the setting %q; if that name is empty, want no settingError",
+					err, settingErr != nil, test.setting)
 			}
 		})
 	}
--- a/internal/frontend/webhook/ledger.go
+++ b/internal/frontend/webhook/ledger.go
@@ -93,9 +93,10 @@
 }
 
 // lockLedger locks the ledger at path until the returned file is closed. The lock prevents two processes from using the
-// ledger, because neither would see the orders of the other. If the lock is refused, the error wraps errLedgerInUse.
-// The lock is on a separate file, because a compaction replaces the ledger's file. The lock file is not deleted when
-// the ledger is closed.
+// ledger at the same time. Without the lock, neither process would see the orders that the other records, and an order
+// that is delivered to both processes could run twice. If the lock is refused, the error wraps errLedgerInUse. The lock
+// is on a separate file, because a compaction replaces the ledger's file. The lock file is not deleted when the ledger
+// is closed.
 func lockLedger(path string) (*os.File, error) {
 	lockFile, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, ledgerFileMode)
 	if err != nil {
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -28,7 +28,8 @@
 			"health check ends": m.endHealthCheck,
 			"submit":            m.submit,
 			"time passes":       m.advanceClock,
-			"":                  m.processAndCheck,
+			// rapid calls the action with the empty name before the first action and after each action.
+			"": m.processAndCheck,
 		})
 	})
 }
@@ -51,8 +52,8 @@
 	deadline   time.Duration
 	cancelled  bool
 	mayHaveRun bool // true if an attempt ended and its outcome does not prove that it never ran
-	// attemptsAllowed is the number of attempts sent when mayHaveRun was last set to true. Once mayHaveRun is true, it
-	// is the maximum number of attempts of a request of a non-idempotent class.
+	// attemptsAllowed is the number of attempts sent when mayHaveRun was last set to true. Once mayHaveRun is true,
+	// attemptsAllowed is the maximum number of attempts if the class of the request is non-idempotent.
 	attemptsAllowed int
 }
 
@@ -90,7 +91,7 @@
 		m.requests[id] = req
 		return
 	}
-	// Submit has refused the request, because it exceeds the limits.
+	// Submit has refused the request, because accepting it would exceed Limits.MaxOpenRequests or Limits.MaxBodyBytes.
 	if len(req.responder.responses) != 1 || req.responder.responses[0].Status != Refused {
 		t.Fatalf("Submit returned no id for request %s, and the answers to it are %v, want one with status Refused",
 			req.externalID, req.responder.responses)
--- a/internal/simwire/codes_test.go
+++ b/internal/simwire/codes_test.go
@@ -53,11 +53,12 @@
 	}
 }
 
-// A list that ends before the field with the number of entries must be reported as truncated, even if the code of its
-// kind is unknown too: the decoder must check that code only after it has read the field.
-func TestTruncatedListOfUnknownKindIsReportedAsTruncated(t *testing.T) {
+// An endpoint update that ends before its number of entries must be reported as truncated, even if the code of the
+// update's kind is unknown. The decoder must therefore check the code of the kind only after it has read the number of
+// entries.
+func TestTruncatedEndpointUpdateOfUnknownKindIsReportedAsTruncated(t *testing.T) {
 	d := decoder{rest: []byte{9, 0, 0, 0, 41}}
 	if d.endpointUpdate(); !errors.Is(d.err, errTruncated) {
-		t.Errorf("list without the number of entries: got error %v, want %v", d.err, errTruncated)
+		t.Errorf("endpoint update without the number of entries: got error %v, want %v", d.err, errTruncated)
 	}
 }
