--- a/internal/frontend/thrift/decoder.go
+++ b/internal/frontend/thrift/decoder.go
@@ -52,7 +52,7 @@
 // next returns the next n bytes. If n is negative or fewer than n bytes remain, it records a failure and returns nil.
 func (d *decoder) next(n int) []byte {
 	if n < 0 || n > len(d.remaining) {
-		d.fail(fmt.Errorf("%w: the next value has length %d, %d bytes remain", errTruncated, n, len(d.remaining)))
+		d.fail(errTruncated)
 		return nil
 	}
 	b := d.remaining[:n:n]
