--- a/internal/frontend/webhook/ledger.go
+++ b/internal/frontend/webhook/ledger.go
@@ -12,7 +12,7 @@
 // Errors of the ledger when it is opened or when it records an order.
 var (
 	errLedgerInUse   = errors.New("ledger is in use")
-	errLedgerFull    = errors.New("ledger is full") // the wrapping error says whether the file or the queue is full
+	errLedgerFull    = errors.New("ledger is full") // wrapped if the file is full; returned as it is if the writer's queue is full
 	errLedgerFailed  = errors.New("ledger does not record any more entries after a failed write, sync or compaction")
 	errLedgerDamaged = errors.New("damaged")
 )
@@ -112,13 +112,13 @@
 // recordStart records that an order is about to run; it sets the entry's state to orderBegun. onDurable is called once.
 // The writer calls it on its goroutine: with nil after the entry has been synced, or with an error that the writer has
 // logged; pendingWrite.onDurable lists these errors. If the queue is full, recordStart itself calls onDurable before it
-// returns, with an error that wraps errLedgerFull and that is not logged.
+// returns, with errLedgerFull; this error is not logged.
 func (l *ledger) recordStart(e ledgerEntry, onDurable func(error)) {
 	e.State = orderBegun
 	select {
 	case l.queue <- pendingWrite{entry: e, onDurable: onDurable}:
 	default:
-		onDurable(fmt.Errorf("%w: %d entries wait for the writer", errLedgerFull, ledgerQueueLength))
+		onDurable(errLedgerFull)
 	}
 }
 
