--- a/internal/frontend/webhook/config.go
+++ b/internal/frontend/webhook/config.go
@@ -102,6 +102,11 @@
 
 func (e *settingError) Unwrap() error { return e.reason }
 
+// outOfRange returns a *settingError for a value that is out of range. format and arguments say which values are allowed.
+func outOfRange(setting string, value any, format string, arguments ...any) error {
+	return &settingError{setting, fmt.Errorf("%v is %w: %s", value, errOutOfRange, fmt.Sprintf(format, arguments...))}
+}
+
 // ReadConfig reads and checks the webhook file at path. It reads neither the key files nor the ledger. Its errors name
 // the file. If a setting is rejected, the error wraps a *settingError; if the file can't be read, it wraps an
 // *fs.PathError.
@@ -167,10 +172,9 @@
 	case len(r.Keys) == 0:
 		return &settingError{"receiver.keys", errMissingSetting}
 	case r.Tolerance < minTolerance:
-		return &settingError{"receiver.tolerance", fmt.Errorf("%v is %w: minimum %v", r.Tolerance, errOutOfRange, minTolerance)}
+		return outOfRange("receiver.tolerance", r.Tolerance, "minimum %v", minTolerance)
 	case r.DedupeFor < minDedupeInTolerances*r.Tolerance:
-		reason := fmt.Errorf("%v is %w: minimum %d tolerances of %v", r.DedupeFor, errOutOfRange, minDedupeInTolerances, r.Tolerance)
-		return &settingError{"receiver.dedupe_for", reason}
+		return outOfRange("receiver.dedupe_for", r.DedupeFor, "minimum %d tolerances of %v", minDedupeInTolerances, r.Tolerance)
 	}
 	if r.Ledger.Path == "" {
 		return nil
@@ -182,11 +186,9 @@
 func (l *LedgerConfig) check(tolerance time.Duration) error {
 	switch {
 	case l.Retention < minRetentionInTolerances*tolerance:
-		reason := fmt.Errorf("%v is %w: minimum %d tolerances of %v", l.Retention, errOutOfRange, minRetentionInTolerances, tolerance)
-		return &settingError{"receiver.ledger.retention", reason}
+		return outOfRange("receiver.ledger.retention", l.Retention, "minimum %d tolerances of %v", minRetentionInTolerances, tolerance)
 	case l.MaxBytes < minLedgerBytes:
-		reason := fmt.Errorf("%d is %w: minimum %d", l.MaxBytes, errOutOfRange, minLedgerBytes)
-		return &settingError{"receiver.ledger.max_bytes", reason}
+		return outOfRange("receiver.ledger.max_bytes", l.MaxBytes, "minimum %d", minLedgerBytes)
 	}
 	return nil
 }
@@ -203,13 +205,13 @@
 	case s.Key == "":
 		return &settingError{"sender.key", errMissingSetting}
 	case s.Queue < 1 || s.Queue > maxSenderQueue:
-		return &settingError{"sender.queue", fmt.Errorf("%d is %w: 1 to %d", s.Queue, errOutOfRange, maxSenderQueue)}
+		return outOfRange("sender.queue", s.Queue, "1 to %d", maxSenderQueue)
 	case s.Attempts < 1 || s.Attempts > maxSenderAttempts:
-		return &settingError{"sender.attempts", fmt.Errorf("%d is %w: 1 to %d", s.Attempts, errOutOfRange, maxSenderAttempts)}
+		return outOfRange("sender.attempts", s.Attempts, "1 to %d", maxSenderAttempts)
 	case s.Backoff <= 0:
-		return &settingError{"sender.backoff", fmt.Errorf("%v is %w: must be positive", s.Backoff, errOutOfRange)}
+		return outOfRange("sender.backoff", s.Backoff, "must be positive")
 	case s.Timeout <= 0:
-		return &settingError{"sender.timeout", fmt.Errorf("%v is %w: must be positive", s.Timeout, errOutOfRange)}
+		return outOfRange("sender.timeout", s.Timeout, "must be positive")
 	}
 	return nil
 }
